--- /dev/null
+++ b/crates/history/examples/write_fixture.rs
@@ -0,0 +1,40 @@
+//! Writes the fixtures of `tests/stored_data.rs`: `write_fixture run FOLDER` records two runs of a core against proxies
+//! in memory; `write_fixture encode FILE` adds the recorded bytes, in hexadecimal, to lines that lack them. What is
+//! committed is never written anew: it stands for what older programs wrote.
+
+#[path = "write_fixture/run.rs"]
+mod run;
+#[path = "write_fixture/site.rs"]
+mod site;
+
+use pondarch_history::{Record, Snapshot};
+use std::error::Error;
+use std::path::Path;
+
+fn main() -> Result<(), Box<dyn Error>> {
+    let words: Vec<String> = std::env::args().skip(1).collect();
+    match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+        ["run", folder] => run::write(Path::new(folder)),
+        ["encode", file] => encode(Path::new(file)),
+        _ => Err("usage: write_fixture run FOLDER | encode FILE".into()),
+    }
+}
+
+/// Lines are `record` or `snapshot`, the value as JSON, and its bytes, with tabs between.
+fn encode(file: &Path) -> Result<(), Box<dyn Error>> {
+    let mut out = String::new();
+    for line in std::fs::read_to_string(file)?.lines() {
+        let words: Vec<&str> = line.split('\t').collect();
+        let bytes = match words[..] {
+            ["record", json] => serde_json::from_str::<Record>(json)?.bytes(),
+            ["snapshot", json] => serde_json::from_str::<Snapshot>(json)?.bytes(),
+            _ => {
+                out += &format!("{line}\n");
+                continue;
+            }
+        };
+        let hexadecimal: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        out += &format!("{line}\t{hexadecimal}\n");
+    }
+    Ok(std::fs::write(file, out)?)
+}
