--- /dev/null
+++ b/crates/platform-wire/tests/wire_texts/registry.rs
@@ -0,0 +1,74 @@
+//! The list of hosts, whole and as changes, and the list's reasons for a refusal (shown as `ListRefused`).
+
+use pondarch::types::Standing;
+use pondarch_job_ticket::Names;
+use pondarch_platform_wire::registry::{self, Listed};
+
+const WHOLE: &str = r#"{"generation":41,"reset":true,"instances":[
+{"instanceId":"s-1","hostPort":"127.0.0.1:8080","zone":"east","machineType":"m2","cell":6,
+"lifecycle":"Ready","weight":1.5,"startedAtMs":1700.5},
+{"instanceId":"s-2","hostPort":"none","lifecycle":"Terminating"},
+{"instanceId":"s-3","lifecycle":"Gone"}]}"#;
+
+fn read(text: &str) -> Listed {
+    registry::read(text.as_bytes()).expect("a good list")
+}
+
+#[test]
+fn whole_list() {
+    let list = read(WHOLE);
+    assert_eq!((list.generation, list.whole, list.entries.len()), (41, true, 3));
+    let first = &list.entries[0];
+    assert_eq!(&*first.host.0, "s-1");
+    assert_eq!(first.at.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:8080"));
+    assert_eq!((first.zone.as_str(), first.machine.as_str(), first.cell.0), ("east", "m2", 6));
+    assert_eq!((first.weight, (first.started - Default::default()).as_micros()), (1.5, 1_700_500));
+    assert_eq!(first.standing, Standing::Open);
+    let second = &list.entries[1];
+    assert_eq!((second.at, second.zone.as_str(), second.weight), (None, "", 0.0));
+    assert_eq!(second.standing, Standing::Draining);
+    assert_eq!(list.entries[2].standing, Standing::Gone);
+    let mut names = Names::default();
+    assert_eq!(first.listing(&mut names).zone.0, 0);
+    assert_eq!(names.known_zone("east").map(|zone| zone.0), Some(0));
+}
+
+#[test]
+fn changes() {
+    let list = read(
+        r#"{"generation":42,"reset":false,"instances":[{"instanceId":"s-3","lifecycle":"Gone"}],"extra":1}"#,
+    );
+    assert_eq!((list.generation, list.whole, list.entries.len()), (42, false, 1));
+    assert_eq!(read(r#"{"generation":1,"reset":true,"instances":[]}"#).entries.len(), 0);
+}
+
+fn refusal(text: &str) -> String {
+    registry::read(text.as_bytes()).expect_err("a bad list").to_string()
+}
+
+#[test]
+fn refusal_texts() {
+    let missing = |name: &str| format!("cannot be read: missing field `{name}`");
+    for (text, name) in [
+        (r#"{"reset":true,"instances":[]}"#, "generation"),
+        (r#"{"generation":1,"instances":[]}"#, "reset"),
+        (r#"{"generation":1,"reset":true}"#, "instances"),
+        (r#"{"generation":1,"reset":true,"instances":[{"lifecycle":"Ready"}]}"#, "instanceId"),
+        (r#"{"generation":1,"reset":true,"instances":[{"instanceId":"a"}]}"#, "lifecycle"),
+    ] {
+        assert!(refusal(text).starts_with(&missing(name)), "{}", refusal(text));
+    }
+    let entry = |id: &str, lifecycle: &str| {
+        format!(
+            r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"{id}","lifecycle":"{lifecycle}"}}]}}"#
+        )
+    };
+    assert_eq!(refusal(&entry("", "Ready")), "entry 0: instanceId cannot be");
+    assert_eq!(refusal(&entry(&"x".repeat(129), "Ready")), "entry 0: instanceId cannot be");
+    assert_eq!(refusal(&entry("a", "ready")), "entry 0: lifecycle is unknown");
+    let one = r#"{"instanceId":"a","lifecycle":"Ready"}"#;
+    let many = vec![one; 16_385].join(",");
+    let many = format!(r#"{{"generation":1,"reset":true,"instances":[{many}]}}"#);
+    assert_eq!(refusal(&many), "16385 entries; 16384 at most");
+    assert_eq!(registry::LIST_MOST, 4_194_304);
+}
