--- a/crates/steward/tests/in_memory/main.rs
+++ b/crates/steward/tests/in_memory/main.rs
@@ -7,3 +7,4 @@
 mod replay;
 mod town;
 mod weights;
+mod wire_texts;
--- /dev/null
+++ b/crates/steward/tests/in_memory/wire_texts/answers.rs
@@ -0,0 +1,118 @@
+//! Answers to operators, whole, as a transcript: each command after `> `, then its answer without the empty line.
+
+use super::*;
+use pondarch_settings::Length;
+
+/// The commands with the connection's level: 0 user, 1 operator, 2 admin.
+const COMMANDS: &[(u8, &str)] = &[
+    (0, "help"),
+    (0, "show info"),
+    (0, "show info json"),
+    (0, "show stat"),
+    (0, "show backend"),
+    (2, "show servers state"),
+    (2, "show servers state hosts"),
+    (2, "show servers state bogus"),
+    (2, "show servers conn table-0"),
+    (2, "show servers conn bogus"),
+    (2, "show memory"),
+    (2, "show errors"),
+    (2, "show map"),
+    (2, "show map levels"),
+    (2, "show map tries"),
+    (2, "show map proxies"),
+    (2, "show map weights"),
+    (2, "show map lingering"),
+    (2, "show map owed"),
+    (2, "show map secondaries"),
+    (2, "show map zones"),
+    (2, "show map bogus"),
+    (2, "show map @9 zones"),
+    (2, "get map zones host-0"),
+    (2, "get map zones nobody"),
+    (2, "get weight hosts/host-0"),
+    (2, "get weight hosts/nobody"),
+    (2, "get weight table-0/host-0"),
+    (2, "set server hosts/host-1 weight 0"),
+    (2, "set server table-0/host-1 weight 3"),
+    (2, "set server hosts/host-1 weight 50%"),
+    (2, "get weight hosts/host-1"),
+    (2, "set server hosts/host-1 addr 127.0.0.9 port 81"),
+    (2, "set server hosts/host-1 addr 127.0.0.9 port 81"),
+    (2, "set server hosts/host-2 state drain"),
+    (2, "add server hosts/new 127.0.0.8:80 weight 4"),
+    (2, "add server hosts/new 127.0.0.8:80"),
+    (2, "add server hosts/host-0 127.0.0.8:80"),
+    (2, "add server hosts/b@d 127.0.0.8:80"),
+    (2, "add server table-0/new 127.0.0.8:80"),
+    (2, "set map zones new arnhem"),
+    (2, "add map zones new arnhem"),
+    (2, "add map zones new bogus"),
+    (2, "add map zones host-0 ede"),
+    (2, "set map zones nobody ede"),
+    (2, "del map zones nobody"),
+    (2, "prepare map zones"),
+    (2, "add map @1 zones new ede"),
+    (2, "show map @1 zones"),
+    (2, "commit map @1 zones"),
+    (2, "commit map @1 zones"),
+    (2, "clear map @7 zones"),
+    (2, "set map levels table-0/proof 1"),
+    (2, "del server hosts/host-0"),
+    (2, "del server hosts/new"),
+    (0, "show map"),
+    (1, "set server hosts/host-1 state drain"),
+    (2, "bogus"),
+];
+
+fn transcript(town: &mut Town, commands: &[(u8, &str)]) -> String {
+    let mut out = String::new();
+    for (level, line) in commands {
+        let answer = town.command(*level, line);
+        out.push_str(&format!("> {line}\n{}", answer.strip_suffix('\n').expect("an empty line")));
+    }
+    out
+}
+
+#[test]
+fn answers_of_every_command() {
+    let mut town = town();
+    town.traffic(0, 30, 3, 80);
+    town.run(2_500);
+    assert_same(&transcript(&mut town, COMMANDS), include_str!("answers.txt"));
+}
+
+/// The figures that stand in `show info` only with a DNS front, records or senders.
+#[test]
+fn show_info_with_every_name() {
+    let mut site = site(1);
+    site.dns = Some(pondarch_settings::site::Dns {
+        zone: "pond.example".into(),
+        listen: ([127, 0, 0, 1], 0).into(),
+        grace: Length::millis(6_000),
+        learns_within: Length::millis(500),
+        lifetime: None,
+        answers_per_second: 50.0,
+        secondaries: Vec::new(),
+        behind: Length::millis(1_000),
+        expires: Length::millis(60_000),
+    });
+    site.reports.push = Some("unix:/push".parse().expect("a path"));
+    let mut town = Town::open(&site, 3);
+    town.run(1_000);
+    town.give(pondarch_steward::Input::Records(pondarch_steward::RecordsState { stopped: None, lost: 2 }));
+    assert_same(&transcript(&mut town, &[(0, "show info")]), include_str!("info.txt"));
+}
+
+/// `show events` prints the names of the code's own event types and fields: they are on the wire, so they are held
+/// here, in one place.
+#[test]
+fn show_events() {
+    let mut town = town();
+    town.command(2, "set server hosts/host-1 weight 3; set server hosts/host-2 state drain");
+    town.fronts[0].fault = Fault::Refuse(1);
+    town.run(2_000);
+    town.drop_link(1);
+    town.run(1_000);
+    assert_same(&transcript(&mut town, &[(2, "show events")]), include_str!("events.txt"));
+}
