--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -22,7 +22,12 @@
         Err(wrong) => return failed(&format!("cannot reach {socket}: {wrong}")),
     };
     let mut wire = Framed::new(stream, ClientCodec::default());
-    if let Err(wrong) = ask(&mut wire, &Command::Prompt(PromptMode::Interactive).to_string()).await {
+    if let Err(wrong) = ask(
+        &mut wire,
+        &Command::Prompt(PromptMode::Interactive).to_string(),
+    )
+    .await
+    {
         return failed(&format!("{socket}: {wrong}"));
     }
     let mut refused = false;
@@ -55,11 +60,18 @@
 }
 
 fn ended(refused: bool) -> ExitCode {
-    if refused { ExitCode::from(1) } else { ExitCode::SUCCESS }
+    if refused {
+        ExitCode::from(1)
+    } else {
+        ExitCode::SUCCESS
+    }
 }
 
 /// Sends a line; gives an answer for each command in it.
-async fn ask(wire: &mut Framed<Stream, ClientCodec>, line: &str) -> Result<Vec<String>, CodecError> {
+async fn ask(
+    wire: &mut Framed<Stream, ClientCodec>,
+    line: &str,
+) -> Result<Vec<String>, CodecError> {
     let due = parse_line(line).len().max(1);
     wire.send(line.to_string()).await?;
     let mut answers = Vec::new();
@@ -93,5 +105,7 @@
     for answer in answers.iter().filter(|answer| !answer.is_empty()) {
         println!("{answer}");
     }
-    !answers.iter().any(|answer| REFUSALS.iter().any(|start| answer.starts_with(start)))
+    !answers
+        .iter()
+        .any(|answer| REFUSALS.iter().any(|start| answer.starts_with(start)))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,7 +15,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "pondarch", version, about = "Tells plain proxies which hosts they may send to")]
+#[command(
+    name = "pondarch",
+    version,
+    about = "Tells plain proxies which hosts they may send to"
+)]
 struct Args {
     /// How logs are written, to standard error.
     #[arg(long, value_enum, default_value_t = LogAs::Text, global = true)]
@@ -144,12 +148,30 @@
                 Err(wrong) => failed(&wrong.to_string()),
             },
             What::Check { settings, proxy } => check(settings, proxy),
-            What::Plan { settings, simplex, json } => plan::plan(&settings, simplex, json),
+            What::Plan {
+                settings,
+                simplex,
+                json,
+            } => plan::plan(&settings, simplex, json),
             What::Ctl { socket, command } => ctl::ctl(&socket, &command).await,
-            What::Resolve { name, server, of, tcp } => resolve::resolve(server, &name, &of, tcp).await,
+            What::Resolve {
+                name,
+                server,
+                of,
+                tcp,
+            } => resolve::resolve(server, &name, &of, tcp).await,
             What::Records { what } => records::records(what),
-            What::Replay { from, first, last, against, seeds } => {
-                let span = pondarch_history::replay::Span { from: first, to: last };
+            What::Replay {
+                from,
+                first,
+                last,
+                against,
+                seeds,
+            } => {
+                let span = pondarch_history::replay::Span {
+                    from: first,
+                    to: last,
+                };
                 records::again(&from, span, against.as_deref(), seeds.clamp(1, 1_000))
             }
             What::Rehearse { scene } => rehearse::rehearse(scene).await,
@@ -178,13 +200,19 @@
     let checked = if proxy {
         read_proxy(&settings).and_then(|site| {
             let list = read_hosts(&site.hosts_file, &site.zones)?;
-            Ok(format!("{} request kinds, {} hosts", site.kinds.len(), list.hosts.len()))
+            Ok(format!(
+                "{} request kinds, {} hosts",
+                site.kinds.len(),
+                list.hosts.len()
+            ))
         })
     } else {
         read_site(&settings).and_then(|site| {
             let list = read_hosts(&site.hosts_file, &site.zones)?;
             let (kinds, proxies, hosts) = (site.kinds.len(), site.proxies.len(), list.hosts.len());
-            Ok(format!("{kinds} request kinds, {proxies} proxies, {hosts} hosts"))
+            Ok(format!(
+                "{kinds} request kinds, {proxies} proxies, {hosts} hosts"
+            ))
         })
     };
     match checked {
@@ -203,10 +231,14 @@
         LogLevel::Info => tracing_subscriber::filter::LevelFilter::INFO,
         LogLevel::Debug => tracing_subscriber::filter::LevelFilter::DEBUG,
     };
-    let logs =
-        tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_target(false);
+    let logs = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_target(false);
     match log {
-        LogAs::Text => logs.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr())).init(),
+        LogAs::Text => logs
+            .with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()))
+            .init(),
         LogAs::Json => logs.json().init(),
     }
 }
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -41,7 +41,11 @@
         Err(wrong) => return failed(&wrong.to_string()),
     };
     let fleet = fleet(&site);
-    let solver = if simplex { Solver::Simplex } else { Solver::Interior };
+    let solver = if simplex {
+        Solver::Simplex
+    } else {
+        Solver::Interior
+    };
     match solved(&fleet, solver) {
         Ok((plan, gains)) => print(&fleet, &plan, &gains, json),
         Err(wrong) => failed(&format!("{}: {wrong}", settings.display())),
@@ -50,10 +54,24 @@
 
 fn solved(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
     let mut plan = solve(fleet, solver)?;
-    let bears = |host: &Host| Bears { capacity: host.capacity(), warm: host.warm >= 1.0 };
-    plan.weights = guarded(&fleet.hosts.iter().map(bears).collect::<Vec<_>>(), &plan.weights);
+    let bears = |host: &Host| Bears {
+        capacity: host.capacity(),
+        warm: host.warm >= 1.0,
+    };
+    plan.weights = guarded(
+        &fleet.hosts.iter().map(bears).collect::<Vec<_>>(),
+        &plan.weights,
+    );
     let gains = match fleet.hosts.first() {
-        Some(make) => one_more(fleet, &Host { warm: 1.0, taken: 0.0, ..make.clone() }, solver)?,
+        Some(make) => one_more(
+            fleet,
+            &Host {
+                warm: 1.0,
+                taken: 0.0,
+                ..make.clone()
+            },
+            solver,
+        )?,
         None => Vec::new(),
     };
     Ok((plan, gains))
@@ -63,7 +81,11 @@
     let zone = |name: &String| site.zones.iter().position(|zone| zone == name).unwrap_or(0);
     let hosts = site.hosts.iter().flat_map(|of| {
         (0..of.count).map(move |n| Host {
-            name: if of.count == 1 { of.name.clone() } else { format!("{}-{n}", of.name) },
+            name: if of.count == 1 {
+                of.name.clone()
+            } else {
+                format!("{}-{n}", of.name)
+            },
             zone: zone(&of.zone),
             cores: of.cores,
             speed: of.speed,
@@ -83,7 +105,12 @@
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
         let rate = |zone: &String, kind: &Kind| demand.get(zone)?.get(&kind.name).copied();
-        let of_zone = |zone| kinds.iter().map(|kind| rate(zone, kind).unwrap_or(0.0)).collect();
+        let of_zone = |zone| {
+            kinds
+                .iter()
+                .map(|kind| rate(zone, kind).unwrap_or(0.0))
+                .collect()
+        };
         site.zones.iter().map(of_zone).collect::<Vec<Vec<f64>>>()
     };
     // The hosts of a table by the names in the settings, which may stand for several alike.
@@ -92,7 +119,12 @@
     };
     let places = |names: &Vec<String>| {
         let of = |host: &Host| names.iter().any(|name| named(name, host));
-        hosts.iter().enumerate().filter(|(_, host)| of(host)).map(|(place, _)| place).collect::<Vec<_>>()
+        hosts
+            .iter()
+            .enumerate()
+            .filter(|(_, host)| of(host))
+            .map(|(place, _)| place)
+            .collect::<Vec<_>>()
     };
     let mut tables: Vec<Table> = site
         .tables
@@ -106,13 +138,20 @@
     if !site.demand.is_empty() || tables.is_empty() {
         tables.push(Table::of_all(rates(&site.demand)));
     }
-    Fleet { tables, zones: site.zones.clone(), hosts, kinds, crossing: site.crossing_price }
+    Fleet {
+        tables,
+        zones: site.zones.clone(),
+        hosts,
+        kinds,
+        crossing: site.crossing_price,
+    }
 }
 
 fn print(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
     let figures = plan.weights.iter().zip(&plan.utilisation);
-    let host =
-        |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| (host.name.clone(), *weight, *utilisation);
+    let host = |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| {
+        (host.name.clone(), *weight, *utilisation)
+    };
     let hosts: Vec<(String, f64, f64)> = fleet.hosts.iter().zip(figures).map(host).collect();
     let printed = Printed {
         hosts: hosts
@@ -127,12 +166,21 @@
             .kinds
             .iter()
             .zip(plan.let_in.iter().zip(&plan.in_time))
-            .map(|(k, (let_in, in_time))| PrintedKind { name: &k.name, let_in: *let_in, in_time: *in_time })
+            .map(|(k, (let_in, in_time))| PrintedKind {
+                name: &k.name,
+                let_in: *let_in,
+                in_time: *in_time,
+            })
             .collect(),
         served: plan.served,
         crossing: plan.crossing,
         little_room: &plan.little_room,
-        one_more: fleet.zones.iter().map(String::as_str).zip(gains.iter().copied()).collect(),
+        one_more: fleet
+            .zones
+            .iter()
+            .map(String::as_str)
+            .zip(gains.iter().copied())
+            .collect(),
     };
     if json {
         return match serde_json::to_string_pretty(&printed) {
@@ -145,18 +193,31 @@
     }
     println!("{:<24}{:>9}{:>13}", "host", "weight", "utilisation");
     for host in &printed.hosts {
-        println!("{:<24}{:>9.3}{:>13.3}", host.name, host.weight, host.utilisation);
+        println!(
+            "{:<24}{:>9.3}{:>13.3}",
+            host.name, host.weight, host.utilisation
+        );
     }
     for kind in &printed.kinds {
-        println!("let in, {:<16}{:>9.3}  of which in time {:.3}", kind.name, kind.let_in, kind.in_time);
+        println!(
+            "let in, {:<16}{:>9.3}  of which in time {:.3}",
+            kind.name, kind.let_in, kind.in_time
+        );
     }
     match printed.served {
         Some(served) => println!("benefit let in{:>19.3}", served),
         None => println!("nothing is asked for: weights by capacity"),
     }
     println!("work that crosses zones{:>10.3}", printed.crossing);
-    println!("hosts with little room: {} of {}", printed.little_room.len(), printed.hosts.len());
-    printed.little_room.iter().for_each(|host| println!("  {host}"));
+    println!(
+        "hosts with little room: {} of {}",
+        printed.little_room.len(),
+        printed.hosts.len()
+    );
+    printed
+        .little_room
+        .iter()
+        .for_each(|host| println!("  {host}"));
     for (zone, gain) in &printed.one_more {
         println!("one more host in {zone:<14} {gain:>8.3} benefit a second");
     }
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -65,17 +65,35 @@
 /// Gives whether all was in order.
 fn done(what: What) -> Result<bool, String> {
     match what {
-        What::Show { folder, proxy, host, what, from, to, verbose } => {
-            let fits = |own: &Option<String>, wanted: &Option<String>| wanted.is_none() || own == wanted;
+        What::Show {
+            folder,
+            proxy,
+            host,
+            what,
+            from,
+            to,
+            verbose,
+        } => {
+            let fits =
+                |own: &Option<String>, wanted: &Option<String>| wanted.is_none() || own == wanted;
             let mut out = std::io::stdout().lock();
             let flaws = export::rows(&Folder::look(&folder), |row| {
-                let named = what.as_ref().is_none_or(|what| row.what.eq_ignore_ascii_case(what));
-                if fits(&row.proxy, &proxy) && fits(&row.host, &host) && named && (from..=to).contains(&row.n)
+                let named = what
+                    .as_ref()
+                    .is_none_or(|what| row.what.eq_ignore_ascii_case(what));
+                if fits(&row.proxy, &proxy)
+                    && fits(&row.host, &host)
+                    && named
+                    && (from..=to).contains(&row.n)
                 {
                     let of = row.proxy.as_deref().or(row.host.as_deref()).unwrap_or("");
                     let at = row.at_us as f64 / 1e6;
                     let more = if verbose { row.text.as_str() } else { "" };
-                    writeln!(out, "{at:.6} #{} {} {} {of} {more}", row.n, row.of, row.what)?;
+                    writeln!(
+                        out,
+                        "{at:.6} #{} {} {} {of} {more}",
+                        row.n, row.of, row.what
+                    )?;
                 }
                 Ok(())
             });
@@ -93,10 +111,14 @@
                 if row.of == "input"
                     && let Some((first, last)) = numbers.missing(row.epoch, row.n)
                 {
-                    missing.push(format!("run {}: inputs {first} to {last} are missing", row.epoch));
+                    missing.push(format!(
+                        "run {}: inputs {first} to {last} are missing",
+                        row.epoch
+                    ));
                 }
                 if row.of == "gap" {
-                    let fields: serde_json::Value = serde_json::from_str(&row.text).unwrap_or_default();
+                    let fields: serde_json::Value =
+                        serde_json::from_str(&row.text).unwrap_or_default();
                     numbers.gap(row.epoch, fields["last"].as_u64().unwrap_or(row.n));
                     missing.push(format!("run {}: a gap: {}", row.epoch, row.text));
                 }
@@ -104,14 +126,20 @@
             });
             let flaws = flaws.map_err(|wrong| of_folder(&folder, wrong))?;
             let bytes: u64 = places.iter().map(|place| place.bytes).sum();
-            println!("{}: {} segments, {bytes} bytes, {rows} rows", folder.display(), places.len());
+            println!(
+                "{}: {} segments, {bytes} bytes, {rows} rows",
+                folder.display(),
+                places.len()
+            );
             say(&folder, &flaws);
-            missing.iter().for_each(|what| eprintln!("pondarch: {}: {what}", folder.display()));
+            missing
+                .iter()
+                .for_each(|what| eprintln!("pondarch: {}: {what}", folder.display()));
             Ok(flaws.is_empty() && missing.is_empty())
         }
         What::Export { folder, file } => {
-            let (count, flaws) =
-                export::export(&Folder::look(&folder), &file).map_err(|wrong| of_folder(&folder, wrong))?;
+            let (count, flaws) = export::export(&Folder::look(&folder), &file)
+                .map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
             println!("{}: {count} rows", file.display());
             Ok(true)
@@ -126,17 +154,33 @@
                 sure_within: pondarch_records::keeping::ALWAYS,
             };
             let held = log::held(&disk).map_err(io)?;
-            let newest = log::files(&disk).map_err(io)?.1.pop().and_then(|name| log::number_of(&name));
+            let newest = log::files(&disk)
+                .map_err(io)?
+                .1
+                .pop()
+                .and_then(|name| log::number_of(&name));
             // What the newest snapshot needs begins with the segment that was open when it was taken.
             let needed = newest.map_or(0, |(number, _)| {
-                held.iter().map(|segment| segment.number).filter(|n| *n < number).max().unwrap_or(0)
+                held.iter()
+                    .map(|segment| segment.number)
+                    .filter(|n| *n < number)
+                    .max()
+                    .unwrap_or(0)
             });
             let now = pondarch::types::Time::from_micros(pondarch_records::disk::now_us());
             let dropped = log::trim(&mut disk, &Keeping::new(keep), now, needed).map_err(io)?;
-            println!("{}: {dropped} of {} segments dropped", folder.display(), held.len());
+            println!(
+                "{}: {dropped} of {} segments dropped",
+                folder.display(),
+                held.len()
+            );
             Ok(true)
         }
-        What::Scene { folder, file, epoch } => {
+        What::Scene {
+            folder,
+            file,
+            epoch,
+        } => {
             let (scene, flaws) =
                 of_run(&Folder::look(&folder), epoch).map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
@@ -154,7 +198,11 @@
 
 fn say(folder: &Path, flaws: &[Flaw]) {
     for flaw in flaws {
-        eprintln!("pondarch: {}: {}", folder.join(&flaw.name).display(), flaw.what);
+        eprintln!(
+            "pondarch: {}: {}",
+            folder.join(&flaw.name).display(),
+            flaw.what
+        );
     }
 }
 
@@ -172,11 +220,21 @@
 }
 
 fn replayed(folder: &Path, span: Span) -> Result<bool, String> {
-    let (runs, flaws) = replay(&Folder::look(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
+    let (runs, flaws) =
+        replay(&Folder::look(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
     say(folder, &flaws);
     let mut same = true;
     for run in runs {
-        let Replayed { epoch, program, inputs, decisions, spans, took, differs, stopped } = run;
+        let Replayed {
+            epoch,
+            program,
+            inputs,
+            decisions,
+            spans,
+            took,
+            differs,
+            stopped,
+        } = run;
         let (spans, took) = (spans.as_secs_f64(), took.as_secs_f64());
         print!(
             "run {epoch} of {program}: {inputs} inputs over {spans:.1} s, {decisions} decisions, in {took:.2} s: "
@@ -185,7 +243,10 @@
             (Some(difference), _) => {
                 same = false;
                 println!("differs at #{} by {:?}", difference.n, difference.input);
-                println!("  then: {:?}\n  now:  {:?}", difference.then, difference.now);
+                println!(
+                    "  then: {:?}\n  now:  {:?}",
+                    difference.then, difference.now
+                );
             }
             (None, Some(why)) => println!("same, up to where {why}"),
             (None, None) => println!("same"),
@@ -196,19 +257,28 @@
 
 fn compared(from: &Path, against: Option<&Path>, seeds: u64) -> Result<bool, String> {
     let scene: Scene = if from.is_file() {
-        let text = std::fs::read_to_string(from).map_err(|wrong| format!("{}: {wrong}", from.display()))?;
+        let text = std::fs::read_to_string(from)
+            .map_err(|wrong| format!("{}: {wrong}", from.display()))?;
         serde_json::from_str(&text).map_err(|wrong| format!("{}: {wrong}", from.display()))?
     } else {
-        of_run(&Folder::look(from), None).map_err(|wrong| of_folder(from, wrong))?.0
+        of_run(&Folder::look(from), None)
+            .map_err(|wrong| of_folder(from, wrong))?
+            .0
     };
-    let other = against.map(read_site).transpose().map_err(|wrong| wrong.to_string())?;
+    let other = against
+        .map(read_site)
+        .transpose()
+        .map_err(|wrong| wrong.to_string())?;
     let mut rows: Vec<(Played, Option<Played>)> = Vec::new();
     for seed in 1..=seeds {
         let played = |site: Option<&pondarch_settings::Site>| {
             play(&scene, site, seed).map_err(|wrong| format!("{}: {wrong}", from.display()))
         };
         let own = played(None)?;
-        rows.push((own, other.as_ref().map(|site| played(Some(site))).transpose()?));
+        rows.push((
+            own,
+            other.as_ref().map(|site| played(Some(site))).transpose()?,
+        ));
     }
     type Figure = (&'static str, fn(&Played) -> u64);
     let figures: [Figure; 10] = [
@@ -231,17 +301,31 @@
     );
     for (name, of) in figures {
         let span = |all: Vec<u64>| {
-            let (least, most) =
-                (all.iter().min().copied().unwrap_or(0), all.iter().max().copied().unwrap_or(0));
-            if least == most { format!("{least}") } else { format!("{least} to {most}") }
+            let (least, most) = (
+                all.iter().min().copied().unwrap_or(0),
+                all.iter().max().copied().unwrap_or(0),
+            );
+            if least == most {
+                format!("{least}")
+            } else {
+                format!("{least} to {most}")
+            }
         };
         let own = span(rows.iter().map(|(own, _)| of(own)).collect());
-        let others: Vec<u64> = rows.iter().filter_map(|(_, other)| other.as_ref().map(of)).collect();
-        let others = if others.is_empty() { String::new() } else { span(others) };
+        let others: Vec<u64> = rows
+            .iter()
+            .filter_map(|(_, other)| other.as_ref().map(of))
+            .collect();
+        let others = if others.is_empty() {
+            String::new()
+        } else {
+            span(others)
+        };
         println!("{name:<30}{own:>16}{others:>16}");
     }
     if let Some((own, Some(other))) = rows.first() {
-        let tables: std::collections::BTreeSet<_> = own.tables.keys().chain(other.tables.keys()).collect();
+        let tables: std::collections::BTreeSet<_> =
+            own.tables.keys().chain(other.tables.keys()).collect();
         for table in tables {
             let names = |played: &Played| {
                 let lines = played.tables.get(table).cloned().unwrap_or_default();
@@ -257,5 +341,7 @@
             }
         }
     }
-    Ok(rows.iter().all(|(own, other)| other.as_ref().is_none_or(|other| other == own)))
+    Ok(rows
+        .iter()
+        .all(|(own, other)| other.as_ref().is_none_or(|other| other == own)))
 }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -105,13 +105,19 @@
 
 impl Show {
     fn folder(&self) -> Result<PathBuf, String> {
-        let new = || std::env::temp_dir().join(format!("pondarch-rehearsal-{}", std::process::id()));
+        let new =
+            || std::env::temp_dir().join(format!("pondarch-rehearsal-{}", std::process::id()));
         let folder = self.folder.clone().unwrap_or_else(new);
-        std::fs::create_dir_all(&folder).map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
         Ok(folder)
     }
 
-    fn print(&self, report: &impl Serialize, text: Result<String, RehearsalError>) -> Result<(), String> {
+    fn print(
+        &self,
+        report: &impl Serialize,
+        text: Result<String, RehearsalError>,
+    ) -> Result<(), String> {
         let text = if self.json {
             serde_json::to_string_pretty(report).map_err(|wrong| wrong.to_string())?
         } else {
@@ -139,31 +145,45 @@
 
 /// Plays a scene; gives whether the rules held.
 async fn played(scene: Scene) -> Result<bool, String> {
-    let program = std::env::current_exe().map_err(|wrong| format!("cannot find this program: {wrong}"))?;
+    let program =
+        std::env::current_exe().map_err(|wrong| format!("cannot find this program: {wrong}"))?;
     match scene {
         Scene::Kills { times, seed, show } => {
             if !(1..=1_000).contains(&times) {
                 return Err("1 to 1000 kills".into());
             }
             let folder = show.folder()?;
-            let report =
-                kills::play(times, seed, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let report = kills::play(times, seed, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             if report.holds() {
                 show.tidy(&folder);
             }
             Ok(report.holds())
         }
-        Scene::BadDay { seed, short, fronts, records, show } => {
+        Scene::BadDay {
+            seed,
+            short,
+            fronts,
+            records,
+            show,
+        } => {
             let folder = show.folder()?;
-            let plan = if short { bad_day::Plan::short(seed) } else { bad_day::Plan::full(seed) };
+            let plan = if short {
+                bad_day::Plan::short(seed)
+            } else {
+                bad_day::Plan::full(seed)
+            };
             let plan = plan.by(match fronts {
                 Fronts::Runtime => bad_day::Fronts::Runtime,
                 Fronts::Names => bad_day::Fronts::Names,
                 Fronts::Both => bad_day::Fronts::Both,
             });
             let plan = bad_day::Plan { records, ..plan };
-            let report = bad_day::play(plan, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let report = bad_day::play(plan, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             if report.rules_held() {
                 show.tidy(&folder);
@@ -178,14 +198,21 @@
             }
             let folder = show.folder()?;
             let plan = trial::Plan::of(reqs, seed);
-            let report = trial::play(&plan, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let report = trial::play(&plan, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             if report.holds() {
                 show.tidy(&folder);
             }
             Ok(report.holds())
         }
-        Scene::Weights { sites, stewards, loads, show } => {
+        Scene::Weights {
+            sites,
+            stewards,
+            loads,
+            show,
+        } => {
             let mut plan = weighing::Plan::full(sites, stewards);
             plan.loads = loads.unwrap_or(plan.loads);
             let sound = plan.loads.iter().all(|load| (0.05..=2.0).contains(load));
@@ -193,37 +220,66 @@
                 return Err("1 to 20 sites, 1 to 12 stewards, loads from 0.05 to 2".into());
             }
             let folder = show.folder()?;
-            let report = weighing::play(&plan, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let report = weighing::play(&plan, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             if report.holds() {
                 show.tidy(&folder);
             }
             Ok(report.holds())
         }
-        Scene::Reports { proxies, hosts, times, each, lines, show } => {
+        Scene::Reports {
+            proxies,
+            hosts,
+            times,
+            each,
+            lines,
+            show,
+        } => {
             let sound = times.iter().all(|times| (1..=100).contains(times)) && !times.is_empty();
             if !(1..=1_000).contains(&proxies)
                 || !(8..=5_000).contains(&hosts)
                 || !(2..=7_200).contains(&each)
                 || !sound
             {
-                return Err("1 to 1000 proxies, 8 to 5000 hosts, 1 to 100 times, 2 to 7200 s".into());
+                return Err(
+                    "1 to 1000 proxies, 8 to 5000 hosts, 1 to 100 times, 2 to 7200 s".into(),
+                );
             }
             let folder = show.folder()?;
             let each = std::time::Duration::from_secs(each);
-            let plan = flood::Plan { proxies, hosts, times, each, lines_per_second: lines };
-            let report = flood::play(&plan, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let plan = flood::Plan {
+                proxies,
+                hosts,
+                times,
+                each,
+                lines_per_second: lines,
+            };
+            let report = flood::play(&plan, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             show.tidy(&folder);
             Ok(true)
         }
-        Scene::Storm { proxies, hosts, show } => {
+        Scene::Storm {
+            proxies,
+            hosts,
+            show,
+        } => {
             if !(1..=1_000).contains(&proxies) || !(8..=5_000).contains(&hosts) {
                 return Err("a storm has 1 to 1000 proxies and 8 to 5000 hosts".into());
             }
             let folder = show.folder()?;
-            let plan = storm::Plan { proxies, hosts, ..storm::Plan::default() };
-            let report = storm::play(&plan, &program, &folder).await.map_err(|wrong| wrong.to_string())?;
+            let plan = storm::Plan {
+                proxies,
+                hosts,
+                ..storm::Plan::default()
+            };
+            let report = storm::play(&plan, &program, &folder)
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
             show.tidy(&folder);
             Ok(true)
--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -37,19 +37,27 @@
     let packet = ask::question(id, name, of).map_err(|wrong| wrong.to_string())?;
     let no_answer = |_| format!("{server} did not answer within {} s", LIMIT.as_secs());
     if !tcp {
-        let bytes = timeout(LIMIT, by_udp(server, &packet)).await.map_err(no_answer)??;
+        let bytes = timeout(LIMIT, by_udp(server, &packet))
+            .await
+            .map_err(no_answer)??;
         let answer = ask::read(id, &bytes).map_err(|wrong| wrong.to_string())?;
         if !answer.truncated {
             return Ok(answer);
         }
     }
-    let bytes = timeout(LIMIT, by_tcp(server, &packet)).await.map_err(no_answer)??;
+    let bytes = timeout(LIMIT, by_tcp(server, &packet))
+        .await
+        .map_err(no_answer)??;
     ask::read(id, &bytes).map_err(|wrong| wrong.to_string())
 }
 
 async fn by_udp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
     let failed = |wrong: std::io::Error| format!("{server}: {wrong}");
-    let own = if server.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+    let own = if server.is_ipv4() {
+        "0.0.0.0:0"
+    } else {
+        "[::]:0"
+    };
     let socket = UdpSocket::bind(own).await.map_err(failed)?;
     socket.connect(server).await.map_err(failed)?;
     socket.send(packet).await.map_err(failed)?;
@@ -62,9 +70,13 @@
 async fn by_tcp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
     let failed = |wrong: std::io::Error| format!("{server}: {wrong}");
     let stream = TcpStream::connect(server).await.map_err(failed)?;
-    let codec = LengthDelimitedCodec::builder().length_field_type::<u16>().new_codec();
+    let codec = LengthDelimitedCodec::builder()
+        .length_field_type::<u16>()
+        .new_codec();
     let mut wire = Framed::new(stream, codec);
-    SinkExt::<&[u8]>::send(&mut wire, packet).await.map_err(failed)?;
+    SinkExt::<&[u8]>::send(&mut wire, packet)
+        .await
+        .map_err(failed)?;
     match wire.next().await {
         Some(Ok(bytes)) => Ok(bytes.to_vec()),
         Some(Err(wrong)) => Err(failed(wrong)),
--- a/crates/cli/tests/daemon.rs
+++ b/crates/cli/tests/daemon.rs
@@ -11,7 +11,10 @@
     for n in std.range(1, 6)] }";
 
 fn pondarch(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pondarch")).args(args).output().expect("the program starts")
+    Command::new(env!("CARGO_BIN_EXE_pondarch"))
+        .args(args)
+        .output()
+        .expect("the program starts")
 }
 
 struct Daemon {
@@ -57,7 +60,9 @@
     /// Until `show info` has this line.
     fn wait(&self, line: &str) {
         let deadline = Instant::now() + Duration::from_secs(10);
-        while !self.path("admin.sock").exists() || !self.send("admin.sock", b"show info\n").contains(line) {
+        while !self.path("admin.sock").exists()
+            || !self.send("admin.sock", b"show info\n").contains(line)
+        {
             assert!(Instant::now() < deadline, "never: {line}");
             std::thread::sleep(Duration::from_millis(30));
         }
@@ -66,7 +71,10 @@
     fn ctl(&self, socket: &str, command: &str) -> (Option<i32>, String) {
         let socket = format!("unix:{}", self.path(socket).display());
         let output = pondarch(&["ctl", &socket, command]);
-        (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&output.stdout).into_owned(),
+        )
     }
 }
 
@@ -78,10 +86,17 @@
 }
 
 fn talk(socket: &Path, bytes: &[u8]) -> String {
-    let Ok(mut stream) = UnixStream::connect(socket) else { return String::new() };
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a limit");
+    let Ok(mut stream) = UnixStream::connect(socket) else {
+        return String::new();
+    };
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("a limit");
     // The steward may close before all is written.
-    stream.write_all(bytes).and_then(|()| stream.shutdown(Shutdown::Write)).ok();
+    stream
+        .write_all(bytes)
+        .and_then(|()| stream.shutdown(Shutdown::Write))
+        .ok();
     let mut text = Vec::new();
     stream.read_to_end(&mut text).ok();
     String::from_utf8_lossy(&text).into_owned()
@@ -92,33 +107,78 @@
     let daemon = Daemon::start();
     let long = vec![b'a'; 100_000];
     let answer = daemon.send("admin.sock", &long);
-    assert!(answer.is_empty() || answer.contains("longer than"), "{answer}");
-    assert!(daemon.send("admin.sock", b"show \xff\xfe\n").contains("not UTF-8"));
-    assert!(daemon.send("admin.sock", b"frobnicate\n").starts_with("Unknown command"));
-    assert!(daemon.send("admin.sock", b"show info").contains("Name: pondarch"), "a last line without an end");
+    assert!(
+        answer.is_empty() || answer.contains("longer than"),
+        "{answer}"
+    );
+    assert!(
+        daemon
+            .send("admin.sock", b"show \xff\xfe\n")
+            .contains("not UTF-8")
+    );
+    assert!(
+        daemon
+            .send("admin.sock", b"frobnicate\n")
+            .starts_with("Unknown command")
+    );
+    assert!(
+        daemon
+            .send("admin.sock", b"show info")
+            .contains("Name: pondarch"),
+        "a last line without an end"
+    );
     assert_eq!(daemon.send("admin.sock", b""), "");
-    assert_eq!(daemon.send("user.sock", b"set server hosts/host-1 state drain\n"), "Permission denied\n\n");
+    assert_eq!(
+        daemon.send("user.sock", b"set server hosts/host-1 state drain\n"),
+        "Permission denied\n\n"
+    );
     // Half a line and then nothing: others are served meanwhile.
     let mut half = UnixStream::connect(daemon.path("admin.sock")).expect("a connection");
     half.write_all(b"show in").expect("written");
     daemon.wait("HostsReady: 6");
     let prompted = daemon.send("admin.sock", b"prompt\nget weight hosts/host-1\nquit\n");
     assert!(prompted.contains("> 1 (initial 1)\n\n> "), "{prompted:?}");
-    let interactive =
-        daemon.send("admin.sock", b"prompt i\nget weight hosts/host-1\nget weight hosts/none\n");
+    let interactive = daemon.send(
+        "admin.sock",
+        b"prompt i\nget weight hosts/host-1\nget weight hosts/none\n",
+    );
     assert_eq!(interactive, "\n1 (initial 1)\n\nNo such server.\n\n");
-    let closing = daemon.send("admin.sock", b"get weight hosts/host-1\nget weight hosts/host-2\n");
-    assert_eq!(closing, "1 (initial 1)\n\n", "without a prompt, one line a connection");
+    let closing = daemon.send(
+        "admin.sock",
+        b"get weight hosts/host-1\nget weight hosts/host-2\n",
+    );
+    assert_eq!(
+        closing, "1 (initial 1)\n\n",
+        "without a prompt, one line a connection"
+    );
 }
 
 #[test]
 fn ctl_prints_answers_and_tells_refusals_by_its_exit_code() {
     let daemon = Daemon::start();
-    assert_eq!(daemon.ctl("admin.sock", "get weight hosts/host-1"), (Some(0), "1 (initial 1)\n".into()));
-    assert_eq!(daemon.ctl("admin.sock", "set server hosts/host-1 state drain").0, Some(0));
+    assert_eq!(
+        daemon.ctl("admin.sock", "get weight hosts/host-1"),
+        (Some(0), "1 (initial 1)\n".into())
+    );
+    assert_eq!(
+        daemon
+            .ctl("admin.sock", "set server hosts/host-1 state drain")
+            .0,
+        Some(0)
+    );
     daemon.wait("HostsDraining: 1");
-    assert_eq!(daemon.ctl("admin.sock", "set server hosts/none state drain").0, Some(1));
-    assert_eq!(daemon.ctl("user.sock", "set server hosts/host-1 state ready").0, Some(1));
+    assert_eq!(
+        daemon
+            .ctl("admin.sock", "set server hosts/none state drain")
+            .0,
+        Some(1)
+    );
+    assert_eq!(
+        daemon
+            .ctl("user.sock", "set server hosts/host-1 state ready")
+            .0,
+        Some(1)
+    );
     assert_eq!(daemon.ctl("nowhere.sock", "show info").0, Some(2));
 }
 
@@ -128,11 +188,22 @@
     std::fs::write(daemon.path("hosts.jsonnet"), &HOSTS[..60]).expect("half a list");
     daemon.wait("ListRefused: ");
     let deadline = Instant::now() + Duration::from_secs(10);
-    while daemon.send("admin.sock", b"show info\n").contains("ListRefused: -") {
+    while daemon
+        .send("admin.sock", b"show info\n")
+        .contains("ListRefused: -")
+    {
         assert!(Instant::now() < deadline, "the broken list was not told of");
     }
-    assert!(daemon.send("admin.sock", b"show info\n").contains("HostsReady: 6"));
-    assert!(daemon.send("admin.sock", b"show errors\n").contains("hosts.jsonnet:1"));
+    assert!(
+        daemon
+            .send("admin.sock", b"show info\n")
+            .contains("HostsReady: 6")
+    );
+    assert!(
+        daemon
+            .send("admin.sock", b"show errors\n")
+            .contains("hosts.jsonnet:1")
+    );
     std::fs::write(daemon.path("hosts.jsonnet"), HOSTS.replace("1, 6", "1, 9")).expect("a list");
     daemon.wait("HostsReady: 9");
     daemon.wait("ListRefused: -");
@@ -142,7 +213,13 @@
 fn it_ends_on_a_signal_and_leaves_no_socket() {
     let mut daemon = Daemon::start();
     let id = daemon.child.id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &id]).status().expect("kill").success());
+    assert!(
+        Command::new("kill")
+            .args(["-TERM", &id])
+            .status()
+            .expect("kill")
+            .success()
+    );
     let deadline = Instant::now() + Duration::from_secs(5);
     let status = loop {
         match daemon.child.try_wait().expect("its state") {
@@ -153,7 +230,11 @@
     };
     assert!(status.success());
     assert!(!daemon.path("admin.sock").exists());
-    let records = pondarch(&["records", "show", &daemon.path("records").display().to_string()]);
+    let records = pondarch(&[
+        "records",
+        "show",
+        &daemon.path("records").display().to_string(),
+    ]);
     assert!(String::from_utf8_lossy(&records.stdout).lines().count() > 3);
 }
 
@@ -162,20 +243,30 @@
     let daemon = Daemon::start();
     let site = daemon.path("site.jsonnet");
     let good = pondarch(&["check", &site.display().to_string()]);
-    assert!(good.status.success() && String::from_utf8_lossy(&good.stdout).contains("6 hosts: in order"));
+    assert!(
+        good.status.success()
+            && String::from_utf8_lossy(&good.stdout).contains("6 hosts: in order")
+    );
     let bad = daemon.path("bad.jsonnet");
-    let text = std::fs::read_to_string(&site).expect("settings").replace("'18 s'", "'18'");
+    let text = std::fs::read_to_string(&site)
+        .expect("settings")
+        .replace("'18 s'", "'18'");
     std::fs::write(&bad, text).expect("settings");
     for what in ["check", "run"] {
         let output = pondarch(&[what, &bad.display().to_string()]);
         let wrong = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2));
         assert_eq!(wrong.lines().count(), 1, "{wrong}");
-        assert!(wrong.contains("bad.jsonnet: cold.warm_within: '18' has no unit"), "{wrong}");
+        assert!(
+            wrong.contains("bad.jsonnet: cold.warm_within: '18' has no unit"),
+            "{wrong}"
+        );
     }
     // A second daemon does not take the first one's sockets.
     let output = pondarch(&["run", &site.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("another program writes records there"));
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("another program writes records there")
+    );
     daemon.wait("HostsReady: 6");
 }
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -47,7 +47,11 @@
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}"
         );
         std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
-        let mut steward = Steward { folder, dns, child: None };
+        let mut steward = Steward {
+            folder,
+            dns,
+            child: None,
+        };
         steward.list(None);
         steward.run();
         steward
@@ -55,7 +59,10 @@
 
     fn run(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
-        command.arg("run").arg(self.path("site.jsonnet")).stderr(Stdio::null());
+        command
+            .arg("run")
+            .arg(self.path("site.jsonnet"))
+            .stderr(Stdio::null());
         self.child = Some(command.spawn().expect("the program starts"));
         let deadline = Instant::now() + Duration::from_secs(10);
         while self.ask("pond.test", &["--type", "SOA"]).is_none() {
@@ -86,14 +93,25 @@
     fn ask(&self, name: &str, more: &[&str]) -> Option<String> {
         let server = self.dns.to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
-        let output =
-            command.args(["resolve", name, "--server", &server]).args(more).output().expect("it starts");
-        output.status.success().then(|| String::from_utf8_lossy(&output.stdout).into_owned())
+        let output = command
+            .args(["resolve", name, "--server", &server])
+            .args(more)
+            .output()
+            .expect("it starts");
+        output
+            .status
+            .success()
+            .then(|| String::from_utf8_lossy(&output.stdout).into_owned())
     }
 
     fn serial(&self) -> u64 {
-        let soa = self.ask("pond.test", &["--type", "SOA"]).expect("an answer");
-        soa.split_whitespace().nth(5).and_then(|word| word.parse().ok()).unwrap_or_else(|| panic!("{soa}"))
+        let soa = self
+            .ask("pond.test", &["--type", "SOA"])
+            .expect("an answer");
+        soa.split_whitespace()
+            .nth(5)
+            .and_then(|word| word.parse().ok())
+            .unwrap_or_else(|| panic!("{soa}"))
     }
 
     fn ctl(&self, command: &str) -> String {
@@ -107,7 +125,9 @@
 
     fn figure(&self, name: &str) -> String {
         let text = self.ctl("show info");
-        let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+        let line = text
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         line.unwrap_or_default().to_string()
     }
 
@@ -133,10 +153,16 @@
 fn a_steward_answers_joins_who_asks_heeds_drains_and_never_goes_back() {
     let mut steward = Steward::start();
     let name = "_proof._tcp.plain.pond.test";
-    steward.until("hosts", || steward.ask(name, &[]).is_some_and(|text| text.contains("SRV")));
+    steward.until("hosts", || {
+        steward
+            .ask(name, &[])
+            .is_some_and(|text| text.contains("SRV"))
+    });
     steward.until("joined by asking", || {
         steward.ask(name, &[]);
-        steward.ctl("show map proxies").contains("plain joined table-")
+        steward
+            .ctl("show map proxies")
+            .contains("plain joined table-")
     });
     let text = steward.ask(name, &[]).expect("an answer");
     let srv = text.lines().filter(|line| line.contains(" SRV ")).count();
@@ -148,16 +174,28 @@
     // The source says who asks, where the name does not.
     steward.until("the other", || {
         steward.ask("proof.pond.test", &["--type", "A"]);
-        steward.ctl("show map proxies").contains("other joined table-")
+        steward
+            .ctl("show map proxies")
+            .contains("other joined table-")
     });
     assert!(steward.ask("nobody.pond.test", &["--type", "A"]).is_none());
     let before = steward.serial();
     steward.list(Some(2));
     let told = Instant::now();
-    steward.until("the drain", || steward.ask(name, &[]).is_some_and(|text| !text.contains("host-2")));
-    assert!(told.elapsed() < Duration::from_millis(1_500), "{:?}", told.elapsed());
+    steward.until("the drain", || {
+        steward
+            .ask(name, &[])
+            .is_some_and(|text| !text.contains("host-2"))
+    });
+    assert!(
+        told.elapsed() < Duration::from_millis(1_500),
+        "{:?}",
+        told.elapsed()
+    );
     assert!(steward.ctl("show map lingering").contains("host-2"));
-    steward.until("caches ran out", || !steward.ctl("show map lingering").contains("host-2"));
+    steward.until("caches ran out", || {
+        !steward.ctl("show map lingering").contains("host-2")
+    });
     assert!(told.elapsed() < Duration::from_secs(5));
     let serial = steward.serial();
     assert!(serial > before);
@@ -166,7 +204,11 @@
     child.wait().expect("gone");
     steward.run();
     steward.until("hosts again", || steward.ask(name, &[]).is_some());
-    assert!(steward.serial() >= serial, "{} after {serial}", steward.serial());
+    assert!(
+        steward.serial() >= serial,
+        "{} after {serial}",
+        steward.serial()
+    );
 }
 
 #[test]
@@ -176,16 +218,28 @@
     let wrong = steward.path("wrong.jsonnet");
     std::fs::write(&wrong, site.replace("grace: '4 s'", "grace: '2 s'")).expect("settings");
     let check = |file: &Path| {
-        let output = Command::new(env!("CARGO_BIN_EXE_pondarch")).arg("check").arg(file).output();
+        let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
+            .arg("check")
+            .arg(file)
+            .output();
         let output = output.expect("it starts");
-        (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )
     };
     let (code, text) = check(&wrong);
     assert_eq!(code, Some(2));
-    assert!(text.contains("dns.grace") && text.contains("with 2500 ms it would"), "{text}");
+    assert!(
+        text.contains("dns.grace") && text.contains("with 2500 ms it would"),
+        "{text}"
+    );
     std::fs::write(&wrong, site.replace("dns:", "// dns:")).expect("settings");
     let (code, text) = check(&wrong);
-    assert!(code == Some(2) && text.contains("is absent, and there is no dns"), "{text}");
+    assert!(
+        code == Some(2) && text.contains("is absent, and there is no dns"),
+        "{text}"
+    );
 }
 
 /// Copies follow by signed differences; one that is cut off is said to be behind and catches up; a steward that starts anew
@@ -194,11 +248,19 @@
 async fn a_secondary_follows_is_cut_off_and_catches_up() {
     let dns = free();
     let key = Key::new("second.pond.test", vec![7; 32]).expect("a key");
-    let second = Secondary::start("pond.test", dns, key.clone()).await.expect("a socket");
-    let stranger =
-        Secondary::start("pond.test", dns, Key::new("second.pond.test", vec![8; 32]).expect("a key"));
+    let second = Secondary::start("pond.test", dns, key.clone())
+        .await
+        .expect("a socket");
+    let stranger = Secondary::start(
+        "pond.test",
+        dns,
+        Key::new("second.pond.test", vec![8; 32]).expect("a key"),
+    );
     let stranger = stranger.await.expect("a socket");
-    let of = format!("{{ address: '{}', key: 'second.pond.test', secret_file: 'second.key' }}", second.addr);
+    let of = format!(
+        "{{ address: '{}', key: 'second.pond.test', secret_file: 'second.key' }}",
+        second.addr
+    );
     let more = format!(", lifetime: 1, behind: '400 ms', expires: '30 s', secondaries: [{of}]");
     let mut steward = Steward::start_at(dns, &more);
     let name = "_proof._tcp.plain.pond.test";
@@ -213,19 +275,42 @@
     assert!(second.counts().1 >= 1, "it was told");
     let told = Instant::now();
     steward.list(Some(2));
-    steward.until("the drain in the copy", || !hosts().contains(&"host-2".to_string()));
-    assert!(told.elapsed() < Duration::from_millis(1_500), "{:?}", told.elapsed());
+    steward.until("the drain in the copy", || {
+        !hosts().contains(&"host-2".to_string())
+    });
+    assert!(
+        told.elapsed() < Duration::from_millis(1_500),
+        "{:?}",
+        told.elapsed()
+    );
     assert_eq!(hosts().len(), 5);
-    steward.until("known", || steward.ctl("show map secondaries").contains("second.pond.test holds"));
-    steward.until("not behind", || !steward.ctl("show map secondaries").contains("behind"));
+    steward.until("known", || {
+        steward
+            .ctl("show map secondaries")
+            .contains("second.pond.test holds")
+    });
+    steward.until("not behind", || {
+        !steward.ctl("show map secondaries").contains("behind")
+    });
     second.cut.store(true, std::sync::atomic::Ordering::Relaxed);
     steward.list(Some(3));
-    steward.until("behind", || steward.ctl("show map secondaries").contains("behind"));
-    steward.until("said", || steward.ctl("show events").contains("SecondaryLate"));
-    assert!(hosts().contains(&"host-3".to_string()) && steward.ctl("show map lingering").contains("host-3"));
-    second.cut.store(false, std::sync::atomic::Ordering::Relaxed);
+    steward.until("behind", || {
+        steward.ctl("show map secondaries").contains("behind")
+    });
+    steward.until("said", || {
+        steward.ctl("show events").contains("SecondaryLate")
+    });
+    assert!(
+        hosts().contains(&"host-3".to_string())
+            && steward.ctl("show map lingering").contains("host-3")
+    );
+    second
+        .cut
+        .store(false, std::sync::atomic::Ordering::Relaxed);
     steward.until("caught up", || !hosts().contains(&"host-3".to_string()));
-    steward.until("ran out", || !steward.ctl("show map lingering").contains("host-3"));
+    steward.until("ran out", || {
+        !steward.ctl("show map lingering").contains("host-3")
+    });
     let before = second.copy().serial;
     let mut child = steward.child.take().expect("a process");
     child.kill().expect("killed");
@@ -235,7 +320,16 @@
     steward.until("its hosts", || hosts().len() == 5);
     let serial = steward.figure("NamesSerial");
     steward.until("the same", || {
-        second.copy().serial.map(|serial| serial.to_string()).as_ref() == Some(&serial)
+        second
+            .copy()
+            .serial
+            .map(|serial| serial.to_string())
+            .as_ref()
+            == Some(&serial)
     });
-    assert_eq!(stranger.copy().serial, None, "without the secret there is no copy");
+    assert_eq!(
+        stranger.copy().serial,
+        None,
+        "without the secret there is no copy"
+    );
 }
--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -67,20 +67,31 @@
 /// change all the time.
 fn collect_until(over: &AtomicBool, steward: &Steward, relay: &ChannelRelay) {
     let mut stream = steward.dial();
-    stream.write_all(&message("collector site a")).expect("written");
+    stream
+        .write_all(&message("collector site a"))
+        .expect("written");
     let mut round = 0;
     while !over.load(Relaxed) {
         for n in 0..HOSTS {
             let id = format!("s-1-{n}");
             let fails = (n + round / 4).is_multiple_of(5);
             if relay.holders(&id) > 0 {
-                let (fail, mean) = if fails { (6, 0) } else { (0, 40 + 15 * (n % 3)) };
-                let report = format!("heard site a target {id} count 6 fail {fail} mean {mean} over 500");
+                let (fail, mean) = if fails {
+                    (6, 0)
+                } else {
+                    (0, 40 + 15 * (n % 3))
+                };
+                let report =
+                    format!("heard site a target {id} count 6 fail {fail} mean {mean} over 500");
                 stream.write_all(&message(&report)).expect("written");
             }
         }
         for n in 0..usize::from(PROXIES) {
-            let count = if (n + round / 4).is_multiple_of(8) { 20 } else { 1 };
+            let count = if (n + round / 4).is_multiple_of(8) {
+                20
+            } else {
+                1
+            };
             let usage = format!("usage id {n} lane proof count {count} fail 0 over 500");
             stream.write_all(&message(&usage)).expect("written");
         }
@@ -138,15 +149,32 @@
         over.store(true, Relaxed);
         assert_eq!(relay.bound(), usize::from(PROXIES));
         let idle_for = relay.idle_for().expect("calls came");
-        Outcome { most_waiting: relay.most_waiting(), tables_with_drained, idle_for, log: steward.log() }
+        Outcome {
+            most_waiting: relay.most_waiting(),
+            tables_with_drained,
+            idle_for,
+            log: steward.log(),
+        }
     })
 }
 
 fn assert_kept(outcome: &Outcome) {
-    let Outcome { most_waiting, tables_with_drained, log, .. } = outcome;
-    let seen = log.lines().filter(|line| line.contains(" channel ")).collect::<Vec<_>>().join("\n");
+    let Outcome {
+        most_waiting,
+        tables_with_drained,
+        log,
+        ..
+    } = outcome;
+    let seen = log
+        .lines()
+        .filter(|line| line.contains(" channel "))
+        .collect::<Vec<_>>()
+        .join("\n");
     println!("{most_waiting:.0} of {LINE_LIMIT} lines waited at most\n{seen}");
-    assert!(*most_waiting <= LINE_LIMIT, "{most_waiting:.0} lines waited, {LINE_LIMIT} may");
+    assert!(
+        *most_waiting <= LINE_LIMIT,
+        "{most_waiting:.0} lines waited, {LINE_LIMIT} may"
+    );
     assert_eq!(*tables_with_drained, 0, "a drain waited behind the queue");
 }
 
@@ -158,9 +186,10 @@
 /// Issue 28: the queue was counted by the stated rate alone, and grew past its limit.
 #[test]
 fn a_slow_channel_keeps_its_queue_short() {
-    let slow =
-        [4.0, 8.0, 20.0].map(|times| thread::spawn(move || play(&[(3, Fault::Rate(STATED_RATE / times))])));
-    slow.into_iter().for_each(|played| assert_kept(&played.join().expect("no panic")));
+    let slow = [4.0, 8.0, 20.0]
+        .map(|times| thread::spawn(move || play(&[(3, Fault::Rate(STATED_RATE / times))])));
+    slow.into_iter()
+        .for_each(|played| assert_kept(&played.join().expect("no panic")));
 }
 
 /// The same, and updates go on once the channel does.
@@ -168,7 +197,11 @@
 fn a_channel_that_stands_still_for_a_while_keeps_its_queue_short() {
     let outcome = play(&[(3, Fault::Rate(0.0)), (9, Fault::Rate(STATED_RATE))]);
     assert_kept(&outcome);
-    assert!(outcome.idle_for < Duration::from_secs(2), "no call for {:?}", outcome.idle_for);
+    assert!(
+        outcome.idle_for < Duration::from_secs(2),
+        "no call for {:?}",
+        outcome.idle_for
+    );
 }
 
 /// On a slow channel, calls that were carried out are not answered, so that all is ordered again; and each break of the
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -57,7 +57,10 @@
     /// Lines a second; the proxies that are joined.
     pub fn start(rate: f64, proxies: u16) -> ChannelRelay {
         let (listener, at) = listener();
-        let state = Arc::new(Mutex::new(State { rate, ..State::default() }));
+        let state = Arc::new(Mutex::new(State {
+            rate,
+            ..State::default()
+        }));
         let channel_state = state.clone();
         thread::spawn(move || run_channel(&channel_state));
         let serving = state.clone();
@@ -93,14 +96,22 @@
 
     /// Proxies that may still send to a host, by what they have applied.
     pub fn holders(&self, host: &str) -> usize {
-        self.state().held.values().filter(|hosts| hosts.contains(host)).count()
+        self.state()
+            .held
+            .values()
+            .filter(|hosts| hosts.contains(host))
+            .count()
     }
 
     /// Tables with proxies that hold a host, by what has been ordered.
     pub fn tables_with(&self, host: &str) -> usize {
         let state = self.state();
         let used: BTreeSet<u16> = state.bound.values().copied().collect();
-        state.tables.iter().filter(|(table, hosts)| used.contains(table) && hosts.contains(host)).count()
+        state
+            .tables
+            .iter()
+            .filter(|(table, hosts)| used.contains(table) && hosts.contains(host))
+            .count()
     }
 
     /// How long no call has come.
@@ -148,7 +159,10 @@
             });
             continue;
         }
-        let orders = call["params"]["changes"].as_array().map(Vec::as_slice).unwrap_or_default();
+        let orders = call["params"]["changes"]
+            .as_array()
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         let lost = {
             let mut state = state.lock().expect("no panic");
             state.apply(orders);
@@ -158,7 +172,8 @@
             continue;
         }
         let (id, count) = (&call["id"], orders.len());
-        let answer = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{count}}}}}\n");
+        let answer =
+            format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{count}}}}}\n");
         stream.write_all(answer.as_bytes()).ok()?;
     }
     Some(())
@@ -195,11 +210,18 @@
                     self.bound.insert(proxy, table);
                 }
                 verb => {
-                    let users: Vec<u16> =
-                        self.bound.iter().filter(|(_, t)| **t == table).map(|(id, _)| *id).collect();
+                    let users: Vec<u16> = self
+                        .bound
+                        .iter()
+                        .filter(|(_, t)| **t == table)
+                        .map(|(id, _)| *id)
+                        .collect();
                     for proxy in users {
                         *lines.entry(proxy).or_default() += 1.0;
-                        changes.entry(proxy).or_default().push(change_of(verb, order));
+                        changes
+                            .entry(proxy)
+                            .or_default()
+                            .push(change_of(verb, order));
                     }
                     self.change_table(verb, table, order);
                 }
@@ -208,7 +230,12 @@
         for (proxy, changes) in changes {
             let lines = lines[&proxy] + MESSAGE_OVERHEAD + f64::from(u8::from(mark.is_some()));
             self.waiting += lines;
-            self.queue.push_back(Message { proxy, lines, changes, mark });
+            self.queue.push_back(Message {
+                proxy,
+                lines,
+                changes,
+                mark,
+            });
         }
         self.most_waiting = self.most_waiting.max(self.waiting);
     }
@@ -235,7 +262,11 @@
             if message.lines > 0.0 {
                 break;
             }
-            self.in_transit.extend(self.queue.pop_front().map(|message| (now + TRANSIT, message)));
+            self.in_transit.extend(
+                self.queue
+                    .pop_front()
+                    .map(|message| (now + TRANSIT, message)),
+            );
         }
         while self.in_transit.front().is_some_and(|(at, _)| *at <= now) {
             let (_, message) = self.in_transit.pop_front().expect("it is there");
@@ -259,7 +290,8 @@
                 "{{\"method\":\"applied\",\"params\":{{\"id\":{proxy},\"seq\":{mark},\"ms\":1.0}}}}\n"
             );
             // A watcher that is gone hears nothing.
-            self.watchers.retain_mut(|watcher| watcher.write_all(applied.as_bytes()).is_ok());
+            self.watchers
+                .retain_mut(|watcher| watcher.write_all(applied.as_bytes()).is_ok());
         }
     }
 }
--- a/crates/cli/tests/platform/clients.rs
+++ b/crates/cli/tests/platform/clients.rs
@@ -25,7 +25,9 @@
 }
 
 fn reset(stream: TcpStream) {
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+    SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("set");
 }
 
 /// A message goes out a byte at a time.
@@ -46,7 +48,9 @@
         site.steward.signal("-STOP");
         for n in 0..200 {
             let mut stream = site.steward.dial();
-            stream.write_all(&message("collector site a")[..n % 20]).expect("written");
+            stream
+                .write_all(&message("collector site a")[..n % 20])
+                .expect("written");
             reset(stream);
         }
         site.steward.signal("-CONT");
@@ -66,18 +70,36 @@
     let site = Served::with(4);
     let mut collector = site.steward.dial();
     let bytes = message("collector site a").len() as u32;
-    slowly(&mut collector, "collector site a", Duration::from_millis(1_500) / bytes);
-    slowly(&mut collector, "usage id 3 lane proof count 4 fail 0 over 1000", Duration::from_millis(5));
+    slowly(
+        &mut collector,
+        "collector site a",
+        Duration::from_millis(1_500) / bytes,
+    );
+    slowly(
+        &mut collector,
+        "usage id 3 lane proof count 4 fail 0 over 1000",
+        Duration::from_millis(5),
+    );
     site.steward.logs("collector site=", 1);
     let begun = Instant::now();
     let mut half = site.steward.dial();
-    half.write_all(&message("collector site a")[..20]).expect("written");
+    half.write_all(&message("collector site a")[..20])
+        .expect("written");
     let answer = said(half);
-    assert!(answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n", "{answer}");
-    assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(
+        answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
+        "{answer}"
+    );
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        begun.elapsed()
+    );
     let log = site.steward.ends();
     assert!(
-        log.lines().rfind(|line| line.contains("so far")).is_some_and(|line| line.contains("reports: 1,")),
+        log.lines()
+            .rfind(|line| line.contains("so far"))
+            .is_some_and(|line| line.contains("reports: 1,")),
         "{log}"
     );
 }
@@ -89,9 +111,15 @@
     let strangers: Vec<TcpStream> = (0..1_000).map(|_| site.steward.dial()).collect();
     let begun = Instant::now();
     let mut collector = site.steward.dial();
-    collector.write_all(&message("collector site a")).expect("written");
+    collector
+        .write_all(&message("collector site a"))
+        .expect("written");
     site.steward.logs("collector site=", 1);
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        begun.elapsed()
+    );
     assert!(site.steward.descriptors() <= 128);
     drop(strangers);
     assert!(pong(&site.steward) < Duration::from_secs(2));
@@ -105,14 +133,21 @@
     let mut site = Served::with(4);
     let over = Arc::new(AtomicBool::new(false));
     let flood: Vec<u8> = (0..500)
-        .flat_map(|n| message(&format!("heard site a target s-1-{} count 5 fail 0 mean 40 over 1000", n % 8)))
+        .flat_map(|n| {
+            message(&format!(
+                "heard site a target s-1-{} count 5 fail 0 mean 40 over 1000",
+                n % 8
+            ))
+        })
         .collect();
     // Three of each zone's collectors stay, and all are of one zone.
     let floods: Vec<thread::JoinHandle<()>> = (0..3)
         .map(|_| {
             let (mut stream, flood, over) = (site.steward.dial(), flood.clone(), over.clone());
             thread::spawn(move || {
-                stream.write_all(&message("collector site a")).expect("written");
+                stream
+                    .write_all(&message("collector site a"))
+                    .expect("written");
                 while !over.load(Relaxed) && stream.write_all(&flood).is_ok() {}
             })
         })
@@ -129,7 +164,9 @@
     site.steward.moves(site.discovery.at, relay.at);
     site.steward.logs("configuration read again", 1);
     over.store(true, Relaxed);
-    floods.into_iter().for_each(|flood| flood.join().expect("no panic"));
+    floods
+        .into_iter()
+        .for_each(|flood| flood.join().expect("no panic"));
     site.steward.ends();
 }
 
@@ -142,7 +179,10 @@
     // More may connect by the configuration than the system lets it hold.
     let steward = Steward::start_with(discovery_at, relay_at, |command| {
         let mut limited = Command::new("sh");
-        limited.arg("-c").arg("ulimit -n 40; exec \"$0\" platform").arg(command.get_program());
+        limited
+            .arg("-c")
+            .arg("ulimit -n 40; exec \"$0\" platform")
+            .arg(command.get_program());
         command.get_envs().for_each(|(name, value)| match value {
             Some(value) => drop(limited.env(name, value)),
             None => drop(limited.env_remove(name)),
@@ -154,13 +194,21 @@
     let strangers: Vec<TcpStream> = (0..100).map(|_| steward.dial()).collect();
     let until = Instant::now() + SOON;
     while steward.descriptors() < 40 {
-        assert!(Instant::now() < until, "{} descriptors", steward.descriptors());
+        assert!(
+            Instant::now() < until,
+            "{} descriptors",
+            steward.descriptors()
+        );
     }
     // Each stranger goes within 1 s of being taken; the last are taken when the first have gone.
     drop(strangers);
     let begun = Instant::now();
     pong(&steward);
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        begun.elapsed()
+    );
     let log = steward.ends();
     assert!(!log.contains("panicked"), "{log}");
 }
@@ -177,9 +225,14 @@
         let begun = Instant::now();
         let mut answers = asker.try_clone().expect("a second handle");
         let reader =
-            thread::spawn(move || while reads && answers.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {});
+            thread::spawn(
+                move || while reads && answers.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {},
+            );
         while asker.write_all(&asks).is_ok() {
-            assert!(begun.elapsed() < Duration::from_secs(3), "it is still read from");
+            assert!(
+                begun.elapsed() < Duration::from_secs(3),
+                "it is still read from"
+            );
         }
         assert!(pong(&site.steward) < Duration::from_secs(1));
         reader.join().expect("no panic");
--- a/crates/cli/tests/platform/ends.rs
+++ b/crates/cli/tests/platform/ends.rs
@@ -12,7 +12,11 @@
 fn ends_in_time(mut steward: Steward, signal: &str) {
     steward.signal(signal);
     let ended = steward.exits_within(BEFORE_THE_KILL);
-    assert!(ended.is_some_and(|ended| ended.success()), "{ended:?}: {}", steward.log());
+    assert!(
+        ended.is_some_and(|ended| ended.success()),
+        "{ended:?}: {}",
+        steward.log()
+    );
 }
 
 /// The relay has all of a call and has not answered.
@@ -52,10 +56,17 @@
 
 /// The configuration without the list that it had.
 fn without_known(command: Command) -> Command {
-    let path = command.get_envs().find(|(name, _)| *name == "RELAY_CONFIG").and_then(|(_, path)| path);
+    let path = command
+        .get_envs()
+        .find(|(name, _)| *name == "RELAY_CONFIG")
+        .and_then(|(_, path)| path);
     let path = path.expect("a configuration").to_owned();
     let text = std::fs::read_to_string(&path).expect("the file");
-    std::fs::write(path, text.replace(&format!("\"known\":{}", list(1)), "\"known\":null")).expect("written");
+    std::fs::write(
+        path,
+        text.replace(&format!("\"known\":{}", list(1)), "\"known\":null"),
+    )
+    .expect("written");
     command
 }
 
@@ -86,22 +97,36 @@
     let mut text = String::new();
     let mut pipe = None;
     let steward = Steward::start_with(discovery_at, relay_at, |mut command| {
-        let path = command.get_envs().find(|(name, _)| *name == "RELAY_CONFIG").and_then(|(_, path)| path);
+        let path = command
+            .get_envs()
+            .find(|(name, _)| *name == "RELAY_CONFIG")
+            .and_then(|(_, path)| path);
         let path = std::path::PathBuf::from(path.expect("a configuration"));
         text = std::fs::read_to_string(&path).expect("the file");
         let at = path.with_extension("pipe");
-        assert!(Command::new("mkfifo").arg(&at).status().expect("mkfifo").success());
+        assert!(
+            Command::new("mkfifo")
+                .arg(&at)
+                .status()
+                .expect("mkfifo")
+                .success()
+        );
         command.env("RELAY_CONFIG", &at);
         pipe = Some((at, path));
         command
     });
     let (at, path) = pipe.expect("a pipe");
     // This comes back once the steward has opened the other end.
-    let mut writing = std::fs::OpenOptions::new().write(true).open(&at).expect("opened");
+    let mut writing = std::fs::OpenOptions::new()
+        .write(true)
+        .open(&at)
+        .expect("opened");
     steward.signal("-HUP");
     // What is read again is a file like any other.
     std::fs::rename(&path, &at).expect("renamed");
-    writing.write_all(text.as_bytes()).expect("the steward still reads");
+    writing
+        .write_all(text.as_bytes())
+        .expect("the steward still reads");
     drop(writing);
     wait_for(&calls, "\"verb\":\"bind\"");
     let log = steward.ends();
--- a/crates/cli/tests/platform/lists.rs
+++ b/crates/cli/tests/platform/lists.rs
@@ -8,7 +8,9 @@
 const TOLD: Duration = Duration::from_secs(6);
 
 fn drained(n: usize) -> Vec<String> {
-    (0..8).map(|m| host(1, m, if m == n { "Terminating" } else { "Ready" })).collect()
+    (0..8)
+        .map(|m| host(1, m, if m == n { "Terminating" } else { "Ready" }))
+        .collect()
 }
 
 /// Silent from its first byte, twice over; and not even the head of an answer.
@@ -19,7 +21,8 @@
     site.discovery.watch(1);
     site.discovery.line("follow=1&since=1 ");
     let watch = site.discovery.watch(1);
-    site.discovery.piece(watch, &changes(2, &[host(1, 3, "Terminating")]));
+    site.discovery
+        .piece(watch, &changes(2, &[host(1, 3, "Terminating")]));
     site.relay.takes(&off(3));
     assert!(begun.elapsed() < 2 * TOLD, "{:?}", begun.elapsed());
     site.steward.ends();
@@ -39,7 +42,8 @@
                 if site.discovery.has_closed(site.watch) {
                     break;
                 }
-                site.discovery.piece(site.watch, std::str::from_utf8(byte).expect("text"));
+                site.discovery
+                    .piece(site.watch, std::str::from_utf8(byte).expect("text"));
                 std::thread::sleep(Duration::from_millis(500));
                 assert!(begun.elapsed() < TOLD, "the watch still stands");
             }
@@ -49,7 +53,8 @@
         let watch = site.discovery.watch(1);
         assert!(begun.elapsed() < TOLD, "{:?}", begun.elapsed());
         // The rest of that line is no line.
-        site.discovery.piece(watch, &changes(2, &[host(1, 4, "Terminating")]));
+        site.discovery
+            .piece(watch, &changes(2, &[host(1, 4, "Terminating")]));
         site.relay.takes(&off(4));
         assert_eq!(site.relay.line_count(&off(3)), 0);
         site.steward.ends();
@@ -60,8 +65,12 @@
 #[test]
 fn a_line_in_pieces_counts_once_it_is_whole() {
     let mut site = Served::with(4);
-    for piece in changes(2, &[host(1, 3, "Terminating")]).as_bytes().chunks(8) {
-        site.discovery.piece(site.watch, std::str::from_utf8(piece).expect("text"));
+    for piece in changes(2, &[host(1, 3, "Terminating")])
+        .as_bytes()
+        .chunks(8)
+    {
+        site.discovery
+            .piece(site.watch, std::str::from_utf8(piece).expect("text"));
         std::thread::sleep(Duration::from_millis(50));
     }
     site.relay.takes(&off(3));
@@ -89,7 +98,8 @@
     let mut site = Served::with(4);
     site.drains(9, 2);
     site.relay.takes(&off(2));
-    site.discovery.piece(site.watch, &format!("{}\n", list_of(4, &drained(3))));
+    site.discovery
+        .piece(site.watch, &format!("{}\n", list_of(4, &drained(3))));
     site.relay.takes(&off(3));
     site.drains(5, 4);
     site.relay.takes(&off(4));
@@ -109,7 +119,8 @@
     site.discovery.lists(3, &drained(3));
     site.relay.takes(&off(3));
     let watch = site.discovery.watch(3);
-    site.discovery.piece(watch, &changes(4, &[host(1, 4, "Terminating")]));
+    site.discovery
+        .piece(watch, &changes(4, &[host(1, 4, "Terminating")]));
     site.relay.takes(&off(4));
     site.steward.ends();
 }
@@ -124,9 +135,13 @@
             // A reset may take what was not read yet: the next watch tells it, from whichever version that asks.
             site.discovery.reset(site.watch);
             let (watch, asked) = site.discovery.line("follow=1&since=");
-            site.discovery.say(watch, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+            site.discovery.say(
+                watch,
+                "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n",
+            );
             if asked.contains("since=1 ") {
-                site.discovery.piece(watch, &changes(2, &[host(1, 3, "Terminating")]));
+                site.discovery
+                    .piece(watch, &changes(2, &[host(1, 3, "Terminating")]));
             }
         } else {
             site.discovery.close(site.watch);
@@ -161,7 +176,8 @@
     site.discovery.piece(site.watch, &wrong);
     site.discovery.closed(site.watch);
     let watch = site.discovery.watch(1);
-    site.discovery.piece(watch, &changes(2, &[host(1, 5, "Terminating")]));
+    site.discovery
+        .piece(watch, &changes(2, &[host(1, 5, "Terminating")]));
     site.relay.takes(&off(5));
     assert_eq!(site.relay.line_count(&off(3)), 0);
     let log = site.steward.ends();
--- a/crates/cli/tests/platform/moves.rs
+++ b/crates/cli/tests/platform/moves.rs
@@ -65,7 +65,8 @@
     site.relay.say(news, ALIVE);
     site.relay.takes("\"bind\",\"id\":3");
     site.relay.closed(site.news);
-    site.discovery.piece(watch, &changes(2, &[host(1, 5, "Terminating")]));
+    site.discovery
+        .piece(watch, &changes(2, &[host(1, 5, "Terminating")]));
     site.relay.takes(&off(5));
 
     site.steward.moves(discovery_2.at, relay_2.at);
@@ -95,17 +96,25 @@
     assert_ne!(good, wrong);
     std::fs::write(&site.steward.config, wrong).expect("written");
     site.steward.signal("-HUP");
-    site.steward.logs("'hub.address' is missing or is no address", 1);
+    site.steward
+        .logs("'hub.address' is missing or is no address", 1);
     site.drains(2, 3);
     assert_eq!(site.relay.takes(&off(3)), site.caller);
     let mut relay = Party::open();
-    std::fs::write(&site.steward.config, config(site.steward.listen, site.discovery.at, relay.at))
-        .expect("written");
+    std::fs::write(
+        &site.steward.config,
+        config(site.steward.listen, site.discovery.at, relay.at),
+    )
+    .expect("written");
     let news = relay.watcher(&[0, 1, 2, 3]);
     relay.say(news, ALIVE);
     relay.takes("\"bind\",\"id\":3");
     let log = site.steward.ends();
-    assert_eq!(log.matches("configuration cannot be read").count(), 1, "{log}");
+    assert_eq!(
+        log.matches("configuration cannot be read").count(),
+        1,
+        "{log}"
+    );
 }
 
 /// A drain that is told right after SIGHUP, on the old list while the new one does not answer, and one on the new list.
--- a/crates/cli/tests/platform/party.rs
+++ b/crates/cli/tests/platform/party.rs
@@ -51,7 +51,12 @@
                 });
             }
         });
-        Party { at, events, passed: VecDeque::new(), streams }
+        Party {
+            at,
+            events,
+            passed: VecDeque::new(),
+            streams,
+        }
     }
 
     /// The first event, of those not yet taken, that `fits` makes something of; the others stay.
@@ -63,7 +68,10 @@
         let until = Instant::now() + SOON;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let event = self.events.recv_timeout(left).unwrap_or_else(|_| panic!("'{what}' never came"));
+            let event = self
+                .events
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("'{what}' never came"));
             if let Some(found) = fits(&event) {
                 return found;
             }
@@ -80,7 +88,13 @@
     }
 
     pub fn came(&mut self) -> usize {
-        self.wait("a connection", |event| if let Event::Came(who) = event { Some(*who) } else { None })
+        self.wait("a connection", |event| {
+            if let Event::Came(who) = event {
+                Some(*who)
+            } else {
+                None
+            }
+        })
     }
 
     pub fn closed(&mut self, who: usize) {
@@ -91,7 +105,9 @@
     /// Whether a connection has ended by now.
     pub fn has_closed(&mut self, who: usize) -> bool {
         self.passed.extend(self.events.try_iter());
-        self.passed.iter().any(|event| matches!(event, Event::Closed(gone) if *gone == who))
+        self.passed
+            .iter()
+            .any(|event| matches!(event, Event::Closed(gone) if *gone == who))
     }
 
     /// Lines with that in them that came by now and were not taken.
@@ -124,7 +140,9 @@
 
     pub fn reset(&self, who: usize) {
         if let Some(stream) = self.streams.lock().expect("no panic")[who].take() {
-            SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+            SockRef::from(&stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("set");
             // Ends the reader, whose handle would keep the connection.
             stream.shutdown(Shutdown::Read).ok();
         }
@@ -136,7 +154,9 @@
     pub fn watcher(&mut self, standing: &[u16]) -> usize {
         let (who, _) = self.line("relay.watch");
         self.say(who, "{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}\n");
-        standing.iter().for_each(|&proxy| self.say(who, &joined(proxy)));
+        standing
+            .iter()
+            .for_each(|&proxy| self.say(who, &joined(proxy)));
         who
     }
 
@@ -154,7 +174,10 @@
 
     pub fn take(&self, who: usize, call: &Value) {
         let orders = call["params"]["changes"].as_array().expect("orders").len();
-        self.say(who, &answer(call, &format!("\"result\":{{\"ok_count\":{orders}}}")));
+        self.say(
+            who,
+            &answer(call, &format!("\"result\":{{\"ok_count\":{orders}}}")),
+        );
     }
 
     /// Takes all calls up to one with that in it.
@@ -170,7 +193,13 @@
     pub fn lists(&mut self, version: u64, hosts: &[String]) {
         let (who, _) = self.line("GET /registry/instances HTTP");
         let list = list_of(version, hosts);
-        self.say(who, &format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len()));
+        self.say(
+            who,
+            &format!(
+                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}",
+                list.len()
+            ),
+        );
     }
 
     /// The next watch from there on, its answer begun.
@@ -224,20 +253,36 @@
         relay.say(news, ALIVE);
         let last = format!("\"bind\",\"id\":{}", proxies - 1);
         let caller = relay.takes(&last);
-        Served { steward, relay, discovery, news, caller, watch }
+        Served {
+            steward,
+            relay,
+            discovery,
+            news,
+            caller,
+            watch,
+        }
     }
 
     /// Discovery tells that host `n` drains.
     pub fn drains(&self, version: u64, n: usize) {
-        self.discovery.piece(self.watch, &changes(version, &[host(1, n, "Terminating")]));
+        self.discovery
+            .piece(self.watch, &changes(version, &[host(1, n, "Terminating")]));
     }
 }
 
 /// A listener whose connections take in little at a time, and where it listens.
 pub fn narrow_listener() -> (TcpListener, SocketAddr) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(2_048).expect("set");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+    socket
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
     socket.listen(8).expect("listens");
     let listener = TcpListener::from(socket);
     let at = listener.local_addr().expect("an address");
@@ -250,7 +295,9 @@
     let accept = || relay.accept().expect("a connection").0;
     let (mut caller, mut news) = (accept(), accept());
     // Before anybody has joined only one of them says something.
-    caller.set_read_timeout(Some(Duration::from_millis(200))).expect("a limit");
+    caller
+        .set_read_timeout(Some(Duration::from_millis(200)))
+        .expect("a limit");
     if caller.read(&mut [0; 64]).is_ok() {
         std::mem::swap(&mut caller, &mut news);
     }
--- a/crates/cli/tests/platform/relay.rs
+++ b/crates/cli/tests/platform/relay.rs
@@ -1,6 +1,8 @@
 //! Calls and news: answers too late or of another call, cuts in the worst moment, a relay that closes at once.
 
-use crate::party::{ALIVE, Party, Served, answer, caller_with_a_call, joined, narrow_listener, off};
+use crate::party::{
+    ALIVE, Party, Served, answer, caller_with_a_call, joined, narrow_listener, off,
+};
 use crate::stage::*;
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read};
@@ -29,7 +31,10 @@
 /// An answer to some other call, and one that cannot be read: neither is taken for the answer.
 #[test]
 fn an_answer_to_another_call_is_none() {
-    for wrong in ["{\"jsonrpc\":\"2.0\",\"id\":999,\"result\":{\"ok_count\":1}}\n", "{\"jsonrpc\":\n"] {
+    for wrong in [
+        "{\"jsonrpc\":\"2.0\",\"id\":999,\"result\":{\"ok_count\":1}}\n",
+        "{\"jsonrpc\":\n",
+    ] {
         let mut site = Served::with(4);
         site.drains(2, 3);
         let (first, _) = site.relay.call(&off(3));
@@ -86,7 +91,9 @@
     let steward = Steward::start(discovery, at);
     let mut caller = caller_with_a_call(&relay);
     caller.read_exact(&mut [0; 16]).expect("the call has begun");
-    SockRef::from(&caller).set_linger(Some(Duration::ZERO)).expect("set");
+    SockRef::from(&caller)
+        .set_linger(Some(Duration::ZERO))
+        .expect("set");
     drop(caller);
     loop {
         let (next, _) = relay.accept().expect("the next connection");
@@ -120,7 +127,10 @@
     relay.takes("\"bind\",\"id\":7");
     steward.logs("so far", 1);
     let log = steward.ends();
-    let members = log.lines().rfind(|line| line.contains("so far")).expect("counts");
+    let members = log
+        .lines()
+        .rfind(|line| line.contains("so far"))
+        .expect("counts");
     assert!(members.contains("members=3 "), "{members}");
 }
 
@@ -133,7 +143,8 @@
     site.relay.takes("\"bind\",\"id\":2");
     site.relay.say(news, ALIVE);
     // And in the other order, on one connection.
-    site.relay.say(news, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
+    site.relay
+        .say(news, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
     site.relay.say(news, &joined(2));
     site.relay.takes("\"bind\",\"id\":2");
     site.steward.ends();
@@ -151,12 +162,18 @@
     let mut on = Vec::new();
     while Instant::now() < until {
         let (who, call) = relay.call("\"bind\"");
-        relay.say(who, &answer(&call, "\"error\":{\"code\":-32000,\"message\":\"BUSY\"}"));
+        relay.say(
+            who,
+            &answer(&call, "\"error\":{\"code\":-32000,\"message\":\"BUSY\"}"),
+        );
         asked += 1;
         on.push(who);
     }
     assert!((2..=20).contains(&asked), "asked {asked} times");
-    assert!(on.iter().all(|who| *who == on[0]), "on one connection: {on:?}");
+    assert!(
+        on.iter().all(|who| *who == on[0]),
+        "on one connection: {on:?}"
+    );
     relay.takes("\"bind\",\"id\":3");
     steward.ends();
 }
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/serving.rs
@@ -43,7 +43,11 @@
     thread::sleep(Duration::from_millis(300));
     let (relay_next, calls_next) = relay(12);
     let (discovery_next, asked_next) = discovery(0);
-    std::fs::write(&steward.config, config(steward.listen, discovery_next, relay_next)).expect("written");
+    std::fs::write(
+        &steward.config,
+        config(steward.listen, discovery_next, relay_next),
+    )
+    .expect("written");
     wait_for(&asked_next, "GET /registry/instances HTTP");
     wait_for(&calls_next, "relay.watch");
     // The new list has other hosts, under a lower version: they are dealt, by whichever address serves then.
@@ -52,14 +56,23 @@
     while !dealt || !bound {
         dealt |= calls.try_iter().any(|line| line.contains("s-0-"));
         for line in calls_next.try_iter() {
-            (dealt, bound) = (dealt || line.contains("s-0-"), bound || line.contains("\"verb\":\"bind\""));
+            (dealt, bound) = (
+                dealt || line.contains("s-0-"),
+                bound || line.contains("\"verb\":\"bind\""),
+            );
         }
-        assert!(Instant::now() < until, "new hosts dealt: {dealt}, proxies bound by the new relay: {bound}");
+        assert!(
+            Instant::now() < until,
+            "new hosts dealt: {dealt}, proxies bound by the new relay: {bound}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
     let log = steward.ends();
     // Two signals may be told as one.
-    assert!((1..=2).contains(&log.matches("configuration cannot be read").count()), "once a signal: {log}");
+    assert!(
+        (1..=2).contains(&log.matches("configuration cannot be read").count()),
+        "once a signal: {log}"
+    );
 }
 
 /// The relay moves while a call is under way there: that call ends where it began, and none is taken for lost.
@@ -70,13 +83,20 @@
     let steward = Steward::start(discovery_at, relay_at);
     wait_for(&calls, "\"verb\":\"bind\"");
     let (relay_next, calls_next) = relay(14);
-    std::fs::write(&steward.config, config(steward.listen, discovery_at, relay_next)).expect("written");
+    std::fs::write(
+        &steward.config,
+        config(steward.listen, discovery_at, relay_next),
+    )
+    .expect("written");
     steward.signal("-HUP");
     wait_for(&calls_next, "relay.watch");
     // Whoever joined meanwhile is bound by the new relay alone.
     wait_for(&calls_next, "\"bind\",\"id\":13");
     let log = steward.ends();
-    assert!(!log.contains("call not taken") && !log.contains("calls lost"), "{log}");
+    assert!(
+        !log.contains("call not taken") && !log.contains("calls lost"),
+        "{log}"
+    );
 }
 
 /// A host drains while the watch is silent: the next watch tells, well within the time after which it counts as told.
@@ -87,8 +107,9 @@
         1,
         Some(|number, line| {
             if number > 0 {
-                let hosts: Vec<String> =
-                    (0..8).map(|n| host(1, n, if n == 3 { "Terminating" } else { "Ready" })).collect();
+                let hosts: Vec<String> = (0..8)
+                    .map(|n| host(1, n, if n == 3 { "Terminating" } else { "Ready" }))
+                    .collect();
                 line(&list_of(2, &hosts))?;
             }
             thread::sleep(Duration::from_secs(60));
@@ -99,7 +120,11 @@
     wait_for(&calls, "\"target\":\"s-1-3\"");
     let before = Instant::now();
     wait_for(&calls, "\"target\":\"s-1-3\",\"rps\":0.0}");
-    assert!(before.elapsed() < Duration::from_secs(4), "{:?}", before.elapsed());
+    assert!(
+        before.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        before.elapsed()
+    );
     steward.ends();
 }
 
@@ -122,7 +147,8 @@
     let strangers = |rounds: usize| {
         for _ in 0..rounds {
             let mut some: Vec<TcpStream> = (0..10).map(|_| steward.dial()).collect();
-            some.iter_mut().for_each(|stranger| drop(stranger.write_all(&message("odd"))));
+            some.iter_mut()
+                .for_each(|stranger| drop(stranger.write_all(&message("odd"))));
             thread::sleep(Duration::from_millis(20));
         }
     };
@@ -132,7 +158,12 @@
     // Hosts of the last 30 s are still known, some 300 bytes each; a connection or task that stays takes far more.
     let grown = steward.memory().saturating_sub(memory);
     assert!(grown < 3_000, "{grown} KiB more than {memory}");
-    assert!(steward.descriptors() <= descriptors + 12, "{} then {}", descriptors, steward.descriptors());
+    assert!(
+        steward.descriptors() <= descriptors + 12,
+        "{} then {}",
+        descriptors,
+        steward.descriptors()
+    );
     steward.ends();
 }
 
@@ -149,7 +180,9 @@
     drop(ping);
 
     let mut collector = steward.dial();
-    collector.write_all(&message("collector site a")).expect("written");
+    collector
+        .write_all(&message("collector site a"))
+        .expect("written");
     let before = Instant::now();
     let silent: Vec<TcpStream> = (0..400).map(|_| steward.dial()).collect();
     for bad in [
@@ -165,22 +198,42 @@
         // It may be closed before all is written.
         stranger.write_all(&bad).ok();
         let answer = said(stranger);
-        assert!(answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n", "{answer}");
+        assert!(
+            answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
+            "{answer}"
+        );
     }
     assert!(before.elapsed() < Duration::from_secs(3));
-    assert!(steward.descriptors() <= 128, "{} descriptors", steward.descriptors());
+    assert!(
+        steward.descriptors() <= 128,
+        "{} descriptors",
+        steward.descriptors()
+    );
     // Reports go on all the while, spoilt ones among them.
-    for text in ["heard site a target s-1-1 count 5 fail 9 mean 4 over 1000", "usage id 3 lane proof", "odd"]
-    {
-        collector.write_all(&message(text)).expect("the collector's connection stands");
+    for text in [
+        "heard site a target s-1-1 count 5 fail 9 mean 4 over 1000",
+        "usage id 3 lane proof",
+        "odd",
+    ] {
+        collector
+            .write_all(&message(text))
+            .expect("the collector's connection stands");
     }
     thread::sleep(Duration::from_millis(1_300));
-    collector.write_all(&message("usage id 3 lane proof count 4 fail 0 over 1000")).expect("written");
+    collector
+        .write_all(&message("usage id 3 lane proof count 4 fail 0 over 1000"))
+        .expect("written");
     thread::sleep(Duration::from_millis(50));
     collector.set_nonblocking(true).expect("set");
-    let waits = collector.read(&mut [0; 8]).expect_err("nothing is ever written to a collector");
+    let waits = collector
+        .read(&mut [0; 8])
+        .expect_err("nothing is ever written to a collector");
     assert_eq!(waits.kind(), std::io::ErrorKind::WouldBlock);
     drop(silent);
     thread::sleep(Duration::from_millis(300));
-    assert!(steward.descriptors() < 40, "{} descriptors", steward.descriptors());
+    assert!(
+        steward.descriptors() < 40,
+        "{} descriptors",
+        steward.descriptors()
+    );
 }
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -23,7 +23,8 @@
 
 /// A byte at a time: nothing may hang on how the network cuts.
 pub fn drip(stream: &mut TcpStream, text: &str) -> Option<()> {
-    text.bytes().try_for_each(|byte| stream.write_all(&[byte]).ok())
+    text.bytes()
+        .try_for_each(|byte| stream.write_all(&[byte]).ok())
 }
 
 /// Serves each connection by `talk`, which says what it reads.
@@ -77,8 +78,10 @@
             }
         }
         let orders = call["params"]["changes"].as_array().map_or(0, Vec::len);
-        let answer =
-            format!("{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":{{\"ok_count\":{orders}}}}}\n", call["id"]);
+        let answer = format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":{{\"ok_count\":{orders}}}}}\n",
+            call["id"]
+        );
         thread::sleep(takes);
         drip(&mut stream, &answer)?;
     }
@@ -93,11 +96,19 @@
 }
 
 pub fn list_of(version: u64, hosts: &[String]) -> String {
-    format!("{{\"generation\":{version},\"reset\":true,\"instances\":[{}]}}", hosts.join(","))
+    format!(
+        "{{\"generation\":{version},\"reset\":true,\"instances\":[{}]}}",
+        hosts.join(",")
+    )
 }
 
 pub fn list(version: u64) -> String {
-    list_of(version, &(0..8).map(|n| host(version, n, "Ready")).collect::<Vec<_>>())
+    list_of(
+        version,
+        &(0..8)
+            .map(|n| host(version, n, "Ready"))
+            .collect::<Vec<_>>(),
+    )
 }
 
 /// What a watch says after its head: its number from 0 on, and how to say a line.
@@ -137,17 +148,27 @@
     let list = list(version);
     say.send(head.lines().next()?.to_string()).ok()?;
     if !head.contains("follow=1") {
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}",
+            list.len()
+        );
         return stream.write_all(answer.as_bytes()).ok();
     }
-    stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").ok()?;
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
+        .ok()?;
     if let Some(watch) = watch {
-        let mut line =
-            |text: &str| stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).ok();
+        let mut line = |text: &str| {
+            stream
+                .write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
+                .ok()
+        };
         return watch(watches.fetch_add(1, Relaxed), &mut line);
     }
     for byte in format!("{list}\n").bytes() {
-        stream.write_all(&[b"1\r\n", &[byte][..], b"\r\n"].concat()).ok()?;
+        stream
+            .write_all(&[b"1\r\n", &[byte][..], b"\r\n"].concat())
+            .ok()?;
     }
     thread::sleep(Duration::from_secs(60));
     Some(())
@@ -199,19 +220,34 @@
         Steward::start_as(config, |command| command)
     }
 
-    fn start_as(config: impl FnOnce(SocketAddr) -> String, so: impl FnOnce(Command) -> Command) -> Steward {
+    fn start_as(
+        config: impl FnOnce(SocketAddr) -> String,
+        so: impl FnOnce(Command) -> Command,
+    ) -> Steward {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
         // An address of its own: a port that was merely free a moment ago may be some other connection's by now.
         static STARTED: AtomicUsize = AtomicUsize::new(0);
         let (n, id) = (STARTED.fetch_add(1, Relaxed), std::process::id());
-        let listen =
-            SocketAddr::from(([127, 1 + (id % 250) as u8, (n / 250) as u8, 1 + (n % 250) as u8], 7070));
+        let listen = SocketAddr::from((
+            [
+                127,
+                1 + (id % 250) as u8,
+                (n / 250) as u8,
+                1 + (n % 250) as u8,
+            ],
+            7070,
+        ));
         std::fs::write(&path, config(listen)).expect("written");
         let mut command = so(platform(Some(&path)));
         let log = std::fs::File::create(folder.path().join("log")).expect("a log");
         let child = command.stderr(log).spawn().expect("the program");
-        Steward { child, config: path, listen, folder }
+        Steward {
+            child,
+            config: path,
+            listen,
+            folder,
+        }
     }
 
     /// Tells it where discovery and relay are from now on.
@@ -228,7 +264,11 @@
     pub fn logs(&self, what: &str, times: usize) {
         let until = Instant::now() + SOON;
         while self.log().matches(what).count() < times {
-            assert!(Instant::now() < until, "'{what}' is not {times} times in: {}", self.log());
+            assert!(
+                Instant::now() < until,
+                "'{what}' is not {times} times in: {}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -246,7 +286,10 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
+        let sent = Command::new("kill")
+            .arg(name)
+            .arg(self.child.id().to_string())
+            .status();
         assert!(sent.expect("kill").success());
     }
 
@@ -263,14 +306,23 @@
     }
 
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its files").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("its files")
+            .count()
     }
 
     /// KiB that it has in memory.
     pub fn memory(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its state");
-        let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
-        line.split_whitespace().nth(1).and_then(|count| count.parse().ok()).expect("a count")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its state");
+        let line = status
+            .lines()
+            .find(|line| line.starts_with("VmRSS"))
+            .expect("its memory");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|count| count.parse().ok())
+            .expect("a count")
     }
 
     /// Ends it, as a planned restart does; gives its log.
@@ -285,8 +337,16 @@
 
 pub fn platform(config: Option<&Path>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
-    command.arg("platform").stdout(Stdio::null()).stderr(Stdio::piped());
-    for name in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"] {
+    command
+        .arg("platform")
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    for name in [
+        "RELAY_NAME",
+        "RELAY_LISTEN",
+        "RELAY_DISCOVERY",
+        "RELAY_CONFIG",
+    ] {
         command.env_remove(name);
     }
     if let Some(config) = config {
@@ -298,7 +358,12 @@
 pub fn message(text: &str) -> Vec<u8> {
     let words: Vec<&str> = text.split(' ').collect();
     let word = |word: &&str| format!("${}\r\n{word}\r\n", word.len());
-    format!("*{}\r\n{}", words.len(), words.iter().map(word).collect::<String>()).into_bytes()
+    format!(
+        "*{}\r\n{}",
+        words.len(),
+        words.iter().map(word).collect::<String>()
+    )
+    .into_bytes()
 }
 
 pub fn said(mut stream: TcpStream) -> String {
@@ -312,7 +377,9 @@
     let until = Instant::now() + SOON;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let line = lines.recv_timeout(left).unwrap_or_else(|_| panic!("'{what}' never came"));
+        let line = lines
+            .recv_timeout(left)
+            .unwrap_or_else(|_| panic!("'{what}' never came"));
         if line.contains(what) {
             return line;
         }
--- a/crates/cli/tests/platform/starts.rs
+++ b/crates/cli/tests/platform/starts.rs
@@ -12,10 +12,16 @@
     let (discovery_at, _asked) = watched_discovery(
         1,
         Some(|_, line| {
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
+            let now = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .expect("after 1970")
+                .as_millis();
             let started = |n: usize| if n < 5 { now } else { 0 };
             let hosts = (0..8).map(|n| {
-                host(1, n, "Ready").replace("\"startedAtMs\":0", &format!("\"startedAtMs\":{}", started(n)))
+                host(1, n, "Ready").replace(
+                    "\"startedAtMs\":0",
+                    &format!("\"startedAtMs\":{}", started(n)),
+                )
             });
             line(&list_of(2, &hosts.collect::<Vec<_>>()))?;
             thread::sleep(Duration::from_secs(60));
@@ -36,16 +42,30 @@
         ping.read_exact(&mut pong).expect("an answer");
         assert_eq!(&pong, b"*1\r\n$4\r\npong\r\n");
     }
-    assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        begun.elapsed()
+    );
     for (steward, calls) in started {
         let mut bound = std::collections::BTreeSet::new();
         let until = Instant::now() + SOON;
         while bound.len() < 20 {
             assert!(Instant::now() < until, "{} of 20 are bound", bound.len());
-            let Ok(line) = calls.recv_timeout(SOON) else { panic!("{} of 20 are bound", bound.len()) };
+            let Ok(line) = calls.recv_timeout(SOON) else {
+                panic!("{} of 20 are bound", bound.len())
+            };
             let call: serde_json::Value = serde_json::from_str(&line).expect("an object");
-            let orders = call["params"]["changes"].as_array().map(Vec::as_slice).unwrap_or_default();
-            bound.extend(orders.iter().filter(|o| o["verb"] == "bind").filter_map(|o| o["id"].as_u64()));
+            let orders = call["params"]["changes"]
+                .as_array()
+                .map(Vec::as_slice)
+                .unwrap_or_default();
+            bound.extend(
+                orders
+                    .iter()
+                    .filter(|o| o["verb"] == "bind")
+                    .filter_map(|o| o["id"].as_u64()),
+            );
         }
         steward.ends();
     }
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -18,8 +18,9 @@
 impl Site {
     fn new(records: &str) -> Site {
         let folder = tempfile::tempdir().expect("a folder");
-        let proxy =
-            |n: usize| format!("{{ name: 'front-{n}', zone: 'ede', runtime: 'unix:front-{n}.sock' }}");
+        let proxy = |n: usize| {
+            format!("{{ name: 'front-{n}', zone: 'ede', runtime: 'unix:front-{n}.sock' }}")
+        };
         let proxies: Vec<String> = (0..PROXIES).map(proxy).collect();
         let site = format!(
             "{{ name: 'killed', zones: ['ede'],
@@ -32,7 +33,10 @@
             proxies.join(", ")
         );
         std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
-        let mut of = Site { folder, child: None };
+        let mut of = Site {
+            folder,
+            child: None,
+        };
         of.list(0);
         of.run();
         of
@@ -44,8 +48,12 @@
 
     /// The first `without` hosts are listed no more.
     fn list(&self, without: usize) {
-        let host =
-            |n: usize| format!("{{ name: 'host-{n}', address: '127.0.0.1:{}', zone: 'ede' }}", 9_000 + n);
+        let host = |n: usize| {
+            format!(
+                "{{ name: 'host-{n}', address: '127.0.0.1:{}', zone: 'ede' }}",
+                9_000 + n
+            )
+        };
         let hosts: Vec<String> = (without..HOSTS).map(host).collect();
         let part = self.path("hosts.part");
         std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", "))).expect("a list");
@@ -54,8 +62,15 @@
 
     fn run(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
-        let log = std::fs::File::options().create(true).append(true).open(self.path("log")).expect("a log");
-        command.arg("run").arg(self.path("site.jsonnet")).stderr(log);
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.path("log"))
+            .expect("a log");
+        command
+            .arg("run")
+            .arg(self.path("site.jsonnet"))
+            .stderr(log);
         self.child = Some(command.spawn().expect("the program starts"));
     }
 
@@ -84,7 +99,10 @@
     }
 
     fn joined(&self) {
-        self.until("joined", || self.ctl("show info").contains(&format!("ProxiesJoined: {PROXIES}\n")));
+        self.until("joined", || {
+            self.ctl("show info")
+                .contains(&format!("ProxiesJoined: {PROXIES}\n"))
+        });
     }
 }
 
@@ -98,7 +116,10 @@
 }
 
 fn pondarch(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pondarch")).args(args).output().expect("it starts")
+    Command::new(env!("CARGO_BIN_EXE_pondarch"))
+        .args(args)
+        .output()
+        .expect("it starts")
 }
 
 fn text(output: &Output) -> String {
@@ -133,7 +154,10 @@
 }
 
 fn serves(front: &Front, host: &str) -> bool {
-    front.mirror().backends["proof"].servers.get(host).is_some_and(|server| server.serves())
+    front.mirror().backends["proof"]
+        .servers
+        .get(host)
+        .is_some_and(|server| server.serves())
 }
 
 /// Ten kills, each a moment after a drain was told; at some the list changes while nobody looks.
@@ -145,39 +169,74 @@
     let mut before = 0;
     for round in 0..10 {
         let host = format!("host-{}", 1 + round % (HOSTS - 1));
-        assert_eq!(site.ctl(&format!("set server hosts/{host} state drain")).trim(), "");
+        assert_eq!(
+            site.ctl(&format!("set server hosts/{host} state drain"))
+                .trim(),
+            ""
+        );
         site.kill();
         if round == 4 {
             site.list(1);
         }
         site.run();
         site.joined();
-        site.until("the drain", || fronts.iter().all(|front| !serves(front, &host)));
-        assert!(
-            fronts.iter().all(|front| front.mirror().backends["proof"].servers.values().any(|s| s.serves()))
-        );
+        site.until("the drain", || {
+            fronts.iter().all(|front| !serves(front, &host))
+        });
+        assert!(fronts.iter().all(|front| {
+            front.mirror().backends["proof"]
+                .servers
+                .values()
+                .any(|s| s.serves())
+        }));
         let stat = site.ctl("show stat");
-        let drained =
-            stat.lines().any(|line| line.starts_with(&format!("hosts,{host},")) && line.contains(",DRAIN,"));
+        let drained = stat
+            .lines()
+            .any(|line| line.starts_with(&format!("hosts,{host},")) && line.contains(",DRAIN,"));
         assert!(drained, "round {round}: {stat}");
-        let mark = fronts[0].mirror().entry("pond_state", "steward").unwrap_or_default().to_string();
-        let epoch: u64 = mark.split(':').nth(1).and_then(|epoch| epoch.parse().ok()).expect("an epoch");
+        let mark = fronts[0]
+            .mirror()
+            .entry("pond_state", "steward")
+            .unwrap_or_default()
+            .to_string();
+        let epoch: u64 = mark
+            .split(':')
+            .nth(1)
+            .and_then(|epoch| epoch.parse().ok())
+            .expect("an epoch");
         assert!(epoch > before, "{epoch} after {before}");
         before = epoch;
-        assert_eq!(site.ctl(&format!("set server hosts/{host} state ready")).trim(), "");
+        assert_eq!(
+            site.ctl(&format!("set server hosts/{host} state ready"))
+                .trim(),
+            ""
+        );
     }
-    site.until("gone from the list", || fronts.iter().all(|front| !serves(front, "host-0")));
+    site.until("gone from the list", || {
+        fronts.iter().all(|front| !serves(front, "host-0"))
+    });
     let folder = site.path("records").display().to_string();
     // Another one does not write there.
     let output = pondarch(&["run", &site.path("site.jsonnet").display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("another program writes records there"));
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("another program writes records there")
+    );
     site.kill();
     let output = pondarch(&["replay", &folder]);
     let replayed = text(&output);
     assert!(output.status.success(), "{replayed}");
-    assert!(replayed.lines().filter(|line| line.contains(": same")).count() >= 10, "{replayed}");
-    let shown = text(&pondarch(&["records", "show", &folder, "--proxy", "front-1", "--what", "Ordered"]));
+    assert!(
+        replayed
+            .lines()
+            .filter(|line| line.contains(": same"))
+            .count()
+            >= 10,
+        "{replayed}"
+    );
+    let shown = text(&pondarch(&[
+        "records", "show", &folder, "--proxy", "front-1", "--what", "Ordered",
+    ]));
     assert!(shown.lines().count() >= 10, "{shown}");
     let verified = pondarch(&["records", "verify", &folder]);
     assert!(text(&verified).contains("segments"), "{}", text(&verified));
@@ -187,7 +246,10 @@
     let scene = site.path("scene.json").display().to_string();
     assert!(text(&pondarch(&["records", "scene", &folder, &scene])).contains("moments"));
     let played = text(&pondarch(&["replay", &scene, "--seeds", "2"]));
-    assert!(played.contains("table changes") && played.contains("drain, longest ms"), "{played}");
+    assert!(
+        played.contains("table changes") && played.contains("drain, longest ms"),
+        "{played}"
+    );
     let trimmed = text(&pondarch(&["records", "trim", &folder, "--bytes", "70000"]));
     assert!(trimmed.contains("segments dropped"), "{trimmed}");
 }
@@ -195,9 +257,21 @@
 /// Under load, with drains by the list, and all stewards at once in the end: by what crossed the sockets.
 #[test]
 fn kills_under_load_keep_the_rules() {
-    let output =
-        pondarch(&["--log-level", "error", "rehearse", "kills", "--times", "5", "--seed", "2", "--json"]);
-    let (text, wrong) = (text(&output), String::from_utf8_lossy(&output.stderr).into_owned());
+    let output = pondarch(&[
+        "--log-level",
+        "error",
+        "rehearse",
+        "kills",
+        "--times",
+        "5",
+        "--seed",
+        "2",
+        "--json",
+    ]);
+    let (text, wrong) = (
+        text(&output),
+        String::from_utf8_lossy(&output.stderr).into_owned(),
+    );
     assert!(output.status.success(), "{text}\n{wrong}");
     let report: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(report["held"].as_array().map(Vec::len), Some(5), "{text}");
@@ -210,7 +284,9 @@
     let site = {
         let folder = "there/records";
         let mut site = Site::new(folder);
-        site.until("written", || site.ctl("show info").contains("Records: written"));
+        site.until("written", || {
+            site.ctl("show info").contains("Records: written")
+        });
         site.kill();
         std::fs::remove_dir_all(site.path("there")).expect("removed");
         std::fs::write(site.path("there"), "a file").expect("a file");
@@ -219,21 +295,36 @@
     };
     let fronts = fronts(site.folder.path()).await;
     site.joined();
-    site.until("said", || site.ctl("show info").contains("Records: stopped"));
+    site.until("said", || {
+        site.ctl("show info").contains("Records: stopped")
+    });
     assert_eq!(site.ctl("set server hosts/host-3 state drain").trim(), "");
-    site.until("the drain", || fronts.iter().all(|front| !serves(front, "host-3")));
+    site.until("the drain", || {
+        fronts.iter().all(|front| !serves(front, "host-3"))
+    });
     std::fs::remove_file(site.path("there")).expect("removed");
-    site.until("written", || site.ctl("show info").contains("Records: written"));
+    site.until("written", || {
+        site.ctl("show info").contains("Records: written")
+    });
     let snapshot = |entry: std::io::Result<std::fs::DirEntry>| {
         entry.is_ok_and(|e| e.path().extension() == Some("snap".as_ref()))
     };
-    let files = || std::fs::read_dir(site.path("there/records")).into_iter().flatten();
+    let files = || {
+        std::fs::read_dir(site.path("there/records"))
+            .into_iter()
+            .flatten()
+    };
     site.until("a snapshot", || files().any(snapshot));
     let mut site = site;
     site.kill();
     site.run();
     site.joined();
     let stat = site.ctl("show stat");
-    let drained = stat.lines().any(|line| line.starts_with("hosts,host-3,") && line.contains(",DRAIN,"));
-    assert!(drained, "what was told meanwhile is in the first snapshot after: {stat}");
+    let drained = stat
+        .lines()
+        .any(|line| line.starts_with("hosts,host-3,") && line.contains(",DRAIN,"));
+    assert!(
+        drained,
+        "what was told meanwhile is in the first snapshot after: {stat}"
+    );
 }
--- a/crates/cli/tests/reports.rs
+++ b/crates/cli/tests/reports.rs
@@ -5,21 +5,39 @@
 #[test]
 fn at_ten_times_the_rate_no_stale_figure_is_decided_on_and_memory_stays_within_its_caps() {
     let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
-        .args(["--log-level", "error", "rehearse", "reports", "--proxies", "60", "--hosts", "60"])
+        .args([
+            "--log-level",
+            "error",
+            "rehearse",
+            "reports",
+            "--proxies",
+            "60",
+            "--hosts",
+            "60",
+        ])
         .args(["--times", "1,10", "--each", "14", "--lines", "40", "--json"])
         .output()
         .expect("the program starts");
-    let (text, wrong) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    let (text, wrong) = (
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr),
+    );
     assert!(output.status.success(), "{text}\n{wrong}");
     let report: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     let rates = report["rates"].as_array().expect("rates");
     assert_eq!(rates.len(), 2);
     for rate in rates {
         let figure = |name: &str| rate[name].as_f64().unwrap_or(f64::NAN);
-        assert!(figure("reports") > 500.0 && figure("age_most") < 6_000.0, "{rate}");
+        assert!(
+            figure("reports") > 500.0 && figure("age_most") < 6_000.0,
+            "{rate}"
+        );
         let memory = rate["memory"].as_array().expect("lines");
         assert!(
-            memory.len() == 5 && memory.iter().all(|line| line.to_string().contains("at the cap 0 times")),
+            memory.len() == 5
+                && memory
+                    .iter()
+                    .all(|line| line.to_string().contains("at the cap 0 times")),
             "{rate}"
         );
     }
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -21,7 +21,9 @@
 
 fn settings(folder: &Path) -> String {
     let proxy = |n: usize| {
-        format!(r#"{{"name": "front-{n}", "zone": "ede", "usual_rate": 5, "runtime": "unix:/front-{n}"}}"#)
+        format!(
+            r#"{{"name": "front-{n}", "zone": "ede", "usual_rate": 5, "runtime": "unix:/front-{n}"}}"#
+        )
     };
     let proxies: Vec<String> = (0..PROXIES).map(proxy).collect();
     let kind = |name: &str| {
@@ -65,17 +67,33 @@
 
 impl Town {
     fn new(site: &Site, at_us: u64) -> Town {
-        let front =
-            |n: usize| Holding::new(&format!("front-{n}"), n as u64 + 1, &["proof", "order", "release"]);
+        let front = |n: usize| {
+            Holding::new(
+                &format!("front-{n}"),
+                n as u64 + 1,
+                &["proof", "order", "release"],
+            )
+        };
         let core = Core::new(site, 7, 1, at_us, Time::from_micros(at_us));
-        Town { core, fronts: (0..PROXIES).map(front).collect(), waits: VecDeque::new(), now: at_us }
+        Town {
+            core,
+            fronts: (0..PROXIES).map(front).collect(),
+            waits: VecDeque::new(),
+            now: at_us,
+        }
     }
 
     /// The next thing that happens: an answer that waits, or the time that the core asked for.
     fn next(&mut self, n: u64) -> (Time, Input) {
         if n == 1 || n.is_multiple_of(20_000) {
             let weight = 1.0 + (n / 20_000 % 3) as f64;
-            return (Time::from_micros(self.now), Input::List { version: None, hosts: hosts(weight) });
+            return (
+                Time::from_micros(self.now),
+                Input::List {
+                    version: None,
+                    hosts: hosts(weight),
+                },
+            );
         }
         match self.waits.pop_front() {
             Some(input) => {
@@ -102,8 +120,16 @@
                         server.sums.done += 1;
                     });
                 }
-                let texts = lines.iter().flat_map(|line| front.line(line)).collect::<Vec<_>>();
-                self.waits.extend(texts.into_iter().map(|text| Input::Answer { proxy, conn, text }));
+                let texts = lines
+                    .iter()
+                    .flat_map(|line| front.line(line))
+                    .collect::<Vec<_>>();
+                self.waits
+                    .extend(
+                        texts
+                            .into_iter()
+                            .map(|text| Input::Answer { proxy, conn, text }),
+                    );
             }
             _ => {}
         }
@@ -146,7 +172,10 @@
         let (at, input) = town.next(n);
         let one = Instant::now();
         // As the daemon's loop has it.
-        let recorded = recorder.as_mut().map(|recorder| recorder.input(at, &input)).is_some();
+        let recorded = recorder
+            .as_mut()
+            .map(|recorder| recorder.input(at, &input))
+            .is_some();
         town.core.handle(at, input);
         let (mut outputs, mut decisions) = (Vec::new(), Vec::new());
         while let Some(output) = town.core.next_output() {
@@ -162,11 +191,14 @@
             }
         }
         times.record(one.elapsed().as_nanos() as u64).ok();
-        outputs.into_iter().for_each(|output| town.carry_out(output));
+        outputs
+            .into_iter()
+            .for_each(|output| town.carry_out(output));
         // 10,000 inputs a second.
         let due = Duration::from_micros(n * 100);
-        if let Some(early) =
-            due.checked_sub(begun.elapsed()).filter(|early| *early > Duration::from_millis(1))
+        if let Some(early) = due
+            .checked_sub(begun.elapsed())
+            .filter(|early| *early > Duration::from_millis(1))
         {
             std::thread::sleep(early);
         }
@@ -186,12 +218,17 @@
     );
     if let Some(recorder) = recorder {
         let runtime = tokio::runtime::Handle::current();
-        tokio::task::block_in_place(|| runtime.block_on(recorder.end(clock.now(), town.core.remembered())));
+        tokio::task::block_in_place(|| {
+            runtime.block_on(recorder.end(clock.now(), town.core.remembered()))
+        });
     }
 }
 
 fn bytes_of(folder: &Path) -> u64 {
-    Folder::look(folder).list().map(|files| files.iter().map(|(_, bytes, _)| bytes).sum()).unwrap_or(0)
+    Folder::look(folder)
+        .list()
+        .map(|files| files.iter().map(|(_, bytes, _)| bytes).sum())
+        .unwrap_or(0)
 }
 
 /// A log of so many bytes, written as fast as can be; then recovered, and played again.
@@ -206,12 +243,20 @@
         age: keeping::ALWAYS,
         sure_within: keeping::ALWAYS,
     };
-    let mut log = Log::new(Folder::lock(folder.path()).expect("a lock"), keep, micros(at)).expect("a log");
+    let mut log = Log::new(
+        Folder::lock(folder.path()).expect("a lock"),
+        keep,
+        micros(at),
+    )
+    .expect("a log");
     let mut town = Town::new(&site, micros(at));
     let (mut n, mut written, mut records, mut unpacked) = (0u64, 0u64, 0u64, 0u64);
     let mut writing = Duration::ZERO;
     let mut frames = Vec::new();
-    frame::write(&mut frames, &Record::Start(Box::new(start(&text, at))).bytes());
+    frame::write(
+        &mut frames,
+        &Record::Start(Box::new(start(&text, at))).bytes(),
+    );
     while written < bytes {
         n += 1;
         let (at, input) = town.next(n);
@@ -223,9 +268,16 @@
             (records, unpacked) = (records + 1, unpacked + record.len() as u64);
             frame::write(&mut frames, &record);
         };
-        put(Record::Input { n, at_us: micros(at), input });
+        put(Record::Input {
+            n,
+            at_us: micros(at),
+            input,
+        });
         if !outputs.is_empty() {
-            put(Record::Decided { n, decisions: outputs.iter().cloned().map(Decision::of).collect() });
+            put(Record::Decided {
+                n,
+                decisions: outputs.iter().cloned().map(Decision::of).collect(),
+            });
         }
         if frames.len() > 1 << 16 {
             log.write(at, n, &frames);
@@ -233,7 +285,9 @@
             frames.clear();
         }
         writing += one.elapsed();
-        outputs.into_iter().for_each(|output| town.carry_out(output));
+        outputs
+            .into_iter()
+            .for_each(|output| town.carry_out(output));
     }
     let spans = Duration::from_micros(town.now - micros(at));
     log.end(at);
@@ -265,9 +319,12 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         tokio::task::spawn(async {
-            for (name, slow) in
-                [("off", None), ("on", None), ("slow", Some(Duration::from_secs(2))), ("off", None)]
-            {
+            for (name, slow) in [
+                ("off", None),
+                ("on", None),
+                ("slow", Some(Duration::from_secs(2))),
+                ("off", None),
+            ] {
                 tokio::task::block_in_place(|| latency(name, 100_000, slow));
             }
         })
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -71,17 +71,32 @@
     let callers = Callers::new(inputs.clone());
     let mut tasks = JoinSet::new();
     for of in &site.runtime_api {
-        let listen = |wrong| DaemonError::Listen { at: of.listen.clone(), wrong };
+        let listen = |wrong| DaemonError::Listen {
+            at: of.listen.clone(),
+            wrong,
+        };
         let listener = Listener::bind(&of.listen).await.map_err(listen)?;
         tasks.spawn(serve(listener, of.level.into(), callers.clone()));
     }
     let pushes = push::open(&site, inputs.clone(), &mut tasks).await?;
     let names = dns::open(&site, seed, clock, inputs.clone(), &mut tasks).await?;
-    tasks.spawn(hosts_file::follow(site.hosts_file.clone(), site.zones.clone(), inputs.clone()));
+    tasks.spawn(hosts_file::follow(
+        site.hosts_file.clone(),
+        site.zones.clone(),
+        inputs.clone(),
+    ));
     let mut term = signal(SignalKind::terminate()).map_err(DaemonError::Signals)?;
     let mut int = signal(SignalKind::interrupt()).map_err(DaemonError::Signals)?;
-    info!(name = site.name, seed, proxies = site.proxies.len(), "steward started");
-    let prober = site.probes.clone().map(|probes| Prober::new(probes, inputs.clone()));
+    info!(
+        name = site.name,
+        seed,
+        proxies = site.proxies.len(),
+        "steward started"
+    );
+    let prober = site
+        .probes
+        .clone()
+        .map(|probes| Prober::new(probes, inputs.clone()));
     let mut edge = Edge {
         connections: BTreeMap::new(),
         prober,
@@ -98,7 +113,11 @@
     };
     let (mut counted, mut counted_at) = ((0, 0, 0), now);
     let mut core = Core::new(&edge.site, seed, process, epoch, now);
-    let mut next = Some(before.known.map_or(Input::Tick, |known| Input::Recovered(Box::new(known))));
+    let mut next = Some(
+        before
+            .known
+            .map_or(Input::Tick, |known| Input::Recovered(Box::new(known))),
+    );
     loop {
         let input = match next.take() {
             Some(input) => input,
@@ -114,9 +133,12 @@
             }
         };
         let now = clock.now();
-        let taken = recorder.as_mut().map(|recorder| recorder.input(now, &input));
+        let taken = recorder
+            .as_mut()
+            .map(|recorder| recorder.input(now, &input));
         // An operator is told that something is done once it would survive.
-        edge.awaits = taken.filter(|_| matches!(input, Input::Command { .. }) && input.is_remembered());
+        edge.awaits =
+            taken.filter(|_| matches!(input, Input::Command { .. }) && input.is_remembered());
         core.handle(now, input);
         let mut decisions = Vec::new();
         while let Some(output) = core.next_output() {
@@ -174,23 +196,36 @@
 impl Edge {
     /// What the edge takes, if that has changed enough to be told.
     fn memory(&self, told: &mut (u64, u64, u64), recorder: Option<&Recorder>) -> Option<Input> {
-        let waiting = self.connections.values().map(|(_, connection)| connection.waiting()).sum();
+        let waiting = self
+            .connections
+            .values()
+            .map(|(_, connection)| connection.waiting())
+            .sum();
         let records = recorder.map_or(0, Recorder::waiting);
         let (senders, capped) = self.pushes.as_ref().map_or((0, 0), Pushers::counts);
         let connections = (self.connections.len() as u64 + senders) * CONNECTION_BYTES;
         let now = (waiting, records, connections);
-        let off = |now: u64, then: u64| now.abs_diff(then) as f64 > then as f64 * COUNTED_PART + 4_096.0;
+        let off =
+            |now: u64, then: u64| now.abs_diff(then) as f64 > then as f64 * COUNTED_PART + 4_096.0;
         if capped == 0 && !off(now.0, told.0) && !off(now.1, told.1) && !off(now.2, told.2) {
             return None;
         }
         *told = now;
-        Some(Input::Memory { waiting, records, connections, capped })
+        Some(Input::Memory {
+            waiting,
+            records,
+            connections,
+            capped,
+        })
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial { proxy, conn } => {
-                let (of, limit) = (&self.site.proxies[proxy as usize], self.site.links.dial_limit.std());
+                let (of, limit) = (
+                    &self.site.proxies[proxy as usize],
+                    self.site.links.dial_limit.std(),
+                );
                 // Those without a runtime API are never dialled.
                 let Some(to) = of.runtime.clone() else { return };
                 let connection = Connection::dial(proxy, conn, to, limit, self.inputs.clone());
@@ -203,15 +238,26 @@
                 };
                 if !written {
                     // It reads nothing: the core's answer limit hangs it up; what was not written is sent anew then.
-                    warn!(proxy = self.site.proxies[proxy as usize].name, "connection's queue is full");
+                    warn!(
+                        proxy = self.site.proxies[proxy as usize].name,
+                        "connection's queue is full"
+                    );
                 }
             }
             Output::Hangup { proxy, conn } => {
-                if self.connections.get(&proxy).is_some_and(|(held, _)| *held == conn) {
+                if self
+                    .connections
+                    .get(&proxy)
+                    .is_some_and(|(held, _)| *held == conn)
+                {
                     self.connections.remove(&proxy);
                 }
             }
-            Output::Probe { host, addr, for_load } => {
+            Output::Probe {
+                host,
+                addr,
+                for_load,
+            } => {
                 while self.probes.try_join_next().is_some() {}
                 if let Some(prober) = self.prober.clone() {
                     self.probes.spawn(prober.ask(host, addr, for_load));
@@ -223,9 +269,16 @@
                 let (inputs, warm) = (self.inputs.clone(), self.warm.clone());
                 self.solving.spawn_blocking(move || {
                     let mut warm = warm.lock().unwrap_or_else(PoisonError::into_inner);
-                    let answer = warm.solve(&fleet, SOLVE_LIMIT).map_err(|wrong| wrong.to_string());
+                    let answer = warm
+                        .solve(&fleet, SOLVE_LIMIT)
+                        .map_err(|wrong| wrong.to_string());
                     // The daemon may have ended meanwhile.
-                    inputs.blocking_send(Input::Solved { number, plan: answer.map(|(plan, _)| plan) }).ok();
+                    inputs
+                        .blocking_send(Input::Solved {
+                            number,
+                            plan: answer.map(|(plan, _)| plan),
+                        })
+                        .ok();
                 });
             }
             Output::Credit { conn, more, at_us } => {
@@ -248,7 +301,9 @@
                     while self.replies.try_join_next().is_some() {}
                     self.replies.spawn(async move {
                         // A disk that is slow makes nobody wait longer than this.
-                        timeout(REPLY_WAITS, written.wait_for(|up_to| *up_to >= n)).await.ok();
+                        timeout(REPLY_WAITS, written.wait_for(|up_to| *up_to >= n))
+                            .await
+                            .ok();
                         callers.reply(caller, text);
                     });
                 }
--- a/crates/daemon/src/desk.rs
+++ b/crates/daemon/src/desk.rs
@@ -22,7 +22,10 @@
 
 impl Callers {
     pub(crate) fn new(inputs: mpsc::Sender<Input>) -> Callers {
-        Callers { waiting: Arc::default(), inputs }
+        Callers {
+            waiting: Arc::default(),
+            inputs,
+        }
     }
 
     fn enter(&self) -> (u64, oneshot::Receiver<String>) {
@@ -36,7 +39,12 @@
 
     /// Passes the core's answer on; a caller that has gone does not mind.
     pub(crate) fn reply(&self, caller: u64, text: String) {
-        let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).answers.remove(&caller);
+        let waiting = self
+            .waiting
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .answers
+            .remove(&caller);
         if let Some(answer) = waiting {
             answer.send(text).ok();
         }
@@ -58,7 +66,14 @@
             Level::Admin => 2,
         };
         let (caller, answer) = self.enter();
-        self.inputs.send(Input::Command { caller, level, line }).await.ok()?;
+        self.inputs
+            .send(Input::Command {
+                caller,
+                level,
+                line,
+            })
+            .await
+            .ok()?;
         answer.await.ok()
     }
 }
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -44,7 +44,11 @@
             // If the daemon is gone, nobody needs to know.
             inputs.send(Input::Lost { proxy, conn, why }).await.ok();
         });
-        Connection { lines, waiting, task }
+        Connection {
+            lines,
+            waiting,
+            task,
+        }
     }
 
     /// Hands lines over without waiting. Gives whether there was room.
@@ -109,7 +113,11 @@
         loop {
             match from_proxy.next().await {
                 Some(Ok(text)) => {
-                    if inputs.send(Input::Answer { proxy, conn, text }).await.is_err() {
+                    if inputs
+                        .send(Input::Answer { proxy, conn, text })
+                        .await
+                        .is_err()
+                    {
                         return "the steward stops".to_string();
                     }
                 }
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -55,22 +55,38 @@
     inputs: mpsc::Sender<Input>,
     tasks: &mut JoinSet<()>,
 ) -> Result<Option<Names>, DaemonError> {
-    let Some(dns) = &site.dns else { return Ok(None) };
+    let Some(dns) = &site.dns else {
+        return Ok(None);
+    };
     let wrong = |text: String| DaemonError::Dns(text);
     let lifetime = dns.lifetime().map_err(|e| wrong(e.to_string()))?;
     let kinds: Vec<String> = site.kinds.iter().map(|kind| kind.name.clone()).collect();
-    let proxies: Vec<String> = site.proxies.iter().map(|proxy| proxy.name.clone()).collect();
+    let proxies: Vec<String> = site
+        .proxies
+        .iter()
+        .map(|proxy| proxy.name.clone())
+        .collect();
     let of = |(n, proxy): (usize, &pondarch_settings::site::Proxy)| {
         let net = |net: &ipnet::IpNet| (net.network(), net.prefix_len(), ProxyId(n as u16));
         proxy.sources.iter().map(net).collect::<Vec<_>>()
     };
     let sources = site.proxies.iter().enumerate().flat_map(of).collect();
-    let mut zone = Zone::new(&dns.zone, dns.listen.ip(), lifetime, &kinds, &proxies, sources)
-        .map_err(|e| wrong(e.to_string()))?;
+    let mut zone = Zone::new(
+        &dns.zone,
+        dns.listen.ip(),
+        lifetime,
+        &kinds,
+        &proxies,
+        sources,
+    )
+    .map_err(|e| wrong(e.to_string()))?;
     zone.expire_s = u32::try_from(dns.expires.0.as_micros() / 1_000_000).unwrap_or(u32::MAX);
     let copies = Copies::new(keys(dns)?);
     let limits = Limits::new(dns.answers_per_second, SOURCES_MOST, clock.now());
-    let listen = |wrong| DaemonError::Listen { at: Endpoint::Tcp(dns.listen), wrong };
+    let listen = |wrong| DaemonError::Listen {
+        at: Endpoint::Tcp(dns.listen),
+        wrong,
+    };
     let udp = UdpSocket::bind(dns.listen).await.map_err(listen)?;
     let tcp = TcpListener::bind(dns.listen).await.map_err(listen)?;
     let names = Names {
@@ -80,7 +96,11 @@
         clock,
         inputs,
         socket: Arc::new(udp),
-        secondaries: dns.secondaries.iter().map(|secondary| secondary.address).collect(),
+        secondaries: dns
+            .secondaries
+            .iter()
+            .map(|secondary| secondary.address)
+            .collect(),
     };
     tasks.spawn(by_udp(names.clone()));
     tasks.spawn(by_tcp(tcp, names.clone()));
@@ -92,11 +112,16 @@
     let key = |of: &Secondary| {
         let file = of.secret_file.display();
         let text = std::fs::read_to_string(&of.secret_file).map_err(|e| format!("{file}: {e}"))?;
-        let secret =
-            data_encoding::BASE64.decode(text.trim().as_bytes()).map_err(|e| format!("{file}: {e}"))?;
+        let secret = data_encoding::BASE64
+            .decode(text.trim().as_bytes())
+            .map_err(|e| format!("{file}: {e}"))?;
         Key::new(&of.key, secret).map_err(|e| format!("{file}: {e}"))
     };
-    dns.secondaries.iter().map(key).collect::<Result<_, String>>().map_err(DaemonError::Dns)
+    dns.secondaries
+        .iter()
+        .map(key)
+        .collect::<Result<_, String>>()
+        .map_err(DaemonError::Dns)
 }
 
 impl Names {
@@ -124,8 +149,13 @@
     }
 
     fn answer(&self, from: IpAddr, over: Transport, packet: &[u8]) -> Reply {
-        let (now, view) =
-            (self.clock.now(), self.view.read().unwrap_or_else(PoisonError::into_inner).clone());
+        let (now, view) = (
+            self.clock.now(),
+            self.view
+                .read()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone(),
+        );
         let reply = self.answerer().answer(now, from, over, packet, &view);
         self.tell(now, &reply, view.serial);
         reply
@@ -140,7 +170,13 @@
 
     /// The core hears of each proxy and table once in a while, not of each answer.
     fn tell(&self, now: Time, reply: &Reply, serial: u32) {
-        let Some(table) = reply.given.map(|table| table.0).or(reply.asked.map(|_| u16::MAX)) else { return };
+        let Some(table) = reply
+            .given
+            .map(|table| table.0)
+            .or(reply.asked.map(|_| u16::MAX))
+        else {
+            return;
+        };
         {
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
             let last = told.get(&(reply.asked, table)).copied();
@@ -151,7 +187,11 @@
             told.insert((reply.asked, table), (now, serial));
         }
         let (proxy, given) = (reply.asked.map(|id| id.0), reply.given.map(|table| table.0));
-        let input = Input::AskedByName { proxy, table: given, serial };
+        let input = Input::AskedByName {
+            proxy,
+            table: given,
+            serial,
+        };
         if self.inputs.try_send(input).is_err() {
             // The next answer tells it again.
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
@@ -185,7 +225,9 @@
     let (places, mut connections) = (Arc::new(Semaphore::new(CONNECTIONS_MOST)), JoinSet::new());
     loop {
         while connections.try_join_next().is_some() {}
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         match listener.accept().await {
             Ok((stream, from)) => {
                 let names = names.clone();
--- a/crates/daemon/src/hosts_file.rs
+++ b/crates/daemon/src/hosts_file.rs
@@ -38,9 +38,16 @@
     // Evaluating takes its time: not on a thread that serves sockets.
     let list = tokio::task::spawn_blocking(move || read_hosts(&file, &zones)).await;
     match list {
-        Ok(Ok(list)) => Input::List { version: list.version, hosts: list.hosts },
-        Ok(Err(wrong)) => Input::ListRefused { wrong: wrong.to_string() },
-        Err(_) => Input::ListRefused { wrong: "the evaluator failed".into() },
+        Ok(Ok(list)) => Input::List {
+            version: list.version,
+            hosts: list.hosts,
+        },
+        Ok(Err(wrong)) => Input::ListRefused {
+            wrong: wrong.to_string(),
+        },
+        Err(_) => Input::ListRefused {
+            wrong: "the evaluator failed".into(),
+        },
     }
 }
 
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -23,14 +23,22 @@
 
 impl Prober {
     pub(crate) fn new(probes: Probes, inputs: mpsc::Sender<Input>) -> Prober {
-        Prober { probes: Arc::new(probes), places: Arc::new(Semaphore::new(PROBES_MOST)), inputs }
+        Prober {
+            probes: Arc::new(probes),
+            places: Arc::new(Semaphore::new(PROBES_MOST)),
+            inputs,
+        }
     }
 
     /// One probe, to its end within the time limit.
     pub(crate) async fn ask(self, host: String, addr: SocketAddr, for_load: bool) {
         let asked = match self.places.try_acquire() {
             Ok(_place) => {
-                timeout(self.probes.time_limit.std(), get(addr, &self.probes.path, ANSWER_MOST)).await
+                timeout(
+                    self.probes.time_limit.std(),
+                    get(addr, &self.probes.path, ANSWER_MOST),
+                )
+                .await
             }
             Err(_) => Ok(None),
         };
@@ -43,11 +51,22 @@
             errored_rate: report.errored_rate,
         });
         // If the daemon is gone, nobody needs to know.
-        self.inputs.send(Input::Probed { host, for_load, good: report.is_some(), load }).await.ok();
+        self.inputs
+            .send(Input::Probed {
+                host,
+                for_load,
+                good: report.is_some(),
+                load,
+            })
+            .await
+            .ok();
     }
 }
 
 fn load_of(answer: &Answer) -> Report {
-    let told = answer.headers.get(HEADER).and_then(|value| value.to_str().ok());
+    let told = answer
+        .headers
+        .get(HEADER)
+        .and_then(|value| value.to_str().ok());
     told.map(Report::read).unwrap_or_default()
 }
--- a/crates/daemon/src/push.rs
+++ b/crates/daemon/src/push.rs
@@ -43,10 +43,18 @@
     inputs: mpsc::Sender<Input>,
     tasks: &mut JoinSet<()>,
 ) -> Result<Option<Pushers>, DaemonError> {
-    let Some(at) = &site.reports.push else { return Ok(None) };
-    let listen = |wrong| DaemonError::Listen { at: at.clone(), wrong };
+    let Some(at) = &site.reports.push else {
+        return Ok(None);
+    };
+    let listen = |wrong| DaemonError::Listen {
+        at: at.clone(),
+        wrong,
+    };
     let listener = Listener::bind(at).await.map_err(listen)?;
-    let pushers = Pushers { words: Arc::default(), capped: Arc::default() };
+    let pushers = Pushers {
+        words: Arc::default(),
+        capped: Arc::default(),
+    };
     tasks.spawn(accept(listener, pushers.clone(), inputs));
     Ok(Some(pushers))
 }
@@ -60,7 +68,9 @@
     pub(crate) fn say(&self, conn: u64, word: ToSender) {
         let last = matches!(word, ToSender::Refused { .. });
         let mut words = self.words();
-        let full = words.get(&conn).is_some_and(|to| to.try_send(word).is_err());
+        let full = words
+            .get(&conn)
+            .is_some_and(|to| to.try_send(word).is_err());
         if full || last {
             // What was said is still written; then the stream ends.
             words.remove(&conn);
@@ -74,7 +84,8 @@
 }
 
 async fn accept(listener: Listener, pushers: Pushers, inputs: mpsc::Sender<Input>) {
-    let (places, mut connections, mut conn) = (Arc::new(Semaphore::new(SENDERS_MOST)), JoinSet::new(), 0);
+    let (places, mut connections, mut conn) =
+        (Arc::new(Semaphore::new(SENDERS_MOST)), JoinSet::new(), 0);
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -102,11 +113,19 @@
 }
 
 async fn talk(conn: u64, stream: Stream, pushers: &Pushers, inputs: &mpsc::Sender<Input>) {
-    let mut wire: Framed<Stream, Codec<ToSteward, ToSender>> = Framed::new(stream, Codec::default());
-    let Ok(Some(Ok(ToSteward::Hello(hello)))) = timeout(HELLO_WITHIN, wire.next()).await else { return };
+    let mut wire: Framed<Stream, Codec<ToSteward, ToSender>> =
+        Framed::new(stream, Codec::default());
+    let Ok(Some(Ok(ToSteward::Hello(hello)))) = timeout(HELLO_WITHIN, wire.next()).await else {
+        return;
+    };
     let (words, mut said) = mpsc::channel(WORDS_MOST);
     pushers.words().insert(conn, words);
-    let came = Input::SenderCame { conn, name: hello.name, is: hello.is, run: hello.run };
+    let came = Input::SenderCame {
+        conn,
+        name: hello.name,
+        is: hello.is,
+        run: hello.run,
+    };
     if inputs.send(came).await.is_err() {
         return;
     }
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -40,7 +40,10 @@
 type Opens<D> = Box<dyn FnMut() -> Result<D, String> + Send>;
 
 /// The folder that is held already, or one that is tried for.
-pub(crate) fn opens(held: Option<Folder>, path: PathBuf) -> impl FnMut() -> Result<Folder, String> + Send {
+pub(crate) fn opens(
+    held: Option<Folder>,
+    path: PathBuf,
+) -> impl FnMut() -> Result<Folder, String> + Send {
     let mut held = held;
     move || match held.take() {
         Some(folder) => Ok(folder),
@@ -52,8 +55,14 @@
 ///
 /// Errors: another program writes there. A folder that cannot be had otherwise is none: deciding goes on without.
 pub(crate) fn before(site: &Site, now: Time) -> Result<Before, DaemonError> {
-    let mut before = Before { folder: None, epoch: 0, known: None };
-    let Some(records) = &site.records else { return Ok(before) };
+    let mut before = Before {
+        folder: None,
+        epoch: 0,
+        known: None,
+    };
+    let Some(records) = &site.records else {
+        return Ok(before);
+    };
     let folder = match Folder::lock(&records.folder) {
         Ok(folder) => folder,
         Err(held @ LockError::Held(_)) => return Err(held.into()),
@@ -65,7 +74,11 @@
     match recover(&folder, site) {
         Ok(found) => {
             for flaw in &found.flaws {
-                warn!(file = flaw.name, what = flaw.what, "dropped from the records");
+                warn!(
+                    file = flaw.name,
+                    what = flaw.what,
+                    "dropped from the records"
+                );
             }
             info!(inputs = found.inputs, epoch = found.epoch, "records read");
             let now_us = micros(now);
@@ -93,7 +106,10 @@
     let id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
     let up = std::fs::read_to_string("/proc/uptime").ok()?;
     let seconds: f64 = up.split_whitespace().next()?.parse().ok()?;
-    Some(Boot { id: id.trim().into(), up_us: (seconds * 1e6) as u64 })
+    Some(Boot {
+        id: id.trim().into(),
+        up_us: (seconds * 1e6) as u64,
+    })
 }
 
 enum Word {
@@ -137,7 +153,11 @@
             age: Span::from_micros((records.kept_days * 86_400e6) as u64),
             sure_within: records.sure_within.0,
         };
-        let (epoch, at, every) = (start.epoch, Time::from_micros(start.at_us), records.snapshot_every.0);
+        let (epoch, at, every) = (
+            start.epoch,
+            Time::from_micros(start.at_us),
+            records.snapshot_every.0,
+        );
         let mut writer = Writer {
             opens: Box::new(opens),
             log: None,
@@ -194,8 +214,15 @@
             self.gap = None;
         }
         let size = size(input);
-        self.queued =
-            self.gap.is_none() && self.send(Word::Input { n, at, input: Box::new(input.clone()) }, size);
+        self.queued = self.gap.is_none()
+            && self.send(
+                Word::Input {
+                    n,
+                    at,
+                    input: Box::new(input.clone()),
+                },
+                size,
+            );
         if !self.queued {
             let first = self.gap.map_or(n, |(first, _)| first);
             self.gap = Some((first, n));
@@ -219,7 +246,16 @@
         self.snapshot_at = now + self.every;
         let (n, epoch, at_us) = (self.n, self.epoch, micros(now));
         // Without room there is none this time.
-        self.send(Word::Snapshot(Box::new(Snapshot { epoch, n, at_us, boot: boot(), known })), 0);
+        self.send(
+            Word::Snapshot(Box::new(Snapshot {
+                epoch,
+                n,
+                at_us,
+                boot: boot(),
+                known,
+            })),
+            0,
+        );
     }
 
     fn send(&mut self, word: Word, bytes: usize) -> bool {
@@ -277,8 +313,9 @@
         loop {
             let now = self.clock.now();
             let due = self.log.as_ref().and_then(|log| log.keeping().sure_at());
-            let wait =
-                due.map_or(Duration::from_millis(500), |at| Duration::from_micros((at - now).as_micros()));
+            let wait = due.map_or(Duration::from_millis(500), |at| {
+                Duration::from_micros((at - now).as_micros())
+            });
             let mut words = match self.queue.recv_timeout(wait.max(Duration::from_millis(1))) {
                 Ok(word) => vec![word],
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
@@ -307,8 +344,9 @@
         if self.log.is_some() {
             return;
         }
-        let opened = (self.opens)()
-            .and_then(|disk| Log::new(disk, self.keep, self.start.epoch).map_err(|wrong| wrong.to_string()));
+        let opened = (self.opens)().and_then(|disk| {
+            Log::new(disk, self.keep, self.start.epoch).map_err(|wrong| wrong.to_string())
+        });
         match opened {
             Ok(log) => self.log = Some(log),
             Err(wrong) => self.state.stopped = Some(wrong),
@@ -322,7 +360,14 @@
             let (n, record) = match word {
                 Word::Input { n, at, input } => {
                     self.waiting.fetch_sub(size(&input), Relaxed);
-                    (n, Record::Input { n, at_us: micros(at), input: *input })
+                    (
+                        n,
+                        Record::Input {
+                            n,
+                            at_us: micros(at),
+                            input: *input,
+                        },
+                    )
                 }
                 Word::Decided { n, outputs } => {
                     let decisions = outputs.into_iter().map(Decision::of).collect();
@@ -330,7 +375,14 @@
                 }
                 Word::Gap { first, last } => {
                     self.state.lost += last - first + 1;
-                    (last, Record::Gap { first, last, why: "there was no room to wait in".into() })
+                    (
+                        last,
+                        Record::Gap {
+                            first,
+                            last,
+                            why: "there was no room to wait in".into(),
+                        },
+                    )
                 }
                 Word::Snapshot(snapshot) => {
                     // It stands for all that came before it.
@@ -349,31 +401,50 @@
     /// Writes frames; what cannot be written is a gap.
     fn put(&mut self, frames: &mut Vec<u8>, first: &mut Option<u64>, last: &mut Option<u64>) {
         let (frames, first, last) = (std::mem::take(frames), first.take(), last.take());
-        let (Some(first), Some(last)) = (first, last) else { return };
+        let (Some(first), Some(last)) = (first, last) else {
+            return;
+        };
         let now = self.clock.now();
-        let may = self.log.as_ref().is_some_and(|log| log.keeping().may_write(now));
+        let may = self
+            .log
+            .as_ref()
+            .is_some_and(|log| log.keeping().may_write(now));
         let mut done = false;
         if may {
             let mut before = Vec::new();
             if !self.started {
-                frame::write(&mut before, &Record::Start(Box::new(self.start.clone())).bytes());
+                frame::write(
+                    &mut before,
+                    &Record::Start(Box::new(self.start.clone())).bytes(),
+                );
             }
             if let Some((first, last, why)) = &self.gap {
-                let gap = Record::Gap { first: *first, last: *last, why: why.clone() };
+                let gap = Record::Gap {
+                    first: *first,
+                    last: *last,
+                    why: why.clone(),
+                };
                 frame::write(&mut before, &gap.bytes());
             }
             before.extend(&frames);
-            done = self.log.as_mut().is_some_and(|log| log.write(now, first, &before));
+            done = self
+                .log
+                .as_mut()
+                .is_some_and(|log| log.write(now, first, &before));
         }
         if done {
             (self.started, self.gap, self.state.stopped) = (true, None, None);
         } else {
-            let stopped = self.log.as_ref().and_then(|log| match log.keeping().state() {
-                State::Stopped { why, .. } => Some(why.clone()),
-                State::Writes => None,
-            });
-            self.state.stopped =
-                stopped.or(self.state.stopped.take()).or(Some("the folder cannot be had".into()));
+            let stopped = self
+                .log
+                .as_ref()
+                .and_then(|log| match log.keeping().state() {
+                    State::Stopped { why, .. } => Some(why.clone()),
+                    State::Writes => None,
+                });
+            self.state.stopped = stopped
+                .or(self.state.stopped.take())
+                .or(Some("the folder cannot be had".into()));
             let why = self.state.stopped.clone().unwrap_or_default();
             self.state.lost += last - first + 1;
             let begin = self.gap.as_ref().map_or(first, |(begin, ..)| *begin);
@@ -409,14 +480,38 @@
 
     #[test]
     fn a_clock_that_jumped_is_not_believed_while_the_machine_counts_on() {
-        let boot = |id: &str, up_us| Some(Boot { id: id.into(), up_us });
+        let boot = |id: &str, up_us| {
+            Some(Boot {
+                id: id.into(),
+                up_us,
+            })
+        };
         let passed = |then: Option<Boot>, now: Option<Boot>, last, at| {
             super::passed(then.as_ref(), now.as_ref(), last, at)
         };
         // Ten minutes on, and ten back, in 3 s.
-        assert_eq!(passed(boot("a", 5), boot("a", 3_000_005), 1_000_000_000, 1_603_000_000), 3_000_000);
-        assert_eq!(passed(boot("a", 5), boot("a", 3_000_005), 1_000_000_000, 403_000_000), 3_000_000);
-        assert_eq!(passed(boot("a", 5), boot("b", 7), 1_000_000_000, 1_003_000_000), 3_000_000);
+        assert_eq!(
+            passed(
+                boot("a", 5),
+                boot("a", 3_000_005),
+                1_000_000_000,
+                1_603_000_000
+            ),
+            3_000_000
+        );
+        assert_eq!(
+            passed(
+                boot("a", 5),
+                boot("a", 3_000_005),
+                1_000_000_000,
+                403_000_000
+            ),
+            3_000_000
+        );
+        assert_eq!(
+            passed(boot("a", 5), boot("b", 7), 1_000_000_000, 1_003_000_000),
+            3_000_000
+        );
         assert_eq!(passed(None, None, 1_000_000_000, 400_000_000), 0);
     }
 }
--- a/crates/dns-front/benches/answers.rs
+++ b/crates/dns-front/benches/answers.rs
@@ -14,7 +14,8 @@
 const ASKED: usize = 20_000;
 
 fn zone(proxies: usize) -> Zone {
-    let life = Lifetime::of(Span::from_millis(6_000), Span::from_millis(500), None).expect("it fits");
+    let life =
+        Lifetime::of(Span::from_millis(6_000), Span::from_millis(500), None).expect("it fits");
     let names: Vec<String> = (0..proxies).map(|n| format!("front-{n}")).collect();
     let kinds = ["proof", "order", "release"].map(String::from);
     Zone::new("pond.example", FROM, life, &kinds, &names, Vec::new()).expect("a zone")
@@ -28,24 +29,39 @@
         weight: 1.0 + (n % 7) as f64,
         cold: false,
     };
-    let bound =
-        |p: usize| (0..3).map(move |k| ((ProxyId(p as u16), KindId(k)), TableId((p % tables) as u16)));
+    let bound = |p: usize| {
+        (0..3).map(move |k| ((ProxyId(p as u16), KindId(k)), TableId((p % tables) as u16)))
+    };
     View {
         serial: 7,
         tables: (0..tables)
-            .map(|t| (TableId(t as u16), (0..lines).map(|l| line(t * lines + l)).collect()))
+            .map(|t| {
+                (
+                    TableId(t as u16),
+                    (0..lines).map(|l| line(t * lines + l)).collect(),
+                )
+            })
             .collect(),
         bound: (0..proxies).flat_map(bound).collect(),
-        hosts: (0..tables * lines).map(|n| (HostId(format!("amersfoort-{n}").into()), addr(n))).collect(),
+        hosts: (0..tables * lines)
+            .map(|n| (HostId(format!("amersfoort-{n}").into()), addr(n)))
+            .collect(),
         ..View::default()
     }
 }
 
 fn answers(lines: usize, over: Transport) {
     let (view, proxies) = (view(20, 4, lines), 20);
-    let mut answerer = Answerer::new(zone(proxies), Limits::new(1e6, 1_000, NOW), Copies::new(Vec::new()), 5);
+    let mut answerer = Answerer::new(
+        zone(proxies),
+        Limits::new(1e6, 1_000, NOW),
+        Copies::new(Vec::new()),
+        5,
+    );
     let packets: Vec<Vec<u8>> = (0..proxies)
-        .map(|p| question(7, &format!("_proof._tcp.front-{p}.pond.example"), "SRV").expect("a question"))
+        .map(|p| {
+            question(7, &format!("_proof._tcp.front-{p}.pond.example"), "SRV").expect("a question")
+        })
         .collect();
     let mut times = Histogram::<u64>::new(3).expect("three digits");
     let (mut bytes, begun) = (0, Instant::now());
@@ -70,7 +86,11 @@
 /// Resident memory, in KiB.
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4
+    text.split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 4
 }
 
 fn memory(proxies: usize) {
--- a/crates/dns-front/src/answer.rs
+++ b/crates/dns-front/src/answer.rs
@@ -52,7 +52,12 @@
 
 impl Answerer {
     pub fn new(zone: Zone, limits: Limits, copies: Copies, seed: u64) -> Answerer {
-        Answerer { zone, limits, copies, chance: fastrand::Rng::with_seed(seed) }
+        Answerer {
+            zone,
+            limits,
+            copies,
+            chance: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// The copies that secondaries get; they follow each view.
@@ -75,13 +80,26 @@
     }
 
     /// The answer to one packet. What is no query is dropped, what is a broken one gets FORMERR.
-    pub fn answer(&mut self, now: Time, from: IpAddr, over: Transport, packet: &[u8], view: &View) -> Reply {
+    pub fn answer(
+        &mut self,
+        now: Time,
+        from: IpAddr,
+        over: Transport,
+        packet: &[u8],
+        view: &View,
+    ) -> Reply {
         let message = match Message::from_vec(packet) {
             Ok(message) if message.metadata.message_type == MessageType::Query => message,
             Ok(message) => {
                 let acknowledged = self.copies.acknowledged(packet, &message, seconds(now));
-                let heard = acknowledged.map(|n| (n, Heard::Acknowledged)).into_iter().collect();
-                return Reply { heard, ..Reply::default() };
+                let heard = acknowledged
+                    .map(|n| (n, Heard::Acknowledged))
+                    .into_iter()
+                    .collect();
+                return Reply {
+                    heard,
+                    ..Reply::default()
+                };
             }
             Err(_) => return broken(packet),
         };
@@ -122,9 +140,18 @@
             return plain(head, Some(query), edns);
         }
         if matches!(query.query_type, RecordType::AXFR | RecordType::IXFR) {
-            let Some(soa) = self.soa(self.copies.serial()) else { return Reply::default() };
+            let Some(soa) = self.soa(self.copies.serial()) else {
+                return Reply::default();
+            };
             let of = (soa, self.name_server());
-            return self.copies.asked(&self.zone, of, over, (packet, &message), query, seconds(now));
+            return self.copies.asked(
+                &self.zone,
+                of,
+                over,
+                (packet, &message),
+                query,
+                seconds(now),
+            );
         }
         let signed = match check(self.copies.keys(), packet, &message, seconds(now)) {
             Signed::Not => None,
@@ -134,20 +161,35 @@
         let mut room = match over {
             Transport::Tcp => TCP_MOST,
             Transport::Udp => {
-                let told = message.edns.as_ref().map_or(PLAIN_MOST, |e| usize::from(e.max_payload()));
-                told.clamp(PLAIN_MOST, usize::from(EDNS_MOST)).min(packet.len() * AMPLIFIES_MOST)
+                let told = message
+                    .edns
+                    .as_ref()
+                    .map_or(PLAIN_MOST, |e| usize::from(e.max_payload()));
+                told.clamp(PLAIN_MOST, usize::from(EDNS_MOST))
+                    .min(packet.len() * AMPLIFIES_MOST)
             }
         };
         if let Some(record) = message.signature.as_ref().filter(|_| signed.is_some()) {
             room = room.saturating_sub(SIGNATURE + record.name.len());
         }
         // Behind a shared resolver the client's net tells more than the resolver's (RFC 7871).
-        let subnet = message.edns.as_ref().and_then(|e| match e.option(EdnsCode::Subnet) {
-            Some(EdnsOption::Subnet(subnet)) if subnet.source_prefix() > 0 => Some(subnet.addr()),
-            _ => None,
-        });
+        let subnet = message
+            .edns
+            .as_ref()
+            .and_then(|e| match e.option(EdnsCode::Subnet) {
+                Some(EdnsOption::Subnet(subnet)) if subnet.source_prefix() > 0 => {
+                    Some(subnet.addr())
+                }
+                _ => None,
+            });
         let ttl = self.zone.lifetime.hosts_s;
-        let draft = Draft { head, query, edns, room, ttl };
+        let draft = Draft {
+            head,
+            query,
+            edns,
+            room,
+            ttl,
+        };
         let mut reply = self.found(draft, subnet.unwrap_or(from), view);
         if let Some(mut chain) = signed {
             let sign = |bytes: Vec<u8>| chain.sign(Message::from_vec(&bytes).ok()?);
@@ -162,25 +204,30 @@
         draft.head.authoritative = true;
         match self.zone.asks(&draft.query.name) {
             Asks::Outside => {
-                (draft.head.authoritative, draft.head.response_code) = (false, ResponseCode::Refused);
+                (draft.head.authoritative, draft.head.response_code) =
+                    (false, ResponseCode::Refused);
                 plain(draft.head, Some(draft.query), draft.edns)
             }
             Asks::Nothing => self.negative(draft, ResponseCode::NXDomain, view),
             Asks::Apex => {
-                let soa = wanted(RecordType::SOA).then(|| self.soa(view.serial)).flatten();
+                let soa = wanted(RecordType::SOA)
+                    .then(|| self.soa(view.serial))
+                    .flatten();
                 let ns = wanted(RecordType::NS).then(|| self.name_server()).flatten();
                 self.records(draft, soa.into_iter().chain(ns).collect(), view)
             }
             Asks::NameServer => {
                 let (name, ttl) = (draft.query.name.clone(), draft.ttl);
-                let own = Some(address(name, ttl, self.zone.server)).filter(|r| wanted(r.record_type()));
+                let own =
+                    Some(address(name, ttl, self.zone.server)).filter(|r| wanted(r.record_type()));
                 self.records(draft, own.into_iter().collect(), view)
             }
             Asks::Host(host) => match view.hosts.get(&host) {
                 None => self.negative(draft, ResponseCode::NXDomain, view),
                 Some(addr) => {
                     let (name, ttl) = (draft.query.name.clone(), draft.ttl);
-                    let record = Some(address(name, ttl, addr.ip())).filter(|r| wanted(r.record_type()));
+                    let record =
+                        Some(address(name, ttl, addr.ip())).filter(|r| wanted(r.record_type()));
                     self.records(draft, record.into_iter().collect(), view)
                 }
             },
@@ -188,9 +235,11 @@
             Asks::Services(kind, proxy) if wanted(RecordType::SRV) => {
                 let (table, reply) = self.table(kind, proxy, from, view);
                 match table {
-                    Some(table) => {
-                        self.services(draft.of(table, view), &view.lines_for(table, mark(from)), reply)
-                    }
+                    Some(table) => self.services(
+                        draft.of(table, view),
+                        &view.lines_for(table, mark(from)),
+                        reply,
+                    ),
                     None => no_host(draft, reply),
                 }
             }
@@ -204,16 +253,24 @@
                     None => no_host(draft, reply),
                 }
             }
-            Asks::Services(..) | Asks::Addresses(..) => self.negative(draft, ResponseCode::NoError, view),
+            Asks::Services(..) | Asks::Addresses(..) => {
+                self.negative(draft, ResponseCode::NoError, view)
+            }
             Asks::Table(of) => {
                 // Here nobody needs all of them as one: who asks for that gets one by a draw, like any stranger.
                 let table = match of {
                     Of::Table(table) => view.tables.contains_key(&table).then_some(table),
                     Of::All => self.table(KindId(0), None, from, view).0,
                 };
-                let Some(table) = table else { return self.negative(draft, ResponseCode::NXDomain, view) };
+                let Some(table) = table else {
+                    return self.negative(draft, ResponseCode::NXDomain, view);
+                };
                 let (lines, draft) = (&view.lines_for(table, mark(from)), draft.of(table, view));
-                let reply = Reply { given: Some(table), unknown: true, ..Reply::default() };
+                let reply = Reply {
+                    given: Some(table),
+                    unknown: true,
+                    ..Reply::default()
+                };
                 match kind_of_record {
                     _ if lines.is_empty() => no_host(draft, reply),
                     RecordType::SRV | RecordType::ANY => self.services(draft, lines, reply),
@@ -233,24 +290,41 @@
         view: &View,
     ) -> (Option<TableId>, Reply) {
         let (known, mark) = (proxy.or_else(|| self.zone.proxy_at(from)), mark(from));
-        let table = view.table_of(known, kind, mark).filter(|table| !view.lines(*table).is_empty());
+        let table = view
+            .table_of(known, kind, mark)
+            .filter(|table| !view.lines(*table).is_empty());
         let asked = known.or_else(|| view.stranger(mark));
-        let reply = Reply { asked, given: table, unknown: known.is_none(), ..Reply::default() };
+        let reply = Reply {
+            asked,
+            given: table,
+            unknown: known.is_none(),
+            ..Reply::default()
+        };
         (table, reply)
     }
 
     fn services(&mut self, draft: Draft, lines: &[Line], reply: Reply) -> Reply {
         let by_host: BTreeMap<_, &Line> = lines.iter().map(|line| (&line.host, line)).collect();
-        let weighed = srv_weights(lines.iter().map(|line| (&line.host, line.weight, line.cold)));
+        let weighed = srv_weights(
+            lines
+                .iter()
+                .map(|line| (&line.host, line.weight, line.cold)),
+        );
         let zone = &self.zone;
         let build = |lines: &[SrvLine], additional: bool| {
             let mut message = draft.message();
             for line in lines {
-                let (Some(of), Some(target)) = (by_host.get(&line.host), zone.host_name(&line.host)) else {
+                let (Some(of), Some(target)) =
+                    (by_host.get(&line.host), zone.host_name(&line.host))
+                else {
                     continue;
                 };
                 let srv = SRV::new(0, line.weight, of.addr.port(), target.clone());
-                message.add_answer(Record::from_rdata(draft.query.name.clone(), draft.ttl, RData::SRV(srv)));
+                message.add_answer(Record::from_rdata(
+                    draft.query.name.clone(),
+                    draft.ttl,
+                    RData::SRV(srv),
+                ));
                 if additional {
                     message.add_additional(address(target, draft.ttl, of.addr.ip()));
                 }
@@ -258,7 +332,10 @@
             message
         };
         match fitted(&weighed, draft.room, &mut self.chance, build) {
-            Some(bytes) => Reply { packets: vec![bytes], ..reply },
+            Some(bytes) => Reply {
+                packets: vec![bytes],
+                ..reply
+            },
             None => truncated(draft),
         }
     }
@@ -267,7 +344,9 @@
     /// none of them beside warm ones: whoever holds the answer sends it an even share.
     fn addresses(&mut self, draft: Draft, lines: &[Line], reply: Reply, view: &View) -> Reply {
         let want_v4 = draft.query.query_type != RecordType::AAAA;
-        let fits = |line: &&Line| line.addr.is_ipv4() == want_v4 || draft.query.query_type == RecordType::ANY;
+        let fits = |line: &&Line| {
+            line.addr.is_ipv4() == want_v4 || draft.query.query_type == RecordType::ANY
+        };
         let mut lines: Vec<&Line> = addressed(lines).into_iter().filter(fits).collect();
         if lines.is_empty() {
             return self.negative(draft, ResponseCode::NoError, view);
@@ -285,7 +364,10 @@
             message.add_answer(address(draft.query.name.clone(), draft.ttl, line.addr.ip()));
         }
         match message.to_vec() {
-            Ok(bytes) if bytes.len() <= draft.room => Reply { packets: vec![bytes], ..reply },
+            Ok(bytes) if bytes.len() <= draft.room => Reply {
+                packets: vec![bytes],
+                ..reply
+            },
             _ => truncated(draft),
         }
     }
@@ -298,7 +380,10 @@
         let mut message = draft.message();
         message.add_answers(records);
         match message.to_vec() {
-            Ok(bytes) if bytes.len() <= draft.room => Reply { packets: vec![bytes], ..Reply::default() },
+            Ok(bytes) if bytes.len() <= draft.room => Reply {
+                packets: vec![bytes],
+                ..Reply::default()
+            },
             _ => truncated(draft),
         }
     }
@@ -311,22 +396,44 @@
             message.add_authority(soa);
         }
         match message.to_vec() {
-            Ok(bytes) if bytes.len() <= draft.room => Reply { packets: vec![bytes], ..Reply::default() },
+            Ok(bytes) if bytes.len() <= draft.room => Reply {
+                packets: vec![bytes],
+                ..Reply::default()
+            },
             _ => truncated(draft),
         }
     }
 
     fn soa(&self, serial: u32) -> Option<Record> {
         let (life, server) = (self.zone.lifetime, self.zone.server_name()?);
-        let contact = Name::from_ascii("operators").ok()?.append_domain(&self.zone.origin).ok()?;
+        let contact = Name::from_ascii("operators")
+            .ok()?
+            .append_domain(&self.zone.origin)
+            .ok()?;
         let expire = i32::try_from(self.zone.expire_s).unwrap_or(i32::MAX);
-        let soa = SOA::new(server, contact, serial, REFRESH_S, RETRY_S, expire, life.negative_s);
-        Some(Record::from_rdata(self.zone.origin.clone(), life.negative_s, RData::SOA(soa)))
+        let soa = SOA::new(
+            server,
+            contact,
+            serial,
+            REFRESH_S,
+            RETRY_S,
+            expire,
+            life.negative_s,
+        );
+        Some(Record::from_rdata(
+            self.zone.origin.clone(),
+            life.negative_s,
+            RData::SOA(soa),
+        ))
     }
 
     fn name_server(&self) -> Option<Record> {
         let server = NS(self.zone.server_name()?);
-        Some(Record::from_rdata(self.zone.origin.clone(), self.zone.lifetime.hosts_s, RData::NS(server)))
+        Some(Record::from_rdata(
+            self.zone.origin.clone(),
+            self.zone.lifetime.hosts_s,
+            RData::NS(server),
+        ))
     }
 }
 
@@ -369,7 +476,11 @@
 fn no_host(draft: Draft, reply: Reply) -> Reply {
     let mut head = draft.head;
     head.response_code = ResponseCode::ServFail;
-    Reply { packets: plain(head, Some(draft.query), draft.edns).packets, given: None, ..reply }
+    Reply {
+        packets: plain(head, Some(draft.query), draft.edns).packets,
+        given: None,
+        ..reply
+    }
 }
 
 fn truncated(draft: Draft) -> Reply {
@@ -383,7 +494,10 @@
     message.metadata = head;
     message.queries.extend(query.cloned());
     message.edns = edns;
-    Reply { packets: message.to_vec().ok().into_iter().collect(), ..Reply::default() }
+    Reply {
+        packets: message.to_vec().ok().into_iter().collect(),
+        ..Reply::default()
+    }
 }
 
 /// A packet that cannot be read: FORMERR if it is a query with a number at all.
@@ -392,7 +506,10 @@
         [a, b, flags, ..] if packet.len() >= 12 && flags & 0x80 == 0 => {
             let id = u16::from_be_bytes([*a, *b]);
             let message = Message::error_msg(id, OpCode::Query, ResponseCode::FormErr);
-            Reply { packets: message.to_vec().ok().into_iter().collect(), ..Reply::default() }
+            Reply {
+                packets: message.to_vec().ok().into_iter().collect(),
+                ..Reply::default()
+            }
         }
         _ => Reply::default(),
     }
--- a/crates/dns-front/src/ask.rs
+++ b/crates/dns-front/src/ask.rs
@@ -40,7 +40,8 @@
 pub fn question(id: u16, name: &str, of: &str) -> Result<Vec<u8>, AskError> {
     let mut asked = Name::from_ascii(name).map_err(|_| AskError::Name(name.into()))?;
     asked.set_fqdn(true);
-    let of = RecordType::from_str(&of.to_ascii_uppercase()).map_err(|_| AskError::Type(of.into()))?;
+    let of =
+        RecordType::from_str(&of.to_ascii_uppercase()).map_err(|_| AskError::Type(of.into()))?;
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.add_query(Query::query(asked, of));
     let mut edns = Edns::new();
@@ -57,15 +58,27 @@
     if message.metadata.id != id || message.metadata.message_type != MessageType::Response {
         return Err(AskError::Other);
     }
-    let line =
-        |record: &Record| format!("{} {} {} {}", record.name, record.ttl, record.record_type(), record.data);
+    let line = |record: &Record| {
+        format!(
+            "{} {} {} {}",
+            record.name,
+            record.ttl,
+            record.record_type(),
+            record.data
+        )
+    };
     let code = message.metadata.response_code;
     Ok(Answer {
         code: code.to_string(),
         good: code == hickory_proto::op::ResponseCode::NoError,
         truncated: message.metadata.truncation,
         answers: message.answers.iter().map(line).collect(),
-        others: message.authorities.iter().chain(&message.additionals).map(line).collect(),
+        others: message
+            .authorities
+            .iter()
+            .chain(&message.additionals)
+            .map(line)
+            .collect(),
     })
 }
 
@@ -92,12 +105,15 @@
         RData::AAAA(aaaa) => Some((record.name.to_lowercase(), IpAddr::V6(aaaa.0))),
         _ => None,
     };
-    let addresses: BTreeMap<Name, IpAddr> = message.additionals.iter().filter_map(address).collect();
+    let addresses: BTreeMap<Name, IpAddr> =
+        message.additionals.iter().filter_map(address).collect();
     let service = |record: &Record| match &record.data {
         RData::SRV(srv) => Some(Service {
             target: srv.target.to_ascii().trim_end_matches('.').to_string(),
             weight: srv.weight,
-            addr: addresses.get(&srv.target.to_lowercase()).map(|ip| SocketAddr::new(*ip, srv.port)),
+            addr: addresses
+                .get(&srv.target.to_lowercase())
+                .map(|ip| SocketAddr::new(*ip, srv.port)),
             ttl_s: record.ttl,
         }),
         _ => None,
--- a/crates/dns-front/src/fetch.rs
+++ b/crates/dns-front/src/fetch.rs
@@ -39,19 +39,30 @@
 impl Copy {
     /// What a secondary would answer for a name as SRV: weight and target of each line, aliases followed.
     pub fn services(&self, name: &str) -> Vec<(u16, String)> {
-        let Ok(mut name) = Name::from_ascii(name.to_ascii_lowercase()) else { return Vec::new() };
+        let Ok(mut name) = Name::from_ascii(name.to_ascii_lowercase()) else {
+            return Vec::new();
+        };
         name.set_fqdn(true);
         let of = |name: &Name, of: RecordType| {
-            let found = self.records.iter().filter(move |(own, kind, _)| *own == *name && *kind == of);
+            let found = self
+                .records
+                .iter()
+                .filter(move |(own, kind, _)| *own == *name && *kind == of);
             found.map(|(_, _, data)| data.clone()).collect::<Vec<_>>()
         };
-        let alias = of(&name, RecordType::CNAME).into_iter().next().and_then(|to| Name::from_ascii(to).ok());
+        let alias = of(&name, RecordType::CNAME)
+            .into_iter()
+            .next()
+            .and_then(|to| Name::from_ascii(to).ok());
         let line = |data: String| {
             let mut words = data.split_whitespace().skip(1);
             let (weight, target) = (words.next()?.parse().ok()?, words.nth(1)?);
             Some((weight, target.trim_end_matches('.').to_string()))
         };
-        of(&alias.unwrap_or(name), RecordType::SRV).into_iter().filter_map(line).collect()
+        of(&alias.unwrap_or(name), RecordType::SRV)
+            .into_iter()
+            .filter_map(line)
+            .collect()
     }
 }
 
@@ -87,7 +98,11 @@
         let mut name = Name::from_ascii(zone).map_err(|_| FetchError::Name(zone.into()))?;
         name.set_fqdn(true);
         let mut message = Message::new(id, MessageType::Query, OpCode::Query);
-        let of = if copy.serial.is_some() { RecordType::IXFR } else { RecordType::AXFR };
+        let of = if copy.serial.is_some() {
+            RecordType::IXFR
+        } else {
+            RecordType::AXFR
+        };
         message.add_query(Query::query(name.clone(), of));
         if let Some(serial) = copy.serial {
             let soa = SOA::new(Name::root(), Name::root(), serial, 0, 0, 0, 0);
@@ -97,19 +112,29 @@
         let verifier = message.finalize(key.signer(), now_s).map_err(broken)?;
         let verifier = verifier.ok_or(FetchError::Order("the question was not signed"))?;
         let bytes = message.to_vec().map_err(broken)?;
-        Ok((bytes, Fetch { verifier, held: copy.serial, got: Vec::new() }))
+        Ok((
+            bytes,
+            Fetch {
+                verifier,
+                held: copy.serial,
+                got: Vec::new(),
+            },
+        ))
     }
 
     /// Takes one message; the copy changes with the last one, and not before.
     ///
     /// Errors: a signature that does not fit, a refusal, records out of order. The copy is as it was then.
     pub fn took(&mut self, packet: &[u8], copy: &mut Copy) -> Result<Fetched, FetchError> {
-        let read = Message::from_vec(packet).map_err(|wrong| FetchError::Broken(wrong.to_string()))?;
+        let read =
+            Message::from_vec(packet).map_err(|wrong| FetchError::Broken(wrong.to_string()))?;
         if read.metadata.response_code != ResponseCode::NoError {
             // A refusal may come unsigned: it is believed, as it changes nothing.
             return Err(FetchError::Refused(read.metadata.response_code));
         }
-        self.verifier.verify(packet).map_err(|wrong| FetchError::Broken(wrong.to_string()))?;
+        self.verifier
+            .verify(packet)
+            .map_err(|wrong| FetchError::Broken(wrong.to_string()))?;
         self.got.extend(read.answers);
         if self.got.len() > RECORDS_MOST {
             return Err(FetchError::Large);
@@ -127,12 +152,17 @@
         let ends = |record: &Record| matches!(&record.data, RData::SOA(soa) if soa.serial == newest.serial);
         // Differences name the newest serial once before their last additions, and once to end.
         let by_steps = matches!(&self.got[1].data, RData::SOA(_));
-        let ended = self.got[1..].iter().filter(|record| ends(record)).count() > usize::from(by_steps);
+        let ended =
+            self.got[1..].iter().filter(|record| ends(record)).count() > usize::from(by_steps);
         if !ended || !self.got.last().is_some_and(ends) {
             return Ok(Fetched::More);
         }
         let body = &self.got[1..self.got.len() - 1];
-        let mut next = Copy { serial: Some(newest.serial), records: BTreeSet::new(), expire_s: 0 };
+        let mut next = Copy {
+            serial: Some(newest.serial),
+            records: BTreeSet::new(),
+            expire_s: 0,
+        };
         next.expire_s = u32::try_from(newest.expire).unwrap_or_default();
         if by_steps {
             next.records = stepped(copy, body)?;
@@ -152,7 +182,9 @@
             RData::SOA(soa) => {
                 adds = !adds;
                 if !adds && at != Some(soa.serial) {
-                    return Err(FetchError::Order("a step does not begin where the last one ended"));
+                    return Err(FetchError::Order(
+                        "a step does not begin where the last one ended",
+                    ));
                 }
                 at = Some(soa.serial);
             }
@@ -167,14 +199,18 @@
 }
 
 fn entry(record: &Record) -> Entry {
-    (record.name.to_lowercase(), record.record_type(), record.data.to_string())
+    (
+        record.name.to_lowercase(),
+        record.record_type(),
+        record.data.to_string(),
+    )
 }
 
 /// The signed answer to a server's word that its zone has changed; none if it is no such word, or not signed by the key.
 pub fn acknowledge(packet: &[u8], key: &Key, now_s: u64) -> Option<Vec<u8>> {
     let message = Message::from_vec(packet).ok()?;
-    let is_word =
-        message.metadata.op_code == OpCode::Notify && message.metadata.message_type == MessageType::Query;
+    let is_word = message.metadata.op_code == OpCode::Notify
+        && message.metadata.message_type == MessageType::Query;
     let crate::keys::Signed::By(_, mac) =
         crate::keys::check(std::slice::from_ref(key), packet, &message, now_s)
     else {
--- a/crates/dns-front/src/fit.rs
+++ b/crates/dns-front/src/fit.rs
@@ -17,16 +17,26 @@
     build: impl Fn(&[SrvLine], bool) -> Message,
 ) -> Option<Vec<u8>> {
     let encoded = |lines: &[SrvLine], additional: bool| {
-        build(lines, additional).to_vec().ok().filter(|bytes| bytes.len() <= room)
+        build(lines, additional)
+            .to_vec()
+            .ok()
+            .filter(|bytes| bytes.len() <= room)
     };
     // By the size of the line with the shortest name it is known which large tables cannot fit, without writing them out.
     let shortest = lines.iter().min_by_key(|line| line.host.0.len())?;
     let size = || {
-        let one = build(std::slice::from_ref(shortest), false).to_vec().ok()?.len();
+        let one = build(std::slice::from_ref(shortest), false)
+            .to_vec()
+            .ok()?
+            .len();
         let none = build(&[], false).to_vec().ok()?.len();
         Some(room.saturating_sub(none) / one.saturating_sub(none).max(1))
     };
-    let most = if lines.len() <= SMALL { lines.len() } else { size()? };
+    let most = if lines.len() <= SMALL {
+        lines.len()
+    } else {
+        size()?
+    };
     if lines.len() <= most
         && let Some(bytes) = encoded(lines, true).or_else(|| encoded(lines, false))
     {
--- a/crates/dns-front/src/journal.rs
+++ b/crates/dns-front/src/journal.rs
@@ -64,7 +64,9 @@
         self.kept += step.rows();
         self.steps.push_back(step);
         while self.kept > ROWS_MOST || self.steps.len() > STEPS_MOST {
-            let Some(oldest) = self.steps.pop_front() else { break };
+            let Some(oldest) = self.steps.pop_front() else {
+                break;
+            };
             self.kept -= oldest.rows();
         }
     }
@@ -73,7 +75,9 @@
         if serial == self.serial {
             return Changes::None;
         }
-        let Some(first) = self.steps.iter().position(|step| step.from == serial) else { return Changes::All };
+        let Some(first) = self.steps.iter().position(|step| step.from == serial) else {
+            return Changes::All;
+        };
         let steps: Vec<Step> = self.steps.iter().skip(first).cloned().collect();
         if steps.iter().map(Step::rows).sum::<usize>() > self.rows.len() {
             return Changes::All;
@@ -89,7 +93,10 @@
     use proptest::prelude::*;
 
     fn row(n: u8) -> Row {
-        Row::Host { host: HostId(format!("h{n}").into()), ip: [127, 0, 0, n].into() }
+        Row::Host {
+            host: HostId(format!("h{n}").into()),
+            ip: [127, 0, 0, n].into(),
+        }
     }
 
     proptest! {
@@ -136,6 +143,9 @@
             assert!(journal.kept <= ROWS_MOST && journal.steps.len() <= STEPS_MOST);
         }
         assert_eq!(journal.since(1), Changes::All);
-        assert!(matches!(journal.since(4_999), Changes::All), "more than the zone itself");
+        assert!(
+            matches!(journal.since(4_999), Changes::All),
+            "more than the zone itself"
+        );
     }
 }
--- a/crates/dns-front/src/keys.rs
+++ b/crates/dns-front/src/keys.rs
@@ -42,7 +42,9 @@
         }
         let named = Name::from_ascii(name).map_err(|_| KeyError::Name(name.into()))?;
         let signer = TSigner::new(secret, TsigAlgorithm::HmacSha256, named, FUDGE_S);
-        signer.map(Key).map_err(|wrong| KeyError::Unfit(wrong.to_string()))
+        signer
+            .map(Key)
+            .map_err(|wrong| KeyError::Unfit(wrong.to_string()))
     }
 
     pub(crate) fn signer(&self) -> &TSigner {
@@ -58,19 +60,33 @@
 
 /// Checks a query's signature against all keys.
 pub(crate) fn check(keys: &[Key], packet: &[u8], message: &Message, now_s: u64) -> Signed {
-    let Some(record) = &message.signature else { return Signed::Not };
+    let Some(record) = &message.signature else {
+        return Signed::Not;
+    };
     let id = message.metadata.id;
-    let place = keys.iter().position(|key| key.0.signer_name() == &record.name);
+    let place = keys
+        .iter()
+        .position(|key| key.0.signer_name() == &record.name);
     let Some((n, key)) = place.map(|n| (n, &keys[n].0)) else {
         let context = TSigResponseContext::unknown_key(id, now_s, record.name.clone());
         return Signed::Wrong(Box::new(context));
     };
     match key.verify_message_byte(packet, None, true) {
-        Err(_) => Signed::Wrong(Box::new(TSigResponseContext::bad_signature(id, now_s, key.clone()))),
+        Err(_) => Signed::Wrong(Box::new(TSigResponseContext::bad_signature(
+            id,
+            now_s,
+            key.clone(),
+        ))),
         Ok((mac, _, range)) if range.contains(&now_s) => Signed::By(n, mac),
         Ok((mac, ..)) => {
             let late = Some(TsigError::BadTime);
-            Signed::Wrong(Box::new(TSigResponseContext::new(id, now_s, key.clone(), mac, late)))
+            Signed::Wrong(Box::new(TSigResponseContext::new(
+                id,
+                now_s,
+                key.clone(),
+                mac,
+                late,
+            )))
         }
     }
 }
@@ -86,7 +102,12 @@
 impl Chain {
     /// Answers to a query with this signature.
     pub(crate) fn new(key: &Key, query: Vec<u8>, now_s: u64) -> Chain {
-        Chain { signer: key.0.clone(), before: query, first: true, now_s }
+        Chain {
+            signer: key.0.clone(),
+            before: query,
+            first: true,
+            now_s,
+        }
     }
 
     /// The message as bytes with its signature; none if it cannot be written.
@@ -94,7 +115,9 @@
         let (id, bytes) = (message.metadata.id, message.to_vec().ok()?);
         let record = if self.first {
             let before = std::mem::take(&mut self.before);
-            TSigResponseContext::new(id, self.now_s, self.signer.clone(), before, None).sign(&bytes).ok()?
+            TSigResponseContext::new(id, self.now_s, self.signer.clone(), before, None)
+                .sign(&bytes)
+                .ok()?
         } else {
             // From the second on, of the variables only the times are signed.
             let mut over = Vec::with_capacity(bytes.len() + self.before.len() + 10);
--- a/crates/dns-front/src/transfer.rs
+++ b/crates/dns-front/src/transfer.rs
@@ -25,7 +25,11 @@
 impl Copies {
     /// A key for each secondary, in their order.
     pub fn new(keys: Vec<Key>) -> Copies {
-        Copies { keys, journal: Journal::default(), said: BTreeMap::new() }
+        Copies {
+            keys,
+            journal: Journal::default(),
+            said: BTreeMap::new(),
+        }
     }
 
     pub fn serial(&self) -> u32 {
@@ -42,7 +46,14 @@
     }
 
     /// The word to a secondary that the zone has changed; none if there is no such secondary.
-    pub fn word(&mut self, zone: &Zone, soa: Record, n: u16, id: u16, now_s: u64) -> Option<Vec<u8>> {
+    pub fn word(
+        &mut self,
+        zone: &Zone,
+        soa: Record,
+        n: u16,
+        id: u16,
+        now_s: u64,
+    ) -> Option<Vec<u8>> {
         let key = self.keys.get(usize::from(n))?;
         let mut message = Message::new(id, MessageType::Query, OpCode::Notify);
         message.metadata.authoritative = true;
@@ -56,11 +67,19 @@
     }
 
     /// The secondary that a packet is the signed answer of to our last word.
-    pub(crate) fn acknowledged(&mut self, packet: &[u8], message: &Message, now_s: u64) -> Option<u16> {
+    pub(crate) fn acknowledged(
+        &mut self,
+        packet: &[u8],
+        message: &Message,
+        now_s: u64,
+    ) -> Option<u16> {
         let (n, mac) = self.said.get(&message.metadata.id)?;
         let n = *n;
         let fits = message.metadata.op_code == OpCode::Notify
-            && self.keys.get(usize::from(n)).is_some_and(|key| key.fits(packet, mac, now_s));
+            && self
+                .keys
+                .get(usize::from(n))
+                .is_some_and(|key| key.fits(packet, mac, now_s));
         fits.then(|| {
             self.said.remove(&message.metadata.id);
             n
@@ -85,10 +104,13 @@
         };
         let (n, key) = (n as u16, &self.keys[n]);
         let chain = Chain::new(key, mac, now_s);
-        let held = message.authorities.iter().find_map(|record| match &record.data {
-            RData::SOA(soa) => Some(soa.serial),
-            _ => None,
-        });
+        let held = message
+            .authorities
+            .iter()
+            .find_map(|record| match &record.data {
+                RData::SOA(soa) => Some(soa.serial),
+                _ => None,
+            });
         let asks = (n, Heard::Asks(held));
         if query.name != zone.origin {
             return refused(head, query, ResponseCode::NotAuth);
@@ -114,7 +136,11 @@
             _ if sent > 1 => Some((n, Heard::Fetched(self.journal.serial()))),
             _ => None,
         };
-        Reply { packets, heard: std::iter::once(asks).chain(fetched).collect(), ..Reply::default() }
+        Reply {
+            packets,
+            heard: std::iter::once(asks).chain(fetched).collect(),
+            ..Reply::default()
+        }
     }
 
     /// The records of a transfer, in the order that they are sent in.
@@ -130,12 +156,17 @@
         match changes {
             Changes::None => return records,
             Changes::All => {
-                let own = zone
-                    .server_name()
-                    .map(|name| crate::rows::address_record(name, zone.lifetime.hosts_s, zone.server));
+                let own = zone.server_name().map(|name| {
+                    crate::rows::address_record(name, zone.lifetime.hosts_s, zone.server)
+                });
                 records.extend(name_server);
                 records.extend(own);
-                records.extend(self.journal.rows().iter().filter_map(|row| writer.record(row)));
+                records.extend(
+                    self.journal
+                        .rows()
+                        .iter()
+                        .filter_map(|row| writer.record(row)),
+                );
             }
             Changes::Steps(steps) => {
                 for step in steps {
@@ -168,7 +199,11 @@
         message.add_answers(records.iter().cloned());
         chain.sign(message)
     };
-    records.chunks(RECORDS_MOST).enumerate().map_while(message).collect()
+    records
+        .chunks(RECORDS_MOST)
+        .enumerate()
+        .map_while(message)
+        .collect()
 }
 
 fn refused(mut head: Metadata, query: &Query, code: ResponseCode) -> Reply {
@@ -176,7 +211,10 @@
     let mut message = Message::new(head.id, MessageType::Response, head.op_code);
     message.metadata = head;
     message.add_query(query.clone());
-    Reply { packets: message.to_vec().ok().into_iter().collect(), ..Reply::default() }
+    Reply {
+        packets: message.to_vec().ok().into_iter().collect(),
+        ..Reply::default()
+    }
 }
 
 /// What a wrong signature gets: NOTAUTH with the error in the signature's place (RFC 8945, section 5.2).
@@ -189,9 +227,16 @@
     let mut message = Message::new(head.id, MessageType::Response, head.op_code);
     message.metadata = head;
     message.add_query(query.clone());
-    let signed = message.to_vec().ok().and_then(|bytes| context.sign(&bytes).ok()).and_then(|record| {
-        message.set_signature(record);
-        message.to_vec().ok()
-    });
-    Reply { packets: signed.into_iter().collect(), ..Reply::default() }
+    let signed = message
+        .to_vec()
+        .ok()
+        .and_then(|bytes| context.sign(&bytes).ok())
+        .and_then(|record| {
+            message.set_signature(record);
+            message.to_vec().ok()
+        });
+    Reply {
+        packets: signed.into_iter().collect(),
+        ..Reply::default()
+    }
 }
--- a/crates/dns-front/src/view.rs
+++ b/crates/dns-front/src/view.rs
@@ -46,7 +46,9 @@
             let table = self.bound.get(&(proxy, kind)).copied();
             table.filter(|table| !self.lines(*table).is_empty())
         };
-        let own = proxy.and_then(bound).or_else(|| bound(self.stranger(mark)?));
+        let own = proxy
+            .and_then(bound)
+            .or_else(|| bound(self.stranger(mark)?));
         own.or_else(|| self.tables.contains_key(&STANDING).then_some(STANDING))
     }
 
@@ -63,13 +65,19 @@
     /// All tables as one, each with the same part: the lines that whoever is not told apart gets.
     pub fn all(&self) -> Vec<Line> {
         let mut all: BTreeMap<&HostId, Line> = BTreeMap::new();
-        let bound = self.tables.iter().filter(|(table, lines)| **table != STANDING && !lines.is_empty());
+        let bound = self
+            .tables
+            .iter()
+            .filter(|(table, lines)| **table != STANDING && !lines.is_empty());
         let bound: Vec<&Vec<Line>> = bound.map(|(_, lines)| lines).collect();
         let standing = self.tables.get(&STANDING).filter(|_| bound.is_empty());
         for lines in bound.into_iter().chain(standing) {
             let sum: f64 = lines.iter().map(|line| line.weight).sum();
             for line in lines {
-                let own = all.entry(&line.host).or_insert_with(|| Line { weight: 0.0, ..line.clone() });
+                let own = all.entry(&line.host).or_insert_with(|| Line {
+                    weight: 0.0,
+                    ..line.clone()
+                });
                 own.weight += line.weight / sum.max(f64::MIN_POSITIVE);
             }
         }
