--- a/crates/dns-front/src/zone.rs
+++ b/crates/dns-front/src/zone.rs
@@ -129,7 +129,12 @@
         let label = |bytes: &[u8]| String::from_utf8_lossy(bytes).to_ascii_lowercase();
         let labels: Vec<String> = name.iter().take(own).map(label).collect();
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let service = |label: &str| label.strip_prefix('_').and_then(|name| self.kinds.get(name)).copied();
+        let service = |label: &str| {
+            label
+                .strip_prefix('_')
+                .and_then(|name| self.kinds.get(name))
+                .copied()
+        };
         let proxy = |label: &str| self.proxies.get(label).copied();
         let known = |found: Option<Asks>| found.unwrap_or(Asks::Nothing);
         match labels.as_slice() {
@@ -144,12 +149,17 @@
             [of, TABLES] => known(table_of(of).map(Asks::Table)),
             [kind, TCP] => known(service(kind).map(|kind| Asks::Services(kind, None))),
             [TCP, of] => known(proxy(of).map(|_| Asks::Between)),
-            [kind, of] => {
-                known(self.kinds.get(*kind).zip(proxy(of)).map(|(kind, of)| Asks::Addresses(*kind, Some(of))))
-            }
-            [kind, TCP, of] => {
-                known(service(kind).zip(proxy(of)).map(|(kind, of)| Asks::Services(kind, Some(of))))
-            }
+            [kind, of] => known(
+                self.kinds
+                    .get(*kind)
+                    .zip(proxy(of))
+                    .map(|(kind, of)| Asks::Addresses(*kind, Some(of))),
+            ),
+            [kind, TCP, of] => known(
+                service(kind)
+                    .zip(proxy(of))
+                    .map(|(kind, of)| Asks::Services(kind, Some(of))),
+            ),
             _ => Asks::Nothing,
         }
     }
@@ -157,19 +167,29 @@
     /// The proxy whose net an address is in.
     pub fn proxy_at(&self, from: IpAddr) -> Option<ProxyId> {
         let from = from.to_canonical();
-        self.sources.iter().find(|(net, bits, _)| within(from, *net, *bits)).map(|(_, _, proxy)| *proxy)
+        self.sources
+            .iter()
+            .find(|(net, bits, _)| within(from, *net, *bits))
+            .map(|(_, _, proxy)| *proxy)
     }
 
     /// The name of a host: the target of SRV. None if it is too long for a name.
     pub fn host_name(&self, host: &HostId) -> Option<Name> {
         let name = Name::from_labels(host.0.split('.').map(str::as_bytes)).ok()?;
-        name.append_label(HOSTS).ok()?.append_domain(&self.origin).ok()
+        name.append_label(HOSTS)
+            .ok()?
+            .append_domain(&self.origin)
+            .ok()
     }
 
     /// The name that a kind is asked by: as SRV or as addresses, of a proxy or of whoever asks.
     pub fn kind_name(&self, kind: &str, proxy: Option<&str>, srv: bool) -> Option<Name> {
         let service = format!("_{kind}");
-        let own = if srv { vec![service.as_str(), TCP] } else { vec![kind] };
+        let own = if srv {
+            vec![service.as_str(), TCP]
+        } else {
+            vec![kind]
+        };
         Name::from_labels(own.into_iter().chain(proxy).map(str::as_bytes))
             .ok()?
             .append_domain(&self.origin)
@@ -181,7 +201,10 @@
             Of::Table(table) => format!("t{}", table.0),
             Of::All => ALL.to_string(),
         };
-        Name::from_labels([own.as_bytes(), TABLES.as_bytes()]).ok()?.append_domain(&self.origin).ok()
+        Name::from_labels([own.as_bytes(), TABLES.as_bytes()])
+            .ok()?
+            .append_domain(&self.origin)
+            .ok()
     }
 
     /// All kinds, by name.
@@ -191,11 +214,16 @@
 
     /// All proxies, by name.
     pub fn proxies(&self) -> impl Iterator<Item = (&str, ProxyId)> {
-        self.proxies.iter().map(|(name, proxy)| (name.as_str(), *proxy))
+        self.proxies
+            .iter()
+            .map(|(name, proxy)| (name.as_str(), *proxy))
     }
 
     pub fn server_name(&self) -> Option<Name> {
-        Name::from_labels([NS.as_bytes()]).ok()?.append_domain(&self.origin).ok()
+        Name::from_labels([NS.as_bytes()])
+            .ok()?
+            .append_domain(&self.origin)
+            .ok()
     }
 }
 
@@ -203,12 +231,18 @@
     if label == ALL {
         return Some(Of::All);
     }
-    label.strip_prefix('t')?.parse().ok().map(|n| Of::Table(TableId(n)))
+    label
+        .strip_prefix('t')?
+        .parse()
+        .ok()
+        .map(|n| Of::Table(TableId(n)))
 }
 
 fn is_label(name: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    let taken = [HOSTS, NS, TCP, TABLES].iter().any(|word| name.eq_ignore_ascii_case(word));
+    let taken = [HOSTS, NS, TCP, TABLES]
+        .iter()
+        .any(|word| name.eq_ignore_ascii_case(word));
     (1..=62).contains(&name.len()) && name.chars().all(fits) && !taken
 }
 
--- a/crates/dns-rules/src/held.rs
+++ b/crates/dns-rules/src/held.rs
@@ -38,13 +38,24 @@
 
 impl Held {
     /// A table has these hosts from this serial on. What nobody was answered leaves no trace.
-    pub fn changed(&mut self, now: Time, serial: u32, table: TableId, hosts: BTreeMap<HostId, Named>) {
+    pub fn changed(
+        &mut self,
+        now: Time,
+        serial: u32,
+        table: TableId,
+        hosts: BTreeMap<HostId, Named>,
+    ) {
         let versions = self.tables.entry(table).or_default();
         if let Some(last) = versions.back_mut() {
             last.replaced = Some(now);
         }
         versions.retain(|v| v.until > now || v.replaced.is_some_and(|at| now - at < WORD_WITHIN));
-        versions.push_back(Version { serial, hosts, until: Time::default(), replaced: None });
+        versions.push_back(Version {
+            serial,
+            hosts,
+            until: Time::default(),
+            replaced: None,
+        });
         if versions.len() > VERSIONS_MOST
             && let Some(oldest) = versions.pop_front()
             && let Some(next) = versions.front_mut()
@@ -53,14 +64,19 @@
             for (host, named) in oldest.hosts {
                 let held = next.hosts.entry(host).or_insert(named);
                 // The older process counts: it is the one that may have been answered with a heavy line.
-                *held = Named { part: held.part.max(named.part), ..named };
+                *held = Named {
+                    part: held.part.max(named.part),
+                    ..named
+                };
             }
         }
     }
 
     /// The table as it was at this serial was given to somebody who may hold it for so long.
     pub fn answered(&mut self, now: Time, serial: u32, table: TableId, held: Span) {
-        let Some(versions) = self.tables.get_mut(&table) else { return };
+        let Some(versions) = self.tables.get_mut(&table) else {
+            return;
+        };
         let at = in_force(versions, serial);
         if let Some(version) = versions.get_mut(at) {
             version.until = version.until.max(now + held);
@@ -81,12 +97,22 @@
     /// Takes up what somebody may still hold of another run: by versions that are no table's any more.
     pub fn recover(&mut self, now: Time, kept: Vec<Kept>) {
         for (table, serial, until, hosts) in kept {
-            let version = Version { serial, hosts, until, replaced: Some(now) };
+            let version = Version {
+                serial,
+                hosts,
+                until,
+                replaced: Some(now),
+            };
             self.tables.entry(table).or_default().push_back(version);
         }
         for versions in self.tables.values_mut() {
             let serial = versions.back().map_or(0, |version| version.serial);
-            let nothing = Version { serial, hosts: BTreeMap::new(), until: Time::default(), replaced: None };
+            let nothing = Version {
+                serial,
+                hosts: BTreeMap::new(),
+                until: Time::default(),
+                replaced: None,
+            };
             versions.push_back(nothing);
         }
     }
@@ -94,14 +120,19 @@
     /// Until when somebody may still meet a host by what was answered before it left all tables; none: nobody.
     pub fn until(&self, now: Time, host: &HostId) -> Option<Time> {
         let versions = self.tables.values().flatten();
-        let naming = versions.filter(|version| version.until > now && version.hosts.contains_key(host));
+        let naming =
+            versions.filter(|version| version.until > now && version.hosts.contains_key(host));
         naming.map(|version| version.until).max()
     }
 
     /// Until when answers that meant an earlier process may still bring reqs to this one, at the same address: it
     /// starts cold under the old one's heavy line. None: nobody holds any.
     pub fn echo(&self, now: Time, host: &HostId, addr: SocketAddr, started: Time) -> Option<Time> {
-        let live = self.tables.values().flatten().filter(|version| version.until > now);
+        let live = self
+            .tables
+            .values()
+            .flatten()
+            .filter(|version| version.until > now);
         let older = |named: &&Named| named.addr == addr && named.started < started;
         live.filter(|version| version.hosts.get(host).filter(older).is_some())
             .map(|version| version.until)
@@ -111,10 +142,16 @@
     /// The greatest part of a table's reqs that a host may still be sent by any answer that somebody may hold, and by
     /// the table as it is.
     pub fn most(&self, now: Time, table: TableId, host: &HostId) -> f64 {
-        let Some(versions) = self.tables.get(&table) else { return 0.0 };
+        let Some(versions) = self.tables.get(&table) else {
+            return 0.0;
+        };
         let last = versions.len().saturating_sub(1);
-        let live = versions.iter().enumerate().filter(|(n, version)| *n == last || version.until > now);
-        live.filter_map(|(_, version)| version.hosts.get(host).map(|named| named.part)).fold(0.0, f64::max)
+        let live = versions
+            .iter()
+            .enumerate()
+            .filter(|(n, version)| *n == last || version.until > now);
+        live.filter_map(|(_, version)| version.hosts.get(host).map(|named| named.part))
+            .fold(0.0, f64::max)
     }
 
     /// Hosts that may still be met though the tables as they are name them no more, with until when.
@@ -129,7 +166,10 @@
             }
         }
         let named = |host: &HostId| {
-            self.tables.values().filter_map(VecDeque::back).any(|now| now.hosts.contains_key(host))
+            self.tables
+                .values()
+                .filter_map(VecDeque::back)
+                .any(|now| now.hosts.contains_key(host))
         };
         lingering.retain(|host, _| !named(host));
         lingering
@@ -138,7 +178,10 @@
 
 /// The place of the version that was in force at a serial: the last one that came by then, or the oldest known.
 fn in_force(versions: &VecDeque<Version>, serial: u32) -> usize {
-    versions.iter().rposition(|version| !newer(version.serial, serial)).unwrap_or(0)
+    versions
+        .iter()
+        .rposition(|version| !newer(version.serial, serial))
+        .unwrap_or(0)
 }
 
 /// Whether a serial is newer than another, by the arithmetic of serials (RFC 1982).
@@ -156,11 +199,17 @@
     }
 
     fn named(part: f64) -> Named {
-        Named { part, addr: ([127, 0, 0, 1], 80).into(), started: Time::default() }
+        Named {
+            part,
+            addr: ([127, 0, 0, 1], 80).into(),
+            started: Time::default(),
+        }
     }
 
     fn parts(of: &[(&str, f64)]) -> BTreeMap<HostId, Named> {
-        of.iter().map(|(host, part)| (HostId((*host).into()), named(*part))).collect()
+        of.iter()
+            .map(|(host, part)| (HostId((*host).into()), named(*part)))
+            .collect()
     }
 
     const TABLE: TableId = TableId(0);
@@ -195,14 +244,30 @@
         let (mut held, a, addr) = (Held::default(), HostId("a".into()), named(0.0).addr);
         held.changed(at(0), 1, TABLE, parts(&[("a", 0.5), ("b", 0.5)]));
         held.answered(at(900), 1, TABLE, HELD);
-        assert_eq!(held.echo(at(1_000), &a, addr, Time::default()), None, "the same process");
+        assert_eq!(
+            held.echo(at(1_000), &a, addr, Time::default()),
+            None,
+            "the same process"
+        );
         assert_eq!(held.echo(at(1_000), &a, addr, at(950)), Some(at(3_900)));
         assert_eq!(
             held.echo(at(1_000), &a, ([127, 0, 0, 2], 80).into(), at(950)),
             None,
             "nobody is sent there"
         );
-        held.changed(at(1_000), 2, TABLE, [(a.clone(), Named { started: at(950), ..named(0.02) })].into());
+        held.changed(
+            at(1_000),
+            2,
+            TABLE,
+            [(
+                a.clone(),
+                Named {
+                    started: at(950),
+                    ..named(0.02)
+                },
+            )]
+            .into(),
+        );
         held.answered(at(2_000), 2, TABLE, HELD);
         assert_eq!(held.echo(at(2_000), &a, addr, at(950)), Some(at(3_900)));
         assert_eq!(held.echo(at(3_900), &a, addr, at(950)), None);
--- a/crates/dns-rules/src/lifetime.rs
+++ b/crates/dns-rules/src/lifetime.rs
@@ -28,7 +28,11 @@
         "a grace of {grace_ms} ms leaves no whole second for answers: {learn_ms} ms to learn of a drain and \
          1000 ms for how caches count go off it; with {least_ms} ms it would"
     )]
-    TooShort { grace_ms: u64, learn_ms: u64, least_ms: u64 },
+    TooShort {
+        grace_ms: u64,
+        learn_ms: u64,
+        least_ms: u64,
+    },
     #[error("a lifetime of {wanted_s} s does not fit in the grace: {most_s} s at most")]
     TooLong { wanted_s: u32, most_s: u32 },
 }
@@ -41,7 +45,9 @@
     pub fn of(grace: Span, learn: Span, wanted_s: Option<u32>) -> Result<Lifetime, LifetimeError> {
         let off = learn + COUNTED;
         let left_us = grace.as_micros().saturating_sub(off.as_micros());
-        let most_s = u32::try_from(left_us / 1_000_000).unwrap_or(LONGEST_S).min(LONGEST_S);
+        let most_s = u32::try_from(left_us / 1_000_000)
+            .unwrap_or(LONGEST_S)
+            .min(LONGEST_S);
         if most_s == 0 {
             let ms = |span: Span| span.as_micros() / 1_000;
             let least = off + Span::from_millis(1_000);
@@ -55,7 +61,10 @@
             Some(wanted_s) if wanted_s > most_s => Err(LifetimeError::TooLong { wanted_s, most_s }),
             wanted => {
                 let hosts_s = wanted.unwrap_or(most_s).max(1);
-                Ok(Lifetime { hosts_s, negative_s: hosts_s })
+                Ok(Lifetime {
+                    hosts_s,
+                    negative_s: hosts_s,
+                })
             }
         }
     }
@@ -63,7 +72,9 @@
     /// How long after its hosts were told away a table's last answer may still be given with a lifetime of 1 s, when
     /// the table has nothing else: it has run out before the grace ends. None: no time at all.
     pub fn last_answer_for(grace: Span) -> Option<Span> {
-        let left = grace.as_micros().checked_sub((Span::from_millis(1_000) + COUNTED).as_micros())?;
+        let left = grace
+            .as_micros()
+            .checked_sub((Span::from_millis(1_000) + COUNTED).as_micros())?;
         Some(Span::from_micros(left)).filter(|left| *left > Span::ZERO)
     }
 
@@ -85,7 +96,10 @@
             for learn_ms in [0, 100, 350, 2_000] {
                 let (grace, learn) = (Span::from_millis(grace_ms), Span::from_millis(learn_ms));
                 match Lifetime::of(grace, learn, None) {
-                    Ok(life) => assert!(learn + life.held() <= grace, "{grace_ms} and {learn_ms}: {life:?}"),
+                    Ok(life) => assert!(
+                        learn + life.held() <= grace,
+                        "{grace_ms} and {learn_ms}: {life:?}"
+                    ),
                     Err(LifetimeError::TooShort { least_ms, .. }) => {
                         assert!(least_ms > grace_ms);
                         assert!(Lifetime::of(Span::from_millis(least_ms), learn, None).is_ok());
@@ -98,15 +112,25 @@
 
     #[test]
     fn what_is_wanted_is_given_if_it_fits() {
-        assert_eq!(Lifetime::of(S(10), S(1), Some(3)).map(|life| life.hosts_s), Ok(3));
+        assert_eq!(
+            Lifetime::of(S(10), S(1), Some(3)).map(|life| life.hosts_s),
+            Ok(3)
+        );
         assert_eq!(
             Lifetime::of(S(10), S(1), Some(9)),
-            Err(LifetimeError::TooLong { wanted_s: 9, most_s: 8 })
+            Err(LifetimeError::TooLong {
+                wanted_s: 9,
+                most_s: 8
+            })
+        );
+        assert_eq!(
+            Lifetime::of(S(86_400), S(1), None).map(|life| life.hosts_s),
+            Ok(LONGEST_S)
         );
-        assert_eq!(Lifetime::of(S(86_400), S(1), None).map(|life| life.hosts_s), Ok(LONGEST_S));
         assert_eq!(Lifetime::last_answer_for(S(6)), Some(S(4)));
         assert_eq!(Lifetime::last_answer_for(S(2)), None);
-        let text = Lifetime::of(S(2), Span::from_millis(350), None).map_err(|wrong| wrong.to_string());
+        let text =
+            Lifetime::of(S(2), Span::from_millis(350), None).map_err(|wrong| wrong.to_string());
         assert!(text.is_err_and(|text| text.contains("with 2350 ms it would")));
     }
 }
--- a/crates/dns-rules/src/limits.rs
+++ b/crates/dns-rules/src/limits.rs
@@ -44,10 +44,25 @@
 impl Limits {
     /// `per_s`: answers a second for one source; `most`: sources that are told apart.
     pub fn new(per_s: f64, most: usize, now: Time) -> Limits {
-        let per_s = if per_s.is_finite() { per_s.clamp(0.1, 1e6) } else { 1.0 };
-        let others = Source { saved: per_s * SAVED_S, at: now, over: 0 };
+        let per_s = if per_s.is_finite() {
+            per_s.clamp(0.1, 1e6)
+        } else {
+            1.0
+        };
+        let others = Source {
+            saved: per_s * SAVED_S,
+            at: now,
+            over: 0,
+        };
         let most = most.max(1);
-        Limits { per_s, most, sources: BTreeMap::new(), order: VecDeque::new(), others, dropped: 0 }
+        Limits {
+            per_s,
+            most,
+            sources: BTreeMap::new(),
+            order: VecDeque::new(),
+            others,
+            dropped: 0,
+        }
     }
 
     pub fn asks(&mut self, now: Time, from: IpAddr) -> Verdict {
@@ -55,7 +70,11 @@
         if !self.sources.contains_key(&net) && self.sources.len() >= self.most {
             self.make_room(now);
         }
-        let fresh = Source { saved: self.per_s * SAVED_S, at: now, over: 0 };
+        let fresh = Source {
+            saved: self.per_s * SAVED_S,
+            at: now,
+            over: 0,
+        };
         let source = if self.sources.contains_key(&net) || self.sources.len() < self.most {
             let order = &mut self.order;
             self.sources.entry(net).or_insert_with(|| {
@@ -72,7 +91,9 @@
 
     /// Forgets the oldest source if it has saved up all it may: it is as good as new.
     fn make_room(&mut self, now: Time) {
-        let Some(oldest) = self.order.pop_front() else { return };
+        let Some(oldest) = self.order.pop_front() else {
+            return;
+        };
         let idle = self.sources.get(&oldest).is_none_or(|source| {
             source.saved + (now - source.at).secs() * self.per_s >= self.per_s * SAVED_S
         });
@@ -103,7 +124,11 @@
             return Verdict::Answer;
         }
         self.over = self.over.wrapping_add(1);
-        if self.over.is_multiple_of(SLIP) { Verdict::Truncated } else { Verdict::Drop }
+        if self.over.is_multiple_of(SLIP) {
+            Verdict::Truncated
+        } else {
+            Verdict::Drop
+        }
     }
 }
 
@@ -143,7 +168,11 @@
         }
         assert!((28..=31).contains(&seen[0]), "{seen:?}");
         assert!(seen[1] > 400 && seen[2] > 400, "{seen:?}");
-        assert_eq!(limits.asks(at(1_000), ip(2)), Verdict::Answer, "another source is not held to it");
+        assert_eq!(
+            limits.asks(at(1_000), ip(2)),
+            Verdict::Answer,
+            "another source is not held to it"
+        );
     }
 
     #[test]
@@ -167,8 +196,10 @@
         let v4: IpAddr = "192.0.2.7".parse().expect("an address");
         let mapped: IpAddr = "::ffff:192.0.2.200".parse().expect("an address");
         assert_eq!(net(v4), net(mapped));
-        let (a, b): (IpAddr, IpAddr) =
-            ("2001:db8:0:1::1".parse().expect("an address"), "2001:db8:0:ff::1".parse().expect("an address"));
+        let (a, b): (IpAddr, IpAddr) = (
+            "2001:db8:0:1::1".parse().expect("an address"),
+            "2001:db8:0:ff::1".parse().expect("an address"),
+        );
         assert_eq!(net(a), net(b));
         assert_ne!(net(v4), net("192.0.3.7".parse().expect("an address")));
     }
--- a/crates/dns-rules/src/members.rs
+++ b/crates/dns-rules/src/members.rs
@@ -38,7 +38,12 @@
 impl Members {
     /// `held`: how long an answer may be held at most; `most`: members at one time.
     pub fn new(held: Span, most: usize) -> Members {
-        Members { held, most, members: BTreeMap::new(), untracked: 0 }
+        Members {
+            held,
+            most,
+            members: BTreeMap::new(),
+            untracked: 0,
+        }
     }
 
     pub fn asked(&mut self, now: Time, proxy: ProxyId) -> Asked {
@@ -47,7 +52,11 @@
             Some(member) => {
                 // A cache may ask before its answer ran out, and does when it restarts: that says nothing.
                 let late = now - member.asked > self.held + self.held;
-                member.late = if late { member.late.saturating_add(1) } else { 0 };
+                member.late = if late {
+                    member.late.saturating_add(1)
+                } else {
+                    0
+                };
                 member.asked = member.asked.max(now);
                 Asked::Known
             }
@@ -56,7 +65,13 @@
                 Asked::Full
             }
             None => {
-                self.members.insert(proxy, Member { asked: now, late: 0 });
+                self.members.insert(
+                    proxy,
+                    Member {
+                        asked: now,
+                        late: 0,
+                    },
+                );
                 Asked::Joined
             }
         }
@@ -66,20 +81,31 @@
     pub fn left(&mut self, now: Time) -> Vec<ProxyId> {
         let limit = self.held.times(LEAVES_AFTER);
         let gone = |member: &Member| now - member.asked >= limit;
-        let left: Vec<ProxyId> = self.members.iter().filter(|(_, m)| gone(m)).map(|(id, _)| *id).collect();
+        let left: Vec<ProxyId> = self
+            .members
+            .iter()
+            .filter(|(_, m)| gone(m))
+            .map(|(id, _)| *id)
+            .collect();
         self.members.retain(|_, member| !gone(member));
         left
     }
 
     /// When the next one may have left.
     pub fn wake_at(&self) -> Option<Time> {
-        self.members.values().map(|member| member.asked + self.held.times(LEAVES_AFTER)).min()
+        self.members
+            .values()
+            .map(|member| member.asked + self.held.times(LEAVES_AFTER))
+            .min()
     }
 
     /// Proxies that ask again and again later than their answers may be held: they hold drained hosts longer than the
     /// grace, and nothing here can help it but saying so.
     pub fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
-        self.members.iter().filter(|(_, member)| member.late >= LATE_ASKS).map(|(id, _)| *id)
+        self.members
+            .iter()
+            .filter(|(_, member)| member.late >= LATE_ASKS)
+            .map(|(id, _)| *id)
     }
 
     pub fn holds(&self, proxy: ProxyId) -> bool {
--- a/crates/dns-rules/src/secondaries.rs
+++ b/crates/dns-rules/src/secondaries.rs
@@ -50,7 +50,12 @@
 
 impl Secondaries {
     pub fn new(count: usize, behind_most: Span, expires: Span) -> Secondaries {
-        Secondaries { of: vec![Secondary::default(); count], serial: None, behind_most, expires }
+        Secondaries {
+            of: vec![Secondary::default(); count],
+            serial: None,
+            behind_most,
+            expires,
+        }
     }
 
     /// The zone has changed: all of them are behind.
@@ -65,7 +70,9 @@
     }
 
     pub fn heard(&mut self, now: Time, n: usize, what: Heard) {
-        let (serial, Some(one)) = (self.serial, self.of.get_mut(n)) else { return };
+        let (serial, Some(one)) = (self.serial, self.of.get_mut(n)) else {
+            return;
+        };
         match what {
             Heard::Acknowledged => {
                 one.heard = Some(now);
@@ -81,7 +88,8 @@
                     one.holds = Some(held);
                 }
                 if one.holds == serial {
-                    (one.behind_since, one.say_at, one.told_late, one.tries) = (None, None, false, 0);
+                    (one.behind_since, one.say_at, one.told_late, one.tries) =
+                        (None, None, false, 0);
                 }
             }
         }
@@ -92,7 +100,9 @@
         let due = |one: &Secondary| one.say_at.is_some_and(|at| at <= now);
         let mut said = Vec::new();
         for (n, one) in self.of.iter_mut().enumerate().filter(|(_, one)| due(one)) {
-            let wait = AGAIN_LEAST.times(f64::from(1u32 << one.tries.min(16))).min(AGAIN_MOST);
+            let wait = AGAIN_LEAST
+                .times(f64::from(1u32 << one.tries.min(16)))
+                .min(AGAIN_MOST);
             one.tries += 1;
             (one.said, one.say_at) = (Some(now), Some(now + wait));
             said.push(n as u16);
@@ -103,8 +113,9 @@
     /// Those that have become behind for longer than they may; each is named once, until it has caught up.
     pub fn late(&mut self, now: Time) -> Vec<u16> {
         let most = self.behind_most;
-        let late =
-            |one: &Secondary| !one.told_late && one.behind_since.is_some_and(|since| now - since > most);
+        let late = |one: &Secondary| {
+            !one.told_late && one.behind_since.is_some_and(|since| now - since > most)
+        };
         let mut named = Vec::new();
         for (n, one) in self.of.iter_mut().enumerate().filter(|(_, one)| late(one)) {
             one.told_late = true;
@@ -126,7 +137,11 @@
                 .filter(|_| !one.told_late)
                 .map(|since| since + self.behind_most + Span::from_micros(1))
         };
-        self.of.iter().flat_map(|one| [one.say_at, late(one)]).flatten().min()
+        self.of
+            .iter()
+            .flat_map(|one| [one.say_at, late(one)])
+            .flatten()
+            .min()
     }
 
     /// What each holds, and since when it is behind.
--- a/crates/dns-rules/src/srv.rs
+++ b/crates/dns-rules/src/srv.rs
@@ -26,7 +26,10 @@
 /// all there is.
 pub fn srv_weights<'a>(lines: impl IntoIterator<Item = (&'a HostId, f64, bool)>) -> Vec<SrvLine> {
     let lines = wanted(lines);
-    let heaviest = lines.iter().map(|(_, weight, _)| *weight).fold(0.0, f64::max);
+    let heaviest = lines
+        .iter()
+        .map(|(_, weight, _)| *weight)
+        .fold(0.0, f64::max);
     whole(&lines, HEAVIEST / heaviest)
 }
 
@@ -38,7 +41,10 @@
 type Weighed<'a> = (&'a HostId, f64, bool);
 
 fn wanted<'a>(lines: impl IntoIterator<Item = Weighed<'a>>) -> Vec<Weighed<'a>> {
-    lines.into_iter().filter(|(_, weight, _)| weight.is_finite() && *weight > 0.0).collect()
+    lines
+        .into_iter()
+        .filter(|(_, weight, _)| weight.is_finite() && *weight > 0.0)
+        .collect()
 }
 
 fn whole(lines: &[Weighed], scale: f64) -> Vec<SrvLine> {
@@ -50,16 +56,27 @@
             true => exact.floor(),
             false => exact.round().max(1.0),
         };
-        (weight >= 1.0).then(|| SrvLine { host: host.clone(), weight: weight as u16, cold })
+        (weight >= 1.0).then(|| SrvLine {
+            host: host.clone(),
+            weight: weight as u16,
+            cold,
+        })
     };
     lines.iter().filter_map(line).collect()
 }
 
 /// How many lines are off by more than half of themselves by rounding up to the least weight.
 pub fn rounded_up<'a>(weights: impl IntoIterator<Item = &'a f64>) -> usize {
-    let weights: Vec<f64> = weights.into_iter().copied().filter(|w| w.is_finite() && *w > 0.0).collect();
+    let weights: Vec<f64> = weights
+        .into_iter()
+        .copied()
+        .filter(|w| w.is_finite() && *w > 0.0)
+        .collect();
     let heaviest = weights.iter().copied().fold(0.0, f64::max);
-    weights.iter().filter(|weight| **weight / heaviest * HEAVIEST < 1.0 / (1.0 + OFF_MOST)).count()
+    weights
+        .iter()
+        .filter(|weight| **weight / heaviest * HEAVIEST < 1.0 / (1.0 + OFF_MOST))
+        .count()
 }
 
 /// So many of the lines, drawn without putting back by systematic sampling on the weights: over many draws each host is
@@ -73,7 +90,8 @@
     if lines.len() <= places || places == 0 {
         return lines[..lines.len().min(places)].to_vec();
     }
-    let (mut cold, warm): (Vec<SrvLine>, Vec<SrvLine>) = lines.iter().cloned().partition(|line| line.cold);
+    let (mut cold, warm): (Vec<SrvLine>, Vec<SrvLine>) =
+        lines.iter().cloned().partition(|line| line.cold);
     if cold.is_empty() || warm.is_empty() {
         return sampled(lines, places, chance);
     }
@@ -113,7 +131,10 @@
             passed += f64::from(line.weight);
             if passed > next {
                 let weight = step.round().clamp(1.0, f64::from(u16::MAX)) as u16;
-                drawn.push(SrvLine { weight, ..line.clone() });
+                drawn.push(SrvLine {
+                    weight,
+                    ..line.clone()
+                });
                 next += step;
             }
         }
@@ -128,16 +149,26 @@
     use std::collections::BTreeMap;
 
     fn hosts(weights: &[f64]) -> Vec<(HostId, f64)> {
-        weights.iter().enumerate().map(|(n, w)| (HostId(format!("h{n}").into()), *w)).collect()
+        weights
+            .iter()
+            .enumerate()
+            .map(|(n, w)| (HostId(format!("h{n}").into()), *w))
+            .collect()
     }
 
     #[test]
     fn no_wanted_host_has_a_weight_of_0_and_a_cold_one_is_not_rounded_up() {
         let of = hosts(&[5.0, 0.000_1, 2.5, 0.0, f64::NAN]);
         let lines = srv_weights(of.iter().map(|(host, weight)| (host, *weight, false)));
-        assert_eq!(lines.iter().map(|line| line.weight).collect::<Vec<_>>(), [1_000, 1, 500]);
+        assert_eq!(
+            lines.iter().map(|line| line.weight).collect::<Vec<_>>(),
+            [1_000, 1, 500]
+        );
         assert_eq!(rounded_up(of.iter().map(|(_, weight)| weight)), 1);
-        let cold = srv_weights(of.iter().map(|(host, weight)| (host, *weight, &*host.0 == "h1")));
+        let cold = srv_weights(
+            of.iter()
+                .map(|(host, weight)| (host, *weight, &*host.0 == "h1")),
+        );
         assert_eq!(cold.len(), 2);
         let alone = srv_weights(of[1..2].iter().map(|(host, weight)| (host, *weight, true)));
         assert_eq!(alone.len(), 1, "a cold host is better than none");
@@ -145,17 +176,22 @@
 
     #[test]
     fn samples_are_true_to_the_weights_over_many_draws() {
-        let weights: Vec<f64> = (0..60).map(|n| 1.0 + f64::from(n % 7)).chain([80.0]).collect();
+        let weights: Vec<f64> = (0..60)
+            .map(|n| 1.0 + f64::from(n % 7))
+            .chain([80.0])
+            .collect();
         let of = hosts(&weights);
         let lines = srv_weights(of.iter().map(|(host, weight)| (host, *weight, false)));
-        let (mut chance, mut picked) = (fastrand::Rng::with_seed(11), BTreeMap::<HostId, f64>::new());
+        let (mut chance, mut picked) =
+            (fastrand::Rng::with_seed(11), BTreeMap::<HostId, f64>::new());
         let draws = 20_000;
         for _ in 0..draws {
             let drawn = sample(&lines, 12, &mut chance);
             assert!(drawn.len() <= 12 && drawn.len() >= 11, "{}", drawn.len());
             let all: f64 = drawn.iter().map(|line| f64::from(line.weight)).sum();
             for line in drawn {
-                *picked.entry(line.host).or_default() += f64::from(line.weight) / all / f64::from(draws);
+                *picked.entry(line.host).or_default() +=
+                    f64::from(line.weight) / all / f64::from(draws);
             }
         }
         let sum: f64 = weights.iter().sum();
@@ -171,7 +207,10 @@
         let of = hosts(&[1.0; 60]);
         let (cold, due) = (HostId("h7".into()), 0.2 / 59.2);
         let weight = |host: &HostId| if *host == cold { 0.2 } else { 1.0 };
-        let lines = srv_weights(of.iter().map(|(host, _)| (host, weight(host), *host == cold)));
+        let lines = srv_weights(
+            of.iter()
+                .map(|(host, _)| (host, weight(host), *host == cold)),
+        );
         let (mut chance, mut seen) = (fastrand::Rng::with_seed(3), 0);
         for _ in 0..200 {
             let drawn = sample(&lines, 12, &mut chance);
--- a/crates/edge-kit/src/clock.rs
+++ b/crates/edge-kit/src/clock.rs
@@ -12,8 +12,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { at_start: since.as_micros() as u64, start: Instant::now() }
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            at_start: since.as_micros() as u64,
+            start: Instant::now(),
+        }
     }
 
     /// Microseconds since 1970.
--- a/crates/edge-kit/src/get.rs
+++ b/crates/edge-kit/src/get.rs
@@ -34,7 +34,10 @@
     let (answer, _connection) = ask(stream, addr, path, "close").await.ok()?;
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, most).collect().await.ok()?.to_bytes();
-    Some(Answer { headers: head.headers, body })
+    Some(Answer {
+        headers: head.headers,
+        body,
+    })
 }
 
 /// Asks there, and gives the head of a good answer, its body still to come, with the task that drives the connection:
@@ -50,7 +53,9 @@
     let (mut to_host, driven) = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await?;
     // How the connection ends shows in the answer. One that ends in the same moment that the answer is there is no failure.
     let driven = AbortOnDropHandle::new(tokio::spawn(async move { drop(driven.await) }));
-    let req = Request::get(path).header("host", addr.to_string()).header("connection", connection);
+    let req = Request::get(path)
+        .header("host", addr.to_string())
+        .header("connection", connection);
     let answer = to_host.send_request(req.body(Empty::new())?).await?;
     if !answer.status().is_success() {
         return Err(AskError::Status(answer.status().as_u16()));
@@ -75,7 +80,8 @@
                 let mut asked = [0; 1024];
                 let len = stream.read(&mut asked).await.expect("a request");
                 assert!(asked[..len].starts_with(b"GET /health"));
-                let answer = format!("HTTP/1.1 200 OK\r\n{close}content-length: 4\r\nload: 5\r\n\r\nTEXT");
+                let answer =
+                    format!("HTTP/1.1 200 OK\r\n{close}content-length: 4\r\nload: 5\r\n\r\nTEXT");
                 stream.write_all(answer.as_bytes()).await.expect("written");
             }
         });
@@ -86,8 +92,14 @@
                 (&"5".parse().expect("a value"), &b"TEXT"[..])
             );
         }
-        assert!(get(addr, "/health", 3).await.is_none(), "longer than it may be");
+        assert!(
+            get(addr, "/health", 3).await.is_none(),
+            "longer than it may be"
+        );
         host.await.expect("all answered");
-        assert!(get(addr, "/health", 1_000).await.is_none(), "nobody is there any more");
+        assert!(
+            get(addr, "/health", 1_000).await.is_none(),
+            "nobody is there any more"
+        );
     }
 }
--- a/crates/history/examples/write_fixture/run.rs
+++ b/crates/history/examples/write_fixture/run.rs
@@ -72,7 +72,10 @@
     first.log.end(Time::from_micros(now));
     let found = recover(&Folder::look(folder), &site_from_text(&settings())?)?;
     let at = now + 2_000_000;
-    let known = found.known.ok_or("nothing was known")?.by_clock(at, 2_000_000);
+    let known = found
+        .known
+        .ok_or("nothing was known")?
+        .by_clock(at, 2_000_000);
     let mut second = Run::start(folder, found.epoch + 1, at)?;
     second.version = first.version;
     second.give(Input::Recovered(Box::new(known)));
@@ -97,7 +100,10 @@
 }
 
 fn boot(at: u64) -> Option<Boot> {
-    Some(Boot { id: "machine".into(), up_us: at - START + 1_000 })
+    Some(Boot {
+        id: "machine".into(),
+        up_us: at - START + 1_000,
+    })
 }
 
 impl Run {
@@ -105,29 +111,62 @@
         let site = site_from_text(&settings())?;
         let sure_within = Span::from_millis(100);
         let age = pondarch_records::keeping::ALWAYS;
-        let keep = Keep { segment_bytes: SEGMENT_BYTES, all_bytes: 1 << 30, age, sure_within };
+        let keep = Keep {
+            segment_bytes: SEGMENT_BYTES,
+            all_bytes: 1 << 30,
+            age,
+            sure_within,
+        };
         let log = Log::new(Folder::lock(folder)?, keep, epoch)?;
         let front = |n: usize| {
-            let mut holding = Holding::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
+            let mut holding =
+                Holding::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
             for backend in holding.backends.values_mut() {
                 let server = Server::new(host(n).address, 100, AdminState::Ready);
                 backend.servers.insert(format!("host-{n}"), server);
             }
-            Front { holding, conn: None, lines: VecDeque::new() }
+            Front {
+                holding,
+                conn: None,
+                lines: VecDeque::new(),
+            }
         };
         let core = Core::new(&site, 7, 1, epoch, Time::from_micros(now));
         let fronts = (0..2).map(front).collect();
-        let mut run = Run { core, log, epoch, n: 0, now, version: 0, fronts, refuses: false };
+        let mut run = Run {
+            core,
+            log,
+            epoch,
+            n: 0,
+            now,
+            version: 0,
+            fronts,
+            refuses: false,
+        };
         let (program, settings) = ("pondarch before the renaming".into(), settings());
-        let start = Start { program, settings, seed: 7, process: 1, epoch, at_us: now, boot: boot(now) };
+        let start = Start {
+            program,
+            settings,
+            seed: 7,
+            process: 1,
+            epoch,
+            at_us: now,
+            boot: boot(now),
+        };
         run.record(&[Record::Start(Box::new(start))]);
         Ok(run)
     }
 
     fn record(&mut self, records: &[Record]) {
         let mut frames = Vec::new();
-        records.iter().for_each(|record| frame::write(&mut frames, &record.bytes()));
-        assert!(self.log.write(Time::from_micros(self.now), self.n.max(1), &frames), "the disk works");
+        records
+            .iter()
+            .for_each(|record| frame::write(&mut frames, &record.bytes()));
+        assert!(
+            self.log
+                .write(Time::from_micros(self.now), self.n.max(1), &frames),
+            "the disk works"
+        );
     }
 
     fn give(&mut self, input: Input) {
@@ -141,7 +180,9 @@
             records.push(Record::Decided { n, decisions });
         }
         self.record(&records);
-        outputs.into_iter().for_each(|output| self.carry_out(output));
+        outputs
+            .into_iter()
+            .for_each(|output| self.carry_out(output));
     }
 
     fn carry_out(&mut self, output: Output) {
@@ -163,11 +204,19 @@
                     rate: Some(15.0),
                     errored_rate: Some(0.5),
                 });
-                self.give(Input::Probed { host, for_load, good: true, load });
+                self.give(Input::Probed {
+                    host,
+                    for_load,
+                    good: true,
+                    load,
+                });
             }
             Output::Solve { number, fleet } => {
                 let plan = pondarch_weights::solve(&fleet, Default::default());
-                self.give(Input::Solved { number, plan: plan.map_err(|wrong| wrong.to_string()) });
+                self.give(Input::Solved {
+                    number,
+                    plan: plan.map_err(|wrong| wrong.to_string()),
+                });
             }
             _ => {}
         }
@@ -176,7 +225,9 @@
     fn deliver(&mut self) {
         while let Some(n) = (0..2).find(|&n| !self.fronts[n].lines.is_empty()) {
             let front = &mut self.fronts[n];
-            let Some((conn, line)) = front.lines.pop_front() else { continue };
+            let Some((conn, line)) = front.lines.pop_front() else {
+                continue;
+            };
             if front.conn != Some(conn) {
                 continue;
             }
@@ -184,10 +235,16 @@
             for command in command::parse_line(&line).into_iter().flatten() {
                 let refused = self.refuses && Holding::is_order(&command);
                 self.refuses &= !refused;
-                answers.push(if refused { "Not now.\n".into() } else { front.holding.command(command) });
+                answers.push(if refused {
+                    "Not now.\n".into()
+                } else {
+                    front.holding.command(command)
+                });
             }
             let proxy = n as u16;
-            answers.into_iter().for_each(|text| self.give(Input::Answer { proxy, conn, text }));
+            answers
+                .into_iter()
+                .for_each(|text| self.give(Input::Answer { proxy, conn, text }));
         }
     }
 
@@ -195,7 +252,9 @@
         let end = self.now + millis * 1_000;
         self.deliver();
         loop {
-            let wake = (self.core.wake_at() - Time::default()).as_micros().max(self.now + 1);
+            let wake = (self.core.wake_at() - Time::default())
+                .as_micros()
+                .max(self.now + 1);
             if wake > end {
                 break;
             }
@@ -208,23 +267,46 @@
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List { version: Some(self.version), hosts });
+        self.give(Input::List {
+            version: Some(self.version),
+            hosts,
+        });
     }
 
     fn command(&mut self, line: &str) {
-        self.give(Input::Command { caller: self.n, level: 2, line: line.into() });
+        self.give(Input::Command {
+            caller: self.n,
+            level: 2,
+            line: line.into(),
+        });
     }
 
     fn snapshot(&mut self) {
         let (epoch, n, at_us) = (self.epoch, self.n, self.now);
-        let snapshot = Snapshot { epoch, n, at_us, boot: boot(at_us), known: self.core.remembered() };
-        assert!(self.log.snapshot(Time::from_micros(at_us), &snapshot.bytes()), "the disk works");
+        let snapshot = Snapshot {
+            epoch,
+            n,
+            at_us,
+            boot: boot(at_us),
+            known: self.core.remembered(),
+        };
+        assert!(
+            self.log
+                .snapshot(Time::from_micros(at_us), &snapshot.bytes()),
+            "the disk works"
+        );
     }
 
     fn operators(&mut self) {
         SHOWN.iter().for_each(|line| self.command(line));
-        self.give(Input::Command { caller: 1, level: 0, line: "show servers state".into() });
-        self.command("add server hosts/extra 127.0.0.99:80 weight 2; set server hosts/extra state ready");
+        self.give(Input::Command {
+            caller: 1,
+            level: 0,
+            line: "show servers state".into(),
+        });
+        self.command(
+            "add server hosts/extra 127.0.0.99:80 weight 2; set server hosts/extra state ready",
+        );
         self.command("prepare map zones; add map @1 zones extra arnhem; commit map @1 zones");
         self.command("set server hosts/host-2 addr 127.0.0.77 port 80");
         self.command("set server hosts/host-1 state drain");
@@ -238,9 +320,14 @@
         for _ in 0..8 {
             for front in &mut self.fronts {
                 for backend in front.holding.backends.values_mut() {
-                    for (name, server) in backend.servers.iter_mut().filter(|(_, server)| server.serves()) {
+                    for (name, server) in backend
+                        .servers
+                        .iter_mut()
+                        .filter(|(_, server)| server.serves())
+                    {
                         let ms = if name == "host-3" { 60 } else { 20 };
-                        (server.total, server.sums.done) = (server.total + 10, server.sums.done + 10);
+                        (server.total, server.sums.done) =
+                            (server.total + 10, server.sums.done + 10);
                         server.sums.done_time += Duration::from_millis(10 * ms);
                         backend.reqs += 10;
                     }
@@ -248,26 +335,76 @@
             }
             self.run(1_000);
         }
-        self.give(Input::Solved { number: 999, plan: Err("no plan".into()) });
+        self.give(Input::Solved {
+            number: 999,
+            plan: Err("no plan".into()),
+        });
     }
 
     fn pushes(&mut self) {
         let (conn, run) = (51, 5);
-        self.give(Input::SenderCame { conn, name: "front-0".into(), is: SenderIs::Proxy, run });
-        self.give(Input::SenderCame { conn: 52, name: "host-1".into(), is: SenderIs::Host, run });
-        self.give(Input::SenderCame { conn: 53, name: "nobody".into(), is: SenderIs::Proxy, run });
+        self.give(Input::SenderCame {
+            conn,
+            name: "front-0".into(),
+            is: SenderIs::Proxy,
+            run,
+        });
+        self.give(Input::SenderCame {
+            conn: 52,
+            name: "host-1".into(),
+            is: SenderIs::Host,
+            run,
+        });
+        self.give(Input::SenderCame {
+            conn: 53,
+            name: "nobody".into(),
+            is: SenderIs::Proxy,
+            run,
+        });
         for number in 1..4 {
             let server = Some("host-0".to_string());
             let (done, done_us) = (number * 9, number * 90_000);
-            let counted = Counted { backend: "proof".into(), server, done, done_us, ..Counted::default() };
-            let reqs = Counted { backend: "proof".into(), reqs: done, ..Counted::default() };
-            let own =
-                Own { busy: Some(0.5), rate: Some(if number == 3 { -1.0 } else { 9.0 }), ..Own::default() };
-            let report = |body| Box::new(Report { number, sent_us: self.now, body, ..Report::default() });
-            let of_proxy = report(Body { counted: vec![counted, reqs], own: None });
-            let of_host = report(Body { counted: Vec::new(), own: Some(own) });
-            self.give(Input::Pushed { conn, report: of_proxy });
-            self.give(Input::Pushed { conn: 52, report: of_host });
+            let counted = Counted {
+                backend: "proof".into(),
+                server,
+                done,
+                done_us,
+                ..Counted::default()
+            };
+            let reqs = Counted {
+                backend: "proof".into(),
+                reqs: done,
+                ..Counted::default()
+            };
+            let own = Own {
+                busy: Some(0.5),
+                rate: Some(if number == 3 { -1.0 } else { 9.0 }),
+                ..Own::default()
+            };
+            let report = |body| {
+                Box::new(Report {
+                    number,
+                    sent_us: self.now,
+                    body,
+                    ..Report::default()
+                })
+            };
+            let of_proxy = report(Body {
+                counted: vec![counted, reqs],
+                own: None,
+            });
+            let of_host = report(Body {
+                counted: Vec::new(),
+                own: Some(own),
+            });
+            self.give(Input::Pushed {
+                conn,
+                report: of_proxy,
+            });
+            self.give(Input::Pushed {
+                conn: 52,
+                report: of_host,
+            });
             self.run(1_000);
         }
         self.give(Input::SenderLeft { conn });
@@ -277,10 +414,20 @@
         use pondarch_dns_rules::Heard;
         for round in 0..3 {
             let view = self.core.view();
-            let table = view.table_of(Some(ProxyId(2)), KindId(0), 1).map(|table| table.0);
-            self.give(Input::AskedByName { proxy: Some(2), table, serial: view.serial });
+            let table = view
+                .table_of(Some(ProxyId(2)), KindId(0), 1)
+                .map(|table| table.0);
+            self.give(Input::AskedByName {
+                proxy: Some(2),
+                table,
+                serial: view.serial,
+            });
             if round == 1 {
-                for heard in [Heard::Acknowledged, Heard::Asks(None), Heard::Fetched(view.serial)] {
+                for heard in [
+                    Heard::Acknowledged,
+                    Heard::Asks(None),
+                    Heard::Fetched(view.serial),
+                ] {
                     self.give(Input::Secondary { n: 0, heard });
                 }
             }
@@ -289,14 +436,36 @@
     }
 
     fn troubles(&mut self) {
-        self.give(Input::Records(RecordsState { stopped: Some("no space".into()), lost: 0 }));
-        self.give(Input::Records(RecordsState { stopped: None, lost: 3 }));
-        self.give(Input::Memory { waiting: 10, records: 20, connections: 30, capped: 1 });
-        self.give(Input::ListRefused { wrong: "hosts:3: it ends".into() });
-        self.give(Input::Probed { host: "host-0".into(), for_load: false, good: false, load: None });
+        self.give(Input::Records(RecordsState {
+            stopped: Some("no space".into()),
+            lost: 0,
+        }));
+        self.give(Input::Records(RecordsState {
+            stopped: None,
+            lost: 3,
+        }));
+        self.give(Input::Memory {
+            waiting: 10,
+            records: 20,
+            connections: 30,
+            capped: 1,
+        });
+        self.give(Input::ListRefused {
+            wrong: "hosts:3: it ends".into(),
+        });
+        self.give(Input::Probed {
+            host: "host-0".into(),
+            for_load: false,
+            good: false,
+            load: None,
+        });
         if let Some(conn) = self.fronts[1].conn.take() {
             self.fronts[1].lines.clear();
-            self.give(Input::Lost { proxy: 1, conn, why: "broke".into() });
+            self.give(Input::Lost {
+                proxy: 1,
+                conn,
+                why: "broke".into(),
+            });
         }
         self.run(1_500);
     }
--- a/crates/history/src/export.rs
+++ b/crates/history/src/export.rs
@@ -66,18 +66,28 @@
         let (what, fields) = parts(value);
         let text = |key: &str| fields.get(key).and_then(Value::as_str).map(str::to_string);
         let proxy = match fields.get("proxy") {
-            Some(Value::Number(place)) => place.as_u64().and_then(|n| names.get(n as usize)).cloned(),
+            Some(Value::Number(place)) => {
+                place.as_u64().and_then(|n| names.get(n as usize)).cloned()
+            }
             _ => text("proxy"),
         };
-        Row { epoch, n, at_us, of, what, proxy, host: text("host"), text: fields.to_string() }
+        Row {
+            epoch,
+            n,
+            at_us,
+            of,
+            what,
+            proxy,
+            host: text("host"),
+            text: fields.to_string(),
+        }
     };
     match record {
         Record::Start(start) => {
             *last_us = start.at_us;
             let settings: Value = serde_json::from_str(&start.settings).unwrap_or_default();
             let proxies = settings["proxies"].as_array().cloned().unwrap_or_default();
-            let text =
-                serde_json::json!({"program": start.program, "seed": start.seed, "process": start.process});
+            let text = serde_json::json!({"program": start.program, "seed": start.seed, "process": start.process});
             let row = Row {
                 epoch,
                 n: 0,
@@ -88,7 +98,10 @@
                 host: None,
                 text: text.to_string(),
             };
-            *names = proxies.iter().filter_map(|p| p["name"].as_str().map(str::to_string)).collect();
+            *names = proxies
+                .iter()
+                .filter_map(|p| p["name"].as_str().map(str::to_string))
+                .collect();
             vec![row]
         }
         Record::Input { n, at_us, input } => {
@@ -148,8 +161,9 @@
     let mut out = FileWriter::try_new(File::create(file)?, &schema)?;
     let (mut batch, mut count) = (Vec::with_capacity(BATCH), 0);
     let mut write = |rows: &mut Vec<Row>| -> Result<(), HistoryError> {
-        let long =
-            |of: fn(&Row) -> u64| -> ArrayRef { Arc::new(rows.iter().map(of).collect::<UInt64Array>()) };
+        let long = |of: fn(&Row) -> u64| -> ArrayRef {
+            Arc::new(rows.iter().map(of).collect::<UInt64Array>())
+        };
         let text = |of: fn(&Row) -> Option<&str>| -> ArrayRef {
             Arc::new(rows.iter().map(of).collect::<StringArray>())
         };
@@ -170,7 +184,11 @@
     let flaws = rows(disk, |row| {
         count += 1;
         batch.push(row);
-        if batch.len() == BATCH { write(&mut batch) } else { Ok(()) }
+        if batch.len() == BATCH {
+            write(&mut batch)
+        } else {
+            Ok(())
+        }
     })?;
     write(&mut batch)?;
     out.finish()?;
--- a/crates/history/src/play.rs
+++ b/crates/history/src/play.rs
@@ -57,13 +57,22 @@
 ///
 /// Errors: the scene's settings are none, or the others lack a proxy of the scene.
 pub fn play(scene: &Scene, other: Option<&Site>, seed: u64) -> Result<Played, HistoryError> {
-    let own = site_from_text(&scene.settings).map_err(|wrong| HistoryError::Settings(wrong.to_string()))?;
+    let own = site_from_text(&scene.settings)
+        .map_err(|wrong| HistoryError::Settings(wrong.to_string()))?;
     let site = other.cloned().unwrap_or_else(|| own.clone());
     // Proxies are known by their places: those of the scene by name to those of the settings.
-    let place = |name: &str| site.proxies.iter().position(|proxy| proxy.name == name).map(|n| n as u16);
+    let place = |name: &str| {
+        site.proxies
+            .iter()
+            .position(|proxy| proxy.name == name)
+            .map(|n| n as u16)
+    };
     let places: Vec<Option<u16>> = own.proxies.iter().map(|proxy| place(&proxy.name)).collect();
     if let Some(n) = places.iter().position(Option::is_none) {
-        return Err(HistoryError::Scene(format!("the settings have no proxy '{}'", own.proxies[n].name)));
+        return Err(HistoryError::Scene(format!(
+            "the settings have no proxy '{}'",
+            own.proxies[n].name
+        )));
     }
     let places: Vec<u16> = places.into_iter().flatten().collect();
     let mut stage = Stage::set(site, seed, scene.at_us);
@@ -77,7 +86,11 @@
 
 impl Stage {
     fn set(site: Site, seed: u64, at_us: u64) -> Stage {
-        let backends: Vec<String> = site.kinds.iter().map(|kind| kind.backend().to_string()).collect();
+        let backends: Vec<String> = site
+            .kinds
+            .iter()
+            .map(|kind| kind.backend().to_string())
+            .collect();
         let backends: Vec<&str> = backends.iter().map(String::as_str).collect();
         let front = |(n, proxy): (usize, &pondarch_settings::site::Proxy)| Front {
             holding: Holding::new(&proxy.name, n as u64 + 1, &backends),
@@ -107,7 +120,10 @@
             What::Known(known) => self.give(Input::Recovered(known.clone())),
             What::List { version, hosts } => {
                 self.listed(hosts);
-                self.give(Input::List { version: *version, hosts: hosts.clone() });
+                self.give(Input::List {
+                    version: *version,
+                    hosts: hosts.clone(),
+                });
             }
             What::Proxy { proxy, up } => {
                 let Some(n) = place(*proxy) else { return };
@@ -115,27 +131,51 @@
                 front.up = *up;
                 front.lines.clear();
                 if let Some(conn) = front.conn.take().filter(|_| !up) {
-                    self.give(Input::Lost { proxy: n, conn, why: "as recorded".into() });
+                    self.give(Input::Lost {
+                        proxy: n,
+                        conn,
+                        why: "as recorded".into(),
+                    });
                 }
             }
             What::Traffic { proxy, reqs, met } => {
                 let Some(n) = place(*proxy) else { return };
                 self.fronts[usize::from(n)].traffic(reqs, met);
             }
-            What::Probed { host, for_load, good, load } => {
+            What::Probed {
+                host,
+                for_load,
+                good,
+                load,
+            } => {
                 let (host, load) = (host.clone(), *load);
-                self.give(Input::Probed { host, for_load: *for_load, good: *good, load });
+                self.give(Input::Probed {
+                    host,
+                    for_load: *for_load,
+                    good: *good,
+                    load,
+                });
             }
             What::Asked { proxy } => {
                 let view = self.core.view();
                 let mark = u64::from(proxy.unwrap_or(0));
                 let asked = proxy.and_then(place).map(pondarch::types::ProxyId);
-                let table = view.table_of(asked, pondarch::types::KindId(0), mark).map(|table| table.0);
+                let table = view
+                    .table_of(asked, pondarch::types::KindId(0), mark)
+                    .map(|table| table.0);
                 let proxy = asked.or_else(|| view.stranger(mark)).map(|id| id.0);
-                self.give(Input::AskedByName { proxy, table, serial: view.serial });
+                self.give(Input::AskedByName {
+                    proxy,
+                    table,
+                    serial: view.serial,
+                });
             }
             What::Operator { level, line } => {
-                self.give(Input::Command { caller: 0, level: *level, line: line.clone() });
+                self.give(Input::Command {
+                    caller: 0,
+                    level: *level,
+                    line: line.clone(),
+                });
             }
         }
         self.settle();
@@ -162,7 +202,9 @@
                 let own: BTreeMap<_, _> = own.map(|(name, addr)| (name.clone(), *addr)).collect();
                 for backend in front.holding.backends.values_mut() {
                     let server = |addr: &_| Server::new(*addr, 100, AdminState::Ready);
-                    backend.servers.extend(own.iter().map(|(name, addr)| (name.clone(), server(addr))));
+                    backend
+                        .servers
+                        .extend(own.iter().map(|(name, addr)| (name.clone(), server(addr))));
                 }
             }
         }
@@ -172,7 +214,9 @@
     fn run(&mut self, until: u64) {
         self.settle();
         loop {
-            let wake = (self.core.wake_at() - Time::default()).as_micros().max(self.now + 1);
+            let wake = (self.core.wake_at() - Time::default())
+                .as_micros()
+                .max(self.now + 1);
             if wake > until {
                 break;
             }
@@ -190,7 +234,9 @@
                 self.give(input);
                 continue;
             }
-            let Some(n) = self.fronts.iter().position(|front| !front.lines.is_empty()) else { break };
+            let Some(n) = self.fronts.iter().position(|front| !front.lines.is_empty()) else {
+                break;
+            };
             self.answer(n);
         }
         self.look();
@@ -206,16 +252,26 @@
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial { proxy, conn } => {
-                let Some(front) = self.fronts.get_mut(usize::from(proxy)) else { return };
+                let Some(front) = self.fronts.get_mut(usize::from(proxy)) else {
+                    return;
+                };
                 front.conn = front.up.then_some(conn);
                 self.events.push_back(match front.up {
                     true => Input::Connected { proxy, conn },
-                    false => Input::Lost { proxy, conn, why: "as recorded".into() },
+                    false => Input::Lost {
+                        proxy,
+                        conn,
+                        why: "as recorded".into(),
+                    },
                 });
             }
             Output::Write { proxy, conn, lines } => {
-                let Some(front) = self.fronts.get_mut(usize::from(proxy)) else { return };
-                front.lines.extend(lines.into_iter().map(|line| (conn, line)));
+                let Some(front) = self.fronts.get_mut(usize::from(proxy)) else {
+                    return;
+                };
+                front
+                    .lines
+                    .extend(lines.into_iter().map(|line| (conn, line)));
             }
             Output::Hangup { proxy, conn } => {
                 if let Some(front) = self.fronts.get_mut(usize::from(proxy)) {
@@ -224,8 +280,8 @@
                 }
             }
             Output::Solve { number, fleet } => {
-                let plan =
-                    pondarch_weights::solve(&fleet, Default::default()).map_err(|wrong| wrong.to_string());
+                let plan = pondarch_weights::solve(&fleet, Default::default())
+                    .map_err(|wrong| wrong.to_string());
                 self.events.push_back(Input::Solved { number, plan });
             }
             Output::Event(event) => self.noted(event),
@@ -242,11 +298,16 @@
 
     fn answer(&mut self, n: usize) {
         let front = &mut self.fronts[n];
-        let Some((conn, line)) = front.lines.pop_front() else { return };
+        let Some((conn, line)) = front.lines.pop_front() else {
+            return;
+        };
         if front.conn != Some(conn) {
             return;
         }
-        let orders = command::parse_line(&line).iter().flatten().any(Holding::is_order);
+        let orders = command::parse_line(&line)
+            .iter()
+            .flatten()
+            .any(Holding::is_order);
         if orders {
             let window = self.site.channel.message_window.0.as_micros();
             front.messages.push_back(self.now);
@@ -254,7 +315,11 @@
             self.played.messages_most = self.played.messages_most.max(front.messages.len() as u64);
         }
         for text in front.holding.line(&line) {
-            self.events.push_back(Input::Answer { proxy: n as u16, conn, text });
+            self.events.push_back(Input::Answer {
+                proxy: n as u16,
+                conn,
+                text,
+            });
         }
     }
 
@@ -290,7 +355,8 @@
             let serves = |backend: &pondarch_proxy_rules::holding::Backend| {
                 backend.servers.values().any(Server::serves)
             };
-            let bare = joined && !self.ready.is_empty() && !front.holding.backends.values().all(serves);
+            let bare =
+                joined && !self.ready.is_empty() && !front.holding.backends.values().all(serves);
             match (bare, front.bare_since) {
                 (true, since) => {
                     let since = since.unwrap_or(self.now);
@@ -325,7 +391,8 @@
         }
         for met in met {
             let backend = self.holding.backends.get_mut(&met.backend);
-            let Some(server) = backend.and_then(|backend| backend.servers.get_mut(&met.host)) else {
+            let Some(server) = backend.and_then(|backend| backend.servers.get_mut(&met.host))
+            else {
                 continue;
             };
             server.total += met.done + met.errored;
--- a/crates/history/src/record.rs
+++ b/crates/history/src/record.rs
@@ -66,12 +66,16 @@
 impl Decision {
     pub fn of(output: Output) -> Decision {
         match output {
-            Output::Reply { caller, text } => {
-                Decision::Reply { caller, crc: crc32fast::hash(text.as_bytes()) }
-            }
+            Output::Reply { caller, text } => Decision::Reply {
+                caller,
+                crc: crc32fast::hash(text.as_bytes()),
+            },
             Output::Solve { number, fleet } => {
                 let bytes = rmp_serde::to_vec(&fleet).unwrap_or_default();
-                Decision::Solve { number, crc: crc32fast::hash(&bytes) }
+                Decision::Solve {
+                    number,
+                    crc: crc32fast::hash(&bytes),
+                }
             }
             other => Decision::Output(other),
         }
--- a/crates/history/src/recover.rs
+++ b/crates/history/src/recover.rs
@@ -29,15 +29,27 @@
 /// Errors: the folder cannot be read at all. What is torn or missing is told in `flaws`.
 pub fn recover(disk: &impl Disk, site: &Site) -> Result<Recovery, HistoryError> {
     let (places, flaws) = runs::places(disk)?;
-    let mut found = Recovery { flaws, ..Recovery::default() };
-    found.epoch = places.iter().map(|place| place.head.epoch).max().unwrap_or(0);
+    let mut found = Recovery {
+        flaws,
+        ..Recovery::default()
+    };
+    found.epoch = places
+        .iter()
+        .map(|place| place.head.epoch)
+        .max()
+        .unwrap_or(0);
     let snapshot = newest_snapshot(disk, &mut found)?;
-    let from = snapshot.as_ref().map_or((0, 0), |snapshot| (snapshot.epoch, snapshot.n));
+    let from = snapshot
+        .as_ref()
+        .map_or((0, 0), |snapshot| (snapshot.epoch, snapshot.n));
     let at = Time::from_micros(snapshot.as_ref().map_or(0, |snapshot| snapshot.at_us));
     // Its own chance and marks are nobody's: what it decides is not carried out.
     let mut core = Core::new(site, 0, 0, 0, at);
     let mut knows = false;
-    if let Some(Snapshot { at_us, boot, known, .. }) = snapshot {
+    if let Some(Snapshot {
+        at_us, boot, known, ..
+    }) = snapshot
+    {
         (found.last_us, found.boot, knows) = (at_us, boot, true);
         give(&mut core, at, Input::Recovered(Box::new(known)));
     }
@@ -60,8 +72,12 @@
                 }
                 Record::Input { n, at_us, input } if (epoch, n) > from => {
                     if let Some((first, last)) = numbers.missing(epoch, n) {
-                        let what = format!("inputs {first} to {last} of the run before it are missing");
-                        missing.push(Flaw { name: name.clone(), what });
+                        let what =
+                            format!("inputs {first} to {last} of the run before it are missing");
+                        missing.push(Flaw {
+                            name: name.clone(),
+                            what,
+                        });
                     }
                     found.last_us = at_us;
                     if input.is_remembered() {
@@ -75,16 +91,22 @@
                 }
                 // The zone's serial is what the run gave out, not what a scratch core comes to.
                 Record::Decided { n, decisions } if (epoch, n) > from => {
-                    let mut views = decisions.iter().rev().filter_map(|decision| match decision {
-                        Decision::Output(Output::ViewChanged { serial }) => Some(*serial),
-                        _ => None,
-                    });
+                    let mut views = decisions
+                        .iter()
+                        .rev()
+                        .filter_map(|decision| match decision {
+                            Decision::Output(Output::ViewChanged { serial }) => Some(*serial),
+                            _ => None,
+                        });
                     serial = views.next().or(serial);
                 }
                 Record::Gap { first, last, why } if (epoch, last) > from => {
                     numbers.gap(epoch, last);
                     let what = format!("inputs {first} to {last} were not recorded: {why}");
-                    missing.push(Flaw { name: name.clone(), what });
+                    missing.push(Flaw {
+                        name: name.clone(),
+                        what,
+                    });
                 }
                 _ => {}
             }
@@ -110,7 +132,10 @@
     while core.next_output().is_some() {}
 }
 
-fn newest_snapshot(disk: &impl Disk, found: &mut Recovery) -> Result<Option<Snapshot>, HistoryError> {
+fn newest_snapshot(
+    disk: &impl Disk,
+    found: &mut Recovery,
+) -> Result<Option<Snapshot>, HistoryError> {
     for name in log::files(disk)?.1.into_iter().rev() {
         let read = frame::read(&disk.read(&name)?);
         let snapshot = match read {
@@ -138,7 +163,12 @@
         // Wholly before it: of an older run, or the next one of the run begins by then.
         place.head.epoch < from.0
             || place.head.epoch == from.0
-                && next.is_some_and(|next| next.head.epoch == from.0 && next.head.first <= from.1 + 1)
+                && next
+                    .is_some_and(|next| next.head.epoch == from.0 && next.head.first <= from.1 + 1)
     };
-    places.iter().enumerate().filter(move |of| !is_over(*of)).map(|(_, place)| place)
+    places
+        .iter()
+        .enumerate()
+        .filter(move |of| !is_over(*of))
+        .map(|(_, place)| place)
 }
--- a/crates/history/src/replay.rs
+++ b/crates/history/src/replay.rs
@@ -18,7 +18,10 @@
 
 impl Default for Span {
     fn default() -> Span {
-        Span { from: 0, to: u64::MAX }
+        Span {
+            from: 0,
+            to: u64::MAX,
+        }
     }
 }
 
@@ -93,11 +96,18 @@
             return Err(wrong);
         }
         if let Some(playing) = playing.as_mut().filter(|_| flaws.len() > torn_before) {
-            playing.report.stopped.get_or_insert("its records are torn".into());
+            playing
+                .report
+                .stopped
+                .get_or_insert("its records are torn".into());
         }
         if let Some(epoch) = without.take() {
-            let what = format!("the start of run {epoch} is not on record any more: it cannot be played");
-            flaws.push(Flaw { name: place.name.clone(), what });
+            let what =
+                format!("the start of run {epoch} is not on record any more: it cannot be played");
+            flaws.push(Flaw {
+                name: place.name.clone(),
+                what,
+            });
         }
     }
     done.extend(playing.map(Playing::end));
@@ -106,8 +116,8 @@
 
 impl Playing {
     fn start(start: &Start) -> Result<Playing, HistoryError> {
-        let site: Site =
-            site_from_text(&start.settings).map_err(|wrong| HistoryError::Settings(wrong.to_string()))?;
+        let site: Site = site_from_text(&start.settings)
+            .map_err(|wrong| HistoryError::Settings(wrong.to_string()))?;
         let at = Time::from_micros(start.at_us);
         Ok(Playing {
             core: Core::new(&site, start.seed, start.process, start.epoch, at),
@@ -148,8 +158,9 @@
                 self.report.inputs += 1;
                 self.report.spans = Duration::from_micros(at_us.saturating_sub(self.first_us));
                 self.core.handle(Time::from_micros(at_us), input.clone());
-                let decided: Vec<Decision> =
-                    std::iter::from_fn(|| self.core.next_output()).map(Decision::of).collect();
+                let decided: Vec<Decision> = std::iter::from_fn(|| self.core.next_output())
+                    .map(Decision::of)
+                    .collect();
                 self.report.decisions += decided.len() as u64;
                 self.last = Some((n, at_us, input, decided));
             }
@@ -159,25 +170,42 @@
                 }
             }
             Record::Gap { first, last, why } => {
-                self.report.stopped = Some(format!("inputs {first} to {last} were not recorded: {why}"));
+                self.report.stopped =
+                    Some(format!("inputs {first} to {last} were not recorded: {why}"));
             }
         }
     }
 
     /// Holds what was decided by the last input against the record of it; an input without one decided nothing.
     fn compare(&mut self, then: Vec<Decision>, span: Span) {
-        let Some((n, at_us, input, now)) = self.last.take() else { return };
+        let Some((n, at_us, input, now)) = self.last.take() else {
+            return;
+        };
         if self.report.differs.is_some() || n < span.from || n > span.to || then == now {
             return;
         }
-        let same = then.iter().zip(&now).take_while(|(then, now)| then == now).count();
+        let same = then
+            .iter()
+            .zip(&now)
+            .take_while(|(then, now)| then == now)
+            .count();
         let (then, now) = (then.get(same).cloned(), now.get(same).cloned());
-        self.report.differs = Some(Difference { n, at_us, input, then, now });
+        self.report.differs = Some(Difference {
+            n,
+            at_us,
+            input,
+            then,
+            now,
+        });
     }
 
     fn end(mut self) -> Replayed {
         // The record of the last input may be the one thing that was torn off.
-        if self.report.stopped.is_none() && self.last.as_ref().is_some_and(|(.., decided)| decided.is_empty())
+        if self.report.stopped.is_none()
+            && self
+                .last
+                .as_ref()
+                .is_some_and(|(.., decided)| decided.is_empty())
         {
             self.compare(Vec::new(), Span::default());
         }
--- a/crates/history/src/runs.rs
+++ b/crates/history/src/runs.rs
@@ -41,14 +41,20 @@
 ///
 /// Errors: the folder cannot be read.
 pub fn places(disk: &impl Disk) -> Result<(Vec<Place>, Vec<Flaw>), HistoryError> {
-    let sizes: BTreeMap<String, u64> =
-        disk.list()?.into_iter().map(|(name, bytes, _)| (name, bytes)).collect();
+    let sizes: BTreeMap<String, u64> = disk
+        .list()?
+        .into_iter()
+        .map(|(name, bytes, _)| (name, bytes))
+        .collect();
     let (mut places, mut flaws) = (Vec::new(), Vec::new());
     for name in log::files(disk)?.0 {
         let bytes = sizes.get(&name).copied().unwrap_or(0);
         match segment::read_head(&disk.read_head(&name, segment::HEAD)?) {
             Ok(head) => places.push(Place { name, head, bytes }),
-            Err(wrong) => flaws.push(Flaw { name, what: wrong.to_string() }),
+            Err(wrong) => flaws.push(Flaw {
+                name,
+                what: wrong.to_string(),
+            }),
         }
     }
     Ok((places, flaws))
@@ -81,11 +87,23 @@
     }
     if unknown > 0 {
         let what = format!("{unknown} records are of no kind that this program knows");
-        flaws.push(Flaw { name: place.name.clone(), what });
+        flaws.push(Flaw {
+            name: place.name.clone(),
+            what,
+        });
     }
-    if let Some(End::At { offset, dropped, why }) = segment.end() {
-        let what = format!("{why}, at byte {offset}: the {dropped} bytes from there on are not read");
-        flaws.push(Flaw { name: place.name.clone(), what });
+    if let Some(End::At {
+        offset,
+        dropped,
+        why,
+    }) = segment.end()
+    {
+        let what =
+            format!("{why}, at byte {offset}: the {dropped} bytes from there on are not read");
+        flaws.push(Flaw {
+            name: place.name.clone(),
+            what,
+        });
     }
     Ok(())
 }
@@ -102,7 +120,9 @@
     pub fn missing(&mut self, epoch: u64, n: u64) -> Option<(u64, u64)> {
         let before = if self.epoch == epoch { self.last } else { None };
         (self.epoch, self.last) = (epoch, Some(n));
-        before.filter(|last| n > last + 1).map(|last| (last + 1, n - 1))
+        before
+            .filter(|last| n > last + 1)
+            .map(|last| (last + 1, n - 1))
     }
 
     /// A gap that is on record is none that is missing.
--- a/crates/history/src/scene.rs
+++ b/crates/history/src/scene.rs
@@ -84,14 +84,20 @@
 /// Errors: the folder cannot be read, or has no start of such a run.
 pub fn of_run(disk: &impl Disk, epoch: Option<u64>) -> Result<(Scene, Vec<Flaw>), HistoryError> {
     let (places, mut flaws) = runs::places(disk)?;
-    let epoch = epoch.or(places.iter().map(|place| place.head.epoch).max()).ok_or(HistoryError::Nothing)?;
+    let epoch = epoch
+        .or(places.iter().map(|place| place.head.epoch).max())
+        .ok_or(HistoryError::Nothing)?;
     let mut scene: Option<Scene> = None;
     let (mut counters, mut up): (BTreeMap<u16, Counters>, BTreeMap<u16, bool>) = Default::default();
     for place in places.iter().filter(|place| place.head.epoch == epoch) {
         runs::read(disk, place, &mut flaws, |_, record| {
             match (record, &mut scene) {
                 (Record::Start(start), _) => {
-                    scene = Some(Scene { settings: start.settings, at_us: start.at_us, course: Vec::new() });
+                    scene = Some(Scene {
+                        settings: start.settings,
+                        at_us: start.at_us,
+                        course: Vec::new(),
+                    });
                 }
                 (Record::Input { at_us, input, .. }, Some(scene)) => {
                     let after_us = at_us.saturating_sub(scene.at_us);
@@ -104,13 +110,17 @@
             true
         })?;
     }
-    let scene =
-        scene.ok_or_else(|| HistoryError::Scene(format!("the start of run {epoch} is not on record")))?;
+    let scene = scene
+        .ok_or_else(|| HistoryError::Scene(format!("the start of run {epoch} is not on record")))?;
     site_from_text(&scene.settings).map_err(|wrong| HistoryError::Settings(wrong.to_string()))?;
     Ok((scene, flaws))
 }
 
-fn what(input: Input, counters: &mut BTreeMap<u16, Counters>, up: &mut BTreeMap<u16, bool>) -> Option<What> {
+fn what(
+    input: Input,
+    counters: &mut BTreeMap<u16, Counters>,
+    up: &mut BTreeMap<u16, bool>,
+) -> Option<What> {
     match input {
         Input::Recovered(known) => Some(What::Known(known)),
         Input::List { version, hosts } => Some(What::List { version, hosts }),
@@ -121,8 +131,20 @@
         Input::Lost { proxy, .. } => {
             (up.insert(proxy, false) != Some(false)).then_some(What::Proxy { proxy, up: false })
         }
-        Input::Answer { proxy, text, .. } => traffic(proxy, &text, counters.entry(proxy).or_default()),
-        Input::Probed { host, for_load, good, load } => Some(What::Probed { host, for_load, good, load }),
+        Input::Answer { proxy, text, .. } => {
+            traffic(proxy, &text, counters.entry(proxy).or_default())
+        }
+        Input::Probed {
+            host,
+            for_load,
+            good,
+            load,
+        } => Some(What::Probed {
+            host,
+            for_load,
+            good,
+            load,
+        }),
         Input::Pushed { .. } => None,
         Input::AskedByName { proxy, .. } => Some(What::Asked { proxy }),
         Input::Command { level, line, .. } => {
@@ -160,7 +182,13 @@
                 let (done, errored) = (more(now.0, then.0), more(now.1, then.1));
                 if done + errored > 0 {
                     let done_ms = more(now.2, then.2);
-                    met.push(Met { backend: row.backend, host: row.server, done, errored, done_ms });
+                    met.push(Met {
+                        backend: row.backend,
+                        host: row.server,
+                        done,
+                        errored,
+                        done_ms,
+                    });
                 }
             }
             _ => {}
--- a/crates/history/tests/recovery.rs
+++ b/crates/history/tests/recovery.rs
@@ -15,8 +15,11 @@
 const START: u64 = 1_800_000_000_000_000;
 
 fn settings(dns: bool) -> String {
-    let dns =
-        if dns { r#", "dns": {"zone": "pond.test", "listen": "127.0.0.1:0", "grace": "6 s"}"# } else { "" };
+    let dns = if dns {
+        r#", "dns": {"zone": "pond.test", "listen": "127.0.0.1:0", "grace": "6 s"}"#
+    } else {
+        ""
+    };
     format!(
         r#"{{"name": "s", "zones": ["ede", "arnhem"],
         "kinds": [{{"name": "proof", "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"}}],
@@ -61,14 +64,28 @@
 fn keep(segment_bytes: u64) -> Keep {
     // Times here are not those of the files.
     let age = pondarch_records::keeping::ALWAYS;
-    Keep { segment_bytes, all_bytes: 1 << 30, age, sure_within: pondarch::types::Span::from_millis(100) }
+    Keep {
+        segment_bytes,
+        all_bytes: 1 << 30,
+        age,
+        sure_within: pondarch::types::Span::from_millis(100),
+    }
 }
 
 impl<D: Disk> Run<D> {
     fn start(disk: D, segment_bytes: u64, dns: bool, epoch: u64, now: u64) -> Run<D> {
         let core = Core::new(&site(dns), 7, 1, epoch, Time::from_micros(now));
         let log = Log::new(disk, keep(segment_bytes), epoch).expect("a folder");
-        let mut run = Run { core, log, epoch, n: 0, now, version: 0, known: Vec::new(), gap: None };
+        let mut run = Run {
+            core,
+            log,
+            epoch,
+            n: 0,
+            now,
+            version: 0,
+            known: Vec::new(),
+            gap: None,
+        };
         let start = Start {
             program: "test".into(),
             settings: settings(dns),
@@ -88,13 +105,30 @@
         self.n += 1;
         let (n, at) = (self.n, Time::from_micros(self.now));
         self.core.handle(at, input.clone());
-        let decisions: Vec<Decision> =
-            std::iter::from_fn(|| self.core.next_output()).map(Decision::of).collect();
+        let decisions: Vec<Decision> = std::iter::from_fn(|| self.core.next_output())
+            .map(Decision::of)
+            .collect();
         let mut frames = Vec::new();
         if let Some((first, last)) = self.gap {
-            frame::write(&mut frames, &Record::Gap { first, last, why: "full".into() }.bytes());
+            frame::write(
+                &mut frames,
+                &Record::Gap {
+                    first,
+                    last,
+                    why: "full".into(),
+                }
+                .bytes(),
+            );
         }
-        frame::write(&mut frames, &Record::Input { n, at_us: self.now, input }.bytes());
+        frame::write(
+            &mut frames,
+            &Record::Input {
+                n,
+                at_us: self.now,
+                input,
+            }
+            .bytes(),
+        );
         if !decisions.is_empty() {
             frame::write(&mut frames, &Record::Decided { n, decisions }.bytes());
         }
@@ -103,23 +137,43 @@
         } else {
             self.gap = Some((self.gap.map_or(n, |(first, _)| first), n));
         }
-        self.known.push(Remembered { at_us: self.now, ..self.core.remembered() });
+        self.known.push(Remembered {
+            at_us: self.now,
+            ..self.core.remembered()
+        });
     }
 
     fn snapshot(&mut self) {
         let known = self.core.remembered();
-        self.known.push(Remembered { at_us: self.now, ..known.clone() });
-        let snapshot = Snapshot { epoch: self.epoch, n: self.n, at_us: self.now, boot: None, known };
-        self.log.snapshot(Time::from_micros(self.now), &snapshot.bytes());
+        self.known.push(Remembered {
+            at_us: self.now,
+            ..known.clone()
+        });
+        let snapshot = Snapshot {
+            epoch: self.epoch,
+            n: self.n,
+            at_us: self.now,
+            boot: None,
+            known,
+        };
+        self.log
+            .snapshot(Time::from_micros(self.now), &snapshot.bytes());
     }
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List { version: Some(self.version), hosts });
+        self.give(Input::List {
+            version: Some(self.version),
+            hosts,
+        });
     }
 
     fn command(&mut self, line: &str) {
-        self.give(Input::Command { caller: 1, level: 2, line: line.into() });
+        self.give(Input::Command {
+            caller: 1,
+            level: 2,
+            line: line.into(),
+        });
     }
 }
 
@@ -144,7 +198,11 @@
 ];
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop_oneof![Just(HostState::Ready), Just(HostState::Drain), Just(HostState::Gone)];
+    let state = prop_oneof![
+        Just(HostState::Ready),
+        Just(HostState::Drain),
+        Just(HostState::Gone)
+    ];
     prop_oneof![
         3 => (10..9_000u64).prop_map(Step::Wait),
         3 => (0..8usize, state).prop_map(|(n, state)| Step::Standing(n, state)),
@@ -178,13 +236,21 @@
             Step::Ask => {
                 let view = run.core.view();
                 let proxy = view.strangers.first().map(|id| id.0);
-                let table = view.table_of(None, pondarch::types::KindId(0), 5).map(|table| table.0);
-                run.give(Input::AskedByName { proxy, table, serial: view.serial });
+                let table = view
+                    .table_of(None, pondarch::types::KindId(0), 5)
+                    .map(|table| table.0);
+                run.give(Input::AskedByName {
+                    proxy,
+                    table,
+                    serial: view.serial,
+                });
             }
             Step::Noise(len) => {
                 // Nothing that packs well.
                 let mut chance = fastrand::Rng::with_seed(run.n);
-                run.give(Input::ListRefused { wrong: (0..*len).map(|_| chance.alphanumeric()).collect() });
+                run.give(Input::ListRefused {
+                    wrong: (0..*len).map(|_| chance.alphanumeric()).collect(),
+                });
             }
             Step::Snapshot => run.snapshot(),
         }
@@ -197,8 +263,11 @@
 
 /// The newest segment of a folder.
 fn last_segment(folder: &Path) -> std::path::PathBuf {
-    let name =
-        pondarch_records::log::files(&Folder::look(folder)).expect("files").0.pop().expect("a segment");
+    let name = pondarch_records::log::files(&Folder::look(folder))
+        .expect("files")
+        .0
+        .pop()
+        .expect("a segment");
     folder.join(name)
 }
 
@@ -288,15 +357,27 @@
 #[test]
 fn one_decision_that_differs_is_shown_with_its_input() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut run = Run::start(Folder::lock(folder.path()).expect("a lock"), 1 << 20, false, START, START);
-    course(&mut run, &[Step::Wait(2_000), Step::Standing(3, HostState::Drain)]);
+    let mut run = Run::start(
+        Folder::lock(folder.path()).expect("a lock"),
+        1 << 20,
+        false,
+        START,
+        START,
+    );
+    course(
+        &mut run,
+        &[Step::Wait(2_000), Step::Standing(3, HostState::Drain)],
+    );
     run.log.end(Time::from_micros(run.now));
     let segment = last_segment(folder.path());
     let bytes = std::fs::read(&segment).expect("it can be read");
     let mut changed = bytes[..pondarch_records::segment::HEAD].to_vec();
     for record in pondarch_records::Segment::open(&bytes).expect("a segment") {
         let record = match Record::read(&record).expect("a record") {
-            Record::Decided { n: 3, mut decisions } => {
+            Record::Decided {
+                n: 3,
+                mut decisions,
+            } => {
                 decisions.remove(0);
                 Record::Decided { n: 3, decisions }
             }
@@ -309,14 +390,21 @@
     let difference = runs[0].differs.clone().expect("a difference");
     assert_eq!(difference.n, 3);
     assert!(matches!(difference.input, Input::List { .. }) && difference.now.is_some());
-    let (runs, _) = replay(&Folder::look(folder.path()), Span { from: 4, to: 9 }).expect("it can be read");
+    let (runs, _) =
+        replay(&Folder::look(folder.path()), Span { from: 4, to: 9 }).expect("it can be read");
     assert_eq!(runs[0].differs, None, "not asked for");
 }
 
 #[test]
 fn a_missing_segment_and_a_newer_format_are_named_and_the_rest_is_read() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut run = Run::start(Folder::lock(folder.path()).expect("a lock"), 4_000, false, START, START);
+    let mut run = Run::start(
+        Folder::lock(folder.path()).expect("a lock"),
+        4_000,
+        false,
+        START,
+        START,
+    );
     course(&mut run, &[const { Step::Noise(300) }; 30]);
     run.command("set server hosts/host-5 state drain");
     run.log.end(Time::from_micros(run.now));
@@ -329,21 +417,49 @@
     newer[28..32].copy_from_slice(&crc.to_le_bytes());
     std::fs::write(folder.path().join(&names[2]), newer).expect("written");
     let recovery = found(folder.path(), false);
-    let text: Vec<String> =
-        recovery.flaws.iter().map(|flaw| format!("{}: {}", flaw.name, flaw.what)).collect();
-    assert!(text.iter().any(|what| what.contains("format 9")), "{text:?}");
-    assert!(text.iter().any(|what| what.contains("are missing")), "{text:?}");
-    let drained = |host: &&pondarch_steward::remembered::RememberedHost| host.standing == HostState::Drain;
-    assert_eq!(recovery.known.expect("known").hosts().iter().filter(drained).count(), 1);
+    let text: Vec<String> = recovery
+        .flaws
+        .iter()
+        .map(|flaw| format!("{}: {}", flaw.name, flaw.what))
+        .collect();
+    assert!(
+        text.iter().any(|what| what.contains("format 9")),
+        "{text:?}"
+    );
+    assert!(
+        text.iter().any(|what| what.contains("are missing")),
+        "{text:?}"
+    );
+    let drained =
+        |host: &&pondarch_steward::remembered::RememberedHost| host.standing == HostState::Drain;
+    assert_eq!(
+        recovery
+            .known
+            .expect("known")
+            .hosts()
+            .iter()
+            .filter(drained)
+            .count(),
+        1
+    );
     let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
-    assert!(runs[0].stopped.as_ref().is_some_and(|why| why.contains("missing")), "{:?}", runs[0].stopped);
+    assert!(
+        runs[0]
+            .stopped
+            .as_ref()
+            .is_some_and(|why| why.contains("missing")),
+        "{:?}",
+        runs[0].stopped
+    );
 }
 
 /// The checksum of a head, as the format states it.
 fn frame_crc(bytes: &[u8]) -> u32 {
     // CRC-32 by its definition: reversed polynomial, all ones before and after.
     !bytes.iter().fold(!0u32, |crc, byte| {
-        (0..8).fold(crc ^ u32::from(*byte), |crc, _| (crc >> 1) ^ (0xedb8_8320 & (crc & 1).wrapping_neg()))
+        (0..8).fold(crc ^ u32::from(*byte), |crc, _| {
+            (crc >> 1) ^ (0xedb8_8320 & (crc & 1).wrapping_neg())
+        })
     })
 }
 
@@ -361,7 +477,9 @@
     }
     assert!(run.gap.is_some(), "it is full");
     assert!(
-        run.known.last().is_some_and(|known| known.hosts()[5].standing == HostState::Drain),
+        run.known
+            .last()
+            .is_some_and(|known| known.hosts()[5].standing == HostState::Drain),
         "deciding goes on"
     );
     run.log.disk().room = None;
@@ -371,10 +489,17 @@
     let known = run.known.last().cloned().expect("known");
     run.log.end(Time::from_micros(run.now));
     let recovery = found(folder.path(), false);
-    assert_eq!(recovery.known.expect("known").list, known.list, "the snapshot after the gap has it all");
+    assert_eq!(
+        recovery.known.expect("known").list,
+        known.list,
+        "the snapshot after the gap has it all"
+    );
     let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
     let stopped = runs[0].stopped.clone().expect("it stops");
-    assert!(runs[0].inputs < full_from + 6 && runs[0].differs.is_none(), "{stopped}");
+    assert!(
+        runs[0].inputs < full_from + 6 && runs[0].differs.is_none(),
+        "{stopped}"
+    );
 }
 
 /// A clock that went back by ten minutes while the steward was down, and one that went on by ten.
@@ -386,19 +511,41 @@
         while core.next_output().is_some() {}
     };
     let hosts: Vec<_> = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
-    give(&mut core, START, Input::List { version: Some(1), hosts: hosts.clone() });
+    give(
+        &mut core,
+        START,
+        Input::List {
+            version: Some(1),
+            hosts: hosts.clone(),
+        },
+    );
     let mut later = hosts;
     later.push(host(8, HostState::Ready, None));
     later[2].state = HostState::Drain;
-    give(&mut core, START + 5_000_000, Input::List { version: Some(2), hosts: later });
+    give(
+        &mut core,
+        START + 5_000_000,
+        Input::List {
+            version: Some(2),
+            hosts: later,
+        },
+    );
     let known = core.remembered();
     for jump in [-600_000_000i64, 600_000_000] {
         // 3 s later by the machine's own count.
         let now = (START as i64 + 8_000_000 + jump) as u64;
         let moved = known.clone().by_clock(now, 3_000_000);
         let of = |n: usize| moved.hosts()[n].clone();
-        assert_eq!(now - of(2).told_away_us.expect("told"), 3_000_000, "the drain was told 3 s ago");
-        assert_eq!(now - of(8).started_us, 3_000_000, "the host is 3 s old, and cold");
+        assert_eq!(
+            now - of(2).told_away_us.expect("told"),
+            3_000_000,
+            "the drain was told 3 s ago"
+        );
+        assert_eq!(
+            now - of(8).started_us,
+            3_000_000,
+            "the host is 3 s old, and cold"
+        );
         assert_eq!(of(0).started_us, 0, "this one has long run");
     }
 }
@@ -408,7 +555,13 @@
 fn a_host_replaced_under_its_name_while_the_steward_was_down_is_cold() {
     let mut first = Core::new(&site(false), 7, 1, START, Time::from_micros(START));
     let hosts: Vec<_> = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
-    first.handle(Time::from_micros(START), Input::List { version: Some(4), hosts: hosts.clone() });
+    first.handle(
+        Time::from_micros(START),
+        Input::List {
+            version: Some(4),
+            hosts: hosts.clone(),
+        },
+    );
     let known = first.remembered();
     let at = START + 60_000_000;
     let mut next = Core::new(&site(false), 9, 2, START + 1, Time::from_micros(at));
@@ -416,11 +569,26 @@
     let mut later = hosts;
     later[3].address.set_port(9_000);
     later[4].started = Some((at - 2_000_000) as f64 / 1e6);
-    next.handle(Time::from_micros(at + 10), Input::List { version: Some(5), hosts: later.clone() });
+    next.handle(
+        Time::from_micros(at + 10),
+        Input::List {
+            version: Some(5),
+            hosts: later.clone(),
+        },
+    );
     let started = |core: &Core, n: usize| core.remembered().hosts()[n].started_us;
-    assert_eq!((started(&next, 3), started(&next, 4), started(&next, 5)), (at + 10, at - 2_000_000, 0));
+    assert_eq!(
+        (started(&next, 3), started(&next, 4), started(&next, 5)),
+        (at + 10, at - 2_000_000, 0)
+    );
     // An older copy of the file is refused also over a restart.
-    next.handle(Time::from_micros(at + 20), Input::List { version: Some(3), hosts: Vec::new() });
+    next.handle(
+        Time::from_micros(at + 20),
+        Input::List {
+            version: Some(3),
+            hosts: Vec::new(),
+        },
+    );
     assert_eq!(next.remembered().hosts().len(), 8);
 }
 
@@ -435,11 +603,24 @@
         core.handle(Time::from_micros(now), input);
         while core.next_output().is_some() {}
     };
-    give(&mut core, Input::Command { caller: 1, level: 3, line: "help".into() });
+    give(
+        &mut core,
+        Input::Command {
+            caller: 1,
+            level: 3,
+            line: "help".into(),
+        },
+    );
     for _ in 0..100 {
         give(&mut core, Input::Tick);
     }
     let hosts = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
-    give(&mut core, Input::List { version: Some(1), hosts });
+    give(
+        &mut core,
+        Input::List {
+            version: Some(1),
+            hosts,
+        },
+    );
     assert_eq!(core.remembered().hosts().len(), 8);
 }
--- a/crates/history/tests/stored_data/folder.rs
+++ b/crates/history/tests/stored_data/folder.rs
@@ -16,7 +16,11 @@
 fn copy(without: &[&str]) -> tempfile::TempDir {
     let copy = tempfile::tempdir().expect("a folder");
     for entry in std::fs::read_dir(fixtures().join("records-before-rename")).expect("the fixture") {
-        let name = entry.expect("a file").file_name().into_string().expect("a name");
+        let name = entry
+            .expect("a file")
+            .file_name()
+            .into_string()
+            .expect("a name");
         let kept = name.ends_with(".rec") || name.ends_with(".snap");
         if kept && !without.iter().any(|end| name.ends_with(end)) {
             let from = fixtures().join("records-before-rename").join(&name);
@@ -39,7 +43,11 @@
 /// What was recovered, in the names under which it is stored.
 fn recovered(folder: &Path) -> Value {
     let found = recover(&Folder::look(folder), &site(folder)).expect("it can be read");
-    let flaws: Vec<String> = found.flaws.iter().map(|flaw| format!("{}: {}", flaw.name, flaw.what)).collect();
+    let flaws: Vec<String> = found
+        .flaws
+        .iter()
+        .map(|flaw| format!("{}: {}", flaw.name, flaw.what))
+        .collect();
     assert!(flaws.is_empty(), "{flaws:?}");
     json!({"epoch": found.epoch, "last_us": found.last_us, "boot": stored(&found.boot),
         "inputs": found.inputs, "known": stored(&found.known)})
@@ -58,9 +66,18 @@
         .map(|host| {
             let entry = &host["entry"];
             let text = |key: &str| entry[key].as_str().unwrap_or("-").to_string();
-            let words = [text("name"), text("address"), text("zone"), text("rack"), text("machine")];
-            let since =
-                |key: &str| host[key].as_u64().map_or("-".into(), |at| at.saturating_sub(FIRST).to_string());
+            let words = [
+                text("name"),
+                text("address"),
+                text("zone"),
+                text("rack"),
+                text("machine"),
+            ];
+            let since = |key: &str| {
+                host[key]
+                    .as_u64()
+                    .map_or("-".into(), |at| at.saturating_sub(FIRST).to_string())
+            };
             let standing = host["standing"].as_str().unwrap_or("-");
             let (weight, cores) = (&entry["weight"], &entry["cores"]);
             format!(
@@ -82,15 +99,22 @@
     let found = recovered(folder.path());
     let due = expected("recovered.json");
     let of_log = json!({"list": found["known"]["list"], "zones": found["known"]["zones"]});
-    assert_eq!(of_log, json!({"list": due["known"]["list"], "zones": due["known"]["zones"]}));
-    assert_eq!((&found["epoch"], &found["last_us"]), (&due["epoch"], &due["last_us"]));
+    assert_eq!(
+        of_log,
+        json!({"list": due["known"]["list"], "zones": due["known"]["zones"]})
+    );
+    assert_eq!(
+        (&found["epoch"], &found["last_us"]),
+        (&due["epoch"], &due["last_us"])
+    );
 }
 
 /// Texts for operators and fleets for the solver are held against their checksums as well.
 #[test]
 fn both_runs_replay_to_the_same_decisions() {
     let folder = copy(&[]);
-    let (runs, flaws) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+    let (runs, flaws) =
+        replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
     assert!(flaws.is_empty());
     let told: Vec<Value> = runs
         .iter()
@@ -109,13 +133,20 @@
 fn in_order(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
-            let fields: BTreeMap<&String, String> =
-                fields.iter().map(|(key, value)| (key, in_order(value))).collect();
-            let fields: Vec<String> =
-                fields.iter().map(|(key, value)| format!("\"{key}\":{value}")).collect();
+            let fields: BTreeMap<&String, String> = fields
+                .iter()
+                .map(|(key, value)| (key, in_order(value)))
+                .collect();
+            let fields: Vec<String> = fields
+                .iter()
+                .map(|(key, value)| format!("\"{key}\":{value}"))
+                .collect();
             format!("{{{}}}", fields.join(","))
         }
-        Value::Array(values) => format!("[{}]", values.iter().map(in_order).collect::<Vec<_>>().join(",")),
+        Value::Array(values) => format!(
+            "[{}]",
+            values.iter().map(in_order).collect::<Vec<_>>().join(",")
+        ),
         other => other.to_string(),
     }
 }
@@ -125,7 +156,9 @@
     let folder = copy(&[]);
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
     let flaws = export::rows(&Folder::look(folder.path()), |row| {
-        *counts.entry(format!("{} {}", row.of, row.what)).or_default() += 1;
+        *counts
+            .entry(format!("{} {}", row.of, row.what))
+            .or_default() += 1;
         let value: Value = serde_json::from_str(&row.text).expect("JSON");
         let whose = [row.proxy.unwrap_or_default(), row.host.unwrap_or_default()].join(" ");
         let (epoch, n, at_us) = (row.epoch, row.n, row.at_us);
@@ -134,7 +167,10 @@
     })
     .expect("rows");
     assert!(flaws.is_empty());
-    let mut told: String = counts.iter().map(|(name, many)| format!("{name} {many}\n")).collect();
+    let mut told: String = counts
+        .iter()
+        .map(|(name, many)| format!("{name} {many}\n"))
+        .collect();
     told += &format!("checksum {:08x}\n", checksum.finalize());
     assert_eq!(told, text("rows.txt"));
 }
@@ -152,7 +188,12 @@
         .sum();
     assert_eq!(rows, due);
     for column in ["epoch", "n", "at_us", "of", "what", "proxy", "host", "text"] {
-        assert!(bytes.windows(column.len()).any(|window| window == column.as_bytes()), "{column}");
+        assert!(
+            bytes
+                .windows(column.len())
+                .any(|window| window == column.as_bytes()),
+            "{column}"
+        );
     }
 }
 
--- a/crates/intake/src/account.rs
+++ b/crates/intake/src/account.rs
@@ -18,8 +18,13 @@
     Connections,
 }
 
-pub const PURPOSES: [Purpose; 5] =
-    [Purpose::Reports, Purpose::Tables, Purpose::Waiting, Purpose::Records, Purpose::Connections];
+pub const PURPOSES: [Purpose; 5] = [
+    Purpose::Reports,
+    Purpose::Tables,
+    Purpose::Waiting,
+    Purpose::Records,
+    Purpose::Connections,
+];
 
 impl Purpose {
     pub fn word(self) -> &'static str {
@@ -46,9 +51,13 @@
     /// What is done at the cap.
     pub fn at_cap(self) -> &'static str {
         match self {
-            Purpose::Reports => "what senders' figures are checked by is dropped, the largest first",
+            Purpose::Reports => {
+                "what senders' figures are checked by is dropped, the largest first"
+            }
             Purpose::Tables => "what is kept ready of tables that no proxy uses is dropped",
-            Purpose::Waiting => "who does not read is given no more, and hung up at the answer limit",
+            Purpose::Waiting => {
+                "who does not read is given no more, and hung up at the answer limit"
+            }
             Purpose::Records => "a gap is recorded",
             Purpose::Connections => "no more are taken",
         }
@@ -89,7 +98,11 @@
     /// As operators read it: one line a purpose.
     pub fn lines(&self) -> impl Iterator<Item = (String, String)> {
         PURPOSES.into_iter().map(|purpose| {
-            let Used { bytes, most, capped } = self.of(purpose);
+            let Used {
+                bytes,
+                most,
+                capped,
+            } = self.of(purpose);
             let text = format!(
                 "{bytes} of {} bytes, {most} at most, at the cap {capped} times: then {}",
                 purpose.cap(),
--- a/crates/intake/src/choice.rs
+++ b/crates/intake/src/choice.rs
@@ -32,12 +32,20 @@
 
 impl Choice {
     pub fn new(seed: u64) -> Choice {
-        Choice { chance: fastrand::Rng::with_seed(seed) }
+        Choice {
+            chance: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// The places of those chosen: first those that were not told of for too long, then those that matter most, then a
     /// draw among the rest. `every`: time between two rounds.
-    pub fn among(&mut self, now: Time, every: Span, candidates: &[Candidate], budget: usize) -> Vec<usize> {
+    pub fn among(
+        &mut self,
+        now: Time,
+        every: Span,
+        candidates: &[Candidate],
+        budget: usize,
+    ) -> Vec<usize> {
         if candidates.len() <= budget {
             return (0..candidates.len()).collect();
         }
@@ -45,23 +53,33 @@
         let rounds = candidates.len().div_ceil(budget.max(1)).max(ROUNDS_MOST);
         let too_long = every.times(rounds as f64 - 0.5);
         let matters = |c: &Candidate| {
-            let fails = if c.tries > 0.0 { c.errored / c.tries } else { 0.0 };
+            let fails = if c.tries > 0.0 {
+                c.errored / c.tries
+            } else {
+                0.0
+            };
             let failing = if fails >= FAILS { 2.0 + fails } else { 0.0 };
             failing + f64::from(u8::from(c.changing)) + f64::from(u8::from(c.tries > mean * HEAVY))
         };
         let mut chosen: Vec<usize> = Vec::with_capacity(budget);
-        let mut overdue: Vec<usize> =
-            (0..candidates.len()).filter(|&n| now - candidates[n].told >= too_long).collect();
+        let mut overdue: Vec<usize> = (0..candidates.len())
+            .filter(|&n| now - candidates[n].told >= too_long)
+            .collect();
         overdue.sort_by_key(|&n| candidates[n].told);
         // Some room is left for what matters, however much is overdue.
         let kept = ((budget as f64 * MATTERS_PART) as usize).min(budget.saturating_sub(1));
-        let rest =
-            |chosen: &[usize]| (0..candidates.len()).filter(|n| !chosen.contains(n)).collect::<Vec<_>>();
-        let mut first: Vec<usize> =
-            (0..candidates.len()).filter(|&n| matters(&candidates[n]) > 0.0).collect();
+        let rest = |chosen: &[usize]| {
+            (0..candidates.len())
+                .filter(|n| !chosen.contains(n))
+                .collect::<Vec<_>>()
+        };
+        let mut first: Vec<usize> = (0..candidates.len())
+            .filter(|&n| matters(&candidates[n]) > 0.0)
+            .collect();
         first.sort_by(|&a, &b| {
             let by = matters(&candidates[b]).total_cmp(&matters(&candidates[a]));
-            by.then(candidates[a].told.cmp(&candidates[b].told)).then(a.cmp(&b))
+            by.then(candidates[a].told.cmp(&candidates[b].told))
+                .then(a.cmp(&b))
         });
         first.truncate(kept);
         chosen.extend(first);
--- a/crates/intake/src/clocks.rs
+++ b/crates/intake/src/clocks.rs
@@ -48,13 +48,20 @@
         let us = |at: Time| (at - Time::default()).as_micros() as i64;
         let drift = ((now - self.at).as_micros() as f64 * DRIFT) as i64;
         // What a sender says of our own words is believed only as far as they can have been said.
-        let told =
-            answers.filter(|(word, _)| *word <= now).map(|(word, had)| word + had).filter(|at| *at <= now);
+        let told = answers
+            .filter(|(word, _)| *word <= now)
+            .map(|(word, had)| word + had)
+            .filter(|at| *at <= now);
         let new_least = told.map(|at| us(at) - sent);
         let new_most = us(now) - sent;
-        let (least, most) = (self.least.map(|least| least - drift), self.most.map(|most| most + drift));
+        let (least, most) = (
+            self.least.map(|least| least - drift),
+            self.most.map(|most| most + drift),
+        );
         let jumped = least.is_some_and(|least| new_most + SLACK_US < least)
-            || most.zip(new_least).is_some_and(|(most, new)| new > most + SLACK_US);
+            || most
+                .zip(new_least)
+                .is_some_and(|(most, new)| new > most + SLACK_US);
         if jumped {
             (self.least, self.most) = (new_least, Some(new_most));
         } else {
@@ -64,7 +71,11 @@
         self.at = now;
         let ours = |difference: i64| Time::from_micros((sent + difference).max(0) as u64);
         let latest = ours(self.most.unwrap_or(new_most)).min(now);
-        Mapped { earliest: self.least.map(|least| ours(least).min(latest)), latest, jumped }
+        Mapped {
+            earliest: self.least.map(|least| ours(least).min(latest)),
+            latest,
+            jumped,
+        }
     }
 }
 
@@ -85,9 +96,16 @@
         // Its clock is 10 minutes behind; words take 5 ms there and 10 ms back.
         let theirs = |ms: u64| 1_000_000_000_000 + ms * 1_000 - 600_000_000;
         let first = clocks.came(at(10), theirs(0), None);
-        assert_eq!((first.earliest, first.latest), (None, at(10)), "nothing bounds it yet");
+        assert_eq!(
+            (first.earliest, first.latest),
+            (None, at(10)),
+            "nothing bounds it yet"
+        );
         let mapped = clocks.came(at(1_010), theirs(1_000), Some((at(15), MS(980))));
-        assert_eq!(mapped.error().map(|error| error.as_micros() / 1_000), Some(15));
+        assert_eq!(
+            mapped.error().map(|error| error.as_micros() / 1_000),
+            Some(15)
+        );
         assert!(mapped.earliest <= Some(at(1_000)) && at(1_000) <= mapped.latest);
         assert!(!mapped.jumped);
     }
@@ -113,9 +131,16 @@
                 assert!(!mapped.jumped);
             }
             let jumped = |ms: u64| (theirs(ms) as i64 + jump) as u64;
-            assert!(clocks.came(at(6_001), jumped(6_000), Some((at(6_000), Span::ZERO))).jumped, "{jump}");
+            assert!(
+                clocks
+                    .came(at(6_001), jumped(6_000), Some((at(6_000), Span::ZERO)))
+                    .jumped,
+                "{jump}"
+            );
             let after = clocks.came(at(7_001), jumped(7_000), Some((at(7_000), Span::ZERO)));
-            assert!(!after.jumped && after.earliest <= Some(at(7_000)) && after.latest >= at(7_000));
+            assert!(
+                !after.jumped && after.earliest <= Some(at(7_000)) && after.latest >= at(7_000)
+            );
         }
     }
 
--- a/crates/intake/src/order.rs
+++ b/crates/intake/src/order.rs
@@ -38,12 +38,24 @@
             if !first && run < self.run {
                 return Verdict::Late;
             }
-            *self = Order { run, newest: Some(number), seen: 1 };
-            return if first { Verdict::Newest { missing: 0 } } else { Verdict::Restarted };
+            *self = Order {
+                run,
+                newest: Some(number),
+                seen: 1,
+            };
+            return if first {
+                Verdict::Newest { missing: 0 }
+            } else {
+                Verdict::Restarted
+            };
         };
         if number > newest {
             let ahead = number - newest;
-            self.seen = if ahead < WINDOW { (self.seen << ahead) | 1 } else { 1 };
+            self.seen = if ahead < WINDOW {
+                (self.seen << ahead) | 1
+            } else {
+                1
+            };
             self.newest = Some(number);
             return Verdict::Newest { missing: ahead - 1 };
         }
@@ -81,10 +93,18 @@
         assert_eq!(order.came(1, 12), Verdict::Late, "of the run before");
         assert_eq!(order.came(2, 1), Verdict::Newest { missing: 0 });
         for _ in 0..100 {
-            assert_eq!(order.came(2, 1), Verdict::Doubled, "one that repeats a number says nothing new");
+            assert_eq!(
+                order.came(2, 1),
+                Verdict::Doubled,
+                "one that repeats a number says nothing new"
+            );
         }
         assert_eq!(order.came(2, 100), Verdict::Newest { missing: 98 });
-        assert_eq!(order.came(2, 0), Verdict::Restarted, "without another run's name");
+        assert_eq!(
+            order.came(2, 0),
+            Verdict::Restarted,
+            "without another run's name"
+        );
     }
 
     proptest! {
--- a/crates/intake/src/silence.rs
+++ b/crates/intake/src/silence.rs
@@ -31,13 +31,19 @@
 
     /// Whether a proxy was heard of lately.
     pub fn speaks(&self, now: Time, every: Span, proxy: ProxyId) -> bool {
-        self.heard.get(&proxy).is_some_and(|at| now - *at <= every.times(SILENT_AFTER))
+        self.heard
+            .get(&proxy)
+            .is_some_and(|at| now - *at <= every.times(SILENT_AFTER))
     }
 
     /// Proxies that were heard of and are silent.
     pub fn silent(&self, now: Time, every: Span) -> BTreeSet<ProxyId> {
         let limit = every.times(SILENT_AFTER);
-        self.heard.iter().filter(|(_, at)| now - **at > limit).map(|(id, _)| *id).collect()
+        self.heard
+            .iter()
+            .filter(|(_, at)| now - **at > limit)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Hosts that only silent proxies meet. `meets`: for each joined proxy, the hosts of its tables. Nobody is excused
@@ -49,15 +55,28 @@
         meets: &BTreeMap<ProxyId, BTreeSet<HostId>>,
     ) -> BTreeSet<HostId> {
         let silent = self.silent(now, every);
-        let lately = |id: &ProxyId| self.heard.get(id).is_some_and(|at| now - *at <= EXCUSED_FOR);
+        let lately = |id: &ProxyId| {
+            self.heard
+                .get(id)
+                .is_some_and(|at| now - *at <= EXCUSED_FOR)
+        };
         if silent.is_empty() || meets.keys().all(|id| silent.contains(id)) {
             return BTreeSet::new();
         }
         let silent = &silent;
-        let of = |wanted: bool| meets.iter().filter(move |(id, _)| silent.contains(id) == wanted);
+        let of = |wanted: bool| {
+            meets
+                .iter()
+                .filter(move |(id, _)| silent.contains(id) == wanted)
+        };
         let seen: BTreeSet<&HostId> = of(false).flat_map(|(_, hosts)| hosts).collect();
-        let unseen = of(true).filter(|(id, _)| lately(id)).flat_map(|(_, hosts)| hosts);
-        unseen.filter(|host| !seen.contains(host)).cloned().collect()
+        let unseen = of(true)
+            .filter(|(id, _)| lately(id))
+            .flat_map(|(_, hosts)| hosts);
+        unseen
+            .filter(|host| !seen.contains(host))
+            .cloned()
+            .collect()
     }
 }
 
@@ -73,17 +92,26 @@
     fn only_hosts_that_nobody_else_meets_are_excused_and_not_for_ever() {
         let every = Span::from_millis(1_000);
         let host = |name: &str| HostId(name.into());
-        let meets: BTreeMap<ProxyId, BTreeSet<HostId>> =
-            [(ProxyId(0), [host("a"), host("b")].into()), (ProxyId(1), [host("b"), host("c")].into())].into();
+        let meets: BTreeMap<ProxyId, BTreeSet<HostId>> = [
+            (ProxyId(0), [host("a"), host("b")].into()),
+            (ProxyId(1), [host("b"), host("c")].into()),
+        ]
+        .into();
         let mut silence = Silence::default();
         silence.heard(at(0), ProxyId(0));
         silence.heard(at(0), ProxyId(1));
         silence.heard(at(4_000), ProxyId(1));
         assert_eq!(silence.silent(at(4_000), every), [ProxyId(0)].into());
-        assert_eq!(silence.excused(at(4_000), every, &meets), [host("a")].into());
+        assert_eq!(
+            silence.excused(at(4_000), every, &meets),
+            [host("a")].into()
+        );
         // All at once: that is our trouble.
         assert!(silence.excused(at(8_000), every, &meets).is_empty());
         silence.heard(at(11_000), ProxyId(1));
-        assert!(silence.excused(at(11_000), every, &meets).is_empty(), "for too long");
+        assert!(
+            silence.excused(at(11_000), every, &meets).is_empty(),
+            "for too long"
+        );
     }
 }
--- a/crates/job-ticket/src/lib.rs
+++ b/crates/job-ticket/src/lib.rs
@@ -11,10 +11,18 @@
 pub struct NoObject;
 
 /// When proxies try again, by the numbers that settings and orders give them.
-const TRIES: [Tries; 4] = [Tries::Once, Tries::AgainIfNeverRun, Tries::AgainOnFailure, Tries::TwiceOnFailure];
+const TRIES: [Tries; 4] = [
+    Tries::Once,
+    Tries::AgainIfNeverRun,
+    Tries::AgainOnFailure,
+    Tries::TwiceOnFailure,
+];
 
 pub fn number_of_tries(tries: Tries) -> usize {
-    TRIES.iter().position(|known| *known == tries).expect("all are listed")
+    TRIES
+        .iter()
+        .position(|known| *known == tries)
+        .expect("all are listed")
 }
 
 /// Names that one steward's settings gave numbers to.
@@ -37,7 +45,10 @@
 
     /// The number of a zone that the settings or a list named; none for any other.
     pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones.iter().position(|zone| zone == name).map(|place| ZoneId(place as u16))
+        self.zones
+            .iter()
+            .position(|zone| zone == name)
+            .map(|place| ZoneId(place as u16))
     }
 
     /// What the values of a load report are called, in their order.
@@ -51,7 +62,10 @@
     }
 
     pub fn kind(&self, name: &str) -> Option<u8> {
-        self.kinds.iter().position(|kind| kind == name).map(|place| place as u8)
+        self.kinds
+            .iter()
+            .position(|kind| kind == name)
+            .map(|place| place as u8)
     }
 }
 
@@ -59,12 +73,15 @@
 const NAMES_MOST: usize = 4_096;
 
 fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
-    let place = names.iter().position(|held| held == name).unwrap_or_else(|| {
-        if names.len() < NAMES_MOST {
-            names.push(name.to_string());
-        }
-        names.len() - 1
-    });
+    let place = names
+        .iter()
+        .position(|held| held == name)
+        .unwrap_or_else(|| {
+            if names.len() < NAMES_MOST {
+                names.push(name.to_string());
+            }
+            names.len() - 1
+        });
     place as u16
 }
 
@@ -73,7 +90,9 @@
     match name {
         "busy" | "util" => load.busy = Some(value),
         "q" | "queue" => load.queue = Some(value),
-        "lat_ms" | "latency_ms" => load.service = Some(Span::from_micros((value.max(0.0) * 1e3) as u64)),
+        "lat_ms" | "latency_ms" => {
+            load.service = Some(Span::from_micros((value.max(0.0) * 1e3) as u64))
+        }
         _ => {}
     }
 }
@@ -83,25 +102,48 @@
     if !all.is_object() {
         return Err(NoObject);
     }
-    let (family, rules, limits, report) =
-        (&all["familyInfo"], &all["obligations"], &all["limits"], &all["report"]);
+    let (family, rules, limits, report) = (
+        &all["familyInfo"],
+        &all["obligations"],
+        &all["limits"],
+        &all["report"],
+    );
     let names = Names {
         zones: strings(&all["localities"]),
         machines: strings(&all["machineTypes"]),
         kinds: all["classes"]
             .as_array()
-            .map(|kinds| kinds.iter().map(|k| k["name"].as_str().unwrap_or("").to_string()).collect())
+            .map(|kinds| {
+                kinds
+                    .iter()
+                    .map(|k| k["name"].as_str().unwrap_or("").to_string())
+                    .collect()
+            })
             .unwrap_or_default(),
-        report_fields: if report["source"] == "off" { Vec::new() } else { strings(&report["fields"]) },
+        report_fields: if report["source"] == "off" {
+            Vec::new()
+        } else {
+            strings(&report["fields"])
+        },
     };
-    let kinds = all["classes"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let kinds = all["classes"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     let own_zone = |k: usize| family["classOwnZone"][k].as_bool().unwrap_or(false);
     let ticket = JobTicket {
-        kinds: kinds.iter().enumerate().map(|(k, kind)| kind_ticket(kind, own_zone(k))).collect(),
+        kinds: kinds
+            .iter()
+            .enumerate()
+            .map(|(k, kind)| kind_ticket(kind, own_zone(k)))
+            .collect(),
         proxies: number(&family["proxies"]) as u64,
         sliced: number(&family["partitionsN"]) > 0.0,
         zones: names.zones.len() as u16,
-        base_tries: family["baseMode"].as_u64().and_then(|number| TRIES.get(number as usize)).copied(),
+        base_tries: family["baseMode"]
+            .as_u64()
+            .and_then(|number| TRIES.get(number as usize))
+            .copied(),
         admission: match family["admission"].as_str() {
             Some("share") => Admission::Share,
             Some("rate") => Admission::Rate,
@@ -128,16 +170,27 @@
 }
 
 fn kind_ticket(kind: &Value, own_zone: bool) -> KindTicket {
-    KindTicket { response_target: span(&kind["aim"]), benefit: number(&kind["worth"]), own_zone }
+    KindTicket {
+        response_target: span(&kind["aim"]),
+        benefit: number(&kind["worth"]),
+        own_zone,
+    }
 }
 
 fn strings(list: &Value) -> Vec<String> {
-    let texts = |list: &Vec<Value>| list.iter().map(|v| v.as_str().unwrap_or("").to_string()).collect();
+    let texts = |list: &Vec<Value>| {
+        list.iter()
+            .map(|v| v.as_str().unwrap_or("").to_string())
+            .collect()
+    };
     list.as_array().map(texts).unwrap_or_default()
 }
 
 fn number(value: &Value) -> f64 {
-    value.as_f64().filter(|v| v.is_finite() && *v > 0.0).unwrap_or(0.0)
+    value
+        .as_f64()
+        .filter(|v| v.is_finite() && *v > 0.0)
+        .unwrap_or(0.0)
 }
 
 fn span(value: &Value) -> Span {
--- a/crates/load-push/src/lib.rs
+++ b/crates/load-push/src/lib.rs
@@ -11,5 +11,7 @@
 pub mod message;
 pub mod sender;
 
-pub use message::{Body, Codec, Counted, Hello, Own, PushError, Report, SenderIs, ToSender, ToSteward};
+pub use message::{
+    Body, Codec, Counted, Hello, Own, PushError, Report, SenderIs, ToSender, ToSteward,
+};
 pub use sender::Sender;
--- a/crates/load-push/src/message.rs
+++ b/crates/load-push/src/message.rs
@@ -127,8 +127,13 @@
 
 impl<In, Out> Default for Codec<In, Out> {
     fn default() -> Codec<In, Out> {
-        let frames = LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
-        Codec { frames, of: PhantomData }
+        let frames = LengthDelimitedCodec::builder()
+            .max_frame_length(LONGEST)
+            .new_codec();
+        Codec {
+            frames,
+            of: PhantomData,
+        }
     }
 }
 
@@ -138,7 +143,9 @@
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<In>, PushError> {
         match self.frames.decode(bytes)? {
-            Some(frame) => rmp_serde::from_slice(&frame).map(Some).map_err(|_| PushError::Garbled),
+            Some(frame) => rmp_serde::from_slice(&frame)
+                .map(Some)
+                .map_err(|_| PushError::Garbled),
             None => Ok(None),
         }
     }
@@ -165,18 +172,30 @@
 
     #[test]
     fn what_is_written_is_read_also_by_an_older_or_newer_end() {
-        let counted =
-            Counted { backend: "proof".into(), server: Some("a".into()), done: 7, ..Counted::default() };
+        let counted = Counted {
+            backend: "proof".into(),
+            server: Some("a".into()),
+            done: 7,
+            ..Counted::default()
+        };
         let report = Report {
             number: 3,
             sent_us: 9,
             word_us: 0,
             had_us: 0,
-            body: Body { counted: vec![counted], own: None },
+            body: Body {
+                counted: vec![counted],
+                own: None,
+            },
         };
         let mut bytes = BytesMut::new();
-        Far::default().encode(&ToSteward::Report(report.clone()), &mut bytes).expect("written");
-        assert_eq!(Steward::default().decode(&mut bytes).expect("read"), Some(ToSteward::Report(report)));
+        Far::default()
+            .encode(&ToSteward::Report(report.clone()), &mut bytes)
+            .expect("written");
+        assert_eq!(
+            Steward::default().decode(&mut bytes).expect("read"),
+            Some(ToSteward::Report(report))
+        );
         // A newer end has a field more, an older one lacks some.
         #[derive(Serialize)]
         struct Newer {
@@ -186,14 +205,25 @@
         }
         let body = rmp_serde::to_vec_named(&std::collections::BTreeMap::from([(
             "Report",
-            Newer { number: 4, sent_us: 8, sealed: true },
+            Newer {
+                number: 4,
+                sent_us: 8,
+                sealed: true,
+            },
         )]))
         .expect("written");
         let mut bytes = BytesMut::new();
         bytes.put_u32(body.len() as u32);
         bytes.extend(body);
         let read = Steward::default().decode(&mut bytes).expect("read");
-        assert_eq!(read, Some(ToSteward::Report(Report { number: 4, sent_us: 8, ..Report::default() })));
+        assert_eq!(
+            read,
+            Some(ToSteward::Report(Report {
+                number: 4,
+                sent_us: 8,
+                ..Report::default()
+            }))
+        );
     }
 
     proptest! {
--- a/crates/load-push/src/sender.rs
+++ b/crates/load-push/src/sender.rs
@@ -42,8 +42,16 @@
             return None;
         }
         (self.owes, self.credit) = (false, self.credit - 1);
-        let (word_us, had_us) = self.word.map_or((0, 0), |(word, came)| (word, now_us.saturating_sub(came)));
-        Some(Report { number: self.number, sent_us: now_us, word_us, had_us, body: body() })
+        let (word_us, had_us) = self
+            .word
+            .map_or((0, 0), |(word, came)| (word, now_us.saturating_sub(came)));
+        Some(Report {
+            number: self.number,
+            sent_us: now_us,
+            word_us,
+            had_us,
+            body: body(),
+        })
     }
 }
 
@@ -57,14 +65,32 @@
         sender.connected();
         sender.period();
         assert_eq!(sender.next(10, Body::default), None);
-        sender.heard(20, ToSender::Credit { more: 2, at_us: 900 });
+        sender.heard(
+            20,
+            ToSender::Credit {
+                more: 2,
+                at_us: 900,
+            },
+        );
         let first = sender.next(25, Body::default).expect("credit");
         assert_eq!((first.number, first.word_us, first.had_us), (1, 900, 5));
         assert_eq!(sender.next(26, Body::default), None, "once a period");
         (0..5).for_each(|_| sender.period());
-        assert_eq!(sender.next(30, Body::default).map(|report| report.number), Some(6));
+        assert_eq!(
+            sender.next(30, Body::default).map(|report| report.number),
+            Some(6)
+        );
         sender.period();
         assert_eq!(sender.next(31, Body::default), None, "no credit left");
-        assert!(sender.heard(40, ToSender::Refused { why: "unknown".into() }).is_some());
+        assert!(
+            sender
+                .heard(
+                    40,
+                    ToSender::Refused {
+                        why: "unknown".into()
+                    }
+                )
+                .is_some()
+        );
     }
 }
--- a/crates/load-push/tests/wire_texts.rs
+++ b/crates/load-push/tests/wire_texts.rs
@@ -23,7 +23,12 @@
 const REFUSED: &[u8] = b"\0\0\0\x16\x81\xa7Refused\x81\xa3why\xa7unknown";
 
 fn hello(name: &str, is: SenderIs, run: u64) -> ToSteward {
-    ToSteward::Hello(Hello { version: 1, name: name.into(), is, run })
+    ToSteward::Hello(Hello {
+        version: 1,
+        name: name.into(),
+        is,
+        run,
+    })
 }
 
 fn counted() -> ToSteward {
@@ -37,15 +42,38 @@
         busy: Some(0.25),
         waiting: Some(1.5),
     };
-    let body = Body { counted: vec![counted], own: None };
-    ToSteward::Report(Report { number: 3, sent_us: 9, word_us: 8, had_us: 7, body })
+    let body = Body {
+        counted: vec![counted],
+        own: None,
+    };
+    ToSteward::Report(Report {
+        number: 3,
+        sent_us: 9,
+        word_us: 8,
+        had_us: 7,
+        body,
+    })
 }
 
 fn own() -> ToSteward {
     let (busy, waiting, service_ms) = (Some(0.25), Some(1.5), Some(2.0));
-    let own = Own { busy, waiting, service_ms, rate: Some(3.0), errored_rate: None };
-    let body = Body { counted: vec![], own: Some(own) };
-    ToSteward::Report(Report { number: 1, sent_us: 2, body, ..Report::default() })
+    let own = Own {
+        busy,
+        waiting,
+        service_ms,
+        rate: Some(3.0),
+        errored_rate: None,
+    };
+    let body = Body {
+        counted: vec![],
+        own: Some(own),
+    };
+    ToSteward::Report(Report {
+        number: 1,
+        sent_us: 2,
+        body,
+        ..Report::default()
+    })
 }
 
 /// As lower-case hex: what a failure shows.
@@ -55,17 +83,25 @@
 
 fn check_to_steward(message: ToSteward, expected: &[u8]) {
     let mut bytes = BytesMut::new();
-    Sender::default().encode(&message, &mut bytes).expect("written");
+    Sender::default()
+        .encode(&message, &mut bytes)
+        .expect("written");
     assert_eq!(hex(&bytes), hex(expected));
-    let read = Steward::default().decode(&mut BytesMut::from(expected)).expect("good bytes");
+    let read = Steward::default()
+        .decode(&mut BytesMut::from(expected))
+        .expect("good bytes");
     assert!(read == Some(message));
 }
 
 fn check_to_sender(message: ToSender, expected: &[u8]) {
     let mut bytes = BytesMut::new();
-    Steward::default().encode(&message, &mut bytes).expect("written");
+    Steward::default()
+        .encode(&message, &mut bytes)
+        .expect("written");
     assert_eq!(hex(&bytes), hex(expected));
-    let read = Sender::default().decode(&mut BytesMut::from(expected)).expect("good bytes");
+    let read = Sender::default()
+        .decode(&mut BytesMut::from(expected))
+        .expect("good bytes");
     assert!(read == Some(message));
 }
 
@@ -91,28 +127,60 @@
 
 #[test]
 fn credit() {
-    check_to_sender(ToSender::Credit { more: 2, at_us: 900 }, CREDIT);
+    check_to_sender(
+        ToSender::Credit {
+            more: 2,
+            at_us: 900,
+        },
+        CREDIT,
+    );
 }
 
 #[test]
 fn refusal() {
-    check_to_sender(ToSender::Refused { why: "unknown".into() }, REFUSED);
+    check_to_sender(
+        ToSender::Refused {
+            why: "unknown".into(),
+        },
+        REFUSED,
+    );
 }
 
 /// The least that a report must have; all else is empty.
 #[test]
 fn shortest_report() {
     let bytes = &b"\0\0\0\x1a\x81\xa6Report\x82\xa6number\x04\xa7sent_us\x08"[..];
-    let read = Steward::default().decode(&mut BytesMut::from(bytes)).expect("good bytes");
-    let expected = Report { number: 4, sent_us: 8, ..Report::default() };
+    let read = Steward::default()
+        .decode(&mut BytesMut::from(bytes))
+        .expect("good bytes");
+    let expected = Report {
+        number: 4,
+        sent_us: 8,
+        ..Report::default()
+    };
     assert!(read == Some(ToSteward::Report(expected)));
 }
 
 #[test]
 fn malformed_messages() {
-    for bytes in [&b"\0\0\0\x09\x81\xa6Greets\x80"[..], b"\0\0\0\x01\xc1", b"\0\0\0\x09\x81\xa6Report\x80"] {
-        let refusal = Steward::default().decode(&mut BytesMut::from(bytes)).expect_err("bad bytes");
-        assert_eq!(refusal.to_string(), "a message that cannot be read", "{}", hex(bytes));
+    for bytes in [
+        &b"\0\0\0\x09\x81\xa6Greets\x80"[..],
+        b"\0\0\0\x01\xc1",
+        b"\0\0\0\x09\x81\xa6Report\x80",
+    ] {
+        let refusal = Steward::default()
+            .decode(&mut BytesMut::from(bytes))
+            .expect_err("bad bytes");
+        assert_eq!(
+            refusal.to_string(),
+            "a message that cannot be read",
+            "{}",
+            hex(bytes)
+        );
     }
-    assert!(Steward::default().decode(&mut BytesMut::from(&b"\0\x10\0\x01"[..])).is_err());
+    assert!(
+        Steward::default()
+            .decode(&mut BytesMut::from(&b"\0\x10\0\x01"[..]))
+            .is_err()
+    );
 }
--- a/crates/load-report/src/lib.rs
+++ b/crates/load-report/src/lib.rs
@@ -39,14 +39,16 @@
                 }
             }
             Some(("JSON", text)) => {
-                let Ok(Value::Object(fields)) = serde_json::from_str(text) else { return report };
+                let Ok(Value::Object(fields)) = serde_json::from_str(text) else {
+                    return report;
+                };
                 for (name, value) in &fields {
                     report.put(name, value.as_f64());
                 }
                 if let Some(Value::Object(named)) = fields.get("named_metrics") {
-                    named
-                        .iter()
-                        .for_each(|(name, v)| report.put(&format!("named_metrics.{name}"), v.as_f64()));
+                    named.iter().for_each(|(name, v)| {
+                        report.put(&format!("named_metrics.{name}"), v.as_f64())
+                    });
                 }
             }
             _ => {}
@@ -64,7 +66,10 @@
             ("named_metrics.queue", self.queue),
             ("named_metrics.latency_ms", self.latency_ms),
         ];
-        for (name, value) in parts.into_iter().filter_map(|(name, value)| Some((name, value?))) {
+        for (name, value) in parts
+            .into_iter()
+            .filter_map(|(name, value)| Some((name, value?)))
+        {
             let comma = if out.ends_with(' ') { "" } else { ", " };
             let _ = write!(out, "{comma}{name}={value:.3}");
         }
@@ -92,8 +97,13 @@
     #[test]
     fn both_formats_give_the_same() {
         let (queue, latency_ms) = (Some(3.0), Some(48.25));
-        let report =
-            Report { busy: Some(0.62), queue, latency_ms, rate: Some(12.5), errored_rate: Some(1.0) };
+        let report = Report {
+            busy: Some(0.62),
+            queue,
+            latency_ms,
+            rate: Some(12.5),
+            errored_rate: Some(1.0),
+        };
         assert_eq!(Report::read(&report.write()), report);
         let json = r#"JSON {"cpu_utilization": 0.62, "named_metrics": {"queue": 3, "latency_ms": 48.25}, "eps": 1, "rps_fractional": 12.5}"#;
         assert_eq!(Report::read(json), report);
@@ -101,7 +111,8 @@
 
     #[test]
     fn odd_figures_are_missing() {
-        let odd = "TEXT cpu_utilization=NaN, named_metrics.queue=-1, named_metrics.latency_ms=inf, x";
+        let odd =
+            "TEXT cpu_utilization=NaN, named_metrics.queue=-1, named_metrics.latency_ms=inf, x";
         assert_eq!(Report::read(odd), Report::default());
         assert_eq!(Report::read("BIN AAAA"), Report::default());
         assert_eq!(Report::read(""), Report::default());
--- a/crates/load-report/tests/wire_texts.rs
+++ b/crates/load-report/tests/wire_texts.rs
@@ -9,7 +9,13 @@
 
 fn all() -> Report {
     let (busy, queue, latency_ms) = (Some(0.62), Some(3.0), Some(48.25));
-    Report { busy, queue, latency_ms, rate: Some(12.5), errored_rate: Some(1.0) }
+    Report {
+        busy,
+        queue,
+        latency_ms,
+        rate: Some(12.5),
+        errored_rate: Some(1.0),
+    }
 }
 
 #[test]
@@ -27,17 +33,50 @@
 fn json_form() {
     assert!(Report::read(JSON) == all());
     let flat = Report::read(FLAT);
-    assert_eq!((flat.queue, flat.latency_ms, flat.busy), (Some(3.0), Some(48.25), None));
+    assert_eq!(
+        (flat.queue, flat.latency_ms, flat.busy),
+        (Some(3.0), Some(48.25), None)
+    );
 }
 
 #[test]
 fn each_value_alone() {
     for (name, value) in [
-        ("cpu_utilization", Report { busy: Some(0.5), ..Report::default() }),
-        ("rps_fractional", Report { rate: Some(0.5), ..Report::default() }),
-        ("eps", Report { errored_rate: Some(0.5), ..Report::default() }),
-        ("named_metrics.queue", Report { queue: Some(0.5), ..Report::default() }),
-        ("named_metrics.latency_ms", Report { latency_ms: Some(0.5), ..Report::default() }),
+        (
+            "cpu_utilization",
+            Report {
+                busy: Some(0.5),
+                ..Report::default()
+            },
+        ),
+        (
+            "rps_fractional",
+            Report {
+                rate: Some(0.5),
+                ..Report::default()
+            },
+        ),
+        (
+            "eps",
+            Report {
+                errored_rate: Some(0.5),
+                ..Report::default()
+            },
+        ),
+        (
+            "named_metrics.queue",
+            Report {
+                queue: Some(0.5),
+                ..Report::default()
+            },
+        ),
+        (
+            "named_metrics.latency_ms",
+            Report {
+                latency_ms: Some(0.5),
+                ..Report::default()
+            },
+        ),
     ] {
         assert_eq!(value.write(), format!("TEXT {name}=0.500"));
         assert!(Report::read(&format!("TEXT {name}=0.5")) == value, "{name}");
@@ -46,9 +85,14 @@
 
 #[test]
 fn malformed_forms_are_empty() {
-    for text in
-        ["", "BIN AAAA", "text cpu_utilization=0.5", "TEXT cpu_utilization=-1", "JSON [1]", "TEXT cpu=1"]
-    {
+    for text in [
+        "",
+        "BIN AAAA",
+        "text cpu_utilization=0.5",
+        "TEXT cpu_utilization=-1",
+        "JSON [1]",
+        "TEXT cpu=1",
+    ] {
         assert!(Report::read(text) == Report::default(), "{text}");
     }
 }
--- a/crates/platform-edge/src/calls.rs
+++ b/crates/platform-edge/src/calls.rs
@@ -20,7 +20,12 @@
 pub(crate) type Call = (u64, String);
 
 /// Dials, carries calls, dials again, until no more calls can come; the last one is carried to its end.
-pub(crate) async fn run(to: SocketAddr, age: u64, mut calls: mpsc::Receiver<Call>, say: mpsc::Sender<Told>) {
+pub(crate) async fn run(
+    to: SocketAddr,
+    age: u64,
+    mut calls: mpsc::Receiver<Call>,
+    say: mpsc::Sender<Told>,
+) {
     loop {
         let dialled = Instant::now();
         let down = match dial(to).await {
@@ -86,13 +91,20 @@
             }
             next = timeout(IDLE_LIMIT, calls.recv()) => next,
         };
-        let Ok(next) = next else { return Some(Down::Idle) };
+        let Ok(next) = next else {
+            return Some(Down::Idle);
+        };
         let (call, line) = next?;
         let answered = async {
-            writing.write_all(line.as_bytes()).await.map_err(|wrong| wrong.to_string())?;
+            writing
+                .write_all(line.as_bytes())
+                .await
+                .map_err(|wrong| wrong.to_string())?;
             lines.next().await
         };
-        let answered = timeout(ANSWER_LIMIT, answered).await.unwrap_or(Err("no answer".into()));
+        let answered = timeout(ANSWER_LIMIT, answered)
+            .await
+            .unwrap_or(Err("no answer".into()));
         let (end, why) = match answered.as_deref().map(relay::read) {
             Ok(Some(Line::Taken { id, orders })) if id == call => {
                 (CallEnd::Answered { orders }, String::new())
@@ -101,7 +113,16 @@
             Ok(_) => (CallEnd::Unknown, "an answer that cannot be read".into()),
             Err(wrong) => (CallEnd::Unknown, wrong.clone()),
         };
-        say.send((age, Word::CallEnded { call, end, why: why.clone() })).await.ok();
+        say.send((
+            age,
+            Word::CallEnded {
+                call,
+                end,
+                why: why.clone(),
+            },
+        ))
+        .await
+        .ok();
         if end == CallEnd::Unknown {
             return Some(Down::Lost(why));
         }
--- a/crates/platform-edge/src/clients.rs
+++ b/crates/platform-edge/src/clients.rs
@@ -50,7 +50,13 @@
 
 impl Clients {
     pub(crate) fn new(most: usize, say: mpsc::Sender<Told>) -> Clients {
-        Clients { say, most, next: 0, open: BTreeMap::new(), ended: BTreeMap::new() }
+        Clients {
+            say,
+            most,
+            next: 0,
+            open: BTreeMap::new(),
+            ended: BTreeMap::new(),
+        }
     }
 
     pub(crate) fn open(&self) -> usize {
@@ -63,13 +69,16 @@
         if self.open.len() < self.most {
             return None;
         }
-        self.oldest_stranger().map(|(_, client)| client.since + HEARD_OUT)
+        self.oldest_stranger()
+            .map(|(_, client)| client.since + HEARD_OUT)
     }
 
     /// Takes a connection; if there is no room, the stranger that came first goes.
     pub(crate) fn accept(&mut self, stream: TcpStream) {
         if self.open.len() >= self.most {
-            let Some(oldest) = self.oldest_stranger().map(|(id, _)| id) else { return };
+            let Some(oldest) = self.oldest_stranger().map(|(id, _)| id) else {
+                return;
+            };
             self.end(oldest, Gone::Crowded);
         }
         self.next += 1;
@@ -78,27 +87,46 @@
         let task = tokio::spawn(async move {
             let why = serve(stream, id, told, &say).await;
             // If the program is gone, nobody needs to know.
-            say.send((0, Word::ClientGone { client: id, why })).await.ok();
+            say.send((0, Word::ClientGone { client: id, why }))
+                .await
+                .ok();
         });
         let task = AbortOnDropHandle::new(task);
-        self.open.insert(id, Client { since: Instant::now(), zone: None, joined, _task: task });
+        self.open.insert(
+            id,
+            Client {
+                since: Instant::now(),
+                zone: None,
+                joined,
+                _task: task,
+            },
+        );
     }
 
     fn oldest_stranger(&self) -> Option<(u64, &Client)> {
-        self.open.iter().find(|(_, client)| client.zone.is_none()).map(|(id, client)| (*id, client))
+        self.open
+            .iter()
+            .find(|(_, client)| client.zone.is_none())
+            .map(|(id, client)| (*id, client))
     }
 
     /// A connection named its zone; none: there is no such zone.
     pub(crate) fn joins(&mut self, id: u64, zone: Option<ZoneId>) {
-        let Some(zone) = zone else { return self.end(id, Gone::NotOurs) };
-        let Some(client) = self.open.get_mut(&id) else { return };
+        let Some(zone) = zone else {
+            return self.end(id, Gone::NotOurs);
+        };
+        let Some(client) = self.open.get_mut(&id) else {
+            return;
+        };
         client.zone = Some(zone);
         // The task may just have ended; then its word is on its way.
         client.joined.send(true).ok();
         let same = |(id, client): (&u64, &Client)| (client.zone == Some(zone)).then_some(*id);
         let of_zone: Vec<u64> = self.open.iter().filter_map(same).collect();
         let over = of_zone.len().saturating_sub(COLLECTORS_A_ZONE);
-        of_zone[..over].iter().for_each(|&id| self.end(id, Gone::Crowded));
+        of_zone[..over]
+            .iter()
+            .for_each(|&id| self.end(id, Gone::Crowded));
     }
 
     pub(crate) fn end(&mut self, id: u64, why: Gone) {
@@ -117,7 +145,13 @@
 ) -> Gone {
     stream.set_nodelay(true).ok();
     let (reading, mut writing) = stream.split();
-    let mut messages = FramedRead::with_capacity(reading, WordsCodec { limit: STRANGER_BYTES }, 1024);
+    let mut messages = FramedRead::with_capacity(
+        reading,
+        WordsCodec {
+            limit: STRANGER_BYTES,
+        },
+        1024,
+    );
     let since = Instant::now();
     let mut limit = since + JOIN_LIMIT;
     let (mut named, mut spoilt) = (false, 0);
@@ -169,7 +203,11 @@
                 return Gone::NotOurs;
             }
         };
-        spoilt = if matches!(word, Word::Spoilt(_)) { spoilt + 1 } else { 0 };
+        spoilt = if matches!(word, Word::Spoilt(_)) {
+            spoilt + 1
+        } else {
+            0
+        };
         if spoilt > SPOILT_MOST || say.send((0, word)).await.is_err() {
             return Gone::Unreadable;
         }
@@ -187,6 +225,8 @@
 async fn refuse(writing: &mut tokio::net::tcp::WriteHalf<'_>, named: bool) {
     if !named {
         // A close says the same.
-        timeout(WRITE_LIMIT, writing.write_all(&message(&["refused"]))).await.ok();
+        timeout(WRITE_LIMIT, writing.write_all(&message(&["refused"])))
+            .await
+            .ok();
     }
 }
--- a/crates/platform-edge/src/dial.rs
+++ b/crates/platform-edge/src/dial.rs
@@ -17,7 +17,9 @@
 /// A connection, or why there is none.
 pub(crate) async fn dial(to: SocketAddr) -> Result<TcpStream, String> {
     let dialled = timeout(DIAL_LIMIT, TcpStream::connect(to)).await;
-    let stream = dialled.map_err(|_| "never came up".to_string())?.map_err(|wrong| wrong.to_string())?;
+    let stream = dialled
+        .map_err(|_| "never came up".to_string())?
+        .map_err(|wrong| wrong.to_string())?;
     stream.set_nodelay(true).ok();
     Ok(stream)
 }
@@ -26,7 +28,10 @@
 
 impl<R: AsyncRead + Unpin> RelayLines<R> {
     pub(crate) fn of(reading: R) -> RelayLines<R> {
-        RelayLines(FramedRead::new(reading, LinesCodec::new_with_max_length(LINE_MOST)))
+        RelayLines(FramedRead::new(
+            reading,
+            LinesCodec::new_with_max_length(LINE_MOST),
+        ))
     }
 
     /// The next line, or why there is none. Nothing is lost if this is dropped before it ends.
--- a/crates/platform-edge/src/discovery.rs
+++ b/crates/platform-edge/src/discovery.rs
@@ -30,18 +30,41 @@
     }
 }
 
-async fn follow(to: SocketAddr, age: u64, since: &mut Option<u64>, say: &mpsc::Sender<Told>) -> String {
+async fn follow(
+    to: SocketAddr,
+    age: u64,
+    since: &mut Option<u64>,
+    say: &mpsc::Sender<Told>,
+) -> String {
     if since.is_none() {
-        let whole = timeout(ANSWER_LIMIT, get(to, PATH, LIST_MOST)).await.ok().flatten();
-        let Some(whole) = whole else { return "no whole list".into() };
+        let whole = timeout(ANSWER_LIMIT, get(to, PATH, LIST_MOST))
+            .await
+            .ok()
+            .flatten();
+        let Some(whole) = whole else {
+            return "no whole list".into();
+        };
         match registry::read(&whole.body) {
-            Ok(listed) => tell(Listed { whole: true, ..listed }, age, since, say).await,
+            Ok(listed) => {
+                tell(
+                    Listed {
+                        whole: true,
+                        ..listed
+                    },
+                    age,
+                    since,
+                    say,
+                )
+                .await
+            }
             Err(wrong) => return wrong.to_string(),
         }
     }
     let watching = async {
         let path = format!("{PATH}?follow=1&since={}", since.unwrap_or(0));
-        ask(dial(to).await?, to, &path, "keep-alive").await.map_err(|wrong| wrong.to_string())
+        ask(dial(to).await?, to, &path, "keep-alive")
+            .await
+            .map_err(|wrong| wrong.to_string())
     };
     let (answer, _connection) = match timeout(ANSWER_LIMIT, watching).await {
         Ok(Ok(watching)) => watching,
@@ -59,10 +82,16 @@
             Ok(None) => return "closed by discovery".into(),
             Err(_) => return "silent".into(),
         };
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         let mut from = held.len();
         held.extend_from_slice(&data);
-        while let Some(end) = held[from..].iter().position(|&byte| byte == b'\n').map(|at| at + from) {
+        while let Some(end) = held[from..]
+            .iter()
+            .position(|&byte| byte == b'\n')
+            .map(|at| at + from)
+        {
             let line = held.split_to(end + 1);
             (from, begun) = (0, None);
             if line.iter().all(u8::is_ascii_whitespace) {
@@ -70,7 +99,9 @@
             }
             match registry::read(&line) {
                 // It numbers otherwise than before, or we have missed something: changes alone would be taken for old ones.
-                Ok(listed) if !listed.whole && since.is_some_and(|held| listed.generation < held) => {
+                Ok(listed)
+                    if !listed.whole && since.is_some_and(|held| listed.generation < held) =>
+                {
                     *since = None;
                     return "changes older than the list".into();
                 }
@@ -78,7 +109,11 @@
                 Err(wrong) => return wrong.to_string(),
             }
         }
-        begun = if held.is_empty() { None } else { begun.or_else(|| Some(Instant::now())) };
+        begun = if held.is_empty() {
+            None
+        } else {
+            begun.or_else(|| Some(Instant::now()))
+        };
         if held.len() > LIST_MOST {
             return "a line without end".into();
         }
--- a/crates/platform-edge/src/log.rs
+++ b/crates/platform-edge/src/log.rs
@@ -13,7 +13,11 @@
 
 impl Lines {
     pub(crate) fn new() -> Lines {
-        Lines { second: Instant::now(), written: 0, left_out: 0 }
+        Lines {
+            second: Instant::now(),
+            written: 0,
+            left_out: 0,
+        }
     }
 
     /// Whether there is room for one more line now.
--- a/crates/platform-edge/src/parties.rs
+++ b/crates/platform-edge/src/parties.rs
@@ -47,7 +47,9 @@
             self.before.take_if(|_| serves);
             return true;
         }
-        self.before.as_ref().is_some_and(|(before, _)| *before == age)
+        self.before
+            .as_ref()
+            .is_some_and(|(before, _)| *before == age)
     }
 }
 
@@ -55,9 +57,18 @@
     pub(crate) fn start(around: Around, version: Option<u64>, say: mpsc::Sender<Told>) -> Parties {
         let mut callers = JoinSet::new();
         Parties {
-            lists: Moving { now: (1, lists(around, 1, version, &say)), before: None },
-            news: Moving { now: (1, owned(news::run(around.relay, 1, say.clone()))), before: None },
-            calls: Moving { now: (1, caller(around, 1, &say, &mut callers)), before: None },
+            lists: Moving {
+                now: (1, lists(around, 1, version, &say)),
+                before: None,
+            },
+            news: Moving {
+                now: (1, owned(news::run(around.relay, 1, say.clone()))),
+                before: None,
+            },
+            calls: Moving {
+                now: (1, caller(around, 1, &say, &mut callers)),
+                before: None,
+            },
             callers,
             age: 1,
             around,
@@ -69,10 +80,14 @@
     pub(crate) fn moved(&mut self, around: Around) {
         self.age += 1;
         if around.discovery != self.around.discovery {
-            self.lists.to(self.age, lists(around, self.age, None, &self.say));
+            self.lists
+                .to(self.age, lists(around, self.age, None, &self.say));
         }
         if around.relay != self.around.relay {
-            self.news.to(self.age, owned(news::run(around.relay, self.age, self.say.clone())));
+            self.news.to(
+                self.age,
+                owned(news::run(around.relay, self.age, self.say.clone())),
+            );
             let caller = caller(around, self.age, &self.say, &mut self.callers);
             self.calls.to(self.age, caller);
         }
@@ -101,7 +116,11 @@
     /// Notes something of the caller of that age; gives whether its words still count.
     fn caller(&mut self, age: u64, note: impl Fn(&mut Caller)) -> bool {
         let callers = [Some(&mut self.calls.now), self.calls.before.as_mut()];
-        callers.into_iter().flatten().filter(|(of, _)| *of == age).for_each(|(_, caller)| note(caller));
+        callers
+            .into_iter()
+            .flatten()
+            .filter(|(of, _)| *of == age)
+            .for_each(|(_, caller)| note(caller));
         let serves = self.calls.now.1.up && self.calls.now.1.tells;
         self.calls.counts(age, serves)
     }
@@ -109,7 +128,10 @@
     /// Who takes calls: what served before, until the new one is known to serve.
     fn serving(&self) -> Option<&Caller> {
         let before = self.calls.before.as_ref().map(|(_, caller)| caller);
-        [before, Some(&self.calls.now.1)].into_iter().flatten().find(|caller| caller.up)
+        [before, Some(&self.calls.now.1)]
+            .into_iter()
+            .flatten()
+            .find(|caller| caller.up)
     }
 
     pub(crate) fn can_call(&self) -> bool {
@@ -118,8 +140,13 @@
 
     /// Hands a call over; gives it back if nobody can take it.
     pub(crate) fn call(&self, call: Call) -> Result<(), Call> {
-        let Some(caller) = self.serving() else { return Err(call) };
-        caller.calls.try_send(call).map_err(|wrong| wrong.into_inner())
+        let Some(caller) = self.serving() else {
+            return Err(call);
+        };
+        caller
+            .calls
+            .try_send(call)
+            .map_err(|wrong| wrong.into_inner())
     }
 }
 
@@ -128,7 +155,12 @@
     AbortOnDropHandle::new(tokio::spawn(work))
 }
 
-fn lists(around: Around, age: u64, version: Option<u64>, say: &mpsc::Sender<Told>) -> AbortOnDropHandle<()> {
+fn lists(
+    around: Around,
+    age: u64,
+    version: Option<u64>,
+    say: &mpsc::Sender<Told>,
+) -> AbortOnDropHandle<()> {
     owned(discovery::run(around.discovery, age, version, say.clone()))
 }
 
@@ -136,5 +168,9 @@
     // One call is under way at most.
     let (calls, queue) = mpsc::channel(1);
     tasks.spawn(calls::run(around.relay, age, queue, say.clone()));
-    Caller { calls, up: false, tells: false }
+    Caller {
+        calls,
+        up: false,
+        tells: false,
+    }
 }
--- a/crates/platform-edge/src/probes.rs
+++ b/crates/platform-edge/src/probes.rs
@@ -23,7 +23,10 @@
 
 impl Probes {
     pub(crate) fn new(say: mpsc::Sender<Told>) -> Probes {
-        Probes { say, under_way: JoinSet::new() }
+        Probes {
+            say,
+            under_way: JoinSet::new(),
+        }
     }
 
     pub(crate) fn ask(&mut self, host: HostId, at: SocketAddr) {
@@ -31,11 +34,28 @@
         let room = self.under_way.len() < PROBES_MOST;
         let say = self.say.clone();
         self.under_way.spawn(async move {
-            let asked = async { if room { get(at, "/stats", ANSWER_MOST).await } else { None } };
+            let asked = async {
+                if room {
+                    get(at, "/stats", ANSWER_MOST).await
+                } else {
+                    None
+                }
+            };
             let answer = timeout(TIME_LIMIT, asked).await.ok().flatten();
-            let load = answer.as_ref().and_then(|answer| load::read_body(&answer.body));
+            let load = answer
+                .as_ref()
+                .and_then(|answer| load::read_body(&answer.body));
             // If the program is gone, nobody needs to know.
-            say.send((0, Word::Probed { host, good: answer.is_some(), load })).await.ok();
+            say.send((
+                0,
+                Word::Probed {
+                    host,
+                    good: answer.is_some(),
+                    load,
+                },
+            ))
+            .await
+            .ok();
         });
     }
 }
--- a/crates/platform-edge/src/program.rs
+++ b/crates/platform-edge/src/program.rs
@@ -51,14 +51,19 @@
 /// Runs a steward as the platform's variables say, until SIGTERM or SIGINT.
 pub async fn run() -> Result<(), PlatformError> {
     let var = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
-    let env = Env { name: var("RELAY_NAME"), listen: var("RELAY_LISTEN"), discovery: var("RELAY_DISCOVERY") };
+    let env = Env {
+        name: var("RELAY_NAME"),
+        listen: var("RELAY_LISTEN"),
+        discovery: var("RELAY_DISCOVERY"),
+    };
     let path = PathBuf::from(var("RELAY_CONFIG").ok_or(PlatformError::NoConfig)?);
     // Followed before anything is read: a SIGHUP while the file was being read ended the steward, or was not heard.
     let mut stop = signal(SignalKind::terminate()).map_err(PlatformError::Signals)?;
     let mut stop_too = signal(SignalKind::interrupt()).map_err(PlatformError::Signals)?;
     let mut moved = signal(SignalKind::hangup()).map_err(PlatformError::Signals)?;
     let text = std::fs::read(&path).map_err(|wrong| PlatformError::Read(path.clone(), wrong))?;
-    let config = config::read(&text, &env).map_err(|wrong| PlatformError::Config(path.clone(), wrong))?;
+    let config =
+        config::read(&text, &env).map_err(|wrong| PlatformError::Config(path.clone(), wrong))?;
     drop(text);
     let listen = |wrong| PlatformError::Listen(config.listen, wrong);
     let listener = listen_at(config.listen).map_err(listen)?;
@@ -69,8 +74,14 @@
     let mut paused_until = Instant::now();
     loop {
         steward.carry_out();
-        let accept_from = steward.clients.room_from().map_or(paused_until, |room| room.max(paused_until));
-        let wake = steward.core.wake_at().map(|at| Instant::from_std(steward.clock.instant(at)));
+        let accept_from = steward
+            .clients
+            .room_from()
+            .map_or(paused_until, |room| room.max(paused_until));
+        let wake = steward
+            .core
+            .wake_at()
+            .map(|at| Instant::from_std(steward.clock.instant(at)));
         // In no order of rank: while collectors bring reports faster than they can be read, words are always there, and
         // whoever asked for a sign of life, or a new configuration, waited until the flood was over.
         tokio::select! {
@@ -122,7 +133,11 @@
 /// The usual 128 places for those who wait to be accepted are full at a rush of strangers, and who finds no place
 /// tries again after a second: so would a collector.
 fn listen_at(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     // After a kill the address can be had again at once.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
@@ -176,7 +191,12 @@
     fn moved(&mut self, around: Around) {
         self.parties.moved(around);
         // What served may not be among the parties any more.
-        self.core.handle(self.clock.now(), Input::Relay { up: self.parties.can_call() });
+        self.core.handle(
+            self.clock.now(),
+            Input::Relay {
+                up: self.parties.can_call(),
+            },
+        );
     }
 
     fn carry_out(&mut self) {
@@ -184,7 +204,10 @@
             match output {
                 Output::Call { call, line } => {
                     if let Err((call, _)) = self.parties.call((call, line)) {
-                        let ended = Input::CallEnded { call, end: CallEnd::Refused };
+                        let ended = Input::CallEnded {
+                            call,
+                            end: CallEnd::Refused,
+                        };
                         self.core.handle(self.clock.now(), ended);
                     }
                 }
@@ -228,7 +251,9 @@
                 }
                 self.core.handle(now, Input::CallEnded { call, end });
             }
-            Word::Probed { host, good, load } => self.core.handle(now, Input::Probed { host, good, load }),
+            Word::Probed { host, good, load } => {
+                self.core.handle(now, Input::Probed { host, good, load })
+            }
             Word::Collector { client, site } => {
                 let zone = self.core.knows_zone(&site);
                 if zone.is_some() {
@@ -252,8 +277,13 @@
 
     fn tell_tally(&mut self) {
         let glance = self.core.glance();
-        let ids =
-            |hosts: &[HostId]| hosts.iter().map(|host| host.0.to_string()).collect::<Vec<_>>().join(",");
+        let ids = |hosts: &[HostId]| {
+            hosts
+                .iter()
+                .map(|host| host.0.to_string())
+                .collect::<Vec<_>>()
+                .join(",")
+        };
         info!(
             open = glance.open,
             kept_out = ids(&glance.kept_out),
@@ -277,17 +307,30 @@
         let tally = self.core.tally();
         if *tally != self.tally {
             let ended = &self.clients.ended;
-            info!(members = self.core.joined(), clients = self.clients.open(), ?ended, ?tally, "so far");
+            info!(
+                members = self.core.joined(),
+                clients = self.clients.open(),
+                ?ended,
+                ?tally,
+                "so far"
+            );
             self.tally = tally.clone();
         }
     }
 
     /// Says what is known of the channel to the proxies, and when it begins or ceases to be nearly full.
     fn tell_channel(&mut self, channel: &ChannelReport) {
-        let waiting = channel.unconfirmed.unwrap_or(channel.waiting_at_stated_rate);
+        let waiting = channel
+            .unconfirmed
+            .unwrap_or(channel.waiting_at_stated_rate);
         let nearly_full = waiting > channel.line_limit * CHANNEL_NEARLY_FULL;
         if nearly_full != std::mem::replace(&mut self.channel_nearly_full, nearly_full) {
-            warn!(nearly_full, waiting, limit = channel.line_limit, "channel queue");
+            warn!(
+                nearly_full,
+                waiting,
+                limit = channel.line_limit,
+                "channel queue"
+            );
         }
         info!(
             line_limit = channel.line_limit,
--- a/crates/platform-edge/src/word.rs
+++ b/crates/platform-edge/src/word.rs
@@ -16,12 +16,26 @@
     NewsLost(String),
     CallsUp,
     CallsDown(Down),
-    CallEnded { call: u64, end: CallEnd, why: String },
-    Probed { host: HostId, good: bool, load: Option<Load> },
-    Collector { client: u64, site: String },
+    CallEnded {
+        call: u64,
+        end: CallEnd,
+        why: String,
+    },
+    Probed {
+        host: HostId,
+        good: bool,
+        load: Option<Load>,
+    },
+    Collector {
+        client: u64,
+        site: String,
+    },
     Said(Message),
     Spoilt(Spoilt),
-    ClientGone { client: u64, why: Gone },
+    ClientGone {
+        client: u64,
+        why: Gone,
+    },
 }
 
 /// Why no call can be made.
--- a/crates/platform-steward/src/core.rs
+++ b/crates/platform-steward/src/core.rs
@@ -97,7 +97,13 @@
             tally: Tally::default(),
         };
         if let Some(known) = config.known {
-            core.handle(now, Input::Listed(Listed { whole: true, ..known }));
+            core.handle(
+                now,
+                Input::Listed(Listed {
+                    whole: true,
+                    ..known
+                }),
+            );
         }
         core
     }
@@ -167,13 +173,23 @@
                 None => drop(self.at.remove(&found.host)),
             }
         }
-        let listings = listed.entries.iter().map(|found| found.listing(&mut self.names)).collect();
-        self.steward.list_came(now, listed.generation, listed.whole, listings);
+        let listings = listed
+            .entries
+            .iter()
+            .map(|found| found.listing(&mut self.names))
+            .collect();
+        self.steward
+            .list_came(now, listed.generation, listed.whole, listings);
     }
 
     fn news(&mut self, now: Time, news: News) {
         match news {
-            News::Joined { proxy, site, usual, fresh } => {
+            News::Joined {
+                proxy,
+                site,
+                usual,
+                fresh,
+            } => {
                 let known = u64::from(proxy.0) < self.proxies;
                 let Some(zone) = self.names.known_zone(&site).filter(|_| known) else {
                     return self.tally.spoilt(Spoilt::Wrong("site"));
@@ -216,11 +232,17 @@
                 if !self.at.contains_key(&host) {
                     return Err(Spoilt::Wrong("target"));
                 }
-                self.tally.with_load += u64::from(met.load.is_some_and(|load| load != Load::default()));
+                self.tally.with_load +=
+                    u64::from(met.load.is_some_and(|load| load != Load::default()));
                 self.tally.tries += met.tries as u64;
                 self.steward.met(now, &host, met);
             }
-            Message::Usage { proxy, lane, many, over } => {
+            Message::Usage {
+                proxy,
+                lane,
+                many,
+                over,
+            } => {
                 let kind = self.names.kind(&lane).ok_or(Spoilt::Wrong("lane"))?;
                 if !self.members.has(proxy) {
                     return Err(Spoilt::Wrong("id"));
@@ -235,7 +257,9 @@
     }
 
     fn call_ended(&mut self, now: Time, call: u64, end: CallEnd) {
-        let Some((_, orders)) = self.under_way.take_if(|(under_way, _)| *under_way == call) else { return };
+        let Some((_, orders)) = self.under_way.take_if(|(under_way, _)| *under_way == call) else {
+            return;
+        };
         let outcome = match end {
             CallEnd::Answered { orders: taken } if taken == orders.len() as u64 => Outcome::Taken,
             CallEnd::Answered { orders: taken } if taken < orders.len() as u64 => {
@@ -269,11 +293,16 @@
                 Ruling::Probe(host) => {
                     if let Some(&at) = self.at.get(host) {
                         self.tally.probes += 1;
-                        self.out.push_back(Output::Probe { host: host.clone(), at });
+                        self.out.push_back(Output::Probe {
+                            host: host.clone(),
+                            at,
+                        });
                     }
                 }
                 _ => {
-                    let Some(text) = relay::order(&ruling, self.names.kinds()) else { continue };
+                    let Some(text) = relay::order(&ruling, self.names.kinds()) else {
+                        continue;
+                    };
                     if !relay::fits(bytes, &text) {
                         self.held_back = Some(ruling);
                         break;
@@ -290,7 +319,10 @@
         self.calls += 1;
         self.tally.calls += 1;
         self.tally.orders += orders.len() as u64;
-        self.out.push_back(Output::Call { call: self.calls, line: relay::call(self.calls, &texts) });
+        self.out.push_back(Output::Call {
+            call: self.calls,
+            line: relay::call(self.calls, &texts),
+        });
         self.under_way = Some((self.calls, orders));
     }
 }
--- a/crates/platform-steward/src/members.rs
+++ b/crates/platform-steward/src/members.rs
@@ -27,7 +27,9 @@
     /// A connection begins: what stands comes first.
     pub(crate) fn listing_begins(&mut self) {
         self.listing = true;
-        self.joined.values_mut().for_each(|member| member.named = false);
+        self.joined
+            .values_mut()
+            .for_each(|member| member.named = false);
     }
 
     /// The list of who stands is over: those whom it did not name have left unseen.
@@ -35,8 +37,12 @@
         if !std::mem::take(&mut self.listing) {
             return Vec::new();
         }
-        let missing: Vec<ProxyId> =
-            self.joined.iter().filter(|(_, member)| !member.named).map(|(id, _)| *id).collect();
+        let missing: Vec<ProxyId> = self
+            .joined
+            .iter()
+            .filter(|(_, member)| !member.named)
+            .map(|(id, _)| *id)
+            .collect();
         self.joined.retain(|_, member| member.named);
         missing
     }
@@ -44,7 +50,11 @@
     pub(crate) fn came(&mut self, proxy: ProxyId, zone: ZoneId) -> Came {
         let before = self.joined.insert(proxy, Member { zone, named: true });
         let same = |before: Member| self.listing && !before.named && before.zone == zone;
-        if before.is_some_and(same) { Came::PerhapsAnew } else { Came::Anew }
+        if before.is_some_and(same) {
+            Came::PerhapsAnew
+        } else {
+            Came::Anew
+        }
     }
 
     /// Whether it was joined.
--- a/crates/platform-steward/tests/decision_streams/controller.rs
+++ b/crates/platform-steward/tests/decision_streams/controller.rs
@@ -26,7 +26,11 @@
 
     /// Time has passed; the controller is called if it asked for that.
     pub fn time_passed(&mut self, now: u64) {
-        if self.0.wake_at().is_some_and(|at| at <= Time::from_micros(now)) {
+        if self
+            .0
+            .wake_at()
+            .is_some_and(|at| at <= Time::from_micros(now))
+        {
             self.handle(now, Input::Clock);
         }
     }
@@ -40,7 +44,9 @@
     /// A line of the relay: the answer to a call, or news.
     pub fn relay_line(&mut self, now: u64, text: &str) {
         match relay::read(text) {
-            Some(Line::Taken { id, orders }) => self.call_ended(now, id, CallEnd::Answered { orders }),
+            Some(Line::Taken { id, orders }) => {
+                self.call_ended(now, id, CallEnd::Answered { orders })
+            }
             Some(Line::Refused { id, .. }) => self.call_ended(now, id, CallEnd::Refused),
             Some(Line::News(news)) => self.handle(now, Input::News(news)),
             Some(Line::Watching) => self.handle(now, Input::NewsBegan),
@@ -64,21 +70,32 @@
     /// A report, its words set apart by spaces.
     pub fn report(&mut self, now: u64, text: &str) {
         let words: Vec<String> = text.split(' ').map(str::to_string).collect();
-        self.handle(now, report::read(&words).map_or_else(Input::Spoilt, Input::Said));
+        self.handle(
+            now,
+            report::read(&words).map_or_else(Input::Spoilt, Input::Said),
+        );
     }
 
     /// A probe's answer, with the body that came along.
     pub fn probe_answer(&mut self, now: u64, host: &str, good: bool, body: &str) {
         let load = load::read_body(body.as_bytes());
-        self.handle(now, Input::Probed { host: HostId(host.into()), good, load });
+        self.handle(
+            now,
+            Input::Probed {
+                host: HostId(host.into()),
+                good,
+                load,
+            },
+        );
     }
 
     pub fn next_action(&mut self, now: u64) -> Option<Action> {
         match self.0.next_output(Time::from_micros(now))? {
             Output::Call { call, line } => Some(Action::Call { id: call, line }),
-            Output::Probe { host, at } => {
-                Some(Action::Probe { host: host.0.to_string(), address: at.to_string() })
-            }
+            Output::Probe { host, at } => Some(Action::Probe {
+                host: host.0.to_string(),
+                address: at.to_string(),
+            }),
         }
     }
 }
--- a/crates/platform-steward/tests/decision_streams/main.rs
+++ b/crates/platform-steward/tests/decision_streams/main.rs
@@ -17,29 +17,55 @@
 /// Checks the digest of a run, and that the run orders something worth guarding.
 fn guard(site: &Site, digest: &str, worth: impl Fn(&Counts) -> bool) {
     let outcome = run(site);
-    assert!(worth(&outcome.counts), "too little happened: {:?}", outcome.counts);
-    assert_eq!(outcome.digest, digest, "the decisions differ: {:?}", outcome.counts);
+    assert!(
+        worth(&outcome.counts),
+        "too little happened: {:?}",
+        outcome.counts
+    );
+    assert_eq!(
+        outcome.digest, digest,
+        "the decisions differ: {:?}",
+        outcome.counts
+    );
 }
 
 #[test]
 fn small_fleet() {
-    let site = Site { seed: 21, trouble: 50, seconds: 300, ..SMALL };
-    guard(&site, "cc19e28b9f938ca2c55b96dc04e0bddd7e98b2cdfaa18873e815598edd668af4", |counts| {
-        counts.lines >= 150 && counts.tables >= 90 && counts.seals >= 40
-    });
+    let site = Site {
+        seed: 21,
+        trouble: 50,
+        seconds: 300,
+        ..SMALL
+    };
+    guard(
+        &site,
+        "cc19e28b9f938ca2c55b96dc04e0bddd7e98b2cdfaa18873e815598edd668af4",
+        |counts| counts.lines >= 150 && counts.tables >= 90 && counts.seals >= 40,
+    );
 }
 
 /// Calls are refused, stopped part-way and left without an answer while levels fall and rise again.
 #[test]
 fn overload_while_calls_fail() {
-    let site = Site { seed: 22, proxies: 60, hosts: 24, overload: true, seconds: 160, ..SMALL };
-    guard(&site, "d12ba0f23eb006d04e6f71e7a3e514ffc4c6234660b2f64ca9edee340c72ebeb", |counts| {
-        counts.lowered >= 150
-            && counts.raised >= 30
-            && counts.refused >= 8
-            && counts.stopped >= 7
-            && counts.unanswered >= 10
-    });
+    let site = Site {
+        seed: 22,
+        proxies: 60,
+        hosts: 24,
+        overload: true,
+        seconds: 160,
+        ..SMALL
+    };
+    guard(
+        &site,
+        "d12ba0f23eb006d04e6f71e7a3e514ffc4c6234660b2f64ca9edee340c72ebeb",
+        |counts| {
+            counts.lowered >= 150
+                && counts.raised >= 30
+                && counts.refused >= 8
+                && counts.stopped >= 7
+                && counts.unanswered >= 10
+        },
+    );
 }
 
 #[test]
@@ -55,13 +81,17 @@
         seconds: 60,
         ..SMALL
     };
-    guard(&site, "376adb44f656a6e0f4d6369a1f91da1f608f46c8291e762fe44042d219b15cee", |counts| {
-        counts.calls >= 200
-            && counts.lines >= 6_000
-            && counts.tables >= 3_000
-            && counts.lowered >= 700
-            && counts.seals >= 50
-    });
+    guard(
+        &site,
+        "376adb44f656a6e0f4d6369a1f91da1f608f46c8291e762fe44042d219b15cee",
+        |counts| {
+            counts.calls >= 200
+                && counts.lines >= 6_000
+                && counts.tables >= 3_000
+                && counts.lowered >= 700
+                && counts.seals >= 50
+        },
+    );
 }
 
 /// Zones with a class of their own, few messages per proxy, a short queue, and a great deal of trouble.
@@ -83,12 +113,16 @@
         seconds: 300,
         ..SMALL
     };
-    guard(&site, "ffb9bd5fc20248b45513b7d677a4cdb4f6e3b12a9532bd5c2537477661ea47af", |counts| {
-        counts.calls >= 50
-            && counts.lines >= 200
-            && counts.tables >= 180
-            && counts.lowered >= 20
-            && counts.raised >= 10
-            && counts.probes >= 40
-    });
+    guard(
+        &site,
+        "ffb9bd5fc20248b45513b7d677a4cdb4f6e3b12a9532bd5c2537477661ea47af",
+        |counts| {
+            counts.calls >= 50
+                && counts.lines >= 200
+                && counts.tables >= 180
+                && counts.lowered >= 20
+                && counts.raised >= 10
+                && counts.probes >= 40
+        },
+    );
 }
--- a/crates/platform-steward/tests/decision_streams/session.rs
+++ b/crates/platform-steward/tests/decision_streams/session.rs
@@ -43,7 +43,11 @@
     NoAnswer(u64),
     RelayReachable(bool),
     Report(String),
-    ProbeAnswer { host: String, good: bool, body: String },
+    ProbeAnswer {
+        host: String,
+        good: bool,
+        body: String,
+    },
 }
 
 struct Session {
@@ -84,8 +88,15 @@
         }
         session.now += STEP;
     }
-    let digest = hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
-    Outcome { digest, counts: session.counts }
+    let digest = hash
+        .finalize()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
+    Outcome {
+        digest,
+        counts: session.counts,
+    }
 }
 
 impl Session {
@@ -105,14 +116,20 @@
     fn deliver(&mut self, controller: &mut Controller) {
         let now = self.now;
         controller.time_passed(now);
-        while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .queue
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             match entry.remove() {
                 Event::List(text) => controller.list(now, &text),
                 Event::RelayLine(text) => controller.relay_line(now, &text),
                 Event::NoAnswer(call) => controller.no_answer(now, call),
                 Event::RelayReachable(up) => controller.relay_reachable(now, up),
                 Event::Report(text) => controller.report(now, &text),
-                Event::ProbeAnswer { host, good, body } => controller.probe_answer(now, &host, good, &body),
+                Event::ProbeAnswer { host, good, body } => {
+                    controller.probe_answer(now, &host, good, &body)
+                }
             }
         }
     }
@@ -132,8 +149,11 @@
                 Health::Draining => "Terminating",
                 Health::Gone => "Gone",
             };
-            let address =
-                if n % 13 == 7 { String::new() } else { format!("10.1.{}.{}:7070", n / 200, n % 200) };
+            let address = if n % 13 == 7 {
+                String::new()
+            } else {
+                format!("10.1.{}.{}:7070", n / 200, n % 200)
+            };
             format!(
                 "{{\"instanceId\":\"{}\",\"hostPort\":\"{address}\",\"zone\":\"{}\",\"machineType\":\"{}\",\
                  \"cell\":{},\"lifecycle\":\"{state}\",\"weight\":{},\"startedAtMs\":{}}}",
@@ -148,9 +168,14 @@
         let entries: Vec<String> = hosts.unwrap_or(&all).iter().map(entry).collect();
         // Now and then changes are older than the list that the controller holds.
         let old = hosts.is_some() && self.fleet.random.percent(4);
-        let generation = if old { self.generation - 2 } else { self.generation };
+        let generation = if old {
+            self.generation - 2
+        } else {
+            self.generation
+        };
         let (whole, entries) = (hosts.is_none(), entries.join(","));
-        let text = format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}");
+        let text =
+            format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}");
         self.later(delay, Event::List(text));
     }
 
@@ -162,13 +187,17 @@
     fn joined(&mut self, delay: u64, proxy: usize, fresh: bool) {
         let found = &self.fleet.proxies[proxy];
         let (zone, rate) = (ZONES[found.zone], decimal(found.rate));
-        let params = format!("{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{fresh}}}");
+        let params =
+            format!("{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{fresh}}}");
         self.news(delay, "joined", &params);
     }
 
     /// A connection for news begins: it names everyone who is joined, then gives its first sign of life.
     fn watch(&mut self) {
-        self.later(0, Event::RelayLine("{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}".to_string()));
+        self.later(
+            0,
+            Event::RelayLine("{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}".to_string()),
+        );
         for proxy in 0..self.fleet.proxies.len() {
             if self.fleet.proxies[proxy].joined {
                 self.joined(0, proxy, false);
@@ -181,13 +210,19 @@
         for change in changes {
             match change {
                 Change::Hosts(hosts) => {
-                    let (delay, whole) =
-                        (self.fleet.random.between(0, 400_000), self.fleet.random.percent(20));
+                    let (delay, whole) = (
+                        self.fleet.random.between(0, 400_000),
+                        self.fleet.random.percent(20),
+                    );
                     self.list(delay, if whole { None } else { Some(&hosts) });
                 }
                 Change::Joined { proxy, fresh } => self.joined(proxy as u64 * 1_000, proxy, fresh),
                 Change::Left(proxy) => {
-                    self.news(200_000 + proxy as u64 * 1_000, "left", &format!("{{\"id\":{proxy}}}"));
+                    self.news(
+                        200_000 + proxy as u64 * 1_000,
+                        "left",
+                        &format!("{{\"id\":{proxy}}}"),
+                    );
                 }
             }
         }
@@ -202,9 +237,14 @@
             self.report(&report);
         }
         for report in usage {
-            let (proxy, class, count, errors) =
-                (report.proxy, CLASSES[report.class], report.count, report.errors);
-            let text = format!("usage id {proxy} lane {class} count {count} fail {errors} over 1000.0");
+            let (proxy, class, count, errors) = (
+                report.proxy,
+                CLASSES[report.class],
+                report.count,
+                report.errors,
+            );
+            let text =
+                format!("usage id {proxy} lane {class} count {count} fail {errors} over 1000.0");
             let late = self.fleet.random.between(0, 500_000);
             self.later(late, Event::Report(text));
         }
@@ -229,14 +269,27 @@
     }
 
     fn report(&mut self, report: &HostReport) {
-        let late =
-            self.fleet.random.between(0, 600_000) + if self.fleet.random.percent(3) { 3_000_000 } else { 0 };
-        let HostReport { tries, errors, mean_time, queue, .. } = report;
+        let late = self.fleet.random.between(0, 600_000)
+            + if self.fleet.random.percent(3) {
+                3_000_000
+            } else {
+                0
+            };
+        let HostReport {
+            tries,
+            errors,
+            mean_time,
+            queue,
+            ..
+        } = report;
         let (zone, host) = (ZONES[report.zone], &self.fleet.hosts[report.host].name);
         let mut text = format!("heard site {zone} target {host} count {tries} fail {errors}");
         text += &format!(" mean {} over 1000.0", decimal(*mean_time));
         if self.site.report_source == "inline" {
-            text += &format!(" util inflight:{queue},queue:{queue},util:{}", decimal(report.busy));
+            text += &format!(
+                " util inflight:{queue},queue:{queue},util:{}",
+                decimal(report.busy)
+            );
         }
         self.later(late, Event::Report(text));
     }
@@ -261,7 +314,9 @@
         self.news(0, "applied", "{\"id\":1,\"seq\":65535,\"ms\":1.0}");
         self.later(
             0,
-            Event::RelayLine("{\"jsonrpc\":\"2.0\",\"id\":999999,\"result\":{\"ok_count\":1}}".to_string()),
+            Event::RelayLine(
+                "{\"jsonrpc\":\"2.0\",\"id\":999999,\"result\":{\"ok_count\":1}}".to_string(),
+            ),
         );
     }
 }
--- a/crates/platform-steward/tests/decision_streams/session/relay.rs
+++ b/crates/platform-steward/tests/decision_streams/session/relay.rs
@@ -28,11 +28,22 @@
     fn call(&mut self, id: u64, line: &str) {
         self.counts.calls += 1;
         let line: Value = serde_json::from_str(line).expect("a call in JSON");
-        let orders = line["params"]["changes"].as_array().expect("orders").clone();
-        let (delay, fault) = (self.fleet.random.between(1_000, 40_000), self.fleet.random.between(0, 100));
-        let most = if fault < 4 { self.fleet.random.place(orders.len()) } else { orders.len() };
-        let result =
-            |taken: usize| format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{taken}}}}}");
+        let orders = line["params"]["changes"]
+            .as_array()
+            .expect("orders")
+            .clone();
+        let (delay, fault) = (
+            self.fleet.random.between(1_000, 40_000),
+            self.fleet.random.between(0, 100),
+        );
+        let most = if fault < 4 {
+            self.fleet.random.place(orders.len())
+        } else {
+            orders.len()
+        };
+        let result = |taken: usize| {
+            format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{taken}}}}}")
+        };
         match fault {
             0..4 => {
                 self.counts.stopped += 1;
@@ -83,14 +94,16 @@
                         return place;
                     }
                     self.counts.tables += 1;
-                    self.fleet.hand_table(proxy, table, classes(&order["routes"]));
+                    self.fleet
+                        .hand_table(proxy, table, classes(&order["routes"]));
                     reached.push(proxy);
                 }
                 "admit" => {
                     let share = thousandths(number("admit"));
                     self.counts.lowered += usize::from(share < 1_000);
                     self.counts.raised += usize::from(share >= 1_000 && self.counts.lowered > 0);
-                    self.fleet.set_level(table, classes(&order["routes"]), share);
+                    self.fleet
+                        .set_level(table, classes(&order["routes"]), share);
                     reached.extend(self.fleet.users(table));
                 }
                 "mark" => self.seal(number("nonce_out") as u64, &mut reached),
@@ -110,7 +123,11 @@
             if self.fleet.random.percent(8) {
                 continue;
             }
-            let late = if self.fleet.random.percent(5) { 5_000_000 } else { slow };
+            let late = if self.fleet.random.percent(5) {
+                5_000_000
+            } else {
+                slow
+            };
             let took = self.fleet.random.between(150, 900) * 1_000 + late;
             let params = format!("{{\"id\":{proxy},\"seq\":{mark},\"ms\":{}}}", took / 1_000);
             self.news(took, "applied", &params);
@@ -119,7 +136,12 @@
 
     fn probe(&mut self, name: &str) {
         self.counts.probes += 1;
-        let host = self.fleet.hosts.iter().find(|host| host.name == name).expect("a host that was listed");
+        let host = self
+            .fleet
+            .hosts
+            .iter()
+            .find(|host| host.name == name)
+            .expect("a host that was listed");
         let (health, trouble, queue) = (host.health, host.trouble, host.queue / 1_000);
         let random = &mut self.fleet.random;
         let up = health == Health::Listed && trouble != Trouble::Hangs;
@@ -133,12 +155,30 @@
             _ => format!("TEXT inflight=7, queue={queue}, util=0.610"),
         };
         let took = random.between(1_000, 60_000);
-        self.later(took, Event::ProbeAnswer { host: name.to_string(), good, body });
+        self.later(
+            took,
+            Event::ProbeAnswer {
+                host: name.to_string(),
+                good,
+                body,
+            },
+        );
     }
 }
 
 /// The bits of the classes that an order names; none: it is for all.
 fn classes(routes: &Value) -> u64 {
-    let names = routes.as_array().into_iter().flatten().filter_map(Value::as_str);
-    names.map(|name| 1 << CLASSES.iter().position(|class| *class == name).expect("a class")).sum()
+    let names = routes
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(Value::as_str);
+    names
+        .map(|name| {
+            1 << CLASSES
+                .iter()
+                .position(|class| *class == name)
+                .expect("a class")
+        })
+        .sum()
 }
--- a/crates/platform-steward/tests/relay_town.rs
+++ b/crates/platform-steward/tests/relay_town.rs
@@ -57,7 +57,11 @@
     town.fault = Fault::Busy;
     (0..8).for_each(|n| town.joins(n, true));
     town.run(2_000);
-    assert!(town.bound.is_empty() && town.calls <= 20, "{} calls", town.calls);
+    assert!(
+        town.bound.is_empty() && town.calls <= 20,
+        "{} calls",
+        town.calls
+    );
     town.fault = Fault::None;
     town.forgive();
     town.run(1_000);
@@ -97,9 +101,17 @@
     town.tell_joined(5, false);
     town.drains(1);
     town.run(200);
-    assert!(town.users_of(1) == 0 && town.stopped == 1, "stopped {} times", town.stopped);
+    assert!(
+        town.users_of(1) == 0 && town.stopped == 1,
+        "stopped {} times",
+        town.stopped
+    );
     town.run(2_000);
-    assert!(town.stopped <= 3, "no circles: stopped {} times", town.stopped);
+    assert!(
+        town.stopped <= 3,
+        "no circles: stopped {} times",
+        town.stopped
+    );
     town.leaves(5);
     town.run(2_000);
     town.check();
@@ -112,7 +124,13 @@
     town.fault = Fault::Spoilt;
     (0..8).for_each(|n| town.joins(n, true));
     town.run(500);
-    town.core.handle(town.time(), Input::CallEnded { call: 999, end: CallEnd::Answered { orders: 1 } });
+    town.core.handle(
+        town.time(),
+        Input::CallEnded {
+            call: 999,
+            end: CallEnd::Answered { orders: 1 },
+        },
+    );
     town.fault = Fault::None;
     town.run(1_000);
     town.check();
@@ -183,7 +201,11 @@
         town.run(45_000);
         town.check();
         most = most.max(town.core.glance().known);
-        assert!(town.relay_lines() <= 250, "{} lines stand at the relay", town.relay_lines());
+        assert!(
+            town.relay_lines() <= 250,
+            "{} lines stand at the relay",
+            town.relay_lines()
+        );
     }
     assert!(most <= 40, "{most} hosts are kept");
 }
@@ -203,8 +225,17 @@
     ] {
         town.says(text);
     }
-    assert_eq!((town.core.tally().reports, town.core.tally().spoilt.values().sum::<u64>()), (0, 4));
-    assert_eq!((before.demand, before.known), (town.core.glance().demand, town.core.glance().known));
+    assert_eq!(
+        (
+            town.core.tally().reports,
+            town.core.tally().spoilt.values().sum::<u64>()
+        ),
+        (0, 4)
+    );
+    assert_eq!(
+        (before.demand, before.known),
+        (town.core.glance().demand, town.core.glance().known)
+    );
 }
 
 #[derive(Clone, Debug)]
