--- a/crates/proxy/tests/real/main.rs
+++ b/crates/proxy/tests/real/main.rs
@@ -9,7 +9,10 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_standing_table_serves_until_a_steward_says_more() {
-    let (a, b) = (Host::start(Does::Answers).await, Host::start(Does::Answers).await);
+    let (a, b) = (
+        Host::start(Does::Answers).await,
+        Host::start(Does::Answers).await,
+    );
     let mut stage = Stage::start(&[&a], SITE).await;
     assert_eq!(stage.get("/proof").await.0, 200);
     assert_eq!(stage.get("/nothing").await.0, 404);
@@ -26,16 +29,27 @@
         head.contains("x-pondarch-table: steward:1/1") && head.contains("x-pondarch-proxy: front"),
         "{head}"
     );
-    assert!(head.contains("host: a") && !head.contains("connection: close"), "{head}");
+    assert!(
+        head.contains("host: a") && !head.contains("connection: close"),
+        "{head}"
+    );
     assert_eq!(stage.info("StewardConnected").await, "1");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_table_without_a_ready_host_leaves_the_last_ready_ones_for_a_while() {
-    let (a, b) = (Host::start(Does::Answers).await, Host::start(Does::Answers).await);
+    let (a, b) = (
+        Host::start(Does::Answers).await,
+        Host::start(Does::Answers).await,
+    );
     let mut stage = Stage::start(&[&a, &b], SITE).await;
     // One drains, the other merely leaves: only the latter may still serve.
-    stage.order(&["set server proof/h0 state drain".into(), "set server proof/h1 state maint".into()]).await;
+    stage
+        .order(&[
+            "set server proof/h0 state drain".into(),
+            "set server proof/h1 state maint".into(),
+        ])
+        .await;
     for _ in 0..10 {
         assert_eq!(stage.get("/proof").await.0, 200);
     }
@@ -50,16 +64,26 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn older_tables_and_older_stewards_are_refused() {
-    let (a, b) = (Host::start(Does::Answers).await, Host::start(Does::Answers).await);
+    let (a, b) = (
+        Host::start(Does::Answers).await,
+        Host::start(Does::Answers).await,
+    );
     let mut stage = Stage::start(&[&a], SITE).await;
     let table = |number: u64, host: &str, state: &str| {
         format!("add map pond_state table s:9/{number}; set server proof/{host} state {state}")
     };
-    stage.say(&format!("add server proof/b {} weight 5", b.addr)).await;
+    stage
+        .say(&format!("add server proof/b {} weight 5", b.addr))
+        .await;
     stage.say(&table(5, "b", "ready")).await;
     stage.say(&table(6, "h0", "maint")).await;
     // Late, and twice.
-    assert!(stage.say(&table(4, "h0", "ready")).await.contains("Refused"));
+    assert!(
+        stage
+            .say(&table(4, "h0", "ready"))
+            .await
+            .contains("Refused")
+    );
     stage.say(&table(6, "h0", "maint")).await;
     for _ in 0..5 {
         stage.get("/proof").await;
@@ -67,8 +91,18 @@
     assert_eq!((a.reqs(), b.reqs()), (0, 5));
     // Another steward on a newer connection takes over; the old one is refused until it dials anew.
     let mut other = stage.another_steward().await;
-    talk(&mut other, "add map pond_state table t:1/1; set server proof/h0 state ready", 2).await;
-    assert!(stage.say(&table(7, "b", "maint")).await.contains("taken over"));
+    talk(
+        &mut other,
+        "add map pond_state table t:1/1; set server proof/h0 state ready",
+        2,
+    )
+    .await;
+    assert!(
+        stage
+            .say(&table(7, "b", "maint"))
+            .await
+            .contains("taken over")
+    );
     drop(other);
     tokio::time::sleep(Duration::from_millis(50)).await;
     let after = stage.say(&table(7, "b", "maint")).await;
@@ -80,32 +114,58 @@
     let a = Host::start(Does::Answers).await;
     let mut stage = Stage::start(&[&a], SITE).await;
     for from in (0..10_100).step_by(100) {
-        let adds: Vec<String> =
-            (from..from + 100).map(|n| format!("add server proof/x{n} 127.9.0.1:9 weight 1")).collect();
+        let adds: Vec<String> = (from..from + 100)
+            .map(|n| format!("add server proof/x{n} 127.9.0.1:9 weight 1"))
+            .collect();
         stage.order(&adds).await;
     }
-    assert!(stage.say("add server proof/more 127.9.0.1:9").await.contains("full"));
+    assert!(
+        stage
+            .say("add server proof/more 127.9.0.1:9")
+            .await
+            .contains("full")
+    );
     assert_eq!(stage.get("/proof").await.0, 200);
-    assert!(stage.say("add server nokind/x 127.9.0.1:9").await.contains("No such backend"));
-    assert!(stage.say("add server release/h0 127.9.0.1:9").await.contains("Already exists"));
-    stage.order(&["set server release/h0 weight 0".into()]).await;
+    assert!(
+        stage
+            .say("add server nokind/x 127.9.0.1:9")
+            .await
+            .contains("No such backend")
+    );
+    assert!(
+        stage
+            .say("add server release/h0 127.9.0.1:9")
+            .await
+            .contains("Already exists")
+    );
+    stage
+        .order(&["set server release/h0 weight 0".into()])
+        .await;
     tokio::time::sleep(Duration::from_millis(650)).await;
     assert_eq!(stage.get("/release").await.0, 503);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn further_tries_only_on_proof_for_release() {
-    let (good, bad) = (Host::start(Does::Answers).await, Host::start(Does::Closes).await);
+    let (good, bad) = (
+        Host::start(Does::Answers).await,
+        Host::start(Does::Closes).await,
+    );
     let dead = Host::start(Does::Answers).await;
     // No keeping away: each req is to meet any of them.
     let mut stage = Stage::start(
         &[&good, &bad],
-        &SITE.replace("seed: 5,", "seed: 5, avoid: { after: 0 }, further_tries: 1,"),
+        &SITE.replace(
+            "seed: 5,",
+            "seed: 5, avoid: { after: 0 }, further_tries: 1,",
+        ),
     )
     .await;
     let add_dead = add("release", "dead", &dead, 100).to_vec();
     drop(dead);
-    stage.order(&["add map pond_tries release failure-twice".into()]).await;
+    stage
+        .order(&["add map pond_tries release failure-twice".into()])
+        .await;
     // A host that takes the req and closes may have run it: never again, whatever was ordered.
     let mut errored = 0;
     for _ in 0..20 {
@@ -115,14 +175,20 @@
     assert_eq!(good.reqs() + bad.reqs(), 20);
     // A host that cannot be reached, or says so, never ran it.
     let mut orders = add_dead;
-    orders.extend(["set server release/h1 state maint".into(), "set map pond_tries release unsent".into()]);
+    orders.extend([
+        "set server release/h1 state maint".into(),
+        "set map pond_tries release unsent".into(),
+    ]);
     stage.order(&orders).await;
     for _ in 0..20 {
         assert_eq!(stage.get("/release").await.0, 200);
     }
     *bad.does.lock().expect("does") = Does::RefusesUnrun;
     stage
-        .order(&["set server release/h1 state ready".into(), "set server release/dead state maint".into()])
+        .order(&[
+            "set server release/h1 state ready".into(),
+            "set server release/dead state maint".into(),
+        ])
         .await;
     for _ in 0..20 {
         assert_eq!(stage.get("/release").await.0, 200);
@@ -154,8 +220,13 @@
     let a = Host::start(Does::Slowly(400)).await;
     let mut stage = Stage::start(&[&a], SITE).await;
     for _ in 0..5 {
-        let mut stream = TcpStream::connect(stage.proxy.addr).await.expect("the proxy");
-        stream.write_all(b"GET /proof HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("written");
+        let mut stream = TcpStream::connect(stage.proxy.addr)
+            .await
+            .expect("the proxy");
+        stream
+            .write_all(b"GET /proof HTTP/1.1\r\nhost: a\r\n\r\n")
+            .await
+            .expect("written");
         tokio::time::sleep(Duration::from_millis(60)).await;
         drop(stream);
     }
@@ -170,7 +241,8 @@
     let a = Host::start(Does::Answers).await;
     let stage = Stage::start(&[&a], SITE).await;
     let addr = stage.proxy.addr;
-    let head = |lines: &str, body: &str| format!("POST /proof HTTP/1.1\r\nhost: a\r\n{lines}\r\n{body}");
+    let head =
+        |lines: &str, body: &str| format!("POST /proof HTTP/1.1\r\nhost: a\r\n{lines}\r\n{body}");
     for lines in [
         "content-length: 3\r\ncontent-length: 4\r\n",
         "content-length: 3\r\ncontent-length: 3\r\n",
@@ -182,8 +254,11 @@
         assert_eq!(status, 400, "{lines}: {text}");
     }
     assert_eq!(a.reqs(), 0, "nothing of that reached a host");
-    let (status, _) =
-        send(addr, head("transfer-encoding: chunked\r\n", "2\r\nab\r\n0\r\n\r\n").as_bytes()).await;
+    let (status, _) = send(
+        addr,
+        head("transfer-encoding: chunked\r\n", "2\r\nab\r\n0\r\n\r\n").as_bytes(),
+    )
+    .await;
     assert_eq!((status, a.reqs()), (200, 1));
     let huge = format!("GET /proof HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(1 << 20));
     let (status, text) = send(addr, huge.as_bytes()).await;
@@ -201,15 +276,28 @@
     let a = Host::start(Does::Slowly(300)).await;
     let site = SITE.replace("limits: {", "limits: { at_host: 2, waiting: 2, ");
     let mut stage = Stage::start(&[&a], &site).await;
-    stage.order(&["add map pond_levels proof 0".into(), "add map pond_levels release 1/s".into()]).await;
+    stage
+        .order(&[
+            "add map pond_levels proof 0".into(),
+            "add map pond_levels release 1/s".into(),
+        ])
+        .await;
     let (status, text) = stage.get("/proof").await;
     assert!(status == 503 && text.contains("retry-after: 1"), "{text}");
     let mut statuses = Vec::new();
     for _ in 0..4 {
         statuses.push(stage.get("/release").await.0);
     }
-    assert!(statuses.starts_with(&[200]) && statuses.contains(&429), "{statuses:?}");
-    stage.order(&["set map pond_levels proof 100".into(), "set map pond_levels release 100".into()]).await;
+    assert!(
+        statuses.starts_with(&[200]) && statuses.contains(&429),
+        "{statuses:?}"
+    );
+    stage
+        .order(&[
+            "set map pond_levels proof 100".into(),
+            "set map pond_levels release 100".into(),
+        ])
+        .await;
     // Two at the host, two wait, one of the least benefit too many.
     let addr = stage.proxy.addr;
     let ask = |path: &'static str| {
@@ -233,7 +321,13 @@
     let a = Host::start(Does::Slowly(300)).await;
     let stage = Stage::start(&[&a], SITE).await;
     let addr = stage.proxy.addr;
-    let ask = || tokio::spawn(async move { send(addr, b"GET /proof HTTP/1.1\r\nhost: a\r\n\r\n").await.0 });
+    let ask = || {
+        tokio::spawn(async move {
+            send(addr, b"GET /proof HTTP/1.1\r\nhost: a\r\n\r\n")
+                .await
+                .0
+        })
+    };
     let under_way: Vec<_> = (0..8).map(|_| ask()).collect();
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut site =
@@ -244,7 +338,10 @@
     for one in under_way {
         assert_eq!(one.await.expect("answered"), 200);
     }
-    assert!(TcpStream::connect(addr).await.is_err(), "it takes no new connections");
+    assert!(
+        TcpStream::connect(addr).await.is_err(),
+        "it takes no new connections"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -253,7 +350,11 @@
     let mut stage = Stage::start(&[&a], SITE).await;
     for round in 0..30 {
         // The host answers this one, and closes the next connection after reading.
-        *a.does.lock().expect("does") = if round % 2 == 0 { Does::Answers } else { Does::Closes };
+        *a.does.lock().expect("does") = if round % 2 == 0 {
+            Does::Answers
+        } else {
+            Does::Closes
+        };
         stage.get("/release").await;
     }
     let (done, errored) = stage.sums("release").await["h0"];
@@ -291,7 +392,12 @@
             )
             .await;
             let modes = ["unsent", "failure", "failure-twice"];
-            stage.order(&[format!("add map pond_tries release {}", modes[seed as usize % 3])]).await;
+            stage
+                .order(&[format!(
+                    "add map pond_tries release {}",
+                    modes[seed as usize % 3]
+                )])
+                .await;
             let (addr, mut asked) = (stage.proxy.addr, tokio::task::JoinSet::new());
             let mut effects: Vec<u64> = Vec::new();
             for id in 0..60u64 {
@@ -303,10 +409,13 @@
                     effects.extend(hosts[n].effects());
                     hosts[n] = Host::start(does(&mut chance)).await;
                     let (ip, port) = (hosts[n].addr.ip(), hosts[n].addr.port());
-                    stage.order(&[format!("set server release/h{n} addr {ip} port {port}")]).await;
+                    stage
+                        .order(&[format!("set server release/h{n} addr {ip} port {port}")])
+                        .await;
                 }
-                let req =
-                    format!("GET /release HTTP/1.1\r\nhost: a\r\nx-req: {id}\r\nconnection: close\r\n\r\n");
+                let req = format!(
+                    "GET /release HTTP/1.1\r\nhost: a\r\nx-req: {id}\r\nconnection: close\r\n\r\n"
+                );
                 asked.spawn(async move { send(addr, req.as_bytes()).await.0 });
                 tokio::time::sleep(Duration::from_millis(3)).await;
             }
@@ -318,7 +427,11 @@
             let all = effects.len();
             effects.sort_unstable();
             effects.dedup();
-            assert_eq!(all, effects.len(), "seed {seed}: a release reached two hosts");
+            assert_eq!(
+                all,
+                effects.len(),
+                "seed {seed}: a release reached two hosts"
+            );
             done
         });
     }
@@ -327,20 +440,32 @@
         done += of_one.expect("a schedule");
     }
     println!("{done} of 3000 done");
-    assert!(done > 50 * 60 / 10, "{done} of 3000 done: the schedules say little");
+    assert!(
+        done > 50 * 60 / 10,
+        "{done} of 3000 done: the schedules say little"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_host_s_word_on_its_load_is_shown_and_a_slow_head_is_given_up() {
-    let (a, slow) = (Host::start(Does::TellsLoad).await, Host::start(Does::Slowly(600)).await);
+    let (a, slow) = (
+        Host::start(Does::TellsLoad).await,
+        Host::start(Does::Slowly(600)).await,
+    );
     let site = SITE
         .replace("limits: {", "limits: { response: '150 ms', ")
         .replace("seed: 5,", "seed: 5, avoid: { after: 0 },");
     let mut stage = Stage::start(&[&a, &slow], &site).await;
-    stage.order(&["add map pond_tries proof failure".into()]).await;
+    stage
+        .order(&["add map pond_tries proof failure".into()])
+        .await;
     let began = Instant::now();
     for _ in 0..6 {
-        assert_eq!(stage.get("/proof").await.0, 200, "a second try has time left");
+        assert_eq!(
+            stage.get("/proof").await.0,
+            200,
+            "a second try has time left"
+        );
     }
     assert!(began.elapsed() < Duration::from_millis(6 * 300) && slow.reqs() > 0);
     let text = stage.say("show stat").await;
--- a/crates/proxy/tests/real/stage.rs
+++ b/crates/proxy/tests/real/stage.rs
@@ -48,14 +48,28 @@
                 connections.spawn(connection(stream, does_now.clone(), heads_now.clone()));
             }
         });
-        Host { addr, does, heads, task }
+        Host {
+            addr,
+            does,
+            heads,
+            task,
+        }
     }
 
     /// The numbers (`x-req`) of the reqs that may have taken effect here.
     pub fn effects(&self) -> Vec<u64> {
         let heads = self.heads.lock().expect("heads");
-        let number = |head: &String| head.lines().find_map(|line| line.strip_prefix("x-req: "))?.parse().ok();
-        heads.iter().filter(|head| !head.contains("x-unrun")).filter_map(number).collect()
+        let number = |head: &String| {
+            head.lines()
+                .find_map(|line| line.strip_prefix("x-req: "))?
+                .parse()
+                .ok()
+        };
+        heads
+            .iter()
+            .filter(|head| !head.contains("x-unrun"))
+            .filter_map(number)
+            .collect()
     }
 
     pub fn reqs(&self) -> usize {
@@ -77,7 +91,9 @@
             Ok(0) | Err(_) => return,
             Ok(read) => bytes.extend_from_slice(&piece[..read]),
         }
-        let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else { continue };
+        let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else {
+            continue;
+        };
         let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
         let length = head
             .lines()
@@ -88,7 +104,11 @@
         }
         bytes.drain(..end + 4 + length);
         let now = *does.lock().expect("does");
-        let unrun = if now == Does::RefusesUnrun { "\nx-unrun" } else { "" };
+        let unrun = if now == Does::RefusesUnrun {
+            "\nx-unrun"
+        } else {
+            ""
+        };
         heads.lock().expect("heads").push(format!("{head}{unrun}"));
         let answer: &str = match now {
             Does::Answers => "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
@@ -103,7 +123,9 @@
             Does::HeadOnly => "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n",
             Does::Closes => return,
             Does::Refuses => "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
-            Does::RefusesUnrun => "HTTP/1.1 503 Busy\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n",
+            Does::RefusesUnrun => {
+                "HTTP/1.1 503 Busy\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n"
+            }
         };
         if stream.write_all(answer.as_bytes()).await.is_err() {
             return;
@@ -133,20 +155,31 @@
 impl Stage {
     pub async fn start(standing: &[&Host], site: &str) -> Stage {
         let folder = tempfile::tempdir().expect("a folder");
-        let host =
-            |(n, host): (usize, &&Host)| format!("{{ name: 'h{n}', address: '{}', zone: 'ede' }}", host.addr);
+        let host = |(n, host): (usize, &&Host)| {
+            format!("{{ name: 'h{n}', address: '{}', zone: 'ede' }}", host.addr)
+        };
         let hosts: Vec<String> = standing.iter().enumerate().map(host).collect();
-        std::fs::write(folder.path().join("hosts.jsonnet"), format!("{{ hosts: [{}] }}", hosts.join(",")))
-            .expect("a list");
+        std::fs::write(
+            folder.path().join("hosts.jsonnet"),
+            format!("{{ hosts: [{}] }}", hosts.join(",")),
+        )
+        .expect("a list");
         std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
         let site = read_proxy(&folder.path().join("site.jsonnet")).expect("good settings");
         let proxy = start(&site).await.expect("a proxy");
         let steward = Stage::dial(folder.path().join("front.sock")).await;
-        Stage { proxy, folder, steward, number: 0 }
+        Stage {
+            proxy,
+            folder,
+            steward,
+            number: 0,
+        }
     }
 
     async fn dial(socket: PathBuf) -> UnixStream {
-        let mut stream = UnixStream::connect(socket).await.expect("the runtime socket");
+        let mut stream = UnixStream::connect(socket)
+            .await
+            .expect("the runtime socket");
         talk(&mut stream, "prompt i", 1).await;
         stream
     }
@@ -159,7 +192,11 @@
     pub async fn order(&mut self, commands: &[String]) -> String {
         self.number += 1;
         let version = format!("add map pond_state table steward:1/{}", self.number);
-        let line = std::iter::once(&version).chain(commands).cloned().collect::<Vec<_>>().join("; ");
+        let line = std::iter::once(&version)
+            .chain(commands)
+            .cloned()
+            .collect::<Vec<_>>()
+            .join("; ");
         talk(&mut self.steward, &line, commands.len() + 1).await
     }
 
@@ -170,15 +207,21 @@
 
     pub async fn info(&mut self, name: &str) -> String {
         let text = self.say("show info").await;
-        pondarch_runtime_api::info::Info::read(&text).get(name).unwrap_or("").to_string()
+        pondarch_runtime_api::info::Info::read(&text)
+            .get(name)
+            .unwrap_or("")
+            .to_string()
     }
 
     /// Tries done and errored, by host, of a kind.
     pub async fn sums(&mut self, kind: &str) -> BTreeMap<String, (u64, u64)> {
         let text = self.say("show stat").await;
         let rows = pondarch_runtime_api::stat::read(text.trim_end()).expect("stat");
-        let of = rows.into_iter().filter(|row| row.backend == kind && row.server != "BACKEND");
-        of.map(|row| (row.server.clone(), (row.ended().done, row.ended().errored))).collect()
+        let of = rows
+            .into_iter()
+            .filter(|row| row.backend == kind && row.server != "BACKEND");
+        of.map(|row| (row.server.clone(), (row.ended().done, row.ended().errored)))
+            .collect()
     }
 
     pub async fn get(&self, path: &str) -> (u16, String) {
@@ -197,7 +240,10 @@
 
 /// Sends a line and reads as many answers.
 pub async fn talk(stream: &mut UnixStream, line: &str, answers: usize) -> String {
-    stream.write_all(format!("{line}\n").as_bytes()).await.expect("written");
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .await
+        .expect("written");
     let mut text = String::new();
     let mut bytes = vec![0; 65_536];
     let ended = |text: &str| {
@@ -209,8 +255,9 @@
         ends
     };
     while ended(&text) < answers {
-        let read =
-            tokio::time::timeout(Duration::from_secs(5), stream.read(&mut bytes)).await.expect("an answer");
+        let read = tokio::time::timeout(Duration::from_secs(5), stream.read(&mut bytes))
+            .await
+            .expect("an answer");
         let read = read.expect("read");
         assert!(read > 0, "closed after {text}");
         text.push_str(&String::from_utf8_lossy(&bytes[..read]));
@@ -227,6 +274,10 @@
     let read = tokio::time::timeout(Duration::from_secs(10), stream.read_to_end(&mut text)).await;
     read.expect("an end").ok();
     let text = String::from_utf8_lossy(&text).into_owned();
-    let status = text.split_whitespace().nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
+    let status = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|status| status.parse().ok())
+        .unwrap_or(0);
     (status, text)
 }
--- a/crates/records/src/disk.rs
+++ b/crates/records/src/disk.rs
@@ -50,9 +50,17 @@
     pub fn lock(path: &Path) -> Result<Folder, LockError> {
         let wrong = |wrong| LockError::Io(path.to_path_buf(), wrong);
         fs::create_dir_all(path).map_err(wrong)?;
-        let lock = OpenOptions::new().create(true).append(true).open(path.join(LOCK)).map_err(wrong)?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path.join(LOCK))
+            .map_err(wrong)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), open: None, _lock: Some(lock) }),
+            Ok(()) => Ok(Folder {
+                path: path.to_path_buf(),
+                open: None,
+                _lock: Some(lock),
+            }),
             Err(TryLockError::WouldBlock) => Err(LockError::Held(path.to_path_buf())),
             Err(TryLockError::Error(other)) => Err(wrong(other)),
         }
@@ -60,19 +68,29 @@
 
     /// For reading alone, also while another program writes.
     pub fn look(path: &Path) -> Folder {
-        Folder { path: path.to_path_buf(), open: None, _lock: None }
+        Folder {
+            path: path.to_path_buf(),
+            open: None,
+            _lock: None,
+        }
     }
 }
 
 impl Disk for Folder {
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let file = OpenOptions::new().create_new(true).append(true).open(self.path.join(name))?;
+        let file = OpenOptions::new()
+            .create_new(true)
+            .append(true)
+            .open(self.path.join(name))?;
         self.open = Some(file);
         File::open(&self.path)?.sync_all()
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.open.as_mut().ok_or(io::ErrorKind::NotFound)?.write_all(bytes)
+        self.open
+            .as_mut()
+            .ok_or(io::ErrorKind::NotFound)?
+            .write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
@@ -98,7 +116,9 @@
 
     fn read_head(&self, name: &str, bytes: usize) -> io::Result<Vec<u8>> {
         let mut head = Vec::with_capacity(bytes);
-        File::open(self.path.join(name))?.take(bytes as u64).read_to_end(&mut head)?;
+        File::open(self.path.join(name))?
+            .take(bytes as u64)
+            .read_to_end(&mut head)?;
         Ok(head)
     }
 
@@ -107,9 +127,14 @@
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
             let (meta, name) = (entry.metadata()?, entry.file_name());
-            let Some(name) = name.to_str().filter(|_| meta.is_file()) else { continue };
-            let changed =
-                meta.modified().unwrap_or(UNIX_EPOCH).duration_since(UNIX_EPOCH).unwrap_or_default();
+            let Some(name) = name.to_str().filter(|_| meta.is_file()) else {
+                continue;
+            };
+            let changed = meta
+                .modified()
+                .unwrap_or(UNIX_EPOCH)
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             files.push((name.to_string(), meta.len(), changed.as_micros() as u64));
         }
         files.sort();
@@ -129,7 +154,12 @@
 
 impl<D: Disk> Trouble<D> {
     pub fn over(disk: D) -> Trouble<D> {
-        Trouble { disk, slow: Duration::ZERO, room: None, read_only: false }
+        Trouble {
+            disk,
+            slow: Duration::ZERO,
+            room: None,
+            read_only: false,
+        }
     }
 
     fn takes(&mut self, bytes: u64) -> io::Result<()> {
@@ -194,5 +224,8 @@
 
 /// Now, as `list` gives times.
 pub fn now_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
--- a/crates/records/src/frame.rs
+++ b/crates/records/src/frame.rs
@@ -44,13 +44,17 @@
     if bytes.is_empty() {
         return Ok(None);
     }
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return Err(FrameError::Torn) };
+    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
+        return Err(FrameError::Torn);
+    };
     let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let (len, crc, flags) = (word(0) as usize, word(4), head[8]);
     if len > LONGEST {
         return Err(FrameError::Length(len));
     }
-    let Some(body) = rest.get(..len) else { return Err(FrameError::Torn) };
+    let Some(body) = rest.get(..len) else {
+        return Err(FrameError::Torn);
+    };
     if checksum(flags, body) != crc {
         return Err(FrameError::Checksum);
     }
@@ -58,7 +62,9 @@
         0 => body.to_vec(),
         PACKED => {
             // The size stands first: it must not make us reserve what no record is.
-            let size = body.first_chunk::<4>().map_or(0, |size| u32::from_le_bytes(*size) as usize);
+            let size = body
+                .first_chunk::<4>()
+                .map_or(0, |size| u32::from_le_bytes(*size) as usize);
             if size > LONGEST {
                 return Err(FrameError::Length(size));
             }
--- a/crates/records/src/keeping.rs
+++ b/crates/records/src/keeping.rs
@@ -56,7 +56,13 @@
 
 impl Keeping {
     pub fn new(keep: Keep) -> Keeping {
-        Keeping { keep, state: State::Writes, failures: 0, unsure_since: None, bytes: 0 }
+        Keeping {
+            keep,
+            state: State::Writes,
+            failures: 0,
+            unsure_since: None,
+            bytes: 0,
+        }
     }
 
     pub fn state(&self) -> &State {
@@ -90,13 +96,19 @@
     }
 
     pub fn failed(&mut self, now: Time, why: String) {
-        let wait = AGAIN_LEAST.times(f64::from(1u32 << self.failures.min(16))).min(AGAIN_MOST);
+        let wait = AGAIN_LEAST
+            .times(f64::from(1u32 << self.failures.min(16)))
+            .min(AGAIN_MOST);
         self.failures = self.failures.saturating_add(1);
         let since = match self.state {
             State::Stopped { since, .. } => since,
             State::Writes => now,
         };
-        self.state = State::Stopped { why, since, again: now + wait };
+        self.state = State::Stopped {
+            why,
+            since,
+            again: now + wait,
+        };
         self.unsure_since = None;
     }
 
--- a/crates/records/src/log.rs
+++ b/crates/records/src/log.rs
@@ -39,9 +39,20 @@
     ///
     /// Errors: the folder cannot be read.
     pub fn new(disk: D, keep: Keep, epoch: u64) -> Result<Log<D>, LogError> {
-        let numbers = disk.list()?.into_iter().filter_map(|(name, ..)| number_of(&name).map(|(n, _)| n));
+        let numbers = disk
+            .list()?
+            .into_iter()
+            .filter_map(|(name, ..)| number_of(&name).map(|(n, _)| n));
         let next = numbers.max().map_or(1, |last| last + 1);
-        Ok(Log { disk, keeping: Keeping::new(keep), epoch, next, open: false, segment: next, needed: next })
+        Ok(Log {
+            disk,
+            keeping: Keeping::new(keep),
+            epoch,
+            next,
+            open: false,
+            segment: next,
+            needed: next,
+        })
     }
 
     pub fn keeping(&self) -> &Keeping {
@@ -75,7 +86,10 @@
             self.next += 1;
             self.open = true;
             self.keeping.opened();
-            self.disk.append(&segment::write_head(&Head { epoch: self.epoch, first }))?;
+            self.disk.append(&segment::write_head(&Head {
+                epoch: self.epoch,
+                first,
+            }))?;
         }
         self.disk.append(frames)?;
         if self.keeping.wrote(now, frames.len() as u64) {
@@ -130,8 +144,11 @@
 
     fn drop_snapshots(&mut self) -> io::Result<()> {
         let files = self.disk.list()?;
-        let snapshots: Vec<String> =
-            files.into_iter().map(|(name, ..)| name).filter(|name| name.ends_with(SNAPSHOT)).collect();
+        let snapshots: Vec<String> = files
+            .into_iter()
+            .map(|(name, ..)| name)
+            .filter(|name| name.ends_with(SNAPSHOT))
+            .collect();
         for name in snapshots.iter().rev().skip(SNAPSHOTS) {
             self.disk.remove(name)?;
         }
@@ -141,7 +158,8 @@
     /// The end of a run: all that was written is made sure of.
     pub fn end(mut self, now: Time) {
         if self.open && self.sync().is_err() {
-            self.keeping.failed(now, "the end could not be made sure of".into());
+            self.keeping
+                .failed(now, "the end could not be made sure of".into());
         }
     }
 }
@@ -167,7 +185,11 @@
 /// The segments of a folder, oldest first.
 pub fn held<D: Disk>(disk: &D) -> io::Result<Vec<Held>> {
     let of = |(name, bytes, written): (String, u64, u64)| match number_of(&name) {
-        Some((number, false)) => Some(Held { number, bytes, written: Time::from_micros(written) }),
+        Some((number, false)) => Some(Held {
+            number,
+            bytes,
+            written: Time::from_micros(written),
+        }),
         _ => None,
     };
     Ok(disk.list()?.into_iter().filter_map(of).collect())
@@ -175,6 +197,10 @@
 
 /// Names of the segments and of the snapshots of a folder, oldest first.
 pub fn files<D: Disk>(disk: &D) -> io::Result<(Vec<String>, Vec<String>)> {
-    let names = disk.list()?.into_iter().map(|(name, ..)| name).filter(|name| number_of(name).is_some());
+    let names = disk
+        .list()?
+        .into_iter()
+        .map(|(name, ..)| name)
+        .filter(|name| number_of(name).is_some());
     Ok(names.partition(|name| name.ends_with(RECORDS)))
 }
--- a/crates/records/src/segment.rs
+++ b/crates/records/src/segment.rs
@@ -38,7 +38,11 @@
     /// At its end.
     Whole,
     /// At a record that is torn or broken: so many bytes from there on were dropped.
-    At { offset: u64, dropped: u64, why: FrameError },
+    At {
+        offset: u64,
+        dropped: u64,
+        why: FrameError,
+    },
 }
 
 pub fn write_head(head: &Head) -> Vec<u8> {
@@ -55,9 +59,15 @@
 /// Errors: as `SegmentError`.
 pub fn read_head(bytes: &[u8]) -> Result<Head, SegmentError> {
     if !bytes.starts_with(&MAGIC) {
-        return Err(if MAGIC.starts_with(bytes) { SegmentError::Head } else { SegmentError::Foreign });
+        return Err(if MAGIC.starts_with(bytes) {
+            SegmentError::Head
+        } else {
+            SegmentError::Foreign
+        });
     }
-    let Some(head) = bytes.first_chunk::<HEAD>() else { return Err(SegmentError::Head) };
+    let Some(head) = bytes.first_chunk::<HEAD>() else {
+        return Err(SegmentError::Head);
+    };
     let crc = u32::from_le_bytes([head[28], head[29], head[30], head[31]]);
     if crc32fast::hash(&head[..28]) != crc {
         return Err(SegmentError::Head);
@@ -67,7 +77,10 @@
         return Err(SegmentError::Newer(format));
     }
     let long = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| head[at + n]));
-    Ok(Head { epoch: long(12), first: long(20) })
+    Ok(Head {
+        epoch: long(12),
+        first: long(20),
+    })
 }
 
 /// The records of a segment, one by one, up to its end or where it is torn.
@@ -81,7 +94,12 @@
 impl Segment<'_> {
     /// Errors: the head is not one that can be read.
     pub fn open(bytes: &[u8]) -> Result<Segment<'_>, SegmentError> {
-        Ok(Segment { head: read_head(bytes)?, bytes, at: HEAD, end: None })
+        Ok(Segment {
+            head: read_head(bytes)?,
+            bytes,
+            at: HEAD,
+            end: None,
+        })
     }
 
     /// Why it ended; none: it has not yet.
@@ -113,7 +131,11 @@
             }
             Err(why) => {
                 let dropped = (self.bytes.len() - self.at) as u64;
-                self.end = Some(End::At { offset: self.at as u64, dropped, why });
+                self.end = Some(End::At {
+                    offset: self.at as u64,
+                    dropped,
+                    why,
+                });
                 None
             }
         }
@@ -126,10 +148,16 @@
 
     #[test]
     fn heads_are_told_apart() {
-        let head = Head { epoch: 7, first: 99 };
+        let head = Head {
+            epoch: 7,
+            first: 99,
+        };
         let bytes = write_head(&head);
         assert_eq!(read_head(&bytes), Ok(head));
-        assert_eq!(read_head(b"nonsense that is long enough for a head"), Err(SegmentError::Foreign));
+        assert_eq!(
+            read_head(b"nonsense that is long enough for a head"),
+            Err(SegmentError::Foreign)
+        );
         for cut in 0..HEAD {
             assert_eq!(read_head(&bytes[..cut]), Err(SegmentError::Head));
         }
--- a/crates/rehearsal/src/bad_day.rs
+++ b/crates/rehearsal/src/bad_day.rs
@@ -126,8 +126,19 @@
     /// The same day with proxies that get their tables in another way. Answers by name live for whole seconds, so that
     /// the grace is longer there.
     pub fn by(self, fronts: Fronts) -> Plan {
-        let grace = if fronts == Fronts::Runtime { self.limits.grace } else { Duration::from_secs(4) };
-        Plan { fronts, limits: Limits { grace, ..self.limits }, ..self }
+        let grace = if fronts == Fronts::Runtime {
+            self.limits.grace
+        } else {
+            Duration::from_secs(4)
+        };
+        Plan {
+            fronts,
+            limits: Limits {
+                grace,
+                ..self.limits
+            },
+            ..self
+        }
     }
 }
 
@@ -175,7 +186,11 @@
     host: Option<String>,
 }
 
-async fn script(plan: &Plan, stage: &mut Stage, facts: &Facts) -> Result<Vec<Played>, RehearsalError> {
+async fn script(
+    plan: &Plan,
+    stage: &mut Stage,
+    facts: &Facts,
+) -> Result<Vec<Played>, RehearsalError> {
     let mut played = Vec::new();
     let mut chance = fastrand::Rng::with_seed(plan.seed);
     sleep(plan.opening).await;
@@ -185,7 +200,12 @@
     stage.trouble(&slow, |trouble| trouble.slower.store(6_000, Relaxed));
     sleep(plan.slow).await;
     stage.trouble(&slow, |trouble| trouble.slower.store(1_000, Relaxed));
-    played.push(end(facts, "a host slows 6 times", began, Some(slow.clone())));
+    played.push(end(
+        facts,
+        "a host slows 6 times",
+        began,
+        Some(slow.clone()),
+    ));
     sleep(plan.calm).await;
 
     let silent = stage.some_host(&mut chance, "utrecht");
@@ -193,7 +213,12 @@
     stage.trouble(&silent, |trouble| trouble.hangs.store(true, Relaxed));
     sleep(plan.silent).await;
     stage.trouble(&silent, |trouble| trouble.hangs.store(false, Relaxed));
-    played.push(end(facts, "a host goes silent", began, Some(silent.clone())));
+    played.push(end(
+        facts,
+        "a host goes silent",
+        began,
+        Some(silent.clone()),
+    ));
     sleep(plan.calm).await;
 
     let began = begin(facts, "a rolling deploy");
@@ -201,7 +226,10 @@
         let old = stage.replaceable(batch, &[&slow, &silent]);
         stage.successors(&old).await?;
         sleep(plan.limits.grace + Duration::from_millis(200)).await;
-        stage.list.change(|list| list.retain(|name, _| !old.contains(name))).map_err(listing)?;
+        stage
+            .list
+            .change(|list| list.retain(|name, _| !old.contains(name)))
+            .map_err(listing)?;
         old.iter().for_each(|name| stage.kill_host(name));
         sleep(plan.between_batches.saturating_sub(plan.limits.grace)).await;
     }
@@ -232,7 +260,9 @@
         // Halving a listed weight changes tables: the orders meet the fault.
         stage.operator(proxy % plan.stewards, "weight 2").await?;
         let deadline = Instant::now() + Duration::from_secs(4);
-        while stage.proxies[proxy].faults().used.load(Relaxed) == before && Instant::now() < deadline {
+        while stage.proxies[proxy].faults().used.load(Relaxed) == before
+            && Instant::now() < deadline
+        {
             sleep(Duration::from_millis(50)).await;
         }
         sleep(plan.calm / 2).await;
@@ -249,16 +279,30 @@
 
     let wrong = stage.some_host(&mut chance, "ede");
     let began = begin(facts, "the list calls a serving host gone");
-    stage.list.set(std::slice::from_ref(&wrong), Listed::Gone).map_err(listing)?;
+    stage
+        .list
+        .set(std::slice::from_ref(&wrong), Listed::Gone)
+        .map_err(listing)?;
     sleep(plan.wrong_list).await;
-    stage.list.set(std::slice::from_ref(&wrong), Listed::Ready).map_err(listing)?;
-    played.push(end(facts, "the list calls a serving host gone", began, None));
+    stage
+        .list
+        .set(std::slice::from_ref(&wrong), Listed::Ready)
+        .map_err(listing)?;
+    played.push(end(
+        facts,
+        "the list calls a serving host gone",
+        began,
+        None,
+    ));
     sleep(plan.calm).await;
     Ok(played)
 }
 
 fn listing(wrong: std::io::Error) -> RehearsalError {
-    RehearsalError::Io { what: "the list".into(), wrong }
+    RehearsalError::Io {
+        what: "the list".into(),
+        wrong,
+    }
 }
 
 fn begin(facts: &Facts, name: &'static str) -> Duration {
@@ -267,8 +311,16 @@
 }
 
 fn end(facts: &Facts, name: &'static str, began: Duration, host: Option<String>) -> Played {
-    facts.note(Fact::Trouble { name, begins: false });
-    Played { name, began, ended: facts.now(), host }
+    facts.note(Fact::Trouble {
+        name,
+        begins: false,
+    });
+    Played {
+        name,
+        began,
+        ended: facts.now(),
+        host,
+    }
 }
 
 /// Service around one trouble, and how fast traffic moved.
@@ -280,7 +332,10 @@
 ) -> Moment {
     let share = |from, to| service(facts, kinds, from, to).share();
     let (began, ended) = (played.began, played.ended);
-    let moved = played.host.as_ref().map(|host| moved(facts, host, began, plan.calm));
+    let moved = played
+        .host
+        .as_ref()
+        .map(|host| moved(facts, host, began, plan.calm));
     let seconds = |span: Option<Duration>| span.map(|span| span.as_secs_f64());
     Moment {
         name: played.name,
--- a/crates/rehearsal/src/bad_day/report.rs
+++ b/crates/rehearsal/src/bad_day/report.rs
@@ -70,10 +70,15 @@
     /// Errors: only if the template and the figures do not fit each other.
     pub fn text(&self) -> Result<String, RehearsalError> {
         let mut templates = Environment::new();
-        templates.add_function("pad", |text: String, width: usize| format!("{text:<width$}"));
-        templates.add_function("share", |share: Option<f64>| share.map_or("-".into(), |s| format!("{s:.3}")));
-        templates
-            .add_function("seconds", |span: Option<f64>| span.map_or("-".into(), |s| format!("{s:.2} s")));
+        templates.add_function("pad", |text: String, width: usize| {
+            format!("{text:<width$}")
+        });
+        templates.add_function("share", |share: Option<f64>| {
+            share.map_or("-".into(), |s| format!("{s:.3}"))
+        });
+        templates.add_function("seconds", |span: Option<f64>| {
+            span.map_or("-".into(), |s| format!("{s:.2} s"))
+        });
         Ok(templates.render_str(TEXT, context! { r => self })?)
     }
 }
@@ -93,13 +98,19 @@
     });
     Report {
         seed: plan.seed,
-        moments: played.iter().map(|played| moment(plan, facts, played, kinds)).collect(),
+        moments: played
+            .iter()
+            .map(|played| moment(plan, facts, played, kinds))
+            .collect(),
         service: day.share(),
         day,
         messages: messages.clone().count(),
         commands: messages.sum(),
         longest_drain_s: longest_drain(facts).map(|span| span.as_secs_f64()),
-        held: RULES.into_iter().filter(|rule| !broken.contains(rule)).collect(),
+        held: RULES
+            .into_iter()
+            .filter(|rule| !broken.contains(rule))
+            .collect(),
         breaks,
     }
 }
@@ -111,7 +122,10 @@
     let mut longest = None;
     for (at, fact) in facts {
         match fact {
-            Fact::Listed { host, as_: Listed::Ready } => drop(away.remove(host.as_str())),
+            Fact::Listed {
+                host,
+                as_: Listed::Ready,
+            } => drop(away.remove(host.as_str())),
             Fact::Listed { host, .. } => drop(away.entry(host).or_insert(*at)),
             Fact::Lines { proxy, kind, lines } => {
                 let (proxy, kind) = (proxy.as_str(), kind.as_str());
--- a/crates/rehearsal/src/bad_day/stage.rs
+++ b/crates/rehearsal/src/bad_day/stage.rs
@@ -77,19 +77,29 @@
                 warm_within: plan.warm_within,
                 warm: true,
             };
-            let host =
-                Host::start(make, None, facts.clone()).await.map_err(failed("a host cannot be started"))?;
+            let host = Host::start(make, None, facts.clone())
+                .await
+                .map_err(failed("a host cannot be started"))?;
             hosts.insert(host.make.name.clone(), host);
         }
         list.change(|list| {
-            list.extend(hosts.values().map(|host| (host.make.name.clone(), entry(host, None))))
+            list.extend(
+                hosts
+                    .values()
+                    .map(|host| (host.make.name.clone(), entry(host, None))),
+            )
         })
         .map_err(failed("the list cannot be written"))?;
-        let dns: Vec<SocketAddr> = (0..plan.stewards).map(|_| free_port()).collect::<Result<_, _>>()?;
+        let dns: Vec<SocketAddr> = (0..plan.stewards)
+            .map(|_| free_port())
+            .collect::<Result<_, _>>()?;
         let (mut proxies, mut names) = (Vec::new(), Vec::new());
         for n in 0..plan.proxies {
             let zone = ZONES[n % ZONES.len()];
-            let (name, seed) = (format!("front-{n}"), plan.seed.wrapping_mul(1_000) + n as u64);
+            let (name, seed) = (
+                format!("front-{n}"),
+                plan.seed.wrapping_mul(1_000) + n as u64,
+            );
             if plan.fronts.by_name(n, plan.stewards) {
                 let mut servers = dns.clone();
                 servers.rotate_left(n % plan.stewards);
@@ -98,14 +108,29 @@
                 names.push(Arc::new(front));
                 continue;
             }
-            proxies
-                .push(Front::start(&name, zone, &ZONES, &kinds(), list.file(), seed, facts.clone()).await?);
+            proxies.push(
+                Front::start(
+                    &name,
+                    zone,
+                    &ZONES,
+                    &kinds(),
+                    list.file(),
+                    seed,
+                    facts.clone(),
+                )
+                .await?,
+            );
         }
         for (s, dns) in dns.iter().enumerate() {
-            write_settings(&folder.join(format!("steward-{s}.jsonnet")), &settings(plan, s, *dns))
-                .map_err(failed("settings cannot be written"))?;
+            write_settings(
+                &folder.join(format!("steward-{s}.jsonnet")),
+                &settings(plan, s, *dns),
+            )
+            .map_err(failed("settings cannot be written"))?;
         }
-        let sockets = (0..plan.stewards).map(|s| folder.join(format!("steward-{s}.sock"))).collect();
+        let sockets = (0..plan.stewards)
+            .map(|s| folder.join(format!("steward-{s}.sock")))
+            .collect();
         let mut stage = Stage {
             hosts,
             proxies,
@@ -126,8 +151,8 @@
     pub(crate) fn start_steward(&mut self, s: usize) -> Result<(), RehearsalError> {
         let settings = self.folder.join(format!("steward-{s}.jsonnet"));
         let log = self.folder.join(format!("steward-{s}.log"));
-        let child =
-            spawn(&self.program, &["run"], &settings, &log).map_err(failed("a steward cannot be started"))?;
+        let child = spawn(&self.program, &["run"], &settings, &log)
+            .map_err(failed("a steward cannot be started"))?;
         self.stewards[s] = Some(child);
         Ok(())
     }
@@ -146,13 +171,19 @@
         loop {
             for steward in self.stewards.iter_mut().flatten() {
                 if let Ok(Some(status)) = steward.try_wait() {
-                    return Err(RehearsalError::StewardEnded(status.to_string(), self.folder.clone()));
+                    return Err(RehearsalError::StewardEnded(
+                        status.to_string(),
+                        self.folder.clone(),
+                    ));
                 }
             }
             let mut joined = 0;
             for s in 0..self.stewards.len() {
                 let text = ask(&self.folder.join(format!("steward-{s}.sock")), "show info").await;
-                joined += text.as_deref().and_then(|text| figure(text, "ProxiesJoined")).unwrap_or(0);
+                joined += text
+                    .as_deref()
+                    .and_then(|text| figure(text, "ProxiesJoined"))
+                    .unwrap_or(0);
             }
             if joined as usize == self.proxies.len() {
                 return Ok(());
@@ -166,8 +197,16 @@
 
     /// A host's process ends, and another starts cold under its name and address; the list says so at once.
     pub(crate) async fn restart_host(&mut self, name: &str) -> Result<(), RehearsalError> {
-        let Some(old) = self.hosts.remove(name) else { return Ok(()) };
-        let (make, addr) = (Make { warm: false, ..old.make.clone() }, old.addr);
+        let Some(old) = self.hosts.remove(name) else {
+            return Ok(());
+        };
+        let (make, addr) = (
+            Make {
+                warm: false,
+                ..old.make.clone()
+            },
+            old.addr,
+        );
         drop(old);
         let deadline = Instant::now() + Duration::from_secs(2);
         let host = loop {
@@ -181,9 +220,12 @@
         self.hosts.insert(name.to_string(), host);
         let started = now_s();
         let change = |list: &mut BTreeMap<String, Entry>| {
-            list.entry(name.to_string()).and_modify(|entry| entry.started = Some(started));
+            list.entry(name.to_string())
+                .and_modify(|entry| entry.started = Some(started));
         };
-        self.list.change(change).map_err(failed("the list cannot be written"))
+        self.list
+            .change(change)
+            .map_err(failed("the list cannot be written"))
     }
 
     /// How long the script takes at least, with some room for what it waits for.
@@ -201,26 +243,50 @@
             + plan.wrong_list
     }
 
-    pub(crate) fn clients(&self, plan: &Plan, until: Instant) -> impl Future<Output = ()> + Send + use<> {
+    pub(crate) fn clients(
+        &self,
+        plan: &Plan,
+        until: Instant,
+    ) -> impl Future<Output = ()> + Send + use<> {
         let ids = Arc::new(AtomicU64::new(1));
         let mut chance = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
-        let by_proxy = self.proxies.iter().map(|proxy| Way::Proxy(client::Client::new(proxy.addr)));
-        let ways: Vec<Way> = by_proxy.chain(self.names.iter().cloned().map(Way::Names)).collect();
+        let by_proxy = self
+            .proxies
+            .iter()
+            .map(|proxy| Way::Proxy(client::Client::new(proxy.addr)));
+        let ways: Vec<Way> = by_proxy
+            .chain(self.names.iter().cloned().map(Way::Names))
+            .collect();
         // Proxies get unequal parts of the traffic.
         let parts: Vec<f64> = ways.iter().map(|_| 0.5 + chance.f64()).collect();
         let sum: f64 = parts.iter().sum();
         let mut asking = tokio::task::JoinSet::new();
         for (way, part) in ways.into_iter().zip(parts) {
             let (rate, seed) = (plan.rate * part / sum, chance.u64(..));
-            asking.spawn(client::ask(way, kinds(), rate, until, ids.clone(), seed, self.facts.clone()));
+            asking.spawn(client::ask(
+                way,
+                kinds(),
+                rate,
+                until,
+                ids.clone(),
+                seed,
+                self.facts.clone(),
+            ));
         }
         async move { while asking.join_next().await.is_some() {} }
     }
 
     pub(crate) fn some_host(&self, chance: &mut fastrand::Rng, zone: &str) -> String {
-        let of: Vec<&String> =
-            self.list.hosts.iter().filter(|(_, e)| e.zone == zone).map(|(n, _)| n).collect();
-        of.get(chance.usize(0..of.len().max(1))).map(|name| name.to_string()).unwrap_or_default()
+        let of: Vec<&String> = self
+            .list
+            .hosts
+            .iter()
+            .filter(|(_, e)| e.zone == zone)
+            .map(|(n, _)| n)
+            .collect();
+        of.get(chance.usize(0..of.len().max(1)))
+            .map(|name| name.to_string())
+            .unwrap_or_default()
     }
 
     pub(crate) fn trouble(&self, host: &str, set: impl FnOnce(&Trouble)) {
@@ -232,16 +298,30 @@
     /// Hosts of the first day that are still listed, but for these.
     pub(crate) fn replaceable(&self, count: usize, not: &[&String]) -> Vec<String> {
         let old = |name: &&String| !name.ends_with("-new") && !not.contains(name);
-        self.list.hosts.keys().filter(old).take(count).cloned().collect()
+        self.list
+            .hosts
+            .keys()
+            .filter(old)
+            .take(count)
+            .cloned()
+            .collect()
     }
 
     /// Cold successors start and are listed, and the old ones drain, in one word of the list.
     pub(crate) async fn successors(&mut self, old: &[String]) -> Result<(), RehearsalError> {
         let mut new = Vec::new();
         for name in old {
-            let Some(host) = self.hosts.get(name) else { continue };
-            let make = Make { name: format!("{name}-new"), warm: false, ..host.make.clone() };
-            let host = Host::start(make, None, self.facts.clone()).await.map_err(failed("a successor"))?;
+            let Some(host) = self.hosts.get(name) else {
+                continue;
+            };
+            let make = Make {
+                name: format!("{name}-new"),
+                warm: false,
+                ..host.make.clone()
+            };
+            let host = Host::start(make, None, self.facts.clone())
+                .await
+                .map_err(failed("a successor"))?;
             new.push((host.make.name.clone(), entry(&host, Some(now_s()))));
             self.hosts.insert(host.make.name.clone(), host);
         }
@@ -262,7 +342,11 @@
     }
 
     /// Changes every other host at a steward, so that each of its tables has something to send.
-    pub(crate) async fn operator(&self, steward: usize, change: &str) -> Result<(), RehearsalError> {
+    pub(crate) async fn operator(
+        &self,
+        steward: usize,
+        change: &str,
+    ) -> Result<(), RehearsalError> {
         let socket = self.folder.join(format!("steward-{steward}.sock"));
         for host in self.list.hosts.keys().step_by(2) {
             ask(&socket, &format!("set server hosts/{host} {change}")).await;
@@ -292,11 +376,17 @@
 }
 
 fn failed(what: &'static str) -> impl Fn(std::io::Error) -> RehearsalError {
-    move |wrong| RehearsalError::Io { what: what.into(), wrong }
+    move |wrong| RehearsalError::Io {
+        what: what.into(),
+        wrong,
+    }
 }
 
 fn now_s() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 /// A port that UDP and TCP both have free.
@@ -356,13 +446,15 @@
         "runtime_api": [{"listen": format!("unix:steward-{steward}.sock"), "level": "admin"}],
     });
     if plan.records {
-        settings["records"] = json!({"folder": format!("records-{steward}"), "snapshot_every": "1 s"});
+        settings["records"] =
+            json!({"folder": format!("records-{steward}"), "snapshot_every": "1 s"});
     }
     if plan.fronts != Fronts::Runtime {
         settings["dns"] = json!({"zone": DNS_ZONE, "listen": dns, "grace": ms(plan.limits.grace),
             "answers_per_second": 2000});
         // DNS brings no sums: hosts are asked for what they say of themselves.
-        settings["probes"] = json!({"path": "/health", "load_every": "500 ms", "time_limit": "400 ms"});
+        settings["probes"] =
+            json!({"path": "/health", "load_every": "500 ms", "time_limit": "400 ms"});
     }
     settings
 }
@@ -372,8 +464,14 @@
     loop {
         for (n, socket) in sockets.iter().enumerate() {
             let text = ask(socket, "show info").await;
-            if let Some(lines) = text.as_deref().and_then(|text| figure(text, "LinesWaiting")) {
-                facts.note(Fact::Waiting { steward: format!("steward-{n}"), lines });
+            if let Some(lines) = text
+                .as_deref()
+                .and_then(|text| figure(text, "LinesWaiting"))
+            {
+                facts.note(Fact::Waiting {
+                    steward: format!("steward-{n}"),
+                    lines,
+                });
             }
         }
         sleep(Duration::from_millis(250)).await;
@@ -388,10 +486,16 @@
 pub(crate) async fn ask(socket: &Path, command: &str) -> Option<String> {
     let asked = async {
         let mut stream = UnixStream::connect(socket).await.ok()?;
-        stream.write_all(format!("{command}\n").as_bytes()).await.ok()?;
+        stream
+            .write_all(format!("{command}\n").as_bytes())
+            .await
+            .ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).await.ok()?;
         Some(text)
     };
-    tokio::time::timeout(Duration::from_secs(1), asked).await.ok().flatten()
+    tokio::time::timeout(Duration::from_secs(1), asked)
+        .await
+        .ok()
+        .flatten()
 }
--- a/crates/rehearsal/src/by_name.rs
+++ b/crates/rehearsal/src/by_name.rs
@@ -67,8 +67,13 @@
             name: name.into(),
             zone: zone.into(),
             servers,
-            http: Http::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector),
-            cache: kinds.iter().map(|kind| (*kind, tokio::sync::Mutex::default())).collect(),
+            http: Http::builder(TokioExecutor::new())
+                .retry_canceled_requests(false)
+                .build(connector),
+            cache: kinds
+                .iter()
+                .map(|kind| (*kind, tokio::sync::Mutex::default()))
+                .collect(),
             chance: Mutex::new(fastrand::Rng::with_seed(seed)),
             asked: AtomicU64::new(0),
             joined: AtomicBool::new(false),
@@ -82,18 +87,28 @@
     }
 
     /// One req to its end.
-    pub async fn send(&self, kind: &'static str, id: u64, work: Duration, client_timeout: Duration) -> How {
+    pub async fn send(
+        &self,
+        kind: &'static str,
+        id: u64,
+        work: Duration,
+        client_timeout: Duration,
+    ) -> How {
         let sent = async {
             let mut lines = self.lines(kind).await;
             for _ in 0..PICKS {
-                let Some((_, addr, _)) = self.pick(&mut lines) else { return How::Errored };
+                let Some((_, addr, _)) = self.pick(&mut lines) else {
+                    return How::Errored;
+                };
                 let built = Request::get(format!("http://{addr}/{kind}"))
                     .header("x-req", id)
                     .header("x-kind", kind)
                     .header("x-pondarch-proxy", &self.name)
                     .header("x-work-us", work.as_micros().to_string())
                     .body(Empty::new());
-                let Ok(built) = built else { return How::Errored };
+                let Ok(built) = built else {
+                    return How::Errored;
+                };
                 match self.http.request(built).await {
                     Ok(answer) if answer.status().is_success() => {
                         let whole = answer.into_body().collect().await.is_ok();
@@ -123,7 +138,9 @@
 
     /// The kind's lines as the cache has them, asked for if they ran out.
     async fn lines(&self, kind: &'static str) -> Vec<Line> {
-        let Some(cached) = self.cache.get(kind) else { return Vec::new() };
+        let Some(cached) = self.cache.get(kind) else {
+            return Vec::new();
+        };
         let mut cached = cached.lock().await;
         if cached.until.is_some_and(|until| Instant::now() < until) {
             return cached.lines.clone();
@@ -144,8 +161,15 @@
         // The lifetime counts from the question: the answer may have left at once.
         cached.until = Some(begun + held);
         if lines != cached.lines {
-            let told = lines.iter().map(|(host, _, weight): &Line| (host.clone(), *weight)).collect();
-            self.facts.note(Fact::Lines { proxy: self.name.clone(), kind: kind.to_string(), lines: told });
+            let told = lines
+                .iter()
+                .map(|(host, _, weight): &Line| (host.clone(), *weight))
+                .collect();
+            self.facts.note(Fact::Lines {
+                proxy: self.name.clone(),
+                kind: kind.to_string(),
+                lines: told,
+            });
         }
         cached.lines = lines;
         cached.lines.clone()
@@ -160,11 +184,19 @@
                 let id = self.chance().u16(..);
                 let question = question(id, &name, "SRV").ok()?;
                 let asked = timeout(ANSWERS_WITHIN, by_udp(*server, &question)).await;
-                let answer = asked.ok().flatten().and_then(|bytes| services(id, &bytes).ok());
-                let Some((answer, mut found)) = answer else { continue };
+                let answer = asked
+                    .ok()
+                    .flatten()
+                    .and_then(|bytes| services(id, &bytes).ok());
+                let Some((answer, mut found)) = answer else {
+                    continue;
+                };
                 if answer.truncated || found.iter().any(|service| service.addr.is_none()) {
                     let asked = timeout(ANSWERS_WITHIN, by_tcp(*server, &question)).await;
-                    let by_tcp = asked.ok().flatten().and_then(|bytes| services(id, &bytes).ok());
+                    let by_tcp = asked
+                        .ok()
+                        .flatten()
+                        .and_then(|bytes| services(id, &bytes).ok());
                     found = by_tcp.map(|(_, found)| found).unwrap_or(found);
                 }
                 self.link(true);
@@ -178,7 +210,10 @@
     /// It is joined while a steward answers it.
     fn link(&self, up: bool) {
         if self.joined.swap(up, Relaxed) != up {
-            self.facts.note(Fact::Link { proxy: self.name.clone(), up });
+            self.facts.note(Fact::Link {
+                proxy: self.name.clone(),
+                up,
+            });
         }
     }
 
@@ -200,7 +235,10 @@
 async fn by_tcp(server: SocketAddr, packet: &[u8]) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(server).await.ok()?;
     let len = u16::try_from(packet.len()).ok()?;
-    stream.write_all(&[&len.to_be_bytes(), packet].concat()).await.ok()?;
+    stream
+        .write_all(&[&len.to_be_bytes(), packet].concat())
+        .await
+        .ok()?;
     let len = stream.read_u16().await.ok()?;
     let mut bytes = vec![0; usize::from(len)];
     stream.read_exact(&mut bytes).await.ok()?;
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -42,7 +42,9 @@
     pub fn new(proxy: SocketAddr) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        let http = Http::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
+        let http = Http::builder(TokioExecutor::new())
+            .retry_canceled_requests(false)
+            .build(connector);
         Client { http, proxy }
     }
 
@@ -53,10 +55,15 @@
             .header("x-kind", kind)
             .header("x-work-us", work.as_micros().to_string())
             .body(Empty::new());
-        let Ok(built) = built else { return How::Errored };
+        let Ok(built) = built else {
+            return How::Errored;
+        };
         let asked = async {
             let answer = self.http.request(built).await.ok()?;
-            let (status, later) = (answer.status(), answer.headers().contains_key("retry-after"));
+            let (status, later) = (
+                answer.status(),
+                answer.headers().contains_key("retry-after"),
+            );
             answer.into_body().collect().await.ok()?;
             Some(match status.is_success() {
                 true => How::Done,
@@ -64,7 +71,11 @@
                 false => How::Errored,
             })
         };
-        tokio::time::timeout(client_timeout, asked).await.ok().flatten().unwrap_or(How::Errored)
+        tokio::time::timeout(client_timeout, asked)
+            .await
+            .ok()
+            .flatten()
+            .unwrap_or(How::Errored)
     }
 }
 
@@ -77,7 +88,13 @@
 }
 
 impl Way {
-    async fn send(&self, kind: &'static str, id: u64, work: Duration, client_timeout: Duration) -> How {
+    async fn send(
+        &self,
+        kind: &'static str,
+        id: u64,
+        work: Duration,
+        client_timeout: Duration,
+    ) -> How {
         match self {
             Way::Proxy(client) => client.send(kind, id, work, client_timeout).await,
             Way::Names(proxy) => proxy.send(kind, id, work, client_timeout).await,
@@ -114,16 +131,26 @@
             at -= kind.share;
             at < 0.0
         });
-        let Some(kind) = drawn.or(kinds.last()).cloned() else { return };
+        let Some(kind) = drawn.or(kinds.last()).cloned() else {
+            return;
+        };
         let id = ids.fetch_add(1, Relaxed);
         // A fifth either way, as jobs differ.
         let work = kind.work.mul_f64(0.8 + 0.4 * chance.f64());
         let (way, facts) = (way.clone(), facts.clone());
         open.spawn(async move {
             let (asked, name) = (Instant::now(), kind.name.to_string());
-            facts.note(Fact::Asked { kind: name.clone(), req: id });
+            facts.note(Fact::Asked {
+                kind: name.clone(),
+                req: id,
+            });
             let how = way.send(kind.name, id, work, kind.client_timeout).await;
-            facts.note(Fact::Ended { kind: name, req: id, how, took: asked.elapsed() });
+            facts.note(Fact::Ended {
+                kind: name,
+                req: id,
+                how,
+                took: asked.elapsed(),
+            });
         });
     }
     while open.join_next().await.is_some() {}
--- a/crates/rehearsal/src/facts.rs
+++ b/crates/rehearsal/src/facts.rs
@@ -100,7 +100,10 @@
 
 impl Default for Facts {
     fn default() -> Facts {
-        Facts { start: Instant::now(), list: Arc::default() }
+        Facts {
+            start: Instant::now(),
+            list: Arc::default(),
+        }
     }
 }
 
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/flood.rs
@@ -98,18 +98,31 @@
 
 /// Hosts that hang when it is time.
 fn hangs(host: &str) -> bool {
-    host.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).is_some_and(|n| n.is_multiple_of(10))
+    host.rsplit('-')
+        .next()
+        .and_then(|n| n.parse::<usize>().ok())
+        .is_some_and(|n| n.is_multiple_of(10))
 }
 
 /// Plays all rates; what it started has ended when it returns.
 ///
 /// Errors: something could not be started, or the records not read.
 pub async fn play(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
-    let io = |what: &'static str| move |wrong| RehearsalError::Io { what: what.into(), wrong };
+    let io = |what: &'static str| {
+        move |wrong| RehearsalError::Io {
+            what: what.into(),
+            wrong,
+        }
+    };
     let facts = Facts::default();
-    let of = storm::Plan { proxies: plan.proxies, hosts: plan.hosts, ..storm::Plan::default() };
+    let of = storm::Plan {
+        proxies: plan.proxies,
+        hosts: plan.hosts,
+        ..storm::Plan::default()
+    };
     let mut list = List::new(folder.join("hosts.jsonnet"), facts.clone());
-    list.change(|all| all.extend(storm::entries(plan.hosts))).map_err(io("the list cannot be written"))?;
+    list.change(|all| all.extend(storm::entries(plan.hosts)))
+        .map_err(io("the list cannot be written"))?;
     let mut fronts = Vec::new();
     for n in 0..plan.proxies {
         fronts.push(Arc::new(storm::front(n, list.file(), &facts).await?));
@@ -132,22 +145,40 @@
     });
     let mut pushing = JoinSet::new();
     for (n, front) in fronts.iter().enumerate() {
-        pushing.spawn(push(n, plan.proxies, folder.join("push.sock"), front.clone(), load.clone()));
+        pushing.spawn(push(
+            n,
+            plan.proxies,
+            folder.join("push.sock"),
+            front.clone(),
+            load.clone(),
+        ));
     }
     let mut rates = Vec::new();
     for &times in &plan.times {
         load.times.store(u64::from(times), Relaxed);
         sleep(Duration::from_secs(3)).await;
-        let (sent, cpu, begun, began_us) =
-            (load.sent.load(Relaxed), storm::cpu_ms(&steward), Instant::now(), now_us());
+        let (sent, cpu, begun, began_us) = (
+            load.sent.load(Relaxed),
+            storm::cpu_ms(&steward),
+            Instant::now(),
+            now_us(),
+        );
         sleep(plan.each / 2).await;
         let (hung, half_noticed, all_noticed) = hang(&fronts, &load, plan.each / 2).await;
         let ask = |command| {
             let socket = folder.join("steward.sock");
-            async move { crate::bad_day::ask(&socket, command).await.unwrap_or_default() }
+            async move {
+                crate::bad_day::ask(&socket, command)
+                    .await
+                    .unwrap_or_default()
+            }
         };
-        let memory =
-            ask("show memory").await.lines().map(str::to_string).filter(|line| !line.is_empty()).collect();
+        let memory = ask("show memory")
+            .await
+            .lines()
+            .map(str::to_string)
+            .filter(|line| !line.is_empty())
+            .collect();
         let ended_us = now_us();
         let cpu_ms_per_s = (storm::cpu_ms(&steward) - cpu) / begun.elapsed().as_secs_f64();
         let rss_kib = storm::memory_kib(&steward, "VmRSS");
@@ -157,8 +188,11 @@
         sleep(Duration::from_secs(8)).await;
         let (mut ages, kept_back, dropped) = ages(&folder.join("records"), began_us, ended_us)?;
         ages.sort_by(f64::total_cmp);
-        let at =
-            |part: f64| ages.get(((ages.len().max(1) - 1) as f64 * part) as usize).copied().unwrap_or(0.0);
+        let at = |part: f64| {
+            ages.get(((ages.len().max(1) - 1) as f64 * part) as usize)
+                .copied()
+                .unwrap_or(0.0)
+        };
         rates.push(Rate {
             times,
             reports,
@@ -177,22 +211,44 @@
     }
     load.ends.store(true, Relaxed);
     pushing.shutdown().await;
-    steward.kill().await.map_err(io("the steward cannot be ended"))?;
-    Ok(Report { proxies: plan.proxies, hosts: plan.hosts, lines_per_second: plan.lines_per_second, rates })
+    steward
+        .kill()
+        .await
+        .map_err(io("the steward cannot be ended"))?;
+    Ok(Report {
+        proxies: plan.proxies,
+        hosts: plan.hosts,
+        lines_per_second: plan.lines_per_second,
+        rates,
+    })
 }
 
 fn now_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 /// A tenth of the hosts hangs: how many of those that are in use, and how soon half and all of them are in no table.
-async fn hang(fronts: &[Arc<Front>], load: &Load, within: Duration) -> (usize, Option<f64>, Option<f64>) {
+async fn hang(
+    fronts: &[Arc<Front>],
+    load: &Load,
+    within: Duration,
+) -> (usize, Option<f64>, Option<f64>) {
     let in_use = || {
         let mut hosts = BTreeSet::new();
         for front in fronts {
             let tables = front.mirror();
-            let servers = tables.backends.values().flat_map(|backend| &backend.servers);
-            hosts.extend(servers.filter(|(name, s)| s.serves() && hangs(name)).map(|(name, _)| name.clone()));
+            let servers = tables
+                .backends
+                .values()
+                .flat_map(|backend| &backend.servers);
+            hosts.extend(
+                servers
+                    .filter(|(name, s)| s.serves() && hangs(name))
+                    .map(|(name, _)| name.clone()),
+            );
         }
         hosts
     };
@@ -245,9 +301,15 @@
             sleep(Duration::from_millis(200)).await;
             continue;
         };
-        let mut wire: Framed<UnixStream, Codec<ToSender, ToSteward>> = Framed::new(stream, Codec::default());
+        let mut wire: Framed<UnixStream, Codec<ToSender, ToSteward>> =
+            Framed::new(stream, Codec::default());
         sender.connected();
-        let hello = Hello { version: VERSION, name: format!("front-{n}"), is: SenderIs::Proxy, run };
+        let hello = Hello {
+            version: VERSION,
+            name: format!("front-{n}"),
+            is: SenderIs::Proxy,
+            run,
+        };
         if wire.send(&ToSteward::Hello(hello)).await.is_err() {
             continue;
         }
@@ -276,7 +338,13 @@
             let brought = REQS * times as f64 / proxies as f64 * last.elapsed().as_secs_f64();
             let report = sender.next(now_us(), || {
                 last = Instant::now();
-                bring(&front, &mut counted, brought, load.hangs.load(Relaxed), &mut chance)
+                bring(
+                    &front,
+                    &mut counted,
+                    brought,
+                    load.hangs.load(Relaxed),
+                    &mut chance,
+                )
             });
             if let Some(report) = report {
                 load.sent.fetch_add(1, Relaxed);
@@ -306,20 +374,36 @@
             server: server.cloned(),
             ..Counted::default()
         };
-        counted.entry((name.clone(), None)).or_insert_with(|| of(None)).reqs += reqs;
-        let serving: Vec<&String> =
-            backend.servers.iter().filter(|(_, s)| s.serves()).map(|(name, _)| name).collect();
+        counted
+            .entry((name.clone(), None))
+            .or_insert_with(|| of(None))
+            .reqs += reqs;
+        let serving: Vec<&String> = backend
+            .servers
+            .iter()
+            .filter(|(_, s)| s.serves())
+            .map(|(name, _)| name)
+            .collect();
         for server in &serving {
-            counted.entry((name.clone(), Some((*server).clone()))).or_insert_with(|| of(Some(server)));
+            counted
+                .entry((name.clone(), Some((*server).clone())))
+                .or_insert_with(|| of(Some(server)));
         }
         for _ in 0..reqs {
-            let Some(server) = serving.get(chance.usize(0..serving.len().max(1))) else { continue };
-            let Some(count) = counted.get_mut(&(name.clone(), Some((*server).clone()))) else { continue };
+            let Some(server) = serving.get(chance.usize(0..serving.len().max(1))) else {
+                continue;
+            };
+            let Some(count) = counted.get_mut(&(name.clone(), Some((*server).clone()))) else {
+                continue;
+            };
             match hung && hangs(server) {
                 true => count.errored += 1,
                 false => (count.done, count.done_us) = (count.done + 1, count.done_us + 40_000),
             }
         }
     }
-    Body { counted: counted.values().cloned().collect(), own: None }
+    Body {
+        counted: counted.values().cloned().collect(),
+        own: None,
+    }
 }
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -74,26 +74,46 @@
         let running = start(&site).await?;
         let names: Vec<&str> = kinds.iter().map(|kind| kind.name).collect();
         let mut mirror = Holding::new(name, 0, &names);
-        let listen = |at: PathBuf| move |wrong| ProxyError::Listen { at: Endpoint::Unix(at), wrong };
+        let listen = |at: PathBuf| {
+            move |wrong| ProxyError::Listen {
+                at: Endpoint::Unix(at),
+                wrong,
+            }
+        };
         let mut wire = Framed::new(
-            UnixStream::connect(&own).await.map_err(listen(own.clone()))?,
+            UnixStream::connect(&own)
+                .await
+                .map_err(listen(own.clone()))?,
             ClientCodec::default(),
         );
         wire.send("show servers state".into()).await.ok();
         let held = wire.next().await.and_then(Result::ok).unwrap_or_default();
         for server in state::read_state(&held).unwrap_or_default() {
             if let Some(backend) = mirror.backends.get_mut(&server.backend) {
-                backend.servers.insert(server.server, Server::new(server.addr, server.weight, server.state));
+                backend.servers.insert(
+                    server.server,
+                    Server::new(server.addr, server.weight, server.state),
+                );
             }
         }
-        let relay =
-            Relay { name: name.into(), own, faults: Faults::default(), mirror: Mutex::new(mirror), facts };
+        let relay = Relay {
+            name: name.into(),
+            own,
+            faults: Faults::default(),
+            mirror: Mutex::new(mirror),
+            facts,
+        };
         let relay = Arc::new(relay);
         names.iter().for_each(|kind| relay.note_lines(kind));
         let socket = folder.join(format!("{name}.sock"));
         let listener = UnixListener::bind(&socket).map_err(listen(socket))?;
         let task = tokio::spawn(accept(listener, relay.clone()));
-        Ok(Front { addr: running.addr, relay, task, _running: running })
+        Ok(Front {
+            addr: running.addr,
+            relay,
+            task,
+            _running: running,
+        })
     }
 
     pub fn faults(&self) -> &Faults {
@@ -130,7 +150,11 @@
         response_target: length(kind.response_target),
         client_timeout: length(kind.client_timeout),
         benefit: kind.benefit,
-        repeats: if kind.replayable { Repeats::Replayable } else { Repeats::NonReplayable },
+        repeats: if kind.replayable {
+            Repeats::Replayable
+        } else {
+            Repeats::NonReplayable
+        },
         memory: None,
     };
     ProxySite {
@@ -138,14 +162,24 @@
         zone: zone.into(),
         zones: zones.iter().map(ToString::to_string).collect(),
         listen: ([127, 0, 0, 1], 0).into(),
-        runtime_api: vec![Listener { listen: Endpoint::Unix(own), level: ListenerLevel::Admin }],
+        runtime_api: vec![Listener {
+            listen: Endpoint::Unix(own),
+            level: ListenerLevel::Admin,
+        }],
         kinds: kinds.iter().map(kind).collect(),
         hosts_file: hosts_file.into(),
         standing_most: 8,
         pick: Pick::Weighted,
-        avoid: Avoid { least: Length::millis(3_000), most: Length::millis(3_000), ..Avoid::default() },
+        avoid: Avoid {
+            least: Length::millis(3_000),
+            most: Length::millis(3_000),
+            ..Avoid::default()
+        },
         further_tries: 0.2,
-        limits: Limits { last_ready_for: Length::millis(1_500), ..Limits::default() },
+        limits: Limits {
+            last_ready_for: Length::millis(1_500),
+            ..Limits::default()
+        },
         report_to: Vec::new(),
         report_every: Length::millis(1_000),
         seed: Some(seed),
@@ -166,7 +200,9 @@
 
 /// One connection of a steward, to its end.
 async fn talk(stream: UnixStream, relay: Arc<Relay>) {
-    let Ok(own) = UnixStream::connect(&relay.own).await else { return };
+    let Ok(own) = UnixStream::connect(&relay.own).await else {
+        return;
+    };
     let mut steward = Framed::new(stream, ServerCodec::default());
     let mut proxy = Framed::new(own, ClientCodec::default());
     let mut due: VecDeque<Due> = VecDeque::new();
@@ -203,7 +239,10 @@
         }
     }
     if joined {
-        relay.facts.note(Fact::Link { proxy: relay.name.clone(), up: false });
+        relay.facts.note(Fact::Link {
+            proxy: relay.name.clone(),
+            up: false,
+        });
     }
 }
 
@@ -214,7 +253,8 @@
 
     /// What is passed on of a line, by the faults in force.
     fn lines(&self, line: String, due: &mut VecDeque<Due>) -> Vec<String> {
-        let commands: Vec<Option<Command>> = parse_line(&line).into_iter().map(Result::ok).collect();
+        let commands: Vec<Option<Command>> =
+            parse_line(&line).into_iter().map(Result::ok).collect();
         let orders = commands.iter().flatten().any(Holding::is_order);
         let asked = |command: &Option<Command>, passed_on| Due {
             command: command.clone(),
@@ -222,22 +262,36 @@
             then_cut: false,
         };
         if orders {
-            self.facts.note(Fact::Message { proxy: self.name.clone(), commands: commands.len() });
+            self.facts.note(Fact::Message {
+                proxy: self.name.clone(),
+                commands: commands.len(),
+            });
             let cut = self.faults.cut_after.load(Relaxed);
             if cut > 0 && cut < commands.len() {
                 self.faults.cut_after.store(0, Relaxed);
                 self.faults.used.fetch_add(1, Relaxed);
-                due.extend(
-                    commands[..cut].iter().map(|command| Due { passed_on: false, ..asked(command, false) }),
-                );
-                due.back_mut().into_iter().for_each(|last| last.then_cut = true);
-                let texts: Vec<String> = commands[..cut].iter().flatten().map(Command::to_string).collect();
+                due.extend(commands[..cut].iter().map(|command| Due {
+                    passed_on: false,
+                    ..asked(command, false)
+                }));
+                due.back_mut()
+                    .into_iter()
+                    .for_each(|last| last.then_cut = true);
+                let texts: Vec<String> = commands[..cut]
+                    .iter()
+                    .flatten()
+                    .map(Command::to_string)
+                    .collect();
                 return vec![texts.join("; ")];
             }
         }
         due.extend(commands.iter().map(|command| asked(command, true)));
         if commands.is_empty() {
-            due.push_back(Due { command: None, passed_on: true, then_cut: false });
+            due.push_back(Due {
+                command: None,
+                passed_on: true,
+                then_cut: false,
+            });
         }
         if orders && self.faults.twice.swap(false, Relaxed) {
             self.faults.used.fetch_add(1, Relaxed);
@@ -249,10 +303,19 @@
 
     /// The mirror follows what the proxy says that it did.
     fn answered(&self, asked: &Due, text: &str) {
-        let Some(command) = asked.command.as_ref().filter(|command| Holding::is_order(command)) else {
+        let Some(command) = asked
+            .command
+            .as_ref()
+            .filter(|command| Holding::is_order(command))
+        else {
             return;
         };
-        let fine = ["New server registered", "Server deleted", "IP changed", "New version"];
+        let fine = [
+            "New server registered",
+            "Server deleted",
+            "IP changed",
+            "New version",
+        ];
         if !text.is_empty() && !fine.iter().any(|start| text.starts_with(start)) {
             return;
         }
@@ -263,10 +326,18 @@
 
     fn note_lines(&self, kind: &str) {
         let mirror = self.mirror();
-        let Some(backend) = mirror.backends.get(kind) else { return };
+        let Some(backend) = mirror.backends.get(kind) else {
+            return;
+        };
         let serving = backend.servers.iter().filter(|(_, server)| server.serves());
-        let lines = serving.map(|(name, server)| (name.clone(), server.weight)).collect();
+        let lines = serving
+            .map(|(name, server)| (name.clone(), server.weight))
+            .collect();
         drop(mirror);
-        self.facts.note(Fact::Lines { proxy: self.name.clone(), kind: kind.to_string(), lines });
+        self.facts.note(Fact::Lines {
+            proxy: self.name.clone(),
+            kind: kind.to_string(),
+            lines,
+        });
     }
 }
--- a/crates/rehearsal/src/host.rs
+++ b/crates/rehearsal/src/host.rs
@@ -95,8 +95,10 @@
         if passed >= REFRESHED {
             let passed = passed.as_secs_f64();
             self.last = self.used / (passed * cores as f64);
-            self.last_rates =
-                (f64::from(self.ended + self.refused) / passed, f64::from(self.refused) / passed);
+            self.last_rates = (
+                f64::from(self.ended + self.refused) / passed,
+                f64::from(self.refused) / passed,
+            );
             (self.used, self.since, self.ended, self.refused) = (0.0, now, 0, 0);
         }
     }
@@ -105,9 +107,13 @@
 impl Host {
     /// Starts at this address, or at one of the system's choosing.
     pub async fn start(make: Make, at: Option<SocketAddr>, facts: Facts) -> std::io::Result<Host> {
-        let listener = TcpListener::bind(at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))).await?;
+        let listener =
+            TcpListener::bind(at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))).await?;
         let addr = listener.local_addr()?;
-        let trouble = Arc::new(Trouble { slower: AtomicU64::new(1_000), hangs: AtomicBool::new(false) });
+        let trouble = Arc::new(Trouble {
+            slower: AtomicU64::new(1_000),
+            hangs: AtomicBool::new(false),
+        });
         facts.note(Fact::HostStarted {
             host: make.name.clone(),
             cores: make.cores as f64 * make.speed,
@@ -133,14 +139,22 @@
             make: make.clone(),
         });
         let task = tokio::spawn(accept(listener, works));
-        Ok(Host { make, addr, trouble, task, facts })
+        Ok(Host {
+            make,
+            addr,
+            trouble,
+            task,
+            facts,
+        })
     }
 }
 
 impl Drop for Host {
     fn drop(&mut self) {
         self.task.abort();
-        self.facts.note(Fact::HostDied { host: self.make.name.clone() });
+        self.facts.note(Fact::HostDied {
+            host: self.make.name.clone(),
+        });
     }
 }
 
@@ -170,20 +184,39 @@
 
 impl Works {
     async fn serve(&self, req: Request<Incoming>) -> Response<Empty<Bytes>> {
-        let text = |name: &str| req.headers().get(name).and_then(|value| value.to_str().ok());
+        let text = |name: &str| {
+            req.headers()
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
         if self.trouble.hangs.load(Relaxed) {
-            if let Some((id, work)) = text("x-req").and_then(|id| id.parse().ok()).zip(self.work(&req)) {
+            if let Some((id, work)) = text("x-req")
+                .and_then(|id| id.parse().ok())
+                .zip(self.work(&req))
+            {
                 self.tried(&req, id);
-                self.facts.note(Fact::Arrived { host: self.make.name.clone(), req: id, work });
+                self.facts.note(Fact::Arrived {
+                    host: self.make.name.clone(),
+                    req: id,
+                    work,
+                });
             }
             std::future::pending::<()>().await;
         }
-        let Some(work) = self.work(&req) else { return self.answer(StatusCode::OK, false) };
-        let (id, kind) =
-            (text("x-req").and_then(|id| id.parse().ok()).unwrap_or(0), text("x-kind").unwrap_or(""));
+        let Some(work) = self.work(&req) else {
+            return self.answer(StatusCode::OK, false);
+        };
+        let (id, kind) = (
+            text("x-req").and_then(|id| id.parse().ok()).unwrap_or(0),
+            text("x-kind").unwrap_or(""),
+        );
         let host = self.make.name.clone();
         self.tried(&req, id);
-        self.facts.note(Fact::Arrived { host: host.clone(), req: id, work });
+        self.facts.note(Fact::Arrived {
+            host: host.clone(),
+            req: id,
+            work,
+        });
         if self.waiting.load(Relaxed) >= WAITING_MOST {
             return self.answer(StatusCode::SERVICE_UNAVAILABLE, true);
         }
@@ -193,7 +226,11 @@
         };
         drop(place);
         let _running = Runs::begin(self);
-        self.facts.note(Fact::Ran { host, kind: kind.to_string(), req: id });
+        self.facts.note(Fact::Ran {
+            host,
+            kind: kind.to_string(),
+            req: id,
+        });
         let slower = self.trouble.slower.load(Relaxed) as f64 / 1e3;
         tokio::time::sleep(work.mul_f64(slower / self.share() / self.make.speed)).await;
         self.answer(StatusCode::OK, false)
@@ -201,10 +238,19 @@
 
     /// Whose try this is, as the proxy's own header says.
     fn tried(&self, req: &Request<Incoming>, id: u64) {
-        let text = |name: &str| req.headers().get(name).and_then(|value| value.to_str().ok());
+        let text = |name: &str| {
+            req.headers()
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
         if let (Some(proxy), Some(kind)) = (text("x-pondarch-proxy"), text("x-kind")) {
             let (proxy, kind) = (proxy.to_string(), kind.to_string());
-            self.facts.note(Fact::Try { proxy, kind, host: self.make.name.clone(), req: id });
+            self.facts.note(Fact::Try {
+                proxy,
+                kind,
+                host: self.make.name.clone(),
+                req: id,
+            });
         }
     }
 
@@ -218,13 +264,20 @@
     }
 
     fn work(&self, req: &Request<Incoming>) -> Option<Duration> {
-        let us = req.headers().get("x-work-us")?.to_str().ok()?.parse().ok()?;
+        let us = req
+            .headers()
+            .get("x-work-us")?
+            .to_str()
+            .ok()?
+            .parse()
+            .ok()?;
         Some(Duration::from_micros(us))
     }
 
     /// The part of its work that it can do by now.
     fn share(&self) -> f64 {
-        let age = self.started.elapsed().as_secs_f64() / self.make.warm_within.as_secs_f64().max(1e-3);
+        let age =
+            self.started.elapsed().as_secs_f64() / self.make.warm_within.as_secs_f64().max(1e-3);
         if self.make.warm {
             1.0
         } else {
--- a/crates/rehearsal/src/kills.rs
+++ b/crates/rehearsal/src/kills.rs
@@ -56,11 +56,25 @@
 /// Plays so many kills; everything it started has ended when it returns.
 ///
 /// Errors: something could not be started, or a steward did not come back.
-pub async fn play(times: usize, seed: u64, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
+pub async fn play(
+    times: usize,
+    seed: u64,
+    program: &Path,
+    folder: &Path,
+) -> Result<Report, RehearsalError> {
     let facts = Facts::default();
-    let plan = Plan { records: true, ..Plan::short(seed) };
+    let plan = Plan {
+        records: true,
+        ..Plan::short(seed)
+    };
     // A restart is a join, and a drain two messages at least: over so many kills the cap of a calm site says nothing.
-    let plan = Plan { limits: rules::Limits { message_cap: 0, ..plan.limits.clone() }, ..plan };
+    let plan = Plan {
+        limits: rules::Limits {
+            message_cap: 0,
+            ..plan.limits.clone()
+        },
+        ..plan
+    };
     let mut stage = Stage::set(&plan, program, folder, facts.clone()).await?;
     stage.wait_joined().await?;
     let each = KILLED_WITHIN + AWAY + DRAINED_FOR + Duration::from_millis(1_000);
@@ -71,11 +85,21 @@
         for n in 0..times {
             let hosts: Vec<String> = stage.list.hosts.keys().cloned().collect();
             let host = hosts[chance.usize(0..hosts.len())].clone();
-            let listing = |wrong| RehearsalError::Io { what: "the list".into(), wrong };
-            stage.list.set(std::slice::from_ref(&host), Listed::Drain).map_err(listing)?;
+            let listing = |wrong| RehearsalError::Io {
+                what: "the list".into(),
+                wrong,
+            };
+            stage
+                .list
+                .set(std::slice::from_ref(&host), Listed::Drain)
+                .map_err(listing)?;
             sleep(KILLED_WITHIN.mul_f64(chance.f64())).await;
             // Now and then all of them at once: every proxy comes back in the same moment.
-            let killed = if n % 5 == 4 { 0..plan.stewards } else { n % plan.stewards..n % plan.stewards + 1 };
+            let killed = if n % 5 == 4 {
+                0..plan.stewards
+            } else {
+                n % plan.stewards..n % plan.stewards + 1
+            };
             for steward in killed.clone() {
                 stage.kill_steward(steward).await;
             }
@@ -87,7 +111,10 @@
             stage.wait_joined().await?;
             joined.push(begun.elapsed().as_secs_f64());
             sleep(DRAINED_FOR).await;
-            stage.list.set(std::slice::from_ref(&host), Listed::Ready).map_err(listing)?;
+            stage
+                .list
+                .set(std::slice::from_ref(&host), Listed::Ready)
+                .map_err(listing)?;
             sleep(Duration::from_millis(300)).await;
         }
         Ok::<_, RehearsalError>(joined)
@@ -105,7 +132,10 @@
     let mut joined = joined;
     joined.sort_by(f64::total_cmp);
     let at = |part: f64| joined[((joined.len() - 1) as f64 * part) as usize];
-    let held = RULES.into_iter().filter(|rule| breaks.iter().all(|b| b.rule != *rule)).collect();
+    let held = RULES
+        .into_iter()
+        .filter(|rule| breaks.iter().all(|b| b.rule != *rule))
+        .collect();
     Ok(Report {
         kills: times,
         service: day.share(),
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -29,8 +29,13 @@
     pub seen: String,
 }
 
-pub const RULES: [&str; 5] =
-    ["a host to pick", "no effect twice", "drains kept", "no cold host pushed over", "a short queue"];
+pub const RULES: [&str; 5] = [
+    "a host to pick",
+    "no effect twice",
+    "drains kept",
+    "no cold host pushed over",
+    "a short queue",
+];
 
 /// Checks a whole day. Facts are in order of time.
 pub fn check(facts: &[(Duration, Fact)], limits: &Limits) -> Vec<Break> {
@@ -45,7 +50,11 @@
 }
 
 fn broke(rule: usize, at: Duration, seen: String) -> Break {
-    Break { rule: RULES[rule], at_s: at.as_secs_f64(), seen }
+    Break {
+        rule: RULES[rule],
+        at_s: at.as_secs_f64(),
+        seen,
+    }
 }
 
 /// When hosts were warm and listed as ready, as the day went on.
@@ -59,8 +68,17 @@
     fn note(&mut self, at: Duration, fact: &'a Fact) {
         match fact {
             Fact::Listed { host, as_ } => drop(self.listed.insert(host, *as_)),
-            Fact::HostStarted { host, start_share, warm_within, .. } => {
-                let cold = if *start_share < 1.0 { *warm_within } else { Duration::ZERO };
+            Fact::HostStarted {
+                host,
+                start_share,
+                warm_within,
+                ..
+            } => {
+                let cold = if *start_share < 1.0 {
+                    *warm_within
+                } else {
+                    Duration::ZERO
+                };
                 self.warm_at.insert(host, at + cold);
             }
             _ => {}
@@ -69,7 +87,9 @@
 
     fn any_open(&self, at: Duration) -> bool {
         let warm = |host: &str| self.warm_at.get(host).is_some_and(|warm| *warm <= at);
-        self.listed.iter().any(|(host, listed)| *listed == Listed::Ready && warm(host))
+        self.listed
+            .iter()
+            .any(|(host, listed)| *listed == Listed::Ready && warm(host))
     }
 }
 
@@ -79,7 +99,13 @@
     let mut empty: BTreeSet<(&str, &str)> = BTreeSet::new();
     let mut since: BTreeMap<(&str, &str), Duration> = BTreeMap::new();
     let end = facts.last().map_or(Duration::ZERO, |(at, _)| *at);
-    let ends = [(end, Fact::Trouble { name: "end", begins: false })];
+    let ends = [(
+        end,
+        Fact::Trouble {
+            name: "end",
+            begins: false,
+        },
+    )];
     for (at, fact) in facts.iter().chain(&ends) {
         hosts.note(*at, fact);
         match fact {
@@ -98,13 +124,18 @@
         }
         // The span runs while the proxy is joined, has nothing to pick, and there is something to be had.
         let open = hosts.any_open(*at);
-        let counts = |(proxy, _): &(&str, &str)| open && links.get(proxy).is_some_and(|joined| *joined > 0);
+        let counts =
+            |(proxy, _): &(&str, &str)| open && links.get(proxy).is_some_and(|joined| *joined > 0);
         let now: BTreeSet<(&str, &str)> = empty.iter().copied().filter(counts).collect();
         since.retain(|of, began| {
             let over = *at - *began;
             if over > limits.bare {
-                let seen =
-                    format!("{} had nothing to pick for {} during {:.2} s", of.0, of.1, over.as_secs_f64());
+                let seen = format!(
+                    "{} had nothing to pick for {} during {:.2} s",
+                    of.0,
+                    of.1,
+                    over.as_secs_f64()
+                );
                 breaks.push(broke(0, *at, seen));
             }
             now.contains(of) && over <= limits.bare
@@ -122,7 +153,11 @@
             && limits.once.contains(kind)
             && let Some(first) = ran.insert(*req, host)
         {
-            breaks.push(broke(1, *at, format!("{kind} {req} ran at {first} and again at {host}")));
+            breaks.push(broke(
+                1,
+                *at,
+                format!("{kind} {req} ran at {first} and again at {host}"),
+            ));
         }
     }
 }
@@ -133,12 +168,19 @@
     let mut told: BTreeSet<(&str, &str)> = BTreeSet::new();
     for (at, fact) in facts {
         match fact {
-            Fact::Listed { host, as_: Listed::Ready } => drop(away.remove(host.as_str())),
+            Fact::Listed {
+                host,
+                as_: Listed::Ready,
+            } => drop(away.remove(host.as_str())),
             Fact::Listed { host, .. } => drop(away.entry(host).or_insert(*at)),
             Fact::Link { proxy, up: true } => drop(joined.insert(proxy, *at)),
             Fact::Link { proxy, up: false } => drop(joined.remove(proxy.as_str())),
-            Fact::Try { proxy, host, req, .. } => {
-                let Some((listed, joined)) = away.get(host.as_str()).zip(joined.get(proxy.as_str())) else {
+            Fact::Try {
+                proxy, host, req, ..
+            } => {
+                let Some((listed, joined)) =
+                    away.get(host.as_str()).zip(joined.get(proxy.as_str()))
+                else {
                     continue;
                 };
                 let over = at.saturating_sub(*listed.max(joined));
@@ -169,23 +211,47 @@
     let mut starts: BTreeMap<&str, Start> = BTreeMap::new();
     for (at, fact) in facts {
         match fact {
-            Fact::HostStarted { host, cores, start_share, warm_within } => {
+            Fact::HostStarted {
+                host,
+                cores,
+                start_share,
+                warm_within,
+            } => {
                 let (cores, start_share, warm_within) = (*cores, *start_share, *warm_within);
                 let arrived = VecDeque::new();
-                starts.insert(host, Start { at: *at, cores, start_share, warm_within, arrived, fell: false });
+                starts.insert(
+                    host,
+                    Start {
+                        at: *at,
+                        cores,
+                        start_share,
+                        warm_within,
+                        arrived,
+                        fell: false,
+                    },
+                );
             }
             Fact::Arrived { host, work, req } => {
-                let Some(start) = starts.get_mut(host.as_str()) else { continue };
+                let Some(start) = starts.get_mut(host.as_str()) else {
+                    continue;
+                };
                 let age = *at - start.at;
                 if start.start_share >= 1.0 || age >= start.warm_within || start.fell {
                     continue;
                 }
                 start.arrived.push_back((*at, *work));
-                start.arrived.retain(|(then, _)| *at - *then <= limits.fall_over);
+                start
+                    .arrived
+                    .retain(|(then, _)| *at - *then <= limits.fall_over);
                 let part = age.as_secs_f64() / start.warm_within.as_secs_f64();
                 let share = start.start_share + (1.0 - start.start_share) * part;
-                let budget = limits.fall_multiple * start.cores * share * limits.fall_over.as_secs_f64();
-                let brought: f64 = start.arrived.iter().map(|(_, work)| work.as_secs_f64()).sum();
+                let budget =
+                    limits.fall_multiple * start.cores * share * limits.fall_over.as_secs_f64();
+                let brought: f64 = start
+                    .arrived
+                    .iter()
+                    .map(|(_, work)| work.as_secs_f64())
+                    .sum();
                 if brought > budget {
                     start.fell = true;
                     let (age, over) = (age.as_secs_f64(), limits.fall_over.as_secs_f64());
@@ -211,7 +277,11 @@
                 lately.retain(|then| *at - *then <= limits.message_window);
                 if lately.len() == limits.message_cap + 1 {
                     let (count, window) = (lately.len(), limits.message_window.as_secs_f64());
-                    breaks.push(broke(4, *at, format!("{count} messages to {proxy} within {window} s")));
+                    breaks.push(broke(
+                        4,
+                        *at,
+                        format!("{count} messages to {proxy} within {window} s"),
+                    ));
                 }
             }
             Fact::Waiting { steward, lines } if *lines > limits.most_waiting => {
@@ -240,8 +310,14 @@
     }
 
     fn day(facts: Vec<(u64, Fact)>) -> Vec<&'static str> {
-        let facts: Vec<_> = facts.into_iter().map(|(ms, fact)| (Duration::from_millis(ms), fact)).collect();
-        check(&facts, &limits()).into_iter().map(|b| b.rule).collect()
+        let facts: Vec<_> = facts
+            .into_iter()
+            .map(|(ms, fact)| (Duration::from_millis(ms), fact))
+            .collect();
+        check(&facts, &limits())
+            .into_iter()
+            .map(|b| b.rule)
+            .collect()
     }
 
     fn s(text: &str) -> String {
@@ -249,7 +325,12 @@
     }
 
     fn started(host: &str, start_share: f64) -> Fact {
-        Fact::HostStarted { host: s(host), cores: 1.0, start_share, warm_within: Duration::from_secs(10) }
+        Fact::HostStarted {
+            host: s(host),
+            cores: 1.0,
+            start_share,
+            warm_within: Duration::from_secs(10),
+        }
     }
 
     fn listed(host: &str, as_: Listed) -> Fact {
@@ -258,43 +339,105 @@
 
     #[test]
     fn each_rule_is_seen_to_break() {
-        let up = Fact::Link { proxy: s("p"), up: true };
-        let none = Fact::Lines { proxy: s("p"), kind: s("proof"), lines: vec![] };
-        let asked = Fact::Asked { kind: s("proof"), req: 1 };
-        let open = [(0, started("a", 1.0)), (0, listed("a", Listed::Ready)), (0, up.clone())];
+        let up = Fact::Link {
+            proxy: s("p"),
+            up: true,
+        };
+        let none = Fact::Lines {
+            proxy: s("p"),
+            kind: s("proof"),
+            lines: vec![],
+        };
+        let asked = Fact::Asked {
+            kind: s("proof"),
+            req: 1,
+        };
+        let open = [
+            (0, started("a", 1.0)),
+            (0, listed("a", Listed::Ready)),
+            (0, up.clone()),
+        ];
         let bare = [open.to_vec(), vec![(100, none), (1_500, asked)]].concat();
         assert_eq!(day(bare.clone()), ["a host to pick"]);
         // Nothing open and warm is listed: no host could be had.
-        let cold = bare
-            .iter()
-            .cloned()
-            .map(|(at, f)| (at, if at == 0 && f == started("a", 1.0) { started("a", 0.2) } else { f }));
+        let cold = bare.iter().cloned().map(|(at, f)| {
+            (
+                at,
+                if at == 0 && f == started("a", 1.0) {
+                    started("a", 0.2)
+                } else {
+                    f
+                },
+            )
+        });
         assert!(day(cold.collect()).is_empty());
 
-        let ran = |host: &str, kind: &str| Fact::Ran { host: s(host), kind: s(kind), req: 7 };
-        assert_eq!(day(vec![(0, ran("a", "release")), (5, ran("b", "release"))]), ["no effect twice"]);
+        let ran = |host: &str, kind: &str| Fact::Ran {
+            host: s(host),
+            kind: s(kind),
+            req: 7,
+        };
+        assert_eq!(
+            day(vec![(0, ran("a", "release")), (5, ran("b", "release"))]),
+            ["no effect twice"]
+        );
         assert!(day(vec![(0, ran("a", "proof")), (5, ran("b", "proof"))]).is_empty());
 
-        let sent = Fact::Try { proxy: s("p"), kind: s("proof"), host: s("a"), req: 3 };
-        let drained = vec![(0, up.clone()), (100, listed("a", Listed::Drain)), (2_200, sent.clone())];
+        let sent = Fact::Try {
+            proxy: s("p"),
+            kind: s("proof"),
+            host: s("a"),
+            req: 3,
+        };
+        let drained = vec![
+            (0, up.clone()),
+            (100, listed("a", Listed::Drain)),
+            (2_200, sent.clone()),
+        ];
         assert_eq!(day(drained), ["drains kept"]);
-        let in_grace = vec![(0, up.clone()), (100, listed("a", Listed::Drain)), (2_000, sent.clone())];
+        let in_grace = vec![
+            (0, up.clone()),
+            (100, listed("a", Listed::Drain)),
+            (2_000, sent.clone()),
+        ];
         assert!(day(in_grace).is_empty());
         let not_joined = vec![(100, listed("a", Listed::Gone)), (9_000, sent)];
         assert!(day(not_joined).is_empty());
 
-        let arrived = |req| Fact::Arrived { host: s("a"), req, work: Duration::from_millis(600) };
+        let arrived = |req| Fact::Arrived {
+            host: s("a"),
+            req,
+            work: Duration::from_millis(600),
+        };
         let pushed = vec![(0, started("a", 0.2)), (10, arrived(1)), (20, arrived(2))];
         assert_eq!(day(pushed), ["no cold host pushed over"]);
-        let later = vec![(0, started("a", 0.2)), (10, arrived(1)), (2_600, arrived(2))];
+        let later = vec![
+            (0, started("a", 0.2)),
+            (10, arrived(1)),
+            (2_600, arrived(2)),
+        ];
         assert!(day(later).is_empty());
 
-        let message = Fact::Message { proxy: s("p"), commands: 3 };
-        let many = vec![(0, message.clone()), (10, message.clone()), (20, message.clone())];
+        let message = Fact::Message {
+            proxy: s("p"),
+            commands: 3,
+        };
+        let many = vec![
+            (0, message.clone()),
+            (10, message.clone()),
+            (20, message.clone()),
+        ];
         assert_eq!(day(many), ["a short queue"]);
-        let spread = vec![(0, message.clone()), (10, message.clone()), (10_020, message)];
+        let spread = vec![
+            (0, message.clone()),
+            (10, message.clone()),
+            (10_020, message),
+        ];
         assert!(day(spread).is_empty());
-        let waiting = Fact::Waiting { steward: s("s"), lines: 101 };
+        let waiting = Fact::Waiting {
+            steward: s("s"),
+            lines: 101,
+        };
         assert_eq!(day(vec![(0, waiting)]), ["a short queue"]);
     }
 }
--- a/crates/rehearsal/src/secondary.rs
+++ b/crates/rehearsal/src/secondary.rs
@@ -51,16 +51,28 @@
             acknowledged: AtomicUsize::new(0),
         });
         let task = tokio::spawn(follow(socket, cut.clone(), state.clone()));
-        Ok(Secondary { addr, cut, state, task })
+        Ok(Secondary {
+            addr,
+            cut,
+            state,
+            task,
+        })
     }
 
     pub fn copy(&self) -> Copy {
-        self.state.copy.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.state
+            .copy
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Fetches that changed the copy, and words of changes that it answered.
     pub fn counts(&self) -> (usize, usize) {
-        (self.state.fetched.load(Relaxed), self.state.acknowledged.load(Relaxed))
+        (
+            self.state.fetched.load(Relaxed),
+            self.state.acknowledged.load(Relaxed),
+        )
     }
 }
 
@@ -71,7 +83,10 @@
 }
 
 fn now_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs()
 }
 
 async fn follow(socket: UdpSocket, cut: Arc<AtomicBool>, state: Arc<State>) {
@@ -82,7 +97,9 @@
             continue;
         }
         if let Ok(Ok((len, from))) = heard {
-            let Some(answer) = acknowledge(&packet[..len], &state.key, now_s()) else { continue };
+            let Some(answer) = acknowledge(&packet[..len], &state.key, now_s()) else {
+                continue;
+            };
             state.acknowledged.fetch_add(1, Relaxed);
             socket.send_to(&answer, from).await.ok();
         }
@@ -93,10 +110,17 @@
 
 impl State {
     async fn fetch(&self) -> Option<()> {
-        let mut copy = self.copy.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let (question, mut fetch) = Fetch::ask(4_711, &self.zone, &copy, &self.key, now_s()).ok()?;
+        let mut copy = self
+            .copy
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
+        let (question, mut fetch) =
+            Fetch::ask(4_711, &self.zone, &copy, &self.key, now_s()).ok()?;
         let stream = TcpStream::connect(self.server).await.ok()?;
-        let codec = LengthDelimitedCodec::builder().length_field_type::<u16>().new_codec();
+        let codec = LengthDelimitedCodec::builder()
+            .length_field_type::<u16>()
+            .new_codec();
         let mut wire = Framed::new(stream, codec);
         SinkExt::<&[u8]>::send(&mut wire, &question).await.ok()?;
         loop {
--- a/crates/rehearsal/src/service.rs
+++ b/crates/rehearsal/src/service.rs
@@ -26,14 +26,21 @@
 }
 
 /// Service of the reqs asked from `from` until before `to`.
-pub fn service(facts: &[(Duration, Fact)], kinds: &[Kind], from: Duration, to: Duration) -> Service {
+pub fn service(
+    facts: &[(Duration, Fact)],
+    kinds: &[Kind],
+    from: Duration,
+    to: Duration,
+) -> Service {
     let of: BTreeMap<&str, &Kind> = kinds.iter().map(|kind| (kind.name, kind)).collect();
     let mut asked: BTreeMap<u64, &Kind> = BTreeMap::new();
     let mut service = Service::default();
     for (at, fact) in facts {
         match fact {
             Fact::Asked { kind, req } if (from..to).contains(at) => {
-                let Some(kind) = of.get(kind.as_str()) else { continue };
+                let Some(kind) = of.get(kind.as_str()) else {
+                    continue;
+                };
                 asked.insert(*req, kind);
                 service.asked += 1;
                 service.benefit_asked += kind.benefit;
@@ -79,9 +86,14 @@
     let mut weights: BTreeMap<(&str, &str), f64> = BTreeMap::new();
     let mut first = None;
     for (at, fact) in facts {
-        let Fact::Lines { proxy, kind, lines } = fact else { continue };
+        let Fact::Lines { proxy, kind, lines } = fact else {
+            continue;
+        };
         let total: f64 = lines.iter().map(|(_, weight)| f64::from(*weight)).sum();
-        let own = lines.iter().find(|(name, _)| name == host).map_or(0.0, |(_, w)| f64::from(*w));
+        let own = lines
+            .iter()
+            .find(|(name, _)| name == host)
+            .map_or(0.0, |(_, w)| f64::from(*w));
         let part = own / total.max(1.0);
         let held = weights.insert((proxy, kind), part);
         if *at > since && held.is_some_and(|held| part < held * 0.9) {
--- a/crates/rehearsal/src/site.rs
+++ b/crates/rehearsal/src/site.rs
@@ -32,7 +32,12 @@
 
 impl List {
     pub fn new(file: PathBuf, facts: Facts) -> List {
-        List { file, version: 0, hosts: BTreeMap::new(), facts }
+        List {
+            file,
+            version: 0,
+            hosts: BTreeMap::new(),
+            facts,
+        }
     }
 
     pub fn file(&self) -> &Path {
@@ -41,8 +46,11 @@
 
     /// Changes entries and writes the file.
     pub fn change(&mut self, change: impl FnOnce(&mut BTreeMap<String, Entry>)) -> io::Result<()> {
-        let before: BTreeMap<String, Listed> =
-            self.hosts.iter().map(|(name, entry)| (name.clone(), entry.listed)).collect();
+        let before: BTreeMap<String, Listed> = self
+            .hosts
+            .iter()
+            .map(|(name, entry)| (name.clone(), entry.listed))
+            .collect();
         change(&mut self.hosts);
         self.version += 1;
         let entry = |(name, entry): (&String, &Entry)| {
@@ -61,11 +69,17 @@
         // The clock of the rules starts no later than the stewards can know.
         for (name, entry) in &self.hosts {
             if before.get(name) != Some(&entry.listed) {
-                self.facts.note(Fact::Listed { host: name.clone(), as_: entry.listed });
+                self.facts.note(Fact::Listed {
+                    host: name.clone(),
+                    as_: entry.listed,
+                });
             }
         }
         for name in before.keys().filter(|name| !self.hosts.contains_key(*name)) {
-            self.facts.note(Fact::Listed { host: name.clone(), as_: Listed::Gone });
+            self.facts.note(Fact::Listed {
+                host: name.clone(),
+                as_: Listed::Gone,
+            });
         }
         std::fs::rename(&part, &self.file)
     }
@@ -77,20 +91,38 @@
                 .filter_map(|name| Some((name, list.get(name)?.clone())))
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|(name, entry)| drop(list.insert(name.clone(), Entry { listed, ..entry })));
+                .for_each(|(name, entry)| {
+                    drop(list.insert(name.clone(), Entry { listed, ..entry }))
+                });
         })
     }
 }
 
 /// Writes a steward's settings; JSON is Jsonnet.
 pub fn write_settings(file: &Path, settings: &Value) -> io::Result<()> {
-    std::fs::write(file, serde_json::to_string_pretty(settings).unwrap_or_default())
+    std::fs::write(
+        file,
+        serde_json::to_string_pretty(settings).unwrap_or_default(),
+    )
 }
 
 /// Starts this program in a process of its own; it ends with the rehearsal, and its log is added to that file.
-pub(crate) fn spawn(program: &Path, args: &[&str], settings: &Path, log: &Path) -> io::Result<Child> {
-    let log = std::fs::File::options().create(true).append(true).open(log)?;
+pub(crate) fn spawn(
+    program: &Path,
+    args: &[&str],
+    settings: &Path,
+    log: &Path,
+) -> io::Result<Child> {
+    let log = std::fs::File::options()
+        .create(true)
+        .append(true)
+        .open(log)?;
     let mut command = Command::new(program);
     command.args(["--log", "json"]).args(args).arg(settings);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true).spawn()
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(log)
+        .kill_on_drop(true)
+        .spawn()
 }
--- a/crates/rehearsal/src/storm.rs
+++ b/crates/rehearsal/src/storm.rs
@@ -28,7 +28,12 @@
 
 impl Default for Plan {
     fn default() -> Plan {
-        Plan { proxies: 200, hosts: 700, drains: 5, rest: Duration::from_secs(10) }
+        Plan {
+            proxies: 200,
+            hosts: 700,
+            drains: 5,
+            rest: Duration::from_secs(10),
+        }
     }
 }
 
@@ -70,10 +75,16 @@
 }
 
 pub async fn play(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
-    let io = |what: &'static str| move |wrong| RehearsalError::Io { what: what.into(), wrong };
+    let io = |what: &'static str| {
+        move |wrong| RehearsalError::Io {
+            what: what.into(),
+            wrong,
+        }
+    };
     let facts = Facts::default();
     let mut list = List::new(folder.join("hosts.jsonnet"), facts.clone());
-    list.change(|all| all.extend(entries(plan.hosts))).map_err(io("the list cannot be written"))?;
+    list.change(|all| all.extend(entries(plan.hosts)))
+        .map_err(io("the list cannot be written"))?;
     let mut proxies = Vec::new();
     for n in 0..plan.proxies {
         proxies.push(front(n, list.file(), &facts).await?);
@@ -96,13 +107,21 @@
         facts.take();
         let Some(host) = proxies.iter().find_map(|proxy| {
             let tables = proxy.mirror();
-            let serving = tables.backends.get("proof").into_iter().flat_map(|b| b.servers.iter());
-            serving.filter(|(_, server)| server.serves()).map(|(name, _)| name.clone()).nth(drain % 3)
+            let serving = tables
+                .backends
+                .get("proof")
+                .into_iter()
+                .flat_map(|b| b.servers.iter());
+            serving
+                .filter(|(_, server)| server.serves())
+                .map(|(name, _)| name.clone())
+                .nth(drain % 3)
         }) else {
             break;
         };
         let told = facts.now();
-        list.set(std::slice::from_ref(&host), Listed::Drain).map_err(io("the list cannot be written"))?;
+        list.set(std::slice::from_ref(&host), Listed::Drain)
+            .map_err(io("the list cannot be written"))?;
         let began = Instant::now();
         while proxies.iter().any(|proxy| holds(proxy, &host)) && began.elapsed() < LIMIT {
             sleep(Duration::from_millis(5)).await;
@@ -111,12 +130,18 @@
         sleep(Duration::from_secs(2)).await;
     }
     let peak_rss_kib = memory_kib(&steward, "VmHWM");
-    steward.kill().await.map_err(io("the steward cannot be ended"))?;
+    steward
+        .kill()
+        .await
+        .map_err(io("the steward cannot be ended"))?;
     facts.take();
     let mut steward = start(program, &settings, folder)?;
     until_settled(plan, folder).await?;
     let (rejoin_ms, _, rejoin_commands) = storm(&facts.take());
-    steward.kill().await.map_err(io("the steward cannot be ended"))?;
+    steward
+        .kill()
+        .await
+        .map_err(io("the steward cannot be ended"))?;
     Ok(Report {
         proxies: plan.proxies,
         hosts: plan.hosts,
@@ -150,7 +175,16 @@
 /// The n-th proxy.
 pub(crate) async fn front(n: usize, list: &Path, facts: &Facts) -> Result<Front, RehearsalError> {
     let (name, seed) = (format!("front-{n}"), n as u64);
-    Ok(Front::start(&name, ZONES[n % 4], &ZONES, &kinds(), list, seed, facts.clone()).await?)
+    Ok(Front::start(
+        &name,
+        ZONES[n % 4],
+        &ZONES,
+        &kinds(),
+        list,
+        seed,
+        facts.clone(),
+    )
+    .await?)
 }
 
 fn kinds() -> Vec<Kind> {
@@ -185,16 +219,31 @@
     })
 }
 
-pub(crate) fn start(program: &Path, settings: &Path, folder: &Path) -> Result<Child, RehearsalError> {
-    let wrong = |wrong| RehearsalError::Io { what: "a steward cannot be started".into(), wrong };
-    spawn(program, &["--log-level", "warn", "run"], settings, &folder.join("steward.log")).map_err(wrong)
+pub(crate) fn start(
+    program: &Path,
+    settings: &Path,
+    folder: &Path,
+) -> Result<Child, RehearsalError> {
+    let wrong = |wrong| RehearsalError::Io {
+        what: "a steward cannot be started".into(),
+        wrong,
+    };
+    spawn(
+        program,
+        &["--log-level", "warn", "run"],
+        settings,
+        &folder.join("steward.log"),
+    )
+    .map_err(wrong)
 }
 
 /// Waits until all are joined and nothing waits; gives the most lines that were seen waiting.
 pub(crate) async fn until_settled(plan: &Plan, folder: &Path) -> Result<u64, RehearsalError> {
     let (began, mut most, mut quiet) = (Instant::now(), 0, 0);
     while began.elapsed() < LIMIT {
-        let text = crate::bad_day::ask(&folder.join("steward.sock"), "show info").await.unwrap_or_default();
+        let text = crate::bad_day::ask(&folder.join("steward.sock"), "show info")
+            .await
+            .unwrap_or_default();
         let info = pondarch_runtime_api::info::Info::read(&text);
         let figure = |name: &str| info.number(name).unwrap_or(0);
         most = most.max(figure("LinesWaiting"));
@@ -207,28 +256,43 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    Err(RehearsalError::NotJoined(LIMIT.as_secs(), folder.to_path_buf()))
+    Err(RehearsalError::NotJoined(
+        LIMIT.as_secs(),
+        folder.to_path_buf(),
+    ))
 }
 
 /// From the first link to the last message, in milliseconds; messages and commands.
 fn storm(facts: &[(Duration, Fact)]) -> (f64, usize, usize) {
-    let first = facts.iter().find(|(_, fact)| matches!(fact, Fact::Link { up: true, .. })).map(|(at, _)| *at);
+    let first = facts
+        .iter()
+        .find(|(_, fact)| matches!(fact, Fact::Link { up: true, .. }))
+        .map(|(at, _)| *at);
     let last = last_message(facts).or(facts.last().map(|(at, _)| *at));
     let commands = facts.iter().filter_map(|(_, fact)| match fact {
         Fact::Message { commands, .. } => Some(*commands),
         _ => None,
     });
-    let took = first.zip(last).map_or(0.0, |(first, last)| ms(last.saturating_sub(first)));
+    let took = first
+        .zip(last)
+        .map_or(0.0, |(first, last)| ms(last.saturating_sub(first)));
     (took, commands.clone().count(), commands.sum())
 }
 
 fn last_message(facts: &[(Duration, Fact)]) -> Option<Duration> {
-    facts.iter().rev().find(|(_, fact)| matches!(fact, Fact::Message { .. })).map(|(at, _)| *at)
+    facts
+        .iter()
+        .rev()
+        .find(|(_, fact)| matches!(fact, Fact::Message { .. }))
+        .map(|(at, _)| *at)
 }
 
 fn holds(proxy: &Front, host: &str) -> bool {
     let tables = proxy.mirror();
-    tables.backends.values().any(|b| b.servers.get(host).is_some_and(|server| server.serves()))
+    tables
+        .backends
+        .values()
+        .any(|b| b.servers.get(host).is_some_and(|server| server.serves()))
 }
 
 fn ms(span: Duration) -> f64 {
@@ -243,7 +307,12 @@
         .unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |at: usize| {
+        fields
+            .get(at)
+            .and_then(|text| text.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     (ticks(11) + ticks(12)) * 10.0
 }
 
@@ -252,6 +321,12 @@
         .id()
         .and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok())
         .unwrap_or_default();
-    let line = text.lines().find(|line| line.starts_with(name)).unwrap_or("");
-    line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).unwrap_or(0)
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(name))
+        .unwrap_or("");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kib| kib.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/rehearsal/src/stream.rs
+++ b/crates/rehearsal/src/stream.rs
@@ -47,7 +47,11 @@
             left < 0.0
         });
         let kind = kind.unwrap_or(0);
-        Recorded { at: Duration::from_secs_f64(at), kind, work: kinds[kind].work }
+        Recorded {
+            at: Duration::from_secs_f64(at),
+            kind,
+            work: kinds[kind].work,
+        }
     };
     (0..reqs).map(one).collect()
 }
@@ -61,9 +65,21 @@
     ]));
     let mut out = FileWriter::try_new(File::create(file)?, &schema)?;
     for part in stream.chunks(BATCH) {
-        let at: UInt64Array = part.iter().map(|req| req.at.as_micros() as u64).collect::<Vec<_>>().into();
-        let kind: UInt32Array = part.iter().map(|req| req.kind as u32).collect::<Vec<_>>().into();
-        let work: UInt32Array = part.iter().map(|req| req.work.as_micros() as u32).collect::<Vec<_>>().into();
+        let at: UInt64Array = part
+            .iter()
+            .map(|req| req.at.as_micros() as u64)
+            .collect::<Vec<_>>()
+            .into();
+        let kind: UInt32Array = part
+            .iter()
+            .map(|req| req.kind as u32)
+            .collect::<Vec<_>>()
+            .into();
+        let work: UInt32Array = part
+            .iter()
+            .map(|req| req.work.as_micros() as u32)
+            .collect::<Vec<_>>()
+            .into();
         out.write(&RecordBatch::try_new(
             schema.clone(),
             vec![Arc::new(at), Arc::new(kind), Arc::new(work)],
@@ -78,10 +94,16 @@
     for batch in FileReader::try_new(File::open(file)?, None)? {
         let batch = batch?;
         let column = |name| batch.column_by_name(name).ok_or(StreamError::Column(name));
-        let at =
-            column("at_us")?.as_any().downcast_ref::<UInt64Array>().ok_or(StreamError::Column("at_us"))?;
+        let at = column("at_us")?
+            .as_any()
+            .downcast_ref::<UInt64Array>()
+            .ok_or(StreamError::Column("at_us"))?;
         let small = |name| -> Result<UInt32Array, StreamError> {
-            column(name)?.as_any().downcast_ref::<UInt32Array>().cloned().ok_or(StreamError::Column(name))
+            column(name)?
+                .as_any()
+                .downcast_ref::<UInt32Array>()
+                .cloned()
+                .ok_or(StreamError::Column(name))
         };
         let (kind, work) = (small("kind")?, small("work_us")?);
         stream.extend((0..batch.num_rows()).map(|n| Recorded {
@@ -113,8 +135,11 @@
         let file = folder.path().join("stream.arrow");
         write(&file, &stream).expect("written");
         let read_back = read(&file).expect("read");
-        let micros =
-            |s: &[Recorded]| s.iter().map(|r| (r.at.as_micros(), r.kind, r.work)).collect::<Vec<_>>();
+        let micros = |s: &[Recorded]| {
+            s.iter()
+                .map(|r| (r.at.as_micros(), r.kind, r.work))
+                .collect::<Vec<_>>()
+        };
         assert_eq!(micros(&read_back), micros(&stream));
         std::fs::write(&file, "nonsense").expect("written");
         assert!(read(&file).is_err());
--- a/crates/rehearsal/src/trial.rs
+++ b/crates/rehearsal/src/trial.rs
@@ -49,7 +49,14 @@
 
 impl Plan {
     pub fn of(reqs: usize, seed: u64) -> Plan {
-        Plan { seed, reqs, rate: 5_000.0, hosts: 20, versions: 6, speed_for: Duration::from_secs(3) }
+        Plan {
+            seed,
+            reqs,
+            rate: 5_000.0,
+            hosts: 20,
+            versions: 6,
+            speed_for: Duration::from_secs(3),
+        }
     }
 }
 
@@ -126,11 +133,20 @@
 
 impl Ledger {
     fn note(&self, req: &Request<Incoming>, at: Duration) {
-        let text = |name: &str| req.headers().get(name).and_then(|value| value.to_str().ok());
-        let version =
-            text("x-pondarch-table").and_then(|v| v.rsplit('/').next()).and_then(|n| n.parse().ok());
+        let text = |name: &str| {
+            req.headers()
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
+        let version = text("x-pondarch-table")
+            .and_then(|v| v.rsplit('/').next())
+            .and_then(|n| n.parse().ok());
         if let Some(id) = text("x-req").and_then(|id| id.parse().ok()) {
-            self.0.lock().unwrap_or_else(PoisonError::into_inner).push((id, version.unwrap_or(0), at));
+            self.0.lock().unwrap_or_else(PoisonError::into_inner).push((
+                id,
+                version.unwrap_or(0),
+                at,
+            ));
         }
     }
 }
@@ -148,7 +164,9 @@
             connections.spawn(async move {
                 let serve = service_fn(move |req| {
                     ledger.note(&req, began.elapsed());
-                    async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"ok")))) }
+                    async move {
+                        Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"ok"))))
+                    }
                 });
                 hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), serve)
@@ -170,15 +188,28 @@
         benefit: 1.0,
         replayable: true,
     };
-    vec![kind("proof", 0.48), kind("order", 0.40), kind("release", 0.12)]
+    vec![
+        kind("proof", 0.48),
+        kind("order", 0.40),
+        kind("release", 0.12),
+    ]
 }
 
 pub async fn play(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
-    let io = |what: &'static str| move |wrong| RehearsalError::Io { what: what.into(), wrong };
+    let io = |what: &'static str| {
+        move |wrong| RehearsalError::Io {
+            what: what.into(),
+            wrong,
+        }
+    };
     let (began, mut tasks) = (Instant::now(), JoinSet::new());
     let mut hosts = Vec::new();
     for _ in 0..plan.hosts {
-        hosts.push(host(began, &mut tasks).await.map_err(io("a host cannot be started"))?);
+        hosts.push(
+            host(began, &mut tasks)
+                .await
+                .map_err(io("a host cannot be started"))?,
+        );
     }
     let mut list = List::new(folder.join("hosts.jsonnet"), Facts::default());
     let entry = |addr| Entry {
@@ -190,14 +221,26 @@
         started: None,
         listed: Listed::Ready,
     };
-    list.change(|all| all.extend(hosts.iter().enumerate().map(|(n, (addr, _))| (name(n), entry(*addr)))))
-        .map_err(io("the list cannot be written"))?;
+    list.change(|all| {
+        all.extend(
+            hosts
+                .iter()
+                .enumerate()
+                .map(|(n, (addr, _))| (name(n), entry(*addr))),
+        )
+    })
+    .map_err(io("the list cannot be written"))?;
     // A port of the system's choosing, free again by the time the proxy takes it.
-    let spare = TcpListener::bind("127.0.0.1:0").await.map_err(io("no port"))?;
+    let spare = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(io("no port"))?;
     let proxy_addr = spare.local_addr().map_err(io("no port"))?;
     drop(spare);
-    write_settings(&folder.join("proxy.jsonnet"), &settings(proxy_addr, plan.seed))
-        .map_err(io("settings"))?;
+    write_settings(
+        &folder.join("proxy.jsonnet"),
+        &settings(proxy_addr, plan.seed),
+    )
+    .map_err(io("settings"))?;
     let socket = folder.join("proxy.sock");
     let mut proxy = spawn(
         program,
@@ -207,7 +250,10 @@
     )
     .map_err(io("the proxy cannot be started"))?;
     let up_by = Instant::now() + Duration::from_secs(10);
-    while ask(&socket, "show info").await.is_none_or(|text| text.is_empty()) {
+    while ask(&socket, "show info")
+        .await
+        .is_none_or(|text| text.is_empty())
+    {
         if Instant::now() > up_by {
             return Err(RehearsalError::StewardEnded(
                 "the proxy does not answer".into(),
@@ -218,7 +264,10 @@
     }
 
     let file = folder.join("stream.arrow");
-    stream::write(&file, &stream::drawn(&kinds(), plan.reqs, plan.rate, plan.seed))?;
+    stream::write(
+        &file,
+        &stream::drawn(&kinds(), plan.reqs, plan.rate, plan.seed),
+    )?;
     let recorded = stream::read(&file)?;
     let mut chance = fastrand::Rng::with_seed(plan.seed);
     let mut weights = Vec::new();
@@ -226,7 +275,13 @@
         // Some hosts leave, the others get any weight.
         weights.push(
             (0..plan.hosts)
-                .map(|_| if chance.u8(0..6) == 0 { 0 } else { chance.u16(1..=256) })
+                .map(|_| {
+                    if chance.u8(0..6) == 0 {
+                        0
+                    } else {
+                        chance.u16(1..=256)
+                    }
+                })
                 .collect::<Vec<_>>(),
         );
     }
@@ -242,7 +297,10 @@
     }
     sleep(Duration::from_millis(300)).await;
     let grown = crate::storm::memory_kib(&proxy, "VmRSS").saturating_sub(before);
-    proxy.kill().await.map_err(io("the proxy cannot be ended"))?;
+    proxy
+        .kill()
+        .await
+        .map_err(io("the proxy cannot be ended"))?;
     tasks.shutdown().await;
 
     let mut seen: Vec<(u64, u64, Duration, usize)> = Vec::new();
@@ -250,8 +308,8 @@
         let ledger = ledger.0.lock().unwrap_or_else(PoisonError::into_inner);
         seen.extend(ledger.iter().map(|&(id, version, at)| (id, version, at, n)));
     }
-    let versions =
-        (1..=plan.versions as u64).map(|version| judged(version, &weights[version as usize - 1], &seen));
+    let versions = (1..=plan.versions as u64)
+        .map(|version| judged(version, &weights[version as usize - 1], &seen));
     Ok(Report {
         reqs: plan.reqs,
         done,
@@ -295,7 +353,10 @@
     began: Instant,
 ) -> (u64, u64, Vec<Duration>, u64) {
     let http = client();
-    let (places, done) = (Arc::new(Semaphore::new(OPEN_MOST)), Arc::new(AtomicU64::new(0)));
+    let (places, done) = (
+        Arc::new(Semaphore::new(OPEN_MOST)),
+        Arc::new(AtomicU64::new(0)),
+    );
     let (mut older_sent, mut older_refused) = (0, 0);
     let mut sent_at = Vec::with_capacity(recorded.len());
     let part = recorded.len().div_ceil(plan.versions);
@@ -309,17 +370,27 @@
             ask(socket, &orders(version, &weights[version as usize - 1])).await;
             if version > 1 {
                 older_sent += 1;
-                let answer = ask(socket, &orders(version - 1, &weights[version as usize - 2])).await;
-                older_refused += u64::from(answer.is_some_and(|answer| answer.starts_with("Refused")));
+                let answer =
+                    ask(socket, &orders(version - 1, &weights[version as usize - 2])).await;
+                older_refused +=
+                    u64::from(answer.is_some_and(|answer| answer.starts_with("Refused")));
             }
         }
         sleep_until(start + req.at).await;
-        let Ok(place) = places.clone().acquire_owned().await else { break };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            break;
+        };
         sent_at.push(began.elapsed());
-        let (http, done, kind) = (http.clone(), done.clone(), kinds[req.kind % kinds.len()].name);
+        let (http, done, kind) = (
+            http.clone(),
+            done.clone(),
+            kinds[req.kind % kinds.len()].name,
+        );
         open.spawn(async move {
             let uri = format!("http://{proxy}/{kind}");
-            let built = Request::get(uri).header("x-req", id).body(Empty::<Bytes>::new());
+            let built = Request::get(uri)
+                .header("x-req", id)
+                .body(Empty::<Bytes>::new());
             if let Ok(built) = built
                 && let Ok(answer) = http.request(built).await
                 && answer.status().is_success()
@@ -338,7 +409,9 @@
 fn client() -> Http<HttpConnector, Empty<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    Http::builder(TokioExecutor::new()).pool_max_idle_per_host(OPEN_MOST).build(connector)
+    Http::builder(TokioExecutor::new())
+        .pool_max_idle_per_host(OPEN_MOST)
+        .build(connector)
 }
 
 /// As many answers as `ASKING` connections get in this time.
@@ -351,10 +424,13 @@
             let mut took = Vec::new();
             while Instant::now() < until {
                 let asked = Instant::now();
-                let Ok(built) = Request::get(format!("http://{addr}/proof")).body(Empty::new()) else {
+                let Ok(built) = Request::get(format!("http://{addr}/proof")).body(Empty::new())
+                else {
+                    break;
+                };
+                let Ok(answer) = http.request(built).await else {
                     break;
                 };
-                let Ok(answer) = http.request(built).await else { break };
                 if answer.into_body().collect().await.is_err() {
                     break;
                 }
@@ -368,7 +444,8 @@
     let mut answers = 0;
     while let Some(Ok(took)) = asking.join_next().await {
         answers += took.len();
-        took.iter().for_each(|took| all.saturating_record(took.as_micros() as u64));
+        took.iter()
+            .for_each(|took| all.saturating_record(took.as_micros() as u64));
     }
     let at = |q| all.value_at_quantile(q).max(1);
     Speed {
@@ -389,15 +466,32 @@
     let total: f64 = weights.iter().map(|weight| f64::from(*weight)).sum();
     let (mut off_most, mut chi) = (0.0f64, 0.0);
     for (host, weight) in weights.iter().enumerate() {
-        let (part, count) = (f64::from(*weight) / total, met.get(&host).copied().unwrap_or(0.0));
+        let (part, count) = (
+            f64::from(*weight) / total,
+            met.get(&host).copied().unwrap_or(0.0),
+        );
         off_most = off_most.max((count / reqs.max(1.0) - part).abs());
         let due = part * reqs;
         // A host without a weight must not be met at all.
-        chi += if due > 0.0 { (count - due).powi(2) / due } else { count * 1e9 };
+        chi += if due > 0.0 {
+            (count - due).powi(2) / due
+        } else {
+            count * 1e9
+        };
     }
-    let freedom = weights.iter().filter(|weight| **weight > 0).count().saturating_sub(1).max(1);
+    let freedom = weights
+        .iter()
+        .filter(|weight| **weight > 0)
+        .count()
+        .saturating_sub(1)
+        .max(1);
     let p = ChiSquared::new(freedom as f64).map_or(0.0, |chi_square| chi_square.sf(chi));
-    Published { version, reqs: reqs as u64, off_most, p }
+    Published {
+        version,
+        reqs: reqs as u64,
+        off_most,
+        p,
+    }
 }
 
 /// Reqs that met an older table than one that a host had met before they were sent.
@@ -409,7 +503,9 @@
     }
     let sent = |id: u64| sent_at.get(id as usize).copied().unwrap_or_default();
     let back = |(id, version, _, _): &&(u64, u64, Duration, usize)| {
-        first_met.range(version + 1..).any(|(_, at)| *at < sent(*id))
+        first_met
+            .range(version + 1..)
+            .any(|(_, at)| *at < sent(*id))
     };
     seen.iter().filter(back).count() as u64
 }
--- a/crates/rehearsal/src/weighing.rs
+++ b/crates/rehearsal/src/weighing.rs
@@ -119,9 +119,17 @@
             // From half to twice the usual speed, and listed at from half to twice of what it is.
             let speed = (2.0f64).powf(2.0 * chance.f64() - 1.0);
             let listed = cores as f64 * speed * (2.0f64).powf(2.0 * chance.f64() - 1.0);
-            SiteHost { name, zone: n % ZONES.len(), cores, speed, listed: (listed * 1e3).round() / 1e3 }
+            SiteHost {
+                name,
+                zone: n % ZONES.len(),
+                cores,
+                speed,
+                listed: (listed * 1e3).round() / 1e3,
+            }
         };
-        let hosts = (0..plan.hosts).map(|n| host(n, format!("host-{n}"))).collect();
+        let hosts = (0..plan.hosts)
+            .map(|n| host(n, format!("host-{n}")))
+            .collect();
         let new = host(seed as usize, "new".into());
         let mut parts: Vec<f64> = (0..plan.proxies).map(|_| 0.5 + chance.f64()).collect();
         // One proxy has a quarter of all traffic.
@@ -137,7 +145,11 @@
     /// Reqs a second that are this part of the capacity.
     pub fn rate(&self, load: f64, kinds: &[Kind]) -> f64 {
         let shares: f64 = kinds.iter().map(|kind| kind.share).sum();
-        let work = kinds.iter().map(|kind| kind.share * kind.work.as_secs_f64()).sum::<f64>() / shares;
+        let work = kinds
+            .iter()
+            .map(|kind| kind.share * kind.work.as_secs_f64())
+            .sum::<f64>()
+            / shares;
         self.capacity() * load / work
     }
 }
@@ -150,11 +162,17 @@
     for &seed in &plan.seeds {
         let site = Site::drawn(plan, seed);
         let mut stages = Vec::new();
-        for (&load, mode) in plan.loads.iter().flat_map(|load| Mode::ALL.map(|mode| (load, mode))) {
+        for (&load, mode) in plan
+            .loads
+            .iter()
+            .flat_map(|load| Mode::ALL.map(|mode| (load, mode)))
+        {
             let name = format!("{seed}-{}-{}", (load * 100.0).round(), mode.word());
             let folder = folder.join(name);
-            std::fs::create_dir_all(&folder)
-                .map_err(|wrong| RehearsalError::Io { what: "a folder".into(), wrong })?;
+            std::fs::create_dir_all(&folder).map_err(|wrong| RehearsalError::Io {
+                what: "a folder".into(),
+                wrong,
+            })?;
             let stage = Stage::set(plan, &site, seed, load, mode, program, &folder).await?;
             stages.push(stage);
         }
--- a/crates/rehearsal/src/weighing/judge.rs
+++ b/crates/rehearsal/src/weighing/judge.rs
@@ -60,14 +60,24 @@
             name: host.name.clone(),
             capacity: host.capacity(),
             listed: host.listed,
-            weight: last.and_then(|weights| weights.get(&host.name).copied()).unwrap_or(host.listed),
+            weight: last
+                .and_then(|weights| weights.get(&host.name).copied())
+                .unwrap_or(host.listed),
             load: work.get(host.name.as_str()).copied().unwrap_or(0.0)
                 / host.capacity()
                 / plan.judged.as_secs_f64(),
         };
         let hosts = site.hosts.iter().chain([&site.new]).map(host).collect();
         let new_most = new_most(facts, plan, site);
-        Judged { service, share, busiest, new_most, changes, turns, hosts }
+        Judged {
+            service,
+            share,
+            busiest,
+            new_most,
+            changes,
+            turns,
+            hosts,
+        }
     }
 }
 
@@ -90,7 +100,9 @@
         let from = from + LOAD_OVER * n;
         let work = brought(facts, from, from + LOAD_OVER);
         let part = |host: &SiteHost| {
-            work.get(host.name.as_str()).copied().unwrap_or(0.0) / host.capacity() / LOAD_OVER.as_secs_f64()
+            work.get(host.name.as_str()).copied().unwrap_or(0.0)
+                / host.capacity()
+                / LOAD_OVER.as_secs_f64()
         };
         site.hosts.iter().map(part).fold(0.0, f64::max)
     };
@@ -98,13 +110,23 @@
 }
 
 fn new_most(facts: &[(Duration, Fact)], plan: &Plan, site: &Site) -> f64 {
-    let is_new = |fact: &Fact| matches!(fact, Fact::HostStarted { host, .. } if *host == site.new.name);
-    let Some(started) = facts.iter().find(|(_, fact)| is_new(fact)).map(|(at, _)| *at) else { return 0.0 };
+    let is_new =
+        |fact: &Fact| matches!(fact, Fact::HostStarted { host, .. } if *host == site.new.name);
+    let Some(started) = facts
+        .iter()
+        .find(|(_, fact)| is_new(fact))
+        .map(|(at, _)| *at)
+    else {
+        return 0.0;
+    };
     let (mut most, mut at) = (0.0f64, started);
     while at + COLD_OVER <= started + plan.warm_within {
         let age = (at - started).as_secs_f64() / plan.warm_within.as_secs_f64();
         let share = plan.start_share + (1.0 - plan.start_share) * age;
-        let work = brought(facts, at, at + COLD_OVER).get(site.new.name.as_str()).copied().unwrap_or(0.0);
+        let work = brought(facts, at, at + COLD_OVER)
+            .get(site.new.name.as_str())
+            .copied()
+            .unwrap_or(0.0);
         most = most.max(work / (site.new.capacity() * share * COLD_OVER.as_secs_f64()));
         at += COLD_OVER / 4;
     }
@@ -119,20 +141,36 @@
         let Some(last) = judged.last() else { continue };
         for host in last.keys() {
             hosts += 1.0;
-            let path: Vec<f64> = judged.iter().filter_map(|weights| weights.get(host).copied()).collect();
-            let steps: Vec<f64> =
-                path.windows(2).map(|two| two[1] - two[0]).filter(|step| step.abs() > 1e-3).collect();
+            let path: Vec<f64> = judged
+                .iter()
+                .filter_map(|weights| weights.get(host).copied())
+                .collect();
+            let steps: Vec<f64> = path
+                .windows(2)
+                .map(|two| two[1] - two[0])
+                .filter(|step| step.abs() > 1e-3)
+                .collect();
             changes += steps.len() as f64;
             turns += steps.windows(2).filter(|two| two[0] * two[1] < 0.0).count() as f64;
         }
     }
     let minutes = hosts * plan.judged.as_secs_f64() / 60.0;
-    if minutes > 0.0 { (changes / minutes, turns / minutes) } else { (0.0, 0.0) }
+    if minutes > 0.0 {
+        (changes / minutes, turns / minutes)
+    } else {
+        (0.0, 0.0)
+    }
 }
 
 /// No way of weighing could answer more of the benefit in time: the work asked for fills all hosts, the new one as
 /// far as it can work, by benefit a second of work; nothing ever waits, and any host serves any proxy.
-pub fn best(facts: &[(Duration, Fact)], plan: &Plan, site: &Site, kinds: &[Kind], from: Duration) -> f64 {
+pub fn best(
+    facts: &[(Duration, Fact)],
+    plan: &Plan,
+    site: &Site,
+    kinds: &[Kind],
+    from: Duration,
+) -> f64 {
     let mut asked = vec![0.0; kinds.len()];
     for (at, fact) in facts {
         if let Fact::Asked { kind, .. } = fact
@@ -143,10 +181,15 @@
         }
     }
     // What is asked for near the end may be answered after it, within its target.
-    let target = kinds.iter().map(|kind| kind.response_target).max().unwrap_or_default();
+    let target = kinds
+        .iter()
+        .map(|kind| kind.response_target)
+        .max()
+        .unwrap_or_default();
     let (span, warming) = (plan.judged + target, plan.warm_within.min(plan.judged));
     let lost = (1.0 - plan.start_share) / 2.0 * warming.as_secs_f64();
-    let mut left = site.capacity() * span.as_secs_f64() + site.new.capacity() * (span.as_secs_f64() - lost);
+    let mut left =
+        site.capacity() * span.as_secs_f64() + site.new.capacity() * (span.as_secs_f64() - lost);
     let mut order: Vec<usize> = (0..kinds.len()).collect();
     let per_work = |k: &usize| kinds[*k].benefit / kinds[*k].work.as_secs_f64();
     order.sort_by(|a, b| per_work(b).total_cmp(&per_work(a)));
--- a/crates/rehearsal/src/weighing/report.rs
+++ b/crates/rehearsal/src/weighing/report.rs
@@ -72,11 +72,23 @@
 impl Report {
     pub(super) fn of(plan: &Plan, rows: Vec<Row>) -> Report {
         let mut lines = Vec::new();
-        for (&load, mode) in plan.loads.iter().flat_map(|load| Mode::ALL.map(|mode| (load, mode.word()))) {
-            let of: Vec<&Row> = rows.iter().filter(|row| row.load == load && row.mode == mode).collect();
+        for (&load, mode) in plan
+            .loads
+            .iter()
+            .flat_map(|load| Mode::ALL.map(|mode| (load, mode.word())))
+        {
+            let of: Vec<&Row> = rows
+                .iter()
+                .filter(|row| row.load == load && row.mode == mode)
+                .collect();
             lines.push(line(load, mode, &of));
         }
-        Report { sites: plan.seeds.len(), stewards: plan.stewards, lines, rows }
+        Report {
+            sites: plan.seeds.len(),
+            stewards: plan.stewards,
+            lines,
+            rows,
+        }
     }
 
     /// Errors: only if the template and the figures do not fit each other.
@@ -86,14 +98,20 @@
 
     /// Solved weights reach their bar at each load that has one, and no rule broke under them.
     pub fn holds(&self) -> bool {
-        let solved = self.lines.iter().filter(|line| line.mode == Mode::Solved.word());
-        solved.into_iter().all(|line| line.breaks == 0 && (line.load > BAR_LOAD || line.mean >= BAR))
+        let solved = self
+            .lines
+            .iter()
+            .filter(|line| line.mode == Mode::Solved.word());
+        solved
+            .into_iter()
+            .all(|line| line.breaks == 0 && (line.load > BAR_LOAD || line.mean >= BAR))
     }
 }
 
 fn line(load: f64, mode: &'static str, rows: &[&Row]) -> Line {
-    let mean =
-        |of: &dyn Fn(&Row) -> f64| rows.iter().map(|row| of(row)).sum::<f64>() / rows.len().max(1) as f64;
+    let mean = |of: &dyn Fn(&Row) -> f64| {
+        rows.iter().map(|row| of(row)).sum::<f64>() / rows.len().max(1) as f64
+    };
     let most = |of: &dyn Fn(&Row) -> f64| rows.iter().map(|row| of(row)).fold(0.0, f64::max);
     let parts: Vec<f64> = rows.iter().map(|row| row.part_of_best()).collect();
     Line {
@@ -119,7 +137,11 @@
         return 0.0;
     }
     let mean = values.iter().sum::<f64>() / n;
-    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (n - 1.0);
+    let variance = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / (n - 1.0);
     let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::NAN, |t| t.inverse_cdf(0.975));
     t * (variance / n).sqrt()
 }
--- a/crates/rehearsal/src/weighing/stage.rs
+++ b/crates/rehearsal/src/weighing/stage.rs
@@ -46,24 +46,47 @@
         program: &Path,
         folder: &Path,
     ) -> Result<Stage, RehearsalError> {
-        let io = |what: &'static str| move |wrong| RehearsalError::Io { what: what.into(), wrong };
+        let io = |what: &'static str| {
+            move |wrong| RehearsalError::Io {
+                what: what.into(),
+                wrong,
+            }
+        };
         let facts = Facts::default();
         let mut list = List::new(folder.join("hosts.jsonnet"), facts.clone());
         let mut hosts = Vec::new();
         for host in &site.hosts {
             let make = make(plan, host, true);
-            hosts.push(Host::start(make, None, facts.clone()).await.map_err(io("a host"))?);
+            hosts.push(
+                Host::start(make, None, facts.clone())
+                    .await
+                    .map_err(io("a host"))?,
+            );
         }
-        let entries =
-            site.hosts.iter().zip(&hosts).map(|(of, host)| (of.name.clone(), entry(of, host, mode, None)));
-        list.change(|list| list.extend(entries.collect::<Vec<_>>())).map_err(io("the list"))?;
+        let entries = site
+            .hosts
+            .iter()
+            .zip(&hosts)
+            .map(|(of, host)| (of.name.clone(), entry(of, host, mode, None)));
+        list.change(|list| list.extend(entries.collect::<Vec<_>>()))
+            .map_err(io("the list"))?;
         let mut proxies = Vec::new();
         for n in 0..plan.proxies {
             let zone = ZONES[n % ZONES.len()];
             let seed = seed.wrapping_mul(1_000) + n as u64;
             let name = format!("front-{n}");
-            proxies
-                .push(Front::start(&name, zone, &ZONES, &kinds(), list.file(), seed, facts.clone()).await?);
+            proxies.push(
+                Front::start(
+                    &name,
+                    zone,
+                    &ZONES,
+                    &kinds(),
+                    list.file(),
+                    seed,
+                    facts.clone(),
+                )
+                .await?,
+            );
         }
         let mut stewards = Vec::new();
         for s in 0..plan.stewards {
@@ -72,7 +95,9 @@
             let log = folder.join(format!("steward-{s}.log"));
             stewards.push(spawn(program, &["run"], &file, &log).map_err(io("a steward"))?);
         }
-        let sockets = (0..plan.stewards).map(|s| folder.join(format!("steward-{s}.sock"))).collect();
+        let sockets = (0..plan.stewards)
+            .map(|s| folder.join(format!("steward-{s}.sock")))
+            .collect();
         let stage = Stage {
             seed,
             load,
@@ -105,13 +130,19 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        Err(RehearsalError::NotJoined(JOIN_LIMIT.as_secs(), folder.to_path_buf()))
+        Err(RehearsalError::NotJoined(
+            JOIN_LIMIT.as_secs(),
+            folder.to_path_buf(),
+        ))
     }
 
     /// Clients ask until all is judged.
     pub(super) fn begin(&mut self, plan: &Plan, site: &Site, began: Instant) {
         let kinds = kinds();
-        let (until, ids) = (began + plan.settles + plan.judged, Arc::new(AtomicU64::new(1)));
+        let (until, ids) = (
+            began + plan.settles + plan.judged,
+            Arc::new(AtomicU64::new(1)),
+        );
         let (rate, sum) = (site.rate(self.load, &kinds), site.parts.iter().sum::<f64>());
         // The same traffic for each way of weighing.
         let mut chance = fastrand::Rng::with_seed(self.seed ^ 0x5eed);
@@ -132,15 +163,31 @@
     }
 
     /// A cold host starts and is listed; from here on all is judged.
-    pub(super) async fn new_host(&mut self, plan: &Plan, site: &Site) -> Result<(), RehearsalError> {
-        let io = |what: &'static str| move |wrong| RehearsalError::Io { what: what.into(), wrong };
-        let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+    pub(super) async fn new_host(
+        &mut self,
+        plan: &Plan,
+        site: &Site,
+    ) -> Result<(), RehearsalError> {
+        let io = |what: &'static str| {
+            move |wrong| RehearsalError::Io {
+                what: what.into(),
+                wrong,
+            }
+        };
+        let started = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64();
         let make = make(plan, &site.new, false);
-        let host = Host::start(make, None, self.facts.clone()).await.map_err(io("a host"))?;
+        let host = Host::start(make, None, self.facts.clone())
+            .await
+            .map_err(io("a host"))?;
         let entry = entry(&site.new, &host, self.mode, Some(started));
         self.hosts.push(host);
         self.judged_from = self.facts.now();
-        self.list.change(|list| drop(list.insert(site.new.name.clone(), entry))).map_err(io("the list"))
+        self.list
+            .change(|list| drop(list.insert(site.new.name.clone(), entry)))
+            .map_err(io("the list"))
     }
 
     pub(super) async fn end(mut self, plan: &Plan, site: &Site, kinds: &[Kind]) -> Row {
@@ -157,7 +204,14 @@
         let breaks = rules::check(&facts, &limits());
         let judged = Judged::of(&facts, plan, site, kinds, self.judged_from, &weights);
         let best = judge::best(&facts, plan, site, kinds, self.judged_from);
-        Row { seed: self.seed, load: self.load, mode: self.mode.word(), judged, best, breaks }
+        Row {
+            seed: self.seed,
+            load: self.load,
+            mode: self.mode.word(),
+            judged,
+            best,
+            breaks,
+        }
     }
 }
 
@@ -211,7 +265,11 @@
     let ms = |span: Duration| format!("{} ms", span.as_millis());
     let all = kinds();
     let kind = |kind: &Kind| {
-        let repeats = if kind.replayable { "replayable" } else { "non-replayable" };
+        let repeats = if kind.replayable {
+            "replayable"
+        } else {
+            "non-replayable"
+        };
         json!({"name": kind.name, "response_target": ms(kind.response_target),
             "client_timeout": ms(kind.client_timeout), "benefit": kind.benefit, "repeats": repeats})
     };
--- a/crates/rehearsal/tests/release_once.rs
+++ b/crates/rehearsal/tests/release_once.rs
@@ -23,12 +23,19 @@
         warm_within: Duration::ZERO,
         warm: true,
     };
-    Host::start(make, None, facts.clone()).await.expect("a host")
+    Host::start(make, None, facts.clone())
+        .await
+        .expect("a host")
 }
 
 async fn tell(socket: &Path, line: &str) {
-    let mut stream = UnixStream::connect(socket).await.expect("the proxy's socket");
-    stream.write_all(format!("{line}\n").as_bytes()).await.expect("written");
+    let mut stream = UnixStream::connect(socket)
+        .await
+        .expect("the proxy's socket");
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .await
+        .expect("written");
     stream.shutdown().await.expect("sent");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.expect("answered");
@@ -37,7 +44,11 @@
 /// Times that each of 200 reqs ran, with these further tries: one host is dead, one is slow and dies over its work.
 async fn ran(tries: &str) -> (BTreeMap<u64, usize>, usize) {
     let facts = Facts::default();
-    let hosts = [host("good", &facts).await, host("late", &facts).await, host("dead", &facts).await];
+    let hosts = [
+        host("good", &facts).await,
+        host("late", &facts).await,
+        host("dead", &facts).await,
+    ];
     let folder = tempfile::tempdir().expect("a folder");
     let mut list = List::new(folder.path().join("hosts.jsonnet"), facts.clone());
     let entry = |host: &Host| Entry {
@@ -49,11 +60,18 @@
         started: None,
         listed: Listed::Ready,
     };
-    list.change(|all| all.extend(hosts.iter().map(|host| (host.make.name.clone(), entry(host)))))
-        .expect("a list");
+    list.change(|all| {
+        all.extend(
+            hosts
+                .iter()
+                .map(|host| (host.make.name.clone(), entry(host))),
+        )
+    })
+    .expect("a list");
     let [_good, late, dead] = hosts;
     let mut late = Some(late);
-    late.iter().for_each(|late| late.trouble.slower.store(8_000, Relaxed));
+    late.iter()
+        .for_each(|late| late.trouble.slower.store(8_000, Relaxed));
     drop(dead);
     let kind = Kind {
         name: "release",
@@ -65,9 +83,17 @@
         // Told to be replayable, the proxy does as `failure` says: that is the control.
         replayable: tries == "failure",
     };
-    let proxy = Front::start("front", "ede", &["ede"], &[kind], list.file(), 5, facts.clone())
-        .await
-        .expect("a proxy");
+    let proxy = Front::start(
+        "front",
+        "ede",
+        &["ede"],
+        &[kind],
+        list.file(),
+        5,
+        facts.clone(),
+    )
+    .await
+    .expect("a proxy");
     let socket = folder.path().join("front.sock");
     proxy.faults().twice.store(true, Relaxed);
     tell(&socket, &format!("add map pond_tries release {tries}")).await;
@@ -101,7 +127,11 @@
 async fn only_proof_that_it_never_ran_leads_to_another_try() {
     let (ran, errored) = ran("unsent").await;
     assert!(ran.values().all(|times| *times == 1), "{ran:?}");
-    assert!(ran.len() > 100 && errored > 0, "{} ran, {errored} errored", ran.len());
+    assert!(
+        ran.len() > 100 && errored > 0,
+        "{} ran, {errored} errored",
+        ran.len()
+    );
 }
 
 /// The ledger sees it where it happens: tries after any failure run some twice.
--- a/crates/runtime-api/src/codec.rs
+++ b/crates/runtime-api/src/codec.rs
@@ -40,10 +40,17 @@
     type Error = CodecError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<ServerFrame>, CodecError> {
-        let Some(end) = src[self.searched..].iter().position(|&b| b == b'\n').map(|at| at + self.searched)
+        let Some(end) = src[self.searched..]
+            .iter()
+            .position(|&b| b == b'\n')
+            .map(|at| at + self.searched)
         else {
             self.searched = src.len();
-            return if src.len() > LINE_MOST { Err(CodecError::LineTooLong(LINE_MOST)) } else { Ok(None) };
+            return if src.len() > LINE_MOST {
+                Err(CodecError::LineTooLong(LINE_MOST))
+            } else {
+                Ok(None)
+            };
         };
         self.searched = 0;
         let line = src.split_to(end + 1);
@@ -51,7 +58,10 @@
             return Err(CodecError::LineTooLong(LINE_MOST));
         }
         let line = line[..end].strip_suffix(b"\r").unwrap_or(&line[..end]);
-        Ok(Some(std::str::from_utf8(line).map_or(ServerFrame::Garbled, |l| ServerFrame::Line(l.to_string()))))
+        Ok(Some(
+            std::str::from_utf8(line)
+                .map_or(ServerFrame::Garbled, |l| ServerFrame::Line(l.to_string())),
+        ))
     }
 
     /// A last line without its end still counts, as for any shell tool that writes to the socket.
@@ -106,10 +116,17 @@
             self.searched = 0;
             return Ok(Some(String::new()));
         }
-        let Some(end) = src[self.searched..].windows(2).position(|pair| pair == b"\n\n") else {
+        let Some(end) = src[self.searched..]
+            .windows(2)
+            .position(|pair| pair == b"\n\n")
+        else {
             self.searched = src.len().saturating_sub(1);
             let long = src.len() > ANSWER_MOST;
-            return if long { Err(CodecError::AnswerTooLong(ANSWER_MOST)) } else { Ok(None) };
+            return if long {
+                Err(CodecError::AnswerTooLong(ANSWER_MOST))
+            } else {
+                Ok(None)
+            };
         };
         let text = src.split_to(self.searched + end + 2);
         self.searched = 0;
--- a/crates/runtime-api/src/command.rs
+++ b/crates/runtime-api/src/command.rs
@@ -162,7 +162,10 @@
 
 /// The commands of one line, in order. A line whose commands are all empty gives none.
 pub fn parse_line(line: &str) -> Vec<Result<Command, CommandError>> {
-    commands(line).iter().map(|text| Command::parse(text)).collect()
+    commands(line)
+        .iter()
+        .map(|text| Command::parse(text))
+        .collect()
 }
 
 impl Command {
@@ -171,11 +174,19 @@
     /// Errors: a `CommandError` that says what is missing, surplus or malformed.
     pub fn parse(text: &str) -> Result<Command, CommandError> {
         let words = words(text);
-        let mut args = Args { words: words.iter().map(String::as_str).collect(), at: 0, name: "command" };
+        let mut args = Args {
+            words: words.iter().map(String::as_str).collect(),
+            at: 0,
+            name: "command",
+        };
         let unknown = || CommandError::Unknown(shortened(text.trim()));
         let verb = args.maybe().ok_or_else(unknown)?;
         let lone = matches!(verb, "help" | "quit" | "prompt");
-        let noun = if lone { "" } else { args.maybe().ok_or_else(unknown)? };
+        let noun = if lone {
+            ""
+        } else {
+            args.maybe().ok_or_else(unknown)?
+        };
         let command = match (verb, noun) {
             ("help", _) => {
                 args.at = args.words.len();
@@ -189,8 +200,12 @@
                 Some("p") => PromptMode::Prompting,
                 Some(other) => return Err(CommandError::Surplus("prompt", other.to_string())),
             }),
-            ("show", "info") => Command::ShowInfo { json: args.flag("show info", "json") },
-            ("show", "stat") => Command::ShowStat { json: args.flag("show stat", "json") },
+            ("show", "info") => Command::ShowInfo {
+                json: args.flag("show info", "json"),
+            },
+            ("show", "stat") => Command::ShowStat {
+                json: args.flag("show stat", "json"),
+            },
             ("show", "backend") => args.only("show backend", Command::ShowBackend),
             ("show", "errors") => args.only("show errors", Command::ShowErrors),
             ("show", "memory") => args.only("show memory", Command::ShowMemory),
@@ -209,41 +224,69 @@
                 match args.maybe() {
                     None if version.is_none() => Command::ShowMaps,
                     None => return Err(CommandError::Missing("show map", "a map")),
-                    Some(map) => Command::ShowMap { map: map.to_string(), version },
+                    Some(map) => Command::ShowMap {
+                        map: map.to_string(),
+                        version,
+                    },
                 }
             }
             ("get", "map") => {
                 args.name = "get map";
-                Command::GetMap { map: args.text("a map")?, key: args.text("a key")? }
+                Command::GetMap {
+                    map: args.text("a map")?,
+                    key: args.text("a key")?,
+                }
             }
             ("add", "map") => {
                 args.name = "add map";
                 let version = args.version()?;
                 let (map, key) = (args.text("a map")?, args.text("a key")?);
-                Command::AddMap { map, version, key, value: args.rest("a value")? }
+                Command::AddMap {
+                    map,
+                    version,
+                    key,
+                    value: args.rest("a value")?,
+                }
             }
             ("set", "map") => {
                 args.name = "set map";
                 let (map, key) = (args.text("a map")?, args.text("a key")?);
-                Command::SetMap { map, key, value: args.rest("a value")? }
+                Command::SetMap {
+                    map,
+                    key,
+                    value: args.rest("a value")?,
+                }
             }
             ("del", "map") => {
                 args.name = "del map";
-                Command::DelMap { map: args.text("a map")?, key: args.text("a key")? }
+                Command::DelMap {
+                    map: args.text("a map")?,
+                    key: args.text("a key")?,
+                }
             }
             ("clear", "map") => {
                 args.name = "clear map";
                 let version = args.version()?;
-                Command::ClearMap { map: args.text("a map")?, version }
+                Command::ClearMap {
+                    map: args.text("a map")?,
+                    version,
+                }
             }
             ("prepare", "map") => {
                 args.name = "prepare map";
-                Command::PrepareMap { map: args.text("a map")? }
+                Command::PrepareMap {
+                    map: args.text("a map")?,
+                }
             }
             ("commit", "map") => {
                 args.name = "commit map";
-                let version = args.version()?.ok_or(CommandError::Missing("commit map", "a version"))?;
-                Command::CommitMap { map: args.text("a map")?, version }
+                let version = args
+                    .version()?
+                    .ok_or(CommandError::Missing("commit map", "a version"))?;
+                Command::CommitMap {
+                    map: args.text("a map")?,
+                    version,
+                }
             }
             ("get", "weight") => {
                 args.name = "get weight";
@@ -256,7 +299,11 @@
             }
             ("enable" | "disable", "server") => {
                 args.name = "enable server";
-                let state = if verb == "enable" { AdminState::Ready } else { AdminState::Maint };
+                let state = if verb == "enable" {
+                    AdminState::Ready
+                } else {
+                    AdminState::Maint
+                };
                 Command::SetState(args.server()?, state)
             }
             ("set", "server") => {
@@ -267,7 +314,9 @@
                     "state" => Command::SetState(server, state(args.word("a state")?)?),
                     "addr" => {
                         let text = args.word("an address")?;
-                        let ip = text.parse().map_err(|_| CommandError::Address(text.to_string()))?;
+                        let ip = text
+                            .parse()
+                            .map_err(|_| CommandError::Address(text.to_string()))?;
                         let port = match args.maybe() {
                             None => None,
                             Some("port") => {
@@ -275,18 +324,27 @@
                                 let bad = |_| CommandError::Address(text.to_string());
                                 Some(text.parse().map_err(bad)?)
                             }
-                            Some(other) => return Err(CommandError::Surplus("set server", other.into())),
+                            Some(other) => {
+                                return Err(CommandError::Surplus("set server", other.into()));
+                            }
                         };
                         Command::SetAddr(server, ip, port)
                     }
-                    _ => return Err(CommandError::Missing("set server", "'addr', 'state' or 'weight'")),
+                    _ => {
+                        return Err(CommandError::Missing(
+                            "set server",
+                            "'addr', 'state' or 'weight'",
+                        ));
+                    }
                 }
             }
             ("add", "server") => {
                 args.name = "add server";
                 let server = args.server()?;
                 let text = args.word("an address")?;
-                let addr = text.parse().map_err(|_| CommandError::Address(text.to_string()))?;
+                let addr = text
+                    .parse()
+                    .map_err(|_| CommandError::Address(text.to_string()))?;
                 let weight = match args.maybe() {
                     None => None,
                     Some("weight") => match weight(args.word("a weight")?)? {
@@ -295,7 +353,11 @@
                     },
                     Some(other) => return Err(CommandError::Surplus("add server", other.into())),
                 };
-                Command::AddServer { server, addr, weight }
+                Command::AddServer {
+                    server,
+                    addr,
+                    weight,
+                }
             }
             ("del", "server") => {
                 args.name = "del server";
@@ -313,11 +375,15 @@
     pub fn level(&self) -> Level {
         match self {
             Command::Help | Command::Quit | Command::Prompt(_) => Level::User,
-            Command::ShowInfo { .. } | Command::ShowStat { .. } | Command::ShowBackend => Level::User,
+            Command::ShowInfo { .. } | Command::ShowStat { .. } | Command::ShowBackend => {
+                Level::User
+            }
             Command::ShowServersState(_) | Command::ShowServersConn(_) => Level::Operator,
             Command::ShowErrors | Command::ShowEvents | Command::ShowMaps => Level::Operator,
             Command::ShowMemory => Level::Operator,
-            Command::ShowMap { .. } | Command::GetMap { .. } | Command::GetWeight(_) => Level::Operator,
+            Command::ShowMap { .. } | Command::GetMap { .. } | Command::GetWeight(_) => {
+                Level::Operator
+            }
             _ => Level::Admin,
         }
     }
@@ -336,23 +402,45 @@
                 PromptMode::Interactive => "prompt i",
                 PromptMode::Prompting => "prompt p",
             }),
-            Command::ShowInfo { json } => write!(f, "show info{}", if *json { " json" } else { "" }),
-            Command::ShowStat { json } => write!(f, "show stat{}", if *json { " json" } else { "" }),
+            Command::ShowInfo { json } => {
+                write!(f, "show info{}", if *json { " json" } else { "" })
+            }
+            Command::ShowStat { json } => {
+                write!(f, "show stat{}", if *json { " json" } else { "" })
+            }
             Command::ShowBackend => f.write_str("show backend"),
             Command::ShowErrors => f.write_str("show errors"),
             Command::ShowEvents => f.write_str("show events"),
             Command::ShowMemory => f.write_str("show memory"),
             Command::ShowServersState(None) => f.write_str("show servers state"),
-            Command::ShowServersState(Some(backend)) => write!(f, "show servers state {}", g(backend)),
+            Command::ShowServersState(Some(backend)) => {
+                write!(f, "show servers state {}", g(backend))
+            }
             Command::ShowServersConn(None) => f.write_str("show servers conn"),
-            Command::ShowServersConn(Some(backend)) => write!(f, "show servers conn {}", g(backend)),
+            Command::ShowServersConn(Some(backend)) => {
+                write!(f, "show servers conn {}", g(backend))
+            }
             Command::ShowMaps => f.write_str("show map"),
             Command::ShowMap { map, version } => write!(f, "show map {}{}", at(version), g(map)),
             Command::GetMap { map, key } => write!(f, "get map {} {}", g(map), g(key)),
-            Command::AddMap { map, version, key, value } => {
-                write!(f, "add map {}{} {} {}", at(version), g(map), g(key), g(value))
+            Command::AddMap {
+                map,
+                version,
+                key,
+                value,
+            } => {
+                write!(
+                    f,
+                    "add map {}{} {} {}",
+                    at(version),
+                    g(map),
+                    g(key),
+                    g(value)
+                )
+            }
+            Command::SetMap { map, key, value } => {
+                write!(f, "set map {} {} {}", g(map), g(key), g(value))
             }
-            Command::SetMap { map, key, value } => write!(f, "set map {} {} {}", g(map), g(key), g(value)),
             Command::DelMap { map, key } => write!(f, "del map {} {}", g(map), g(key)),
             Command::ClearMap { map, version } => write!(f, "clear map {}{}", at(version), g(map)),
             Command::PrepareMap { map } => write!(f, "prepare map {}", g(map)),
@@ -369,8 +457,16 @@
             Command::SetAddr(server, ip, Some(port)) => {
                 write!(f, "set server {server} addr {ip} port {port}")
             }
-            Command::AddServer { server, addr, weight: None } => write!(f, "add server {server} {addr}"),
-            Command::AddServer { server, addr, weight: Some(weight) } => {
+            Command::AddServer {
+                server,
+                addr,
+                weight: None,
+            } => write!(f, "add server {server} {addr}"),
+            Command::AddServer {
+                server,
+                addr,
+                weight: Some(weight),
+            } => {
                 write!(f, "add server {server} {addr} weight {weight}")
             }
             Command::DelServer(server) => write!(f, "del server {server}"),
@@ -380,7 +476,10 @@
 
 impl ServerRef {
     pub fn new(backend: &str, server: &str) -> ServerRef {
-        ServerRef { backend: backend.to_string(), server: server.to_string() }
+        ServerRef {
+            backend: backend.to_string(),
+            server: server.to_string(),
+        }
     }
 }
 
@@ -454,11 +553,17 @@
     }
 
     fn version(&mut self) -> Result<Option<u64>, CommandError> {
-        let Some(text) = self.words.get(self.at).and_then(|word| word.strip_prefix('@')) else {
+        let Some(text) = self
+            .words
+            .get(self.at)
+            .and_then(|word| word.strip_prefix('@'))
+        else {
             return Ok(None);
         };
         self.at += 1;
-        text.parse().map(Some).map_err(|_| CommandError::Version(text.to_string()))
+        text.parse()
+            .map(Some)
+            .map_err(|_| CommandError::Version(text.to_string()))
     }
 }
 
@@ -466,9 +571,17 @@
     let bad = || CommandError::Weight(text.to_string());
     if let Some(part) = text.strip_suffix('%') {
         let part: f64 = part.parse().map_err(|_| bad())?;
-        return if (0.0..=100.0).contains(&part) { Ok(GivenWeight::Percent(part)) } else { Err(bad()) };
+        return if (0.0..=100.0).contains(&part) {
+            Ok(GivenWeight::Percent(part))
+        } else {
+            Err(bad())
+        };
     }
-    text.parse().ok().filter(|units| *units <= 256).map(GivenWeight::Units).ok_or_else(bad)
+    text.parse()
+        .ok()
+        .filter(|units| *units <= 256)
+        .map(GivenWeight::Units)
+        .ok_or_else(bad)
 }
 
 fn state(text: &str) -> Result<AdminState, CommandError> {
--- a/crates/runtime-api/src/info.rs
+++ b/crates/runtime-api/src/info.rs
@@ -14,7 +14,10 @@
     }
 
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(held, _)| held == name).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .find(|(held, _)| held == name)
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn number(&self, name: &str) -> Option<u64> {
@@ -41,17 +44,22 @@
 
     /// Reads `name: value` lines; others are passed over.
     pub fn read(text: &str) -> Info {
-        let pair = |line: &str| line.split_once(": ").map(|(n, v)| (n.trim().into(), v.trim().into()));
+        let pair = |line: &str| {
+            line.split_once(": ")
+                .map(|(n, v)| (n.trim().into(), v.trim().into()))
+        };
         Info(text.lines().filter_map(pair).collect())
     }
 }
 
 /// The answer to `show map <map>`: `<id> <key> <value>`. The ids only tell entries apart.
 pub fn write_map<'a>(entries: impl Iterator<Item = (&'a String, &'a String)>) -> String {
-    entries.enumerate().fold(String::new(), |mut out, (n, (key, value))| {
-        let _ = writeln!(out, "{:#x} {key} {value}", 0x1000 + n * 64);
-        out
-    })
+    entries
+        .enumerate()
+        .fold(String::new(), |mut out, (n, (key, value))| {
+            let _ = writeln!(out, "{:#x} {key} {value}", 0x1000 + n * 64);
+            out
+        })
 }
 
 /// Reads an answer to `show map <map>`. Lines that are no entry (an unknown map's message, say) give `None`.
@@ -60,7 +68,13 @@
         let mut parts = line.splitn(3, ' ');
         let id = parts.next()?;
         id.strip_prefix("0x")?;
-        Some((parts.next()?.to_string(), parts.next().unwrap_or("").to_string()))
+        Some((
+            parts.next()?.to_string(),
+            parts.next().unwrap_or("").to_string(),
+        ))
     };
-    text.lines().filter(|line| !line.is_empty()).map(entry).collect()
+    text.lines()
+        .filter(|line| !line.is_empty())
+        .map(entry)
+        .collect()
 }
--- a/crates/runtime-api/src/stat.rs
+++ b/crates/runtime-api/src/stat.rs
@@ -88,7 +88,13 @@
             let ended = self.total.saturating_sub(self.current);
             let errored = (self.connect_errors + self.response_errors + self.answers[4]).min(ended);
             let done = ended - errored;
-            Sums { done, errored, done_time: self.mean.saturating_mul(done.min(u64::from(u32::MAX)) as u32) }
+            Sums {
+                done,
+                errored,
+                done_time: self
+                    .mean
+                    .saturating_mul(done.min(u64::from(u32::MAX)) as u32),
+            }
         })
     }
 
@@ -124,9 +130,18 @@
             "mode" => "http".into(),
             "pond_done" => self.sums.map(|s| s.done.to_string()).unwrap_or_default(),
             "pond_errored" => self.sums.map(|s| s.errored.to_string()).unwrap_or_default(),
-            "pond_done_ms" => self.sums.map(|s| s.done_time.as_millis().to_string()).unwrap_or_default(),
-            "pond_busy" => self.busy.map(|busy| format!("{busy:.3}")).unwrap_or_default(),
-            "pond_queue" => self.waiting.map(|waiting| format!("{waiting:.3}")).unwrap_or_default(),
+            "pond_done_ms" => self
+                .sums
+                .map(|s| s.done_time.as_millis().to_string())
+                .unwrap_or_default(),
+            "pond_busy" => self
+                .busy
+                .map(|busy| format!("{busy:.3}"))
+                .unwrap_or_default(),
+            "pond_queue" => self
+                .waiting
+                .map(|waiting| format!("{waiting:.3}"))
+                .unwrap_or_default(),
             _ => String::new(),
         }
     }
@@ -137,14 +152,25 @@
     let columns: Vec<&str> = COLUMNS.split(',').chain(OWN_COLUMNS.split(',')).collect();
     let mut out = csv::WriterBuilder::new().from_writer(Vec::with_capacity(200 + rows.len() * 160));
     // Writing into memory fails only for rows of unequal length, and all have one field a column and a last empty one.
-    let mut line = |fields: Vec<String>| out.write_record(fields.iter().chain([&String::new()])).is_ok();
-    let header =
-        columns.iter().enumerate().map(|(i, c)| if i == 0 { format!("# {c}") } else { c.to_string() });
+    let mut line = |fields: Vec<String>| {
+        out.write_record(fields.iter().chain([&String::new()]))
+            .is_ok()
+    };
+    let header = columns.iter().enumerate().map(|(i, c)| {
+        if i == 0 {
+            format!("# {c}")
+        } else {
+            c.to_string()
+        }
+    });
     line(header.collect());
     for row in rows {
         line(columns.iter().map(|column| row.field(column)).collect());
     }
-    out.into_inner().ok().and_then(|bytes| String::from_utf8(bytes).ok()).unwrap_or_default()
+    out.into_inner()
+        .ok()
+        .and_then(|bytes| String::from_utf8(bytes).ok())
+        .unwrap_or_default()
 }
 
 /// The answer to `show stat json`: for each row an array of its fields, as the guide's 9.1 lays them out.
@@ -162,7 +188,11 @@
         })
     };
     let columns = || COLUMNS.split(',').chain(OWN_COLUMNS.split(',')).enumerate();
-    let rows = rows.iter().map(|row| columns().filter_map(|(pos, name)| field(row, pos, name)).collect());
+    let rows = rows.iter().map(|row| {
+        columns()
+            .filter_map(|(pos, name)| field(row, pos, name))
+            .collect()
+    });
     format!("{}\n", Value::Array(rows.collect()))
 }
 
@@ -173,8 +203,15 @@
     let Some(text) = text.strip_prefix("# ") else {
         return Err(StatError::NoHeader(text.chars().take(60).collect()));
     };
-    let mut csv = csv::ReaderBuilder::new().flexible(false).from_reader(text.as_bytes());
-    let wrong = |row: usize| move |e: csv::Error| StatError::Row { row, wrong: e.to_string() };
+    let mut csv = csv::ReaderBuilder::new()
+        .flexible(false)
+        .from_reader(text.as_bytes());
+    let wrong = |row: usize| {
+        move |e: csv::Error| StatError::Row {
+            row,
+            wrong: e.to_string(),
+        }
+    };
     let header = csv.headers().map_err(wrong(0))?.clone();
     let at = |name: &str| header.iter().position(|column| column == name);
     let place = Places {
@@ -206,8 +243,14 @@
     };
     let mut rows = Vec::new();
     let mut record = csv::StringRecord::new();
-    while csv.read_record(&mut record).map_err(wrong(rows.len() + 1))? {
-        let bad = |wrong| StatError::Row { row: rows.len() + 1, wrong };
+    while csv
+        .read_record(&mut record)
+        .map_err(wrong(rows.len() + 1))?
+    {
+        let bad = |wrong| StatError::Row {
+            row: rows.len() + 1,
+            wrong,
+        };
         rows.push(place.row(&record).map_err(bad)?);
     }
     Ok(rows)
@@ -229,7 +272,9 @@
         let text = |at: Option<usize>| at.and_then(|at| record.get(at)).unwrap_or("");
         let number = |at: Option<usize>| match text(at) {
             "" => Ok(0),
-            digits => digits.parse::<u64>().map_err(|_| format!("'{digits}' is no counter")),
+            digits => digits
+                .parse::<u64>()
+                .map_err(|_| format!("'{digits}' is no counter")),
         };
         let mut counters = [0u64; 16];
         for (value, at) in counters.iter_mut().zip(self.counters) {
@@ -249,7 +294,12 @@
         ] = counters;
         let [one, two, three, four, five, reqs, mean] = rest;
         let own = self.sums.iter().all(|at| !text(*at).is_empty());
-        let load = |at| text(at).parse().ok().filter(|part: &f64| part.is_finite() && *part >= 0.0);
+        let load = |at| {
+            text(at)
+                .parse()
+                .ok()
+                .filter(|part: &f64| part.is_finite() && *part >= 0.0)
+        };
         let [busy, waiting] = self.load;
         let [done, errored, ms] = self.sums;
         let server = text(Some(self.server)).to_string();
@@ -280,7 +330,11 @@
             waiting: load(waiting),
             sums: if own {
                 let done_time = Duration::from_millis(number(ms)?);
-                Some(Sums { done: number(done)?, errored: number(errored)?, done_time })
+                Some(Sums {
+                    done: number(done)?,
+                    errored: number(errored)?,
+                    done_time,
+                })
             } else {
                 None
             },
--- a/crates/runtime-api/src/state.rs
+++ b/crates/runtime-api/src/state.rs
@@ -84,23 +84,44 @@
     if version != "1" {
         return Err(StateError::Version(version.chars().take(60).collect()));
     }
-    let header = lines.next().and_then(|(_, line)| line.strip_prefix("# ")).unwrap_or("");
+    let header = lines
+        .next()
+        .and_then(|(_, line)| line.strip_prefix("# "))
+        .unwrap_or("");
     let columns: Vec<&str> = header.split_whitespace().collect();
     let at = |name: &'static str| {
-        columns.iter().position(|column| *column == name).ok_or(StateError::NoColumn(name))
+        columns
+            .iter()
+            .position(|column| *column == name)
+            .ok_or(StateError::NoColumn(name))
     };
-    let (backend, server, addr, port) = (at("be_name")?, at("srv_name")?, at("srv_addr")?, at("srv_port")?);
-    let (admin, weight, changed) =
-        (at("srv_admin_state")?, at("srv_uweight")?, at("srv_time_since_last_change")?);
+    let (backend, server, addr, port) = (
+        at("be_name")?,
+        at("srv_name")?,
+        at("srv_addr")?,
+        at("srv_port")?,
+    );
+    let (admin, weight, changed) = (
+        at("srv_admin_state")?,
+        at("srv_uweight")?,
+        at("srv_time_since_last_change")?,
+    );
     let mut servers = Vec::new();
     for (n, line) in lines.filter(|(_, line)| !line.trim().is_empty()) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let wrong = |wrong: String| StateError::Line { line: n + 1, wrong };
         if words.len() < columns.len() {
-            return Err(wrong(format!("{} fields where {} were due", words.len(), columns.len())));
+            return Err(wrong(format!(
+                "{} fields where {} were due",
+                words.len(),
+                columns.len()
+            )));
         }
-        let number =
-            |at: usize| words[at].parse::<u32>().map_err(|_| wrong(format!("'{}' is no number", words[at])));
+        let number = |at: usize| {
+            words[at]
+                .parse::<u32>()
+                .map_err(|_| wrong(format!("'{}' is no number", words[at])))
+        };
         // A server without an address of its own (a name not resolved yet) prints '-': nothing to send to.
         let ip: IpAddr = words[addr].parse().unwrap_or(IpAddr::from([0, 0, 0, 0]));
         let port = u16::try_from(number(port)?).map_err(|_| wrong("a port over 65535".into()))?;
--- a/crates/runtime-api/tests/wire.rs
+++ b/crates/runtime-api/tests/wire.rs
@@ -17,14 +17,22 @@
 
 /// Words with everything that must be guarded.
 fn word() -> impl Strategy<Value = String> {
-    "[a-z0-9;\\\\ é]{1,12}".prop_filter("a blank at the end is not told apart", |w| !w.trim().is_empty())
+    "[a-z0-9;\\\\ é]{1,12}".prop_filter("a blank at the end is not told apart", |w| {
+        !w.trim().is_empty()
+    })
 }
 
 fn command() -> impl Strategy<Value = Command> {
     let server = || (name(), name()).prop_map(|(b, s)| ServerRef::new(&b, &s));
-    let state = prop_oneof![Just(AdminState::Ready), Just(AdminState::Drain), Just(AdminState::Maint)];
-    let addr =
-        || (any::<[u8; 4]>(), 1..u16::MAX).prop_map(|(ip, port)| std::net::SocketAddr::from((ip, port)));
+    let state = prop_oneof![
+        Just(AdminState::Ready),
+        Just(AdminState::Drain),
+        Just(AdminState::Maint)
+    ];
+    let addr = || {
+        (any::<[u8; 4]>(), 1..u16::MAX)
+            .prop_map(|(ip, port)| std::net::SocketAddr::from((ip, port)))
+    };
     let version = || prop::option::of(1..1000u64);
     prop_oneof![
         Just(Command::ShowInfo { json: false }),
@@ -34,11 +42,13 @@
         prop::option::of(name()).prop_map(Command::ShowServersConn),
         (name(), version()).prop_map(|(map, version)| Command::ShowMap { map, version }),
         (name(), word()).prop_map(|(map, key)| Command::GetMap { map, key }),
-        (name(), version(), word(), word()).prop_map(|(map, version, key, value)| Command::AddMap {
-            map,
-            version,
-            key,
-            value
+        (name(), version(), word(), word()).prop_map(|(map, version, key, value)| {
+            Command::AddMap {
+                map,
+                version,
+                key,
+                value,
+            }
         }),
         (name(), word(), word()).prop_map(|(map, key, value)| Command::SetMap { map, key, value }),
         (name(), word()).prop_map(|(map, key)| Command::DelMap { map, key }),
@@ -48,17 +58,37 @@
         (server(), 0..=256u16).prop_map(|(s, w)| Command::SetWeight(s, GivenWeight::Units(w))),
         (server(), state).prop_map(|(s, state)| Command::SetState(s, state)),
         (server(), addr()).prop_map(|(s, a)| Command::SetAddr(s, a.ip(), Some(a.port()))),
-        (server(), addr(), prop::option::of(0..=256u16))
-            .prop_map(|(server, addr, weight)| Command::AddServer { server, addr, weight }),
+        (server(), addr(), prop::option::of(0..=256u16)).prop_map(|(server, addr, weight)| {
+            Command::AddServer {
+                server,
+                addr,
+                weight,
+            }
+        }),
         server().prop_map(Command::DelServer),
         server().prop_map(Command::GetWeight),
     ]
 }
 
 fn row() -> impl Strategy<Value = StatRow> {
-    (name(), name(), any::<[u16; 8]>(), any::<bool>(), any::<[u32; 3]>()).prop_map(
-        |(backend, server, n, own, sums)| {
-            let [current, total, queued, denied, connect, response, five, weight] = n.map(u64::from);
+    (
+        name(),
+        name(),
+        any::<[u16; 8]>(),
+        any::<bool>(),
+        any::<[u32; 3]>(),
+    )
+        .prop_map(|(backend, server, n, own, sums)| {
+            let [
+                current,
+                total,
+                queued,
+                denied,
+                connect,
+                response,
+                five,
+                weight,
+            ] = n.map(u64::from);
             StatRow {
                 backend,
                 server,
@@ -81,8 +111,7 @@
                 }),
                 ..StatRow::default()
             }
-        },
-    )
+        })
 }
 
 /// All that a decoder gives for these bytes, fed in pieces of this size.
@@ -176,7 +205,11 @@
     let out = decoded(ServerCodec::default(), line.as_bytes(), 1000);
     assert!(matches!(out[..], [Some(ServerFrame::Line(_))]));
     let endless = vec![b'a'; ANSWER_MOST + 2];
-    assert!(ClientCodec::default().decode(&mut BytesMut::from(&endless[..])).is_err());
+    assert!(
+        ClientCodec::default()
+            .decode(&mut BytesMut::from(&endless[..]))
+            .is_err()
+    );
 }
 
 #[test]
@@ -189,7 +222,15 @@
 #[test]
 fn prompts_before_answers_are_passed_over() {
     let out = decoded(ClientCodec::default(), b"\n> one\n\n> \n> two\n\n", 1);
-    assert_eq!(out, [Some(String::new()), Some("one".into()), Some(String::new()), Some("two".into())]);
+    assert_eq!(
+        out,
+        [
+            Some(String::new()),
+            Some("one".into()),
+            Some(String::new()),
+            Some("two".into())
+        ]
+    );
 }
 
 /// A peer of another version: fewer columns, others behind, none of ours.
@@ -198,26 +239,52 @@
     let text = "# pxname,svname,scur,stot,econ,eresp,hrsp_5xx,type,rtime,new_one,\n\
         proof,host-1,2,42,3,2,5,2,80,x,\nproof,BACKEND,2,42,,,,1,,,";
     let rows = stat::read(text).expect("stat");
-    let sums = Sums { done: 30, errored: 10, done_time: Duration::from_millis(2_400) };
+    let sums = Sums {
+        done: 30,
+        errored: 10,
+        done_time: Duration::from_millis(2_400),
+    };
     assert_eq!(rows[0].ended(), sums);
     assert_eq!(rows[1].of, RowType::Backend);
     assert!(stat::read("Permission denied").is_err());
     let wrong = stat::read("# pxname,svname,stot\na,b,many").expect_err("no counter");
-    assert_eq!(wrong.to_string(), "'show stat', row 1: 'many' is no counter");
+    assert_eq!(
+        wrong.to_string(),
+        "'show stat', row 1: 'many' is no counter"
+    );
 }
 
 #[test]
 fn messages_are_plain() {
     let wrong = |text: &str| Command::parse(text).expect_err(text).to_string();
-    assert_eq!(wrong("frobnicate"), "Unknown command: 'frobnicate'. Type 'help' for the list of commands.");
-    assert_eq!(wrong("set server nobackend weight 1"), "Require 'backend/server', got 'nobackend'.");
+    assert_eq!(
+        wrong("frobnicate"),
+        "Unknown command: 'frobnicate'. Type 'help' for the list of commands."
+    );
+    assert_eq!(
+        wrong("set server nobackend weight 1"),
+        "Require 'backend/server', got 'nobackend'."
+    );
     assert_eq!(
         wrong("set server a/b weight 257"),
         "Malformed weight '257': a whole number from 0 to 256, or 0 to 100 with '%'."
     );
-    assert_eq!(wrong("set server a/b"), "'set server' needs 'addr', 'state' or 'weight'.");
+    assert_eq!(
+        wrong("set server a/b"),
+        "'set server' needs 'addr', 'state' or 'weight'."
+    );
     assert_eq!(wrong("show stat now"), "'show stat' takes no word 'now'.");
-    assert_eq!(wrong("add server a/b localhost"), "Malformed address 'localhost'.");
-    let map = write_map([("k".to_string(), "v w".to_string())].iter().map(|(k, v)| (k, v)));
-    assert_eq!(read_map(map.trim_end()).map(|m| m["k"].clone()), Some("v w".into()));
+    assert_eq!(
+        wrong("add server a/b localhost"),
+        "Malformed address 'localhost'."
+    );
+    let map = write_map(
+        [("k".to_string(), "v w".to_string())]
+            .iter()
+            .map(|(k, v)| (k, v)),
+    );
+    assert_eq!(
+        read_map(map.trim_end()).map(|m| m["k"].clone()),
+        Some("v w".into())
+    );
 }
