--- a/crates/runtime-api/tests/wire_texts/answers.rs
+++ b/crates/runtime-api/tests/wire_texts/answers.rs
@@ -41,12 +41,25 @@
         reqs: 0,
         mean: Duration::from_millis(17),
         addr: "127.0.0.1:80".into(),
-        sums: Some(Sums { done: 18, errored: 19, done_time: Duration::from_millis(20) }),
+        sums: Some(Sums {
+            done: 18,
+            errored: 19,
+            done_time: Duration::from_millis(20),
+        }),
         busy: Some(0.25),
         waiting: Some(1.5),
     };
     let (name, of) = ("BACKEND".into(), RowType::Backend);
-    vec![server, StatRow { backend: "proof".into(), server: name, of, reqs: 16, ..StatRow::default() }]
+    vec![
+        server,
+        StatRow {
+            backend: "proof".into(),
+            server: name,
+            of,
+            reqs: 16,
+            ..StatRow::default()
+        },
+    ]
 }
 
 #[test]
@@ -57,11 +70,24 @@
 
 #[test]
 fn stat_row_types() {
-    let types = [RowType::Frontend, RowType::Backend, RowType::Server, RowType::Listener];
+    let types = [
+        RowType::Frontend,
+        RowType::Backend,
+        RowType::Server,
+        RowType::Listener,
+    ];
     for (number, of) in types.into_iter().enumerate() {
-        let text = stat::write(&[StatRow { of, ..StatRow::default() }]);
+        let text = stat::write(&[StatRow {
+            of,
+            ..StatRow::default()
+        }]);
         let mut read = csv::Reader::from_reader(text.as_bytes());
-        let at = read.headers().expect("a header").iter().position(|name| name == "type").expect("a column");
+        let at = read
+            .headers()
+            .expect("a header")
+            .iter()
+            .position(|name| name == "type")
+            .expect("a column");
         let row = read.records().next().expect("a row").expect("a row");
         assert_eq!(row.get(at), Some(number.to_string().as_str()));
     }
@@ -79,10 +105,19 @@
 #[test]
 fn stat_refusal_texts() {
     let refusal = |text: &str| stat::read(text).expect_err("a bad table").to_string();
-    assert_eq!(refusal("bogus"), "'show stat' answered without a header: 'bogus'");
-    assert_eq!(refusal("# pxname,type\n"), "'show stat' has no column 'svname'");
+    assert_eq!(
+        refusal("bogus"),
+        "'show stat' answered without a header: 'bogus'"
+    );
+    assert_eq!(
+        refusal("# pxname,type\n"),
+        "'show stat' has no column 'svname'"
+    );
     assert_eq!(refusal("# svname\n"), "'show stat' has no column 'pxname'");
-    assert_eq!(refusal("# pxname,svname,scur\na,b,x\n"), "'show stat', row 1: 'x' is no counter");
+    assert_eq!(
+        refusal("# pxname,svname,scur\na,b,x\n"),
+        "'show stat', row 1: 'x' is no counter"
+    );
 }
 
 const STATE: &str = "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight \
@@ -94,7 +129,11 @@
 1 proof 3 c 127.0.0.1 0 1 7 7 9 1 0 2 0 0 0 0 - 80 - 0 0 - - 0\n";
 
 fn servers(used: u64) -> Vec<ServerState> {
-    let states = [("a", AdminState::Ready), ("b", AdminState::Drain), ("c", AdminState::Maint)];
+    let states = [
+        ("a", AdminState::Ready),
+        ("b", AdminState::Drain),
+        ("c", AdminState::Maint),
+    ];
     let of = |(server, state): (&str, AdminState)| ServerState {
         backend: "proof".into(),
         server: server.into(),
@@ -123,11 +162,24 @@
 
 #[test]
 fn servers_state_refusal_texts() {
-    let refusal = |text: &str| state::read_state(text).expect_err("a bad table").to_string();
-    assert_eq!(refusal("2\n"), "'show servers state' answered in version '2', not 1");
-    assert_eq!(refusal("1\n# be_id\n"), "'show servers state' has no column 'be_name'");
+    let refusal = |text: &str| {
+        state::read_state(text)
+            .expect_err("a bad table")
+            .to_string()
+    };
+    assert_eq!(
+        refusal("2\n"),
+        "'show servers state' answered in version '2', not 1"
+    );
+    assert_eq!(
+        refusal("1\n# be_id\n"),
+        "'show servers state' has no column 'be_name'"
+    );
     let short = STATE.split_once("1 proof").expect("a line").0.to_string() + "1 proof\n";
-    assert_eq!(refusal(&short), "'show servers state', line 3: 2 fields where 25 were due");
+    assert_eq!(
+        refusal(&short),
+        "'show servers state', line 3: 2 fields where 25 were due"
+    );
 }
 
 #[test]
@@ -139,17 +191,24 @@
     let json = r#"[{"field":{"name":"Name","pos":0},"processNum":1,"value":{"type":"str","value":"pondarch"}},{"field":{"name":"Pid","pos":1},"processNum":1,"value":{"type":"u64","value":7}}]"#;
     assert_eq!(info.write_json(), format!("{json}\n"));
     let read = Info::read("Name: pondarch\nbogus\nPid: 7\n");
-    assert_eq!((read.get("Name"), read.number("Pid")), (Some("pondarch"), Some(7)));
+    assert_eq!(
+        (read.get("Name"), read.number("Pid")),
+        (Some("pondarch"), Some(7))
+    );
 }
 
 #[test]
 fn map_text() {
-    let entries = [("order", "75"), ("proof", "12.500/s")].map(|(k, v)| (k.to_string(), v.to_string()));
+    let entries =
+        [("order", "75"), ("proof", "12.500/s")].map(|(k, v)| (k.to_string(), v.to_string()));
     let entries = BTreeMap::from(entries);
     let text = write_map(entries.iter());
     assert_eq!(text, "0x1000 order 75\n0x1040 proof 12.500/s\n");
     assert_eq!(read_map(&text), Some(entries));
-    assert_eq!(read_map("Unknown map identifier. Please use #<id> or <name>.\n"), None);
+    assert_eq!(
+        read_map("Unknown map identifier. Please use #<id> or <name>.\n"),
+        None
+    );
 }
 
 #[test]
--- a/crates/runtime-api/tests/wire_texts/commands.rs
+++ b/crates/runtime-api/tests/wire_texts/commands.rs
@@ -58,8 +58,14 @@
 ];
 
 const REFUSALS: &[(&str, &str)] = &[
-    ("bogus", "Unknown command: 'bogus'. Type 'help' for the list of commands."),
-    ("show bogus", "Unknown command: 'show bogus'. Type 'help' for the list of commands."),
+    (
+        "bogus",
+        "Unknown command: 'bogus'. Type 'help' for the list of commands.",
+    ),
+    (
+        "show bogus",
+        "Unknown command: 'show bogus'. Type 'help' for the list of commands.",
+    ),
     ("prompt x", "'prompt' takes no word 'x'."),
     ("show info text", "'show info' takes no word 'text'."),
     ("show stat text", "'show stat' takes no word 'text'."),
@@ -76,14 +82,29 @@
     ("get weight", "'get weight' needs a server."),
     ("get weight a", "Require 'backend/server', got 'a'."),
     ("set weight a/b", "'set weight' needs a weight."),
-    ("set weight a/b 257", "Malformed weight '257': a whole number from 0 to 256, or 0 to 100 with '%'."),
+    (
+        "set weight a/b 257",
+        "Malformed weight '257': a whole number from 0 to 256, or 0 to 100 with '%'.",
+    ),
     ("enable server", "'enable server' needs a server."),
-    ("set server a/b", "'set server' needs 'addr', 'state' or 'weight'."),
-    ("set server a/b state off", "'set server <srv> state' expects 'ready', 'drain' and 'maint', got 'off'."),
+    (
+        "set server a/b",
+        "'set server' needs 'addr', 'state' or 'weight'.",
+    ),
+    (
+        "set server a/b state off",
+        "'set server <srv> state' expects 'ready', 'drain' and 'maint', got 'off'.",
+    ),
     ("set server a/b addr x", "Malformed address 'x'."),
     ("add server a/b", "'add server' needs an address."),
-    ("add server a/b 1.2.3.4:5 weight", "'add server' needs a weight."),
-    ("add server a/b 1.2.3.4:5 size", "'add server' takes no word 'size'."),
+    (
+        "add server a/b 1.2.3.4:5 weight",
+        "'add server' needs a weight.",
+    ),
+    (
+        "add server a/b 1.2.3.4:5 size",
+        "'add server' takes no word 'size'.",
+    ),
     ("del server a/b c", "'del server' takes no word 'c'."),
 ];
 
@@ -118,7 +139,11 @@
 
 #[test]
 fn help_names_each_command() {
-    let named: Vec<&str> = HELP.lines().skip(1).filter_map(|line| line.split(" : ").next()).collect();
+    let named: Vec<&str> = HELP
+        .lines()
+        .skip(1)
+        .filter_map(|line| line.split(" : ").next())
+        .collect();
     let named: Vec<&str> = named.iter().map(|name| name.trim()).collect();
     let expected = "add map [@<ver>] <map> <key> <val>|add server <bk>/<srv> <addr> [weight n]|\
         clear map [@<ver>] <map>|commit map @<ver> <map>|del map <map> <key>|del server <bk>/<srv>|\
--- a/crates/settings/src/fronts.rs
+++ b/crates/settings/src/fronts.rs
@@ -90,7 +90,11 @@
 impl Dns {
     /// Errors: the grace leaves no lifetime, or not the one wanted.
     pub fn lifetime(&self) -> Result<Lifetime, LifetimeError> {
-        let behind = if self.secondaries.is_empty() { Span::ZERO } else { self.behind.0 };
+        let behind = if self.secondaries.is_empty() {
+            Span::ZERO
+        } else {
+            self.behind.0
+        };
         Lifetime::of(self.grace.0, self.learns_within.0 + behind, self.lifetime)
     }
 }
--- a/crates/settings/src/hosts.rs
+++ b/crates/settings/src/hosts.rs
@@ -64,10 +64,23 @@
         } else if let Some(wrong) = bad_name(&host.name) {
             Some(("name", wrong))
         } else if !zones.contains(&host.zone) {
-            Some(("zone", format!("'{}' is none of the site's zones: {}", host.zone, zones.join(", "))))
+            Some((
+                "zone",
+                format!(
+                    "'{}' is none of the site's zones: {}",
+                    host.zone,
+                    zones.join(", ")
+                ),
+            ))
         } else if !(host.weight > 0.0 && host.weight <= 1e6) {
-            Some(("weight", format!("{} is not within 0 (excluded) and 1000000", host.weight)))
-        } else if host.cores.is_some_and(|cores| !(1e-3..=4_096.0).contains(&cores)) {
+            Some((
+                "weight",
+                format!("{} is not within 0 (excluded) and 1000000", host.weight),
+            ))
+        } else if host
+            .cores
+            .is_some_and(|cores| !(1e-3..=4_096.0).contains(&cores))
+        {
             Some(("cores", "is not within 0.001 and 4096".to_string()))
         } else if host.started.is_some_and(|at| !(at > 0.0 && at < 4e9)) {
             Some(("started", "is no time in seconds since 1970".to_string()))
@@ -75,7 +88,11 @@
             None
         };
         if let Some((key, wrong)) = wrong {
-            return Err(SettingsError::Key { file: file.into(), key: format!("hosts[{n}].{key}"), wrong });
+            return Err(SettingsError::Key {
+                file: file.into(),
+                key: format!("hosts[{n}].{key}"),
+                wrong,
+            });
         }
     }
     Ok(list)
@@ -86,7 +103,9 @@
 pub fn bad_name(name: &str) -> Option<String> {
     let fits = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     if name.is_empty() || name.len() > 64 || !name.chars().all(fits) {
-        return Some(format!("'{name}' is no name: 1 to 64 letters, digits, '-', '_', '.' or ':'"));
+        return Some(format!(
+            "'{name}' is no name: 1 to 64 letters, digits, '-', '_', '.' or ':'"
+        ));
     }
     None
 }
--- a/crates/settings/src/jsonnet.rs
+++ b/crates/settings/src/jsonnet.rs
@@ -9,12 +9,19 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("{file}: cannot be read: {wrong}")]
-    Unreadable { file: PathBuf, wrong: std::io::Error },
+    Unreadable {
+        file: PathBuf,
+        wrong: std::io::Error,
+    },
     /// The evaluator's own words, which hold file, line and column.
     #[error("{0}")]
     Jsonnet(String),
     #[error("{file}: {key}: {wrong}")]
-    Key { file: PathBuf, key: String, wrong: String },
+    Key {
+        file: PathBuf,
+        key: String,
+        wrong: String,
+    },
 }
 
 /// Evaluates the file and reads its result as a `T`.
@@ -29,7 +36,10 @@
 /// Errors: the file is missing or is no Jsonnet.
 pub(crate) fn evaluate(file: &Path) -> Result<String, SettingsError> {
     // The evaluator tells of a missing file without its name.
-    std::fs::metadata(file).map_err(|wrong| SettingsError::Unreadable { file: file.to_path_buf(), wrong })?;
+    std::fs::metadata(file).map_err(|wrong| SettingsError::Unreadable {
+        file: file.to_path_buf(),
+        wrong,
+    })?;
     let evaluator = EvaluationState::default();
     evaluator.with_stdlib();
     evaluator.set_import_resolver(Box::<FileImportResolver>::default());
@@ -50,17 +60,31 @@
         // The line numbers of the evaluated text are nobody's: the key's path says where.
         let text = wrong.into_inner().to_string();
         let text = text.split(" at line ").next().unwrap_or("").to_string();
-        SettingsError::Key { file: file.to_path_buf(), key, wrong: text }
+        SettingsError::Key {
+            file: file.to_path_buf(),
+            key,
+            wrong: text,
+        }
     })
 }
 
 /// The evaluator's message and the first place it names, on one line.
 fn one_line(message: &str) -> String {
-    let mut lines = message.lines().map(str::trim).filter(|line| !line.is_empty());
+    let mut lines = message
+        .lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty());
     let first = lines.next().unwrap_or("the evaluator failed");
     match lines.next() {
         Some(place) => {
-            format!("{}: {first}", place.split_whitespace().next().unwrap_or("").trim_end_matches(':'))
+            format!(
+                "{}: {first}",
+                place
+                    .split_whitespace()
+                    .next()
+                    .unwrap_or("")
+                    .trim_end_matches(':')
+            )
         }
         None => first.to_string(),
     }
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -79,7 +79,11 @@
 /// Errors: as `read_site`; a zone or kind that is not named, a name used twice.
 pub fn read_plan(file: &Path) -> Result<PlanSite, SettingsError> {
     let site: PlanSite = jsonnet::read(file)?;
-    site.check().map_err(|(key, wrong)| SettingsError::Key { file: file.to_path_buf(), key, wrong })?;
+    site.check().map_err(|(key, wrong)| SettingsError::Key {
+        file: file.to_path_buf(),
+        key,
+        wrong,
+    })?;
     Ok(site)
 }
 
@@ -89,13 +93,26 @@
         names("kinds", self.kinds.iter().map(|kind| kind.name.as_str()))?;
         names("hosts", self.hosts.iter().map(|hosts| hosts.name.as_str()))?;
         let known = |zone: &String| self.zones.contains(zone);
-        let unknown =
-            |key: String, name: &String, of: &str| Err((key, format!("'{name}' is none of the {of}")));
-        if let Some((n, hosts)) = self.hosts.iter().enumerate().find(|(_, hosts)| !known(&hosts.zone)) {
+        let unknown = |key: String, name: &String, of: &str| {
+            Err((key, format!("'{name}' is none of the {of}")))
+        };
+        if let Some((n, hosts)) = self
+            .hosts
+            .iter()
+            .enumerate()
+            .find(|(_, hosts)| !known(&hosts.zone))
+        {
             return unknown(format!("hosts[{n}].zone"), &hosts.zone, "zones");
         }
-        if let Some(n) = self.hosts.iter().position(|hosts| !(1..=20_000).contains(&hosts.count)) {
-            return Err((format!("hosts[{n}].count"), "is not within 1 and 20000".into()));
+        if let Some(n) = self
+            .hosts
+            .iter()
+            .position(|hosts| !(1..=20_000).contains(&hosts.count))
+        {
+            return Err((
+                format!("hosts[{n}].count"),
+                "is not within 1 and 20000".into(),
+            ));
         }
         self.check_demand("demand", &self.demand)?;
         for (name, table) in &self.tables {
@@ -115,11 +132,17 @@
     ) -> Result<(), (String, String)> {
         for (zone, rates) in demand {
             if !self.zones.contains(zone) {
-                return Err((format!("{key}.{zone}"), format!("'{zone}' is none of the zones")));
+                return Err((
+                    format!("{key}.{zone}"),
+                    format!("'{zone}' is none of the zones"),
+                ));
             }
             let named = |kind: &&String| !self.kinds.iter().any(|of| of.name == **kind);
             if let Some(kind) = rates.keys().find(named) {
-                return Err((format!("{key}.{zone}.{kind}"), format!("'{kind}' is none of the kinds")));
+                return Err((
+                    format!("{key}.{zone}.{kind}"),
+                    format!("'{kind}' is none of the kinds"),
+                ));
             }
         }
         Ok(())
--- a/crates/settings/src/proxy.rs
+++ b/crates/settings/src/proxy.rs
@@ -114,7 +114,13 @@
 impl Default for Avoid {
     fn default() -> Avoid {
         let (least, most) = (Length::millis(2_000), Length::millis(5_000));
-        Avoid { after: 3, least, most, part: 0.5, remembered: Length::millis(60_000) }
+        Avoid {
+            after: 3,
+            least,
+            most,
+            part: 0.5,
+            remembered: Length::millis(60_000),
+        }
     }
 }
 
@@ -158,16 +164,25 @@
         span_within("report_every", self.report_every, 50, 60_000)?;
         names("kinds", self.kinds.iter().map(|kind| kind.name.as_str()))?;
         if !self.zones.contains(&self.zone) {
-            return wrong("zone", format!("'{}' is none of the site's zones", self.zone));
+            return wrong(
+                "zone",
+                format!("'{}' is none of the site's zones", self.zone),
+            );
         }
         for (n, kind) in self.kinds.iter().enumerate() {
             let key = |key: &str| format!("kinds[{n}].{key}");
             if kind.path_prefix.is_none() && kind.host.is_none() && kind.header.is_none() {
-                return wrong(&key("name"), "needs path_prefix, host or header to be known by".into());
+                return wrong(
+                    &key("name"),
+                    "needs path_prefix, host or header to be known by".into(),
+                );
             }
             span_within(&key("client_timeout"), kind.client_timeout, 10, 600_000)?;
             if kind.client_timeout < kind.response_target {
-                return wrong(&key("client_timeout"), "is under the response target".into());
+                return wrong(
+                    &key("client_timeout"),
+                    "is under the response target".into(),
+                );
             }
             if kind.repeats == Repeats::Uniqued && kind.memory.is_none() {
                 return wrong(&key("memory"), "is needed for a uniqued kind".into());
@@ -203,12 +218,20 @@
 /// Errors: as `read_site`.
 pub fn read_proxy(file: &Path) -> Result<ProxySite, SettingsError> {
     let mut site: ProxySite = jsonnet::read(file)?;
-    site.check().map_err(|(key, wrong)| SettingsError::Key { file: file.to_path_buf(), key, wrong })?;
+    site.check().map_err(|(key, wrong)| SettingsError::Key {
+        file: file.to_path_buf(),
+        key,
+        wrong,
+    })?;
     let folder = file.parent().unwrap_or(Path::new("")).to_path_buf();
     site.hosts_file = folder.join(&site.hosts_file);
     for listener in &mut site.runtime_api {
         listener.listen = Endpoint::seen_from(listener.listen.clone(), &folder);
     }
-    site.report_to = site.report_to.into_iter().map(|to| to.seen_from(&folder)).collect();
+    site.report_to = site
+        .report_to
+        .into_iter()
+        .map(|to| to.seen_from(&folder))
+        .collect();
     Ok(site)
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -199,7 +199,11 @@
 
 impl Default for Reports {
     fn default() -> Reports {
-        Reports { every: Length::millis(1_000), push: None, lines_per_second: None }
+        Reports {
+            every: Length::millis(1_000),
+            push: None,
+            lines_per_second: None,
+        }
     }
 }
 
@@ -278,18 +282,27 @@
         }
         names("zones", self.zones.iter().map(String::as_str))?;
         names("kinds", self.kinds.iter().map(|kind| kind.name.as_str()))?;
-        names("proxies", self.proxies.iter().map(|proxy| proxy.name.as_str()))?;
+        names(
+            "proxies",
+            self.proxies.iter().map(|proxy| proxy.name.as_str()),
+        )?;
         if self.kinds.len() > 16 {
             return wrong("kinds", format!("{} kinds; 16 at most", self.kinds.len()));
         }
         if self.proxies.len() > 60_000 {
-            return wrong("proxies", format!("{} proxies; 60000 at most", self.proxies.len()));
+            return wrong(
+                "proxies",
+                format!("{} proxies; 60000 at most", self.proxies.len()),
+            );
         }
         let mut backends = BTreeSet::new();
         for (n, kind) in self.kinds.iter().enumerate() {
             let key = |key: &str| format!("kinds[{n}].{key}");
             if !backends.insert(kind.backend()) {
-                return wrong(&key("backend"), format!("'{}' serves two kinds", kind.backend()));
+                return wrong(
+                    &key("backend"),
+                    format!("'{}' serves two kinds", kind.backend()),
+                );
             }
             if kind.response_target.0.as_micros() == 0 {
                 return wrong(&key("response_target"), "is zero".into());
@@ -316,18 +329,42 @@
                     return wrong(&format!("proxies[{n}].runtime"), text);
                 }
                 None if self.dns.is_none() => {
-                    return wrong(&format!("proxies[{n}].runtime"), "is absent, and there is no dns".into());
+                    return wrong(
+                        &format!("proxies[{n}].runtime"),
+                        "is absent, and there is no dns".into(),
+                    );
                 }
                 _ => {}
             }
-            within(&format!("proxies[{n}].usual_rate"), proxy.usual_rate, 0.0, 1e9)?;
+            within(
+                &format!("proxies[{n}].usual_rate"),
+                proxy.usual_rate,
+                0.0,
+                1e9,
+            )?;
         }
-        if self.proxies_of_site.is_some_and(|all| all < self.proxies.len() as u64) {
-            return wrong("proxies_of_site", "is less than the proxies listed here".into());
+        if self
+            .proxies_of_site
+            .is_some_and(|all| all < self.proxies.len() as u64)
+        {
+            return wrong(
+                "proxies_of_site",
+                "is less than the proxies listed here".into(),
+            );
         }
         let channel = &self.channel;
-        within("channel.lines_per_second", channel.lines_per_second, 1.0, 1e9)?;
-        within("channel.lines_per_message", channel.lines_per_message, 0.0, 1e3)?;
+        within(
+            "channel.lines_per_second",
+            channel.lines_per_second,
+            1.0,
+            1e9,
+        )?;
+        within(
+            "channel.lines_per_message",
+            channel.lines_per_message,
+            0.0,
+            1e3,
+        )?;
         // One join must fit: a table of the least size, for every kind, and the maps.
         let one_join = channel.lines_per_message + 10.0 * self.kinds.len() as f64;
         within("channel.most_waiting", channel.most_waiting, one_join, 1e9)?;
@@ -354,28 +391,47 @@
             span_within("dns.behind", dns.behind, 100, 60_000)?;
             span_within("dns.expires", dns.expires, 2_000, 86_400_000)?;
             let mut keys = BTreeSet::new();
-            if let Some(n) = dns.secondaries.iter().position(|other| !keys.insert(&other.key)) {
-                let text = format!("'{}' is another secondary's key too", dns.secondaries[n].key);
+            if let Some(n) = dns
+                .secondaries
+                .iter()
+                .position(|other| !keys.insert(&other.key))
+            {
+                let text = format!(
+                    "'{}' is another secondary's key too",
+                    dns.secondaries[n].key
+                );
                 return wrong(&format!("dns.secondaries[{n}].key"), text);
             }
         }
         if let Some(records) = &self.records {
             let bytes = |key: &str, bytes: u64, least: u64| {
                 let text = format!("{bytes} is under {least}");
-                if bytes < least { Err((format!("records.{key}"), text)) } else { Ok(()) }
+                if bytes < least {
+                    Err((format!("records.{key}"), text))
+                } else {
+                    Ok(())
+                }
             };
             bytes("segment_bytes", records.segment_bytes, 1 << 16)?;
             bytes("all_bytes", records.all_bytes, 2 * records.segment_bytes)?;
             within("records.kept_days", records.kept_days, 0.01, 3_650.0)?;
             span_within("records.sure_within", records.sure_within, 10, 60_000)?;
-            span_within("records.snapshot_every", records.snapshot_every, 100, 3_600_000)?;
+            span_within(
+                "records.snapshot_every",
+                records.snapshot_every,
+                100,
+                3_600_000,
+            )?;
         }
         let links = &self.links;
         span_within("links.answer_limit", links.answer_limit, 50, 60_000)?;
         span_within("links.dial_limit", links.dial_limit, 10, 60_000)?;
         span_within("links.redial_least", links.redial_least, 10, 60_000)?;
         if links.redial_most < links.redial_least {
-            return wrong("links.redial_most", format!("is under redial_least, {}", links.redial_least));
+            return wrong(
+                "links.redial_most",
+                format!("is under redial_least, {}", links.redial_least),
+            );
         }
         if let Some(probes) = &self.probes {
             span_within("probes.time_limit", probes.time_limit, 1, 60_000)?;
@@ -399,11 +455,17 @@
     let (least, most) = (Length::millis(least_ms), Length::millis(most_ms));
     match value {
         value if (least..=most).contains(&value) => Ok(()),
-        value => Err((key.to_string(), format!("{value} is not within {least} and {most}"))),
+        value => Err((
+            key.to_string(),
+            format!("{value} is not within {least} and {most}"),
+        )),
     }
 }
 
-pub(crate) fn names<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Result<(), (String, String)> {
+pub(crate) fn names<'a>(
+    key: &str,
+    names: impl Iterator<Item = &'a str>,
+) -> Result<(), (String, String)> {
     let mut seen = BTreeSet::new();
     for (n, name) in names.enumerate() {
         let wrong = match bad_name(name) {
@@ -413,7 +475,11 @@
         };
         return Err((format!("{key}[{n}]"), wrong));
     }
-    if seen.is_empty() { Err((key.to_string(), "is empty".into())) } else { Ok(()) }
+    if seen.is_empty() {
+        Err((key.to_string(), "is empty".into()))
+    } else {
+        Ok(())
+    }
 }
 
 /// Reads and checks a steward's settings. Paths in it are meant from the file's own folder.
@@ -433,7 +499,10 @@
     let folder = file.parent().unwrap_or(Path::new("")).to_path_buf();
     site.hosts_file = folder.join(&site.hosts_file);
     for proxy in &mut site.proxies {
-        proxy.runtime = proxy.runtime.take().map(|runtime| runtime.seen_from(&folder));
+        proxy.runtime = proxy
+            .runtime
+            .take()
+            .map(|runtime| runtime.seen_from(&folder));
     }
     site.reports.push = site.reports.push.take().map(|push| push.seen_from(&folder));
     for secondary in site.dns.iter_mut().flat_map(|dns| &mut dns.secondaries) {
@@ -457,6 +526,10 @@
 
 fn checked(file: &Path, text: &str) -> Result<Site, SettingsError> {
     let site: Site = jsonnet::parse(file, text)?;
-    site.check().map_err(|(key, wrong)| SettingsError::Key { file: file.to_path_buf(), key, wrong })?;
+    site.check().map_err(|(key, wrong)| SettingsError::Key {
+        file: file.to_path_buf(),
+        key,
+        wrong,
+    })?;
     Ok(site)
 }
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -30,10 +30,13 @@
 
     fn from_str(text: &str) -> Result<Length, String> {
         let text = text.trim();
-        let split = text.find(|c: char| c != '.' && !c.is_ascii_digit()).unwrap_or(text.len());
+        let split = text
+            .find(|c: char| c != '.' && !c.is_ascii_digit())
+            .unwrap_or(text.len());
         let (number, unit) = (&text[..split], text[split..].trim());
-        let number: f64 =
-            number.parse().map_err(|_| format!("'{text}' is no span: give a number and a unit"))?;
+        let number: f64 = number
+            .parse()
+            .map_err(|_| format!("'{text}' is no span: give a number and a unit"))?;
         let factor = match unit {
             "us" => 1.0,
             "ms" => 1e3,
@@ -102,7 +105,9 @@
             return Ok(Endpoint::Unix(path.into()));
         }
         let tcp = text.strip_prefix("tcp:").unwrap_or(text);
-        tcp.parse().map(Endpoint::Tcp).map_err(|_| format!("'{text}' is neither 'unix:PATH' nor 'IP:PORT'"))
+        tcp.parse()
+            .map(Endpoint::Tcp)
+            .map_err(|_| format!("'{text}' is neither 'unix:PATH' nor 'IP:PORT'"))
     }
 }
 
--- a/crates/settings/tests/broken_files.rs
+++ b/crates/settings/tests/broken_files.rs
@@ -42,20 +42,52 @@
 
 #[test]
 fn broken_settings() {
-    let has = |message: String, part: &str| assert!(message.contains(part), "{message}\nlacks {part}");
-    has(wrong("syntax.jsonnet", "zones:", "zones"), "syntax.jsonnet:2");
-    has(wrong("field.jsonnet", "benefit: 1", "benefit: self.worth"), "field.jsonnet:3");
-    has(wrong("unknown.jsonnet", "hosts_file", "hosts_fil"), "unknown field `hosts_fil`");
-    has(wrong("missing.jsonnet", "benefit: 1, ", ""), "kinds[0]: missing field `benefit`");
-    has(wrong("unit.jsonnet", "'1.5 s'", "'1.5'"), "kinds[0].response_target: '1.5' has no unit");
-    has(wrong("unit2.jsonnet", "'1.5 s'", "'2 parsecs'"), "'parsecs' is no unit of time");
-    has(wrong("number.jsonnet", "'18 s'", "18"), "cold.warm_within: ");
-    has(wrong("range.jsonnet", "start_share: 0.17", "start_share: 17"), "cold.start_share: 17 is not within");
-    has(
-        wrong("order.jsonnet", "client_timeout: '4 s'", "client_timeout: '1 s'"),
+    let has =
+        |message: String, part: &str| assert!(message.contains(part), "{message}\nlacks {part}");
+    has(
+        wrong("syntax.jsonnet", "zones:", "zones"),
+        "syntax.jsonnet:2",
+    );
+    has(
+        wrong("field.jsonnet", "benefit: 1", "benefit: self.worth"),
+        "field.jsonnet:3",
+    );
+    has(
+        wrong("unknown.jsonnet", "hosts_file", "hosts_fil"),
+        "unknown field `hosts_fil`",
+    );
+    has(
+        wrong("missing.jsonnet", "benefit: 1, ", ""),
+        "kinds[0]: missing field `benefit`",
+    );
+    has(
+        wrong("unit.jsonnet", "'1.5 s'", "'1.5'"),
+        "kinds[0].response_target: '1.5' has no unit",
+    );
+    has(
+        wrong("unit2.jsonnet", "'1.5 s'", "'2 parsecs'"),
+        "'parsecs' is no unit of time",
+    );
+    has(
+        wrong("number.jsonnet", "'18 s'", "18"),
+        "cold.warm_within: ",
+    );
+    has(
+        wrong("range.jsonnet", "start_share: 0.17", "start_share: 17"),
+        "cold.start_share: 17 is not within",
+    );
+    has(
+        wrong(
+            "order.jsonnet",
+            "client_timeout: '4 s'",
+            "client_timeout: '1 s'",
+        ),
         "under the response target",
     );
-    has(wrong("twice.jsonnet", "front-%d' % n, zone", "front', zone"), "proxies[1]: 'front' is named twice");
+    has(
+        wrong("twice.jsonnet", "front-%d' % n, zone", "front', zone"),
+        "proxies[1]: 'front' is named twice",
+    );
     has(
         wrong("zone.jsonnet", "zone: 'ede'", "zone: 'mars'"),
         "proxies[0].zone: 'mars' is none of the site's zones",
@@ -65,13 +97,27 @@
         "proxies[0].runtime: 'front.sock' is neither",
     );
     has(
-        wrong("shared.jsonnet", "unix:front-%d.sock' % n", "unix:front.sock'"),
+        wrong(
+            "shared.jsonnet",
+            "unix:front-%d.sock' % n",
+            "unix:front.sock'",
+        ),
         "is another proxy's socket too",
     );
-    has(wrong("cap.jsonnet", "message_cap: 12", "message_cap: 2"), "channel.message_cap: ");
-    has(wrong("name.jsonnet", "name: 'small'", "name: 'a b'"), "name: 'a b' is no name");
-    has(wrong("repeats.jsonnet", "'replayable'", "'safe'"), "unknown variant `safe`");
-    let none = read_site(&file("none.jsonnet", "").with_file_name("not-there.jsonnet")).expect_err("no file");
+    has(
+        wrong("cap.jsonnet", "message_cap: 12", "message_cap: 2"),
+        "channel.message_cap: ",
+    );
+    has(
+        wrong("name.jsonnet", "name: 'small'", "name: 'a b'"),
+        "name: 'a b' is no name",
+    );
+    has(
+        wrong("repeats.jsonnet", "'replayable'", "'safe'"),
+        "unknown variant `safe`",
+    );
+    let none = read_site(&file("none.jsonnet", "").with_file_name("not-there.jsonnet"))
+        .expect_err("no file");
     has(none.to_string(), "not-there.jsonnet: cannot be read");
 }
 
@@ -80,16 +126,50 @@
     let zones = ["ede".to_string()];
     let read = |name: &str, text: &str| read_hosts(&file(name, text), &zones);
     let host = "{ name: 'a', address: '127.0.0.1:80', zone: 'ede' }";
-    let list = read("hosts.jsonnet", &format!("{{ version: 3, hosts: [{host}] }}")).expect("a good list");
-    assert_eq!((list.version, list.hosts.len(), list.hosts[0].weight), (Some(3), 1, 1.0));
+    let list = read(
+        "hosts.jsonnet",
+        &format!("{{ version: 3, hosts: [{host}] }}"),
+    )
+    .expect("a good list");
+    assert_eq!(
+        (list.version, list.hosts.len(), list.hosts[0].weight),
+        (Some(3), 1, 1.0)
+    );
     let wrong = |name: &str, text: &str, part: &str| {
         let message = read(name, text).expect_err(name).to_string();
-        assert!(message.contains(part) && message.contains(name), "{message}\nlacks {part}");
+        assert!(
+            message.contains(part) && message.contains(name),
+            "{message}\nlacks {part}"
+        );
     };
-    wrong("twice.hosts", &format!("{{ hosts: [{host}, {host}] }}"), "hosts[1].name: 'a' is listed twice");
-    wrong("half.hosts", "{ version: 3, hosts: [{ name: 'a', addr", "half.hosts:1");
-    wrong("zone.hosts", &format!("{{ hosts: [{host} + {{ zone: 'x' }}] }}"), "hosts[0].zone: 'x' is none");
-    wrong("weight.hosts", &format!("{{ hosts: [{host} + {{ weight: -1 }}] }}"), "hosts[0].weight: -1");
-    wrong("addr.hosts", &format!("{{ hosts: [{host} + {{ address: 'nowhere' }}] }}"), "hosts[0].address");
-    wrong("since.hosts", &format!("{{ hosts: [{host} + {{ started: 1e12 }}] }}"), "hosts[0].started");
+    wrong(
+        "twice.hosts",
+        &format!("{{ hosts: [{host}, {host}] }}"),
+        "hosts[1].name: 'a' is listed twice",
+    );
+    wrong(
+        "half.hosts",
+        "{ version: 3, hosts: [{ name: 'a', addr",
+        "half.hosts:1",
+    );
+    wrong(
+        "zone.hosts",
+        &format!("{{ hosts: [{host} + {{ zone: 'x' }}] }}"),
+        "hosts[0].zone: 'x' is none",
+    );
+    wrong(
+        "weight.hosts",
+        &format!("{{ hosts: [{host} + {{ weight: -1 }}] }}"),
+        "hosts[0].weight: -1",
+    );
+    wrong(
+        "addr.hosts",
+        &format!("{{ hosts: [{host} + {{ address: 'nowhere' }}] }}"),
+        "hosts[0].address",
+    );
+    wrong(
+        "since.hosts",
+        &format!("{{ hosts: [{host} + {{ started: 1e12 }}] }}"),
+        "hosts[0].started",
+    );
 }
--- a/crates/settings/tests/refused_keys.rs
+++ b/crates/settings/tests/refused_keys.rs
@@ -10,8 +10,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("patched.jsonnet");
     let fixture = fixtures.join(format!("{kind}.jsonnet"));
-    std::fs::write(&file, format!("local all = import '{}';\n{patch}\n", fixture.display()))
-        .expect("written");
+    std::fs::write(
+        &file,
+        format!("local all = import '{}';\n{patch}\n", fixture.display()),
+    )
+    .expect("written");
     let message = match kind {
         "site" => read_site(&file).map(drop),
         "proxy" => read_proxy(&file).map(drop),
@@ -19,15 +22,25 @@
         _ => read_hosts(&file, &["ede".to_string(), "arnhem".to_string()]).map(drop),
     };
     let message = message.expect_err("it is refused").to_string();
-    let message = message.split_once("patched.jsonnet: ").expect("the file's name").1.replace('`', "");
-    message.replace("unknown field other", "-").replace("unknown variant other", "-").replace("expected ", "")
+    let message = message
+        .split_once("patched.jsonnet: ")
+        .expect("the file's name")
+        .1
+        .replace('`', "");
+    message
+        .replace("unknown field other", "-")
+        .replace("unknown variant other", "-")
+        .replace("expected ", "")
 }
 
 /// The keys of the settings, by place: what is laid over the fixture, and the message.
 fn all_are_refused(kind: &str, file: &str) {
     let mut failed = Vec::new();
     let mut places = 0;
-    for line in file.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+    for line in file
+        .lines()
+        .filter(|line| !line.is_empty() && !line.starts_with('#'))
+    {
         let (patch, due) = line.split_once(" => ").expect("a patch and a message");
         let message = known(kind, patch);
         places += 1;
@@ -35,7 +48,12 @@
             failed.push(format!("{patch} => {message}"));
         }
     }
-    assert!(failed.is_empty() && places > 0, "{kind}, {} of {places}:\n{}", failed.len(), failed.join("\n"));
+    assert!(
+        failed.is_empty() && places > 0,
+        "{kind}, {} of {places}:\n{}",
+        failed.len(),
+        failed.join("\n")
+    );
 }
 
 #[test]
--- a/crates/sockets/src/listen.rs
+++ b/crates/sockets/src/listen.rs
@@ -3,7 +3,9 @@
 use crate::socket::{Listener, Stream};
 use futures_util::{SinkExt, StreamExt};
 use pondarch_runtime_api::codec::framed_answer;
-use pondarch_runtime_api::{CodecError, Command, Level, PromptMode, ServerCodec, ServerFrame, command};
+use pondarch_runtime_api::{
+    CodecError, Command, Level, PromptMode, ServerCodec, ServerFrame, command,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
@@ -38,7 +40,9 @@
     let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
     let mut connections = tokio::task::JoinSet::new();
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
             Some(_) = connections.join_next() => continue,
@@ -51,7 +55,10 @@
         let desk = desk.clone();
         connections.spawn(async move {
             let _place = place;
-            let connection = Open { number: desk.opened(), desk };
+            let connection = Open {
+                number: desk.opened(),
+                desk,
+            };
             // A connection that breaks ends; there is nobody left to tell.
             talk(stream, level, &connection).await.ok();
         });
--- a/crates/sockets/src/socket.rs
+++ b/crates/sockets/src/socket.rs
@@ -52,7 +52,10 @@
 
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
-            Listener::Unix(listener, _) => listener.accept().await.map(|(stream, _)| Stream::Unix(stream)),
+            Listener::Unix(listener, _) => listener
+                .accept()
+                .await
+                .map(|(stream, _)| Stream::Unix(stream)),
             Listener::Tcp(listener) => {
                 let (stream, _) = listener.accept().await?;
                 stream.set_nodelay(true)?;
@@ -76,7 +79,11 @@
 }
 
 impl AsyncRead for Stream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Unix(stream) => Pin::new(stream).poll_read(cx, buf),
             Stream::Tcp(stream) => Pin::new(stream).poll_read(cx, buf),
@@ -85,7 +92,11 @@
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         match self.get_mut() {
             Stream::Unix(stream) => Pin::new(stream).poll_write(cx, buf),
             Stream::Tcp(stream) => Pin::new(stream).poll_write(cx, buf),
--- a/crates/steward/benches/orders.rs
+++ b/crates/steward/benches/orders.rs
@@ -40,8 +40,13 @@
 fn allocated<T>(what: &str, many: usize, act: impl FnOnce() -> T) {
     let (before, bytes) = (ALLOCATIONS.load(Relaxed), BYTES.load(Relaxed));
     black_box(act());
-    let per = |counter: &AtomicU64, before: u64| (counter.load(Relaxed) - before) as f64 / many as f64;
-    println!("{what}: {:.1} allocations, {:.0} bytes each", per(&ALLOCATIONS, before), per(&BYTES, bytes));
+    let per =
+        |counter: &AtomicU64, before: u64| (counter.load(Relaxed) - before) as f64 / many as f64;
+    println!(
+        "{what}: {:.1} allocations, {:.0} bytes each",
+        per(&ALLOCATIONS, before),
+        per(&BYTES, bytes)
+    );
 }
 
 fn rows() -> Vec<StatRow> {
@@ -53,7 +58,11 @@
         status: "UP".into(),
         weight: 128,
         addr: "127.0.0.1:8000".into(),
-        sums: Some(Sums { done: 990 * n, errored: n, done_time: Duration::from_millis(80_000 * n) }),
+        sums: Some(Sums {
+            done: 990 * n,
+            errored: n,
+            done_time: Duration::from_millis(80_000 * n),
+        }),
         ..StatRow::default()
     };
     (0..700).map(row).collect()
@@ -66,13 +75,24 @@
     let mut group = c.benchmark_group("stat of 700 servers");
     group.throughput(Throughput::Bytes(text.len() as u64));
     group.bench_function("write", |b| b.iter(|| stat::write(black_box(&rows))));
-    group
-        .bench_function("read", |b| b.iter(|| stat::read(black_box(text.trim_end())).map(|rows| rows.len())));
+    group.bench_function("read", |b| {
+        b.iter(|| stat::read(black_box(text.trim_end())).map(|rows| rows.len()))
+    });
     group.finish();
-    let command =
-        |n: u16| Command::SetWeight(ServerRef::new("proof", &format!("host-{n}")), GivenWeight::Units(n));
+    let command = |n: u16| {
+        Command::SetWeight(
+            ServerRef::new("proof", &format!("host-{n}")),
+            GivenWeight::Units(n),
+        )
+    };
     let commands: Vec<Command> = (0..48).map(command).collect();
-    let write = |commands: &[Command]| commands.iter().map(Command::to_string).collect::<Vec<_>>().join("; ");
+    let write = |commands: &[Command]| {
+        commands
+            .iter()
+            .map(Command::to_string)
+            .collect::<Vec<_>>()
+            .join("; ")
+    };
     let line = write(&commands);
     println!("a line of 48 commands: {} bytes", line.len());
     allocated("writing a command", 48, || write(&commands));
@@ -95,13 +115,22 @@
     let mut change = |town: &mut Town| {
         heavy = !heavy;
         let mut hosts: Vec<_> = (0..40).map(host).collect();
-        hosts.iter_mut().step_by(2).for_each(|host| host.weight = if heavy { 3.0 } else { 1.0 });
+        hosts
+            .iter_mut()
+            .step_by(2)
+            .for_each(|host| host.weight = if heavy { 3.0 } else { 1.0 });
         town.list(hosts);
         town.run(2_000);
         // What the harness keeps for tests is not the core's.
-        let ordered: usize =
-            town.fronts.iter().flat_map(|f| &f.orders).map(|(_, commands)| commands.len()).sum();
-        town.fronts.iter_mut().for_each(|front| front.orders.clear());
+        let ordered: usize = town
+            .fronts
+            .iter()
+            .flat_map(|f| &f.orders)
+            .map(|(_, commands)| commands.len())
+            .sum();
+        town.fronts
+            .iter_mut()
+            .for_each(|front| front.orders.clear());
         town.inputs.clear();
         town.outputs.clear();
         town.events.clear();
@@ -110,7 +139,9 @@
     change(&mut town);
     let ordered = change(&mut town);
     println!("a change of the list: {ordered} commands to 20 proxies, and 2 s of looks and beats");
-    allocated("an order, with its share of looks", ordered, || change(&mut town));
+    allocated("an order, with its share of looks", ordered, || {
+        change(&mut town)
+    });
     let mut group = c.benchmark_group("core");
     group.throughput(Throughput::Elements(ordered as u64));
     group.sample_size(20);
--- a/crates/steward/src/asking.rs
+++ b/crates/steward/src/asking.rs
@@ -17,7 +17,9 @@
         let (now, cause) = (self.now, self.cause.clone());
         let Some(names) = &mut self.names else { return };
         if let Some(table) = table {
-            names.held.answered(now, serial, TableId(table), names.holds);
+            names
+                .held
+                .answered(now, serial, TableId(table), names.holds);
             if names.view.serial != serial {
                 self.find_echoes();
             }
@@ -31,14 +33,22 @@
         let now = self.now;
         let Some(names) = &mut self.names else { return };
         // Those with a runtime API are joined by it; that they ask for names as well changes nothing.
-        let Some(peer) = self.peers.get_mut(proxy as usize) else { return };
-        let Link::ByName { joined } = peer.link else { return };
+        let Some(peer) = self.peers.get_mut(proxy as usize) else {
+            return;
+        };
+        let Link::ByName { joined } = peer.link else {
+            return;
+        };
         if names.members.asked(now, peer.id) == Asked::Joined && !joined {
             peer.link = Link::ByName { joined: true };
             let (id, usual, zone, proxy) = (peer.id, peer.usual, peer.zone, peer.name.clone());
             // Nobody can tell a restart: it counts as one that was there before.
             self.steward.proxy_joined(now, id, false, usual, zone);
-            self.tell(Event::Joined { proxy, fresh: false, cause });
+            self.tell(Event::Joined {
+                proxy,
+                fresh: false,
+                cause,
+            });
         }
     }
 
@@ -61,21 +71,27 @@
             names.stale = true;
         }
         let late = names.secondaries.late(now);
-        let late: Vec<String> =
-            late.into_iter().filter_map(|n| names.keys.get(usize::from(n)).cloned()).collect();
+        let late: Vec<String> = late
+            .into_iter()
+            .filter_map(|n| names.keys.get(usize::from(n)).cloned())
+            .collect();
         let left = names.members.left(now);
         let ended = names.echoes.values().any(|until| *until <= now);
         for secondary in names.secondaries.say(now) {
             self.out.push_back(Output::SayChanged { secondary });
         }
-        late.into_iter().for_each(|secondary| self.tell(Event::SecondaryLate { secondary }));
+        late.into_iter()
+            .for_each(|secondary| self.tell(Event::SecondaryLate { secondary }));
         for id in left {
             let peer = &mut self.peers[id.0 as usize];
             peer.link = Link::ByName { joined: false };
             peer.bound.clear();
             let proxy = peer.name.clone();
             self.steward.proxy_left(now, id);
-            self.tell(Event::Left { proxy, why: "has not asked for its hosts".into() });
+            self.tell(Event::Left {
+                proxy,
+                why: "has not asked for its hosts".into(),
+            });
         }
         if ended {
             self.find_echoes();
@@ -86,17 +102,31 @@
     /// there is, and stands for a look at them. One that says nothing was not seen.
     pub(crate) fn told_of_themselves(&mut self) -> BTreeMap<HostId, Met> {
         let now = self.now;
-        let Some(names) = &mut self.names else { return BTreeMap::new() };
+        let Some(names) = &mut self.names else {
+            return BTreeMap::new();
+        };
         let last = std::mem::replace(&mut names.told, now);
         // Where proxies bring sums, those are the evidence: a host that hangs may still answer a short question.
         let looked_at = self.peers.iter().filter(|peer| peer.is_joined());
-        let tables: BTreeSet<TableId> = looked_at.flat_map(|peer| peer.bound.values().copied()).collect();
-        let of = |table: &TableId| self.books.books.get(table).into_iter().flat_map(|book| book.dealt.keys());
+        let tables: BTreeSet<TableId> = looked_at
+            .flat_map(|peer| peer.bound.values().copied())
+            .collect();
+        let of = |table: &TableId| {
+            self.books
+                .books
+                .get(table)
+                .into_iter()
+                .flat_map(|book| book.dealt.keys())
+        };
         let looked_at: BTreeSet<&HostId> = tables.iter().flat_map(of).collect();
         // Each word counts once, for the time since the last ones were taken.
         let over = (now - last).min(self.report_every.times(2.0));
-        let told = self.loads.iter().filter(|(host, (at, _))| !looked_at.contains(host) && *at > last);
-        told.map(|(host, (_, told))| (host.clone(), told.met(over))).collect()
+        let told = self
+            .loads
+            .iter()
+            .filter(|(host, (at, _))| !looked_at.contains(host) && *at > last);
+        told.map(|(host, (_, told))| (host.clone(), told.met(over)))
+            .collect()
     }
 
     pub(crate) fn secondary_heard(&mut self, n: u16, heard: Heard) {
@@ -114,7 +144,11 @@
         let Some(names) = &mut self.names else { return };
         let found = names.found_echoes(now, &self.list);
         let before = std::mem::replace(&mut names.echoes, found);
-        let names = &self.names.as_ref().map(|names| names.echoes.clone()).unwrap_or_default();
+        let names = &self
+            .names
+            .as_ref()
+            .map(|names| names.echoes.clone())
+            .unwrap_or_default();
         let changed: BTreeSet<&HostId> = before
             .keys()
             .filter(|host| !names.contains_key(*host))
@@ -123,7 +157,10 @@
         if changed.is_empty() {
             return;
         }
-        for table in self.books.keep_out(names.keys().cloned().collect(), &changed) {
+        for table in self
+            .books
+            .keep_out(names.keys().cloned().collect(), &changed)
+        {
             self.mark_table(table);
         }
         for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
@@ -142,19 +179,37 @@
     /// What is to be answered from now on, if it changed.
     pub(crate) fn renew_view(&mut self) {
         let now = self.now;
-        let Some(names) = self.names.as_mut().filter(|names| names.stale) else { return };
+        let Some(names) = self.names.as_mut().filter(|names| names.stale) else {
+            return;
+        };
         names.stale = false;
         let list = &self.list;
-        let by_name = self.peers.iter().filter(|peer| matches!(peer.link, Link::ByName { joined: true }));
+        let by_name = self
+            .peers
+            .iter()
+            .filter(|peer| matches!(peer.link, Link::ByName { joined: true }));
         let bound: BTreeMap<_, TableId> = by_name
-            .flat_map(|peer| peer.bound.iter().map(|(kind, table)| ((peer.id, *kind), *table)))
+            .flat_map(|peer| {
+                peer.bound
+                    .iter()
+                    .map(|(kind, table)| ((peer.id, *kind), *table))
+            })
             .collect();
         let used: BTreeSet<TableId> = bound.values().copied().collect();
         // Where nobody is bound the list itself is all there is; cold hosts of it come with a table alone.
-        let listed =
-            list.known.iter().filter(|(host, k)| k.standing == Standing::Open && !list.is_cold(host, now));
-        let listed: BTreeMap<HostId, f64> = listed.map(|(host, k)| (host.clone(), k.entry.weight)).collect();
-        let dealt = |table: &TableId| self.books.books.get(table).map(|book| (*table, &book.dealt));
+        let listed = list
+            .known
+            .iter()
+            .filter(|(host, k)| k.standing == Standing::Open && !list.is_cold(host, now));
+        let listed: BTreeMap<HostId, f64> = listed
+            .map(|(host, k)| (host.clone(), k.entry.weight))
+            .collect();
+        let dealt = |table: &TableId| {
+            self.books
+                .books
+                .get(table)
+                .map(|book| (*table, &book.dealt))
+        };
         let (mut tables, mut last) = (BTreeMap::new(), BTreeSet::new());
         names.last_until = None;
         for (table, dealt) in used.iter().filter_map(dealt).chain([(STANDING, &listed)]) {
@@ -165,26 +220,57 @@
             }
             tables.insert(table, lines);
         }
-        let hosts = list.known.iter().map(|(host, known)| (host.clone(), known.entry.address)).collect();
+        let hosts = list
+            .known
+            .iter()
+            .map(|(host, known)| (host.clone(), known.entry.address))
+            .collect();
         let old = &names.view;
         let strangers = names.strangers.clone();
-        let view = View { serial: old.serial, tables, bound, hosts, last, strangers };
+        let view = View {
+            serial: old.serial,
+            tables,
+            bound,
+            hosts,
+            last,
+            strangers,
+        };
         if view == **old {
             return;
         }
         // Seconds since 1970, so that a steward that starts again never goes back.
-        let serial = old.serial.wrapping_add(1).max((micros(now) / 1_000_000) as u32);
+        let serial = old
+            .serial
+            .wrapping_add(1)
+            .max((micros(now) / 1_000_000) as u32);
         for (table, lines) in &view.tables {
             if old.tables.get(table) != Some(lines) {
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
                 let named = |line: &Line| {
-                    let started = list.known.get(&line.host).map(|known| known.started).unwrap_or_default();
-                    (line.host.clone(), Named { part: line.weight / all.max(1e-9), addr: line.addr, started })
+                    let started = list
+                        .known
+                        .get(&line.host)
+                        .map(|known| known.started)
+                        .unwrap_or_default();
+                    (
+                        line.host.clone(),
+                        Named {
+                            part: line.weight / all.max(1e-9),
+                            addr: line.addr,
+                            started,
+                        },
+                    )
                 };
-                names.held.changed(now, serial, *table, lines.iter().map(named).collect());
+                names
+                    .held
+                    .changed(now, serial, *table, lines.iter().map(named).collect());
             }
         }
-        for table in old.tables.keys().filter(|table| !view.tables.contains_key(table)) {
+        for table in old
+            .tables
+            .keys()
+            .filter(|table| !view.tables.contains_key(table))
+        {
             names.held.changed(now, serial, *table, BTreeMap::new());
         }
         names.view = Arc::new(View { serial, ..view });
--- a/crates/steward/src/books.rs
+++ b/crates/steward/src/books.rs
@@ -35,7 +35,11 @@
     }
 
     pub(crate) fn level(&mut self, table: TableId, kind: KindId, quota: f64, tries: Tries) {
-        self.books.entry(table).or_default().levels.insert(kind, (quota, tries));
+        self.books
+            .entry(table)
+            .or_default()
+            .levels
+            .insert(kind, (quota, tries));
     }
 
     /// Addresses may have changed: tables that hold one of these hosts are made anew. Gives those tables.
@@ -53,10 +57,15 @@
     }
 
     /// These hosts are kept out from now on; gives the tables that hold one of those that `changed`.
-    pub(crate) fn keep_out(&mut self, hosts: BTreeSet<HostId>, changed: &BTreeSet<&HostId>) -> Vec<TableId> {
+    pub(crate) fn keep_out(
+        &mut self,
+        hosts: BTreeSet<HostId>,
+        changed: &BTreeSet<&HostId>,
+    ) -> Vec<TableId> {
         self.kept_out = hosts;
-        let holds =
-            |(_, book): &(&TableId, &mut Book)| changed.iter().any(|host| book.dealt.contains_key(*host));
+        let holds = |(_, book): &(&TableId, &mut Book)| {
+            changed.iter().any(|host| book.dealt.contains_key(*host))
+        };
         let of = self.books.iter_mut().filter(holds);
         of.map(|(table, book)| {
             book.lines = None;
@@ -72,17 +81,29 @@
             return lines.clone();
         }
         let kept_out = &self.kept_out;
-        let others = book.dealt.keys().any(|host| !kept_out.contains(host) && list.address(host).is_some());
+        let others = book
+            .dealt
+            .keys()
+            .any(|host| !kept_out.contains(host) && list.address(host).is_some());
         let share = |(host, &weight): (&HostId, &f64)| {
-            let weight = if others && kept_out.contains(host) { 0.0 } else { weight };
-            Share { weight, cold: list.is_cold(host, now) }
+            let weight = if others && kept_out.contains(host) {
+                0.0
+            } else {
+                weight
+            };
+            Share {
+                weight,
+                cold: list.is_cold(host, now),
+            }
         };
         let shares: Vec<Share> = book.dealt.iter().map(share).collect();
         let mut lines = Lines::new();
         book.held_back.clear();
         for (host, units) in book.dealt.keys().zip(units(&shares)) {
             match (list.address(host), units) {
-                (Some(addr), Some(units)) => drop(lines.insert(host.clone(), WantedLine { addr, units })),
+                (Some(addr), Some(units)) => {
+                    drop(lines.insert(host.clone(), WantedLine { addr, units }))
+                }
                 (_, None) => book.held_back.push(host.clone()),
                 // A host the list no longer knows at all cannot be reached by anybody.
                 (None, _) => {}
@@ -94,22 +115,46 @@
     }
 
     /// Cold hosts of a table that cannot be told, and could be before its last change.
-    pub(crate) fn newly_held_back(&mut self, table: TableId, list: &HostList, now: Time) -> Vec<HostId> {
-        let before = self.books.get(&table).map(|book| book.held_back.clone()).unwrap_or_default();
+    pub(crate) fn newly_held_back(
+        &mut self,
+        table: TableId,
+        list: &HostList,
+        now: Time,
+    ) -> Vec<HostId> {
+        let before = self
+            .books
+            .get(&table)
+            .map(|book| book.held_back.clone())
+            .unwrap_or_default();
         self.lines(table, list, now);
-        let held = self.books.get(&table).map(|book| book.held_back.as_slice()).unwrap_or_default();
-        held.iter().filter(|host| !before.contains(host)).cloned().collect()
+        let held = self
+            .books
+            .get(&table)
+            .map(|book| book.held_back.as_slice())
+            .unwrap_or_default();
+        held.iter()
+            .filter(|host| !before.contains(host))
+            .cloned()
+            .collect()
     }
 
     /// What all tables take, in bytes, roughly: as dealt, and as proxies are to hold them.
     pub(crate) fn bytes(&self) -> u64 {
-        let ready = |book: &Book| book.lines.as_ref().map_or(0, |lines| lines.len() as u64 * 100);
-        self.books.values().map(|book| 200 + book.dealt.len() as u64 * 100 + ready(book)).sum()
+        let ready = |book: &Book| {
+            book.lines
+                .as_ref()
+                .map_or(0, |lines| lines.len() as u64 * 100)
+        };
+        self.books
+            .values()
+            .map(|book| 200 + book.dealt.len() as u64 * 100 + ready(book))
+            .sum()
     }
 
     /// Gives up what is kept ready of tables that no proxy uses; gives of how many.
     pub(crate) fn shed(&mut self, used: &BTreeSet<TableId>) -> u64 {
-        let idle = |(table, book): &(&TableId, &mut Book)| !used.contains(table) && book.lines.is_some();
+        let idle =
+            |(table, book): &(&TableId, &mut Book)| !used.contains(table) && book.lines.is_some();
         let idle = self.books.iter_mut().filter(idle);
         idle.map(|(_, book)| book.lines = None).count() as u64
     }
@@ -121,6 +166,9 @@
         by_rate: bool,
     ) -> Option<(String, &'static str)> {
         let (quota, tries) = self.books.get(&table)?.levels.get(&kind)?;
-        Some((table::level_word(*quota, by_rate), table::tries_word(*tries)))
+        Some((
+            table::level_word(*quota, by_rate),
+            table::tries_word(*tries),
+        ))
     }
 }
--- a/crates/steward/src/channel.rs
+++ b/crates/steward/src/channel.rs
@@ -43,9 +43,25 @@
 }
 
 impl Channel {
-    pub(crate) fn new(rate: f64, head: f64, most_waiting: f64, cap: u64, window: Span, now: Time) -> Channel {
+    pub(crate) fn new(
+        rate: f64,
+        head: f64,
+        most_waiting: f64,
+        cap: u64,
+        window: Span,
+        now: Time,
+    ) -> Channel {
         let cap = if cap == 0 { usize::MAX } else { cap as usize };
-        Channel { rate, head, most_waiting, cap, window, credit: 0.0, credit_at: now, in_flight: 0.0 }
+        Channel {
+            rate,
+            head,
+            most_waiting,
+            cap,
+            window,
+            credit: 0.0,
+            credit_at: now,
+            in_flight: 0.0,
+        }
     }
 
     pub(crate) fn waiting(&self) -> f64 {
@@ -57,12 +73,23 @@
         let free = self.most_waiting * JOIN_PART - self.in_flight;
         let fit = (free / (lines + self.head)).max(0.0) as usize;
         // One at a time always may, or a large table would keep all out.
-        fit.saturating_sub(pending).max(usize::from(pending == 0 && self.in_flight == 0.0))
+        fit.saturating_sub(pending)
+            .max(usize::from(pending == 0 && self.in_flight == 0.0))
     }
 
-    pub(crate) fn room(&mut self, now: Time, mail: &mut Mail, lines: usize, urgency: Urgency) -> Room {
+    pub(crate) fn room(
+        &mut self,
+        now: Time,
+        mail: &mut Mail,
+        lines: usize,
+        urgency: Urgency,
+    ) -> Room {
         mail.0.retain(|&at| now - at <= self.window);
-        let cap = if urgency == Urgency::Drain { self.cap } else { self.cap.saturating_sub(DRAIN_RESERVE) };
+        let cap = if urgency == Urgency::Drain {
+            self.cap
+        } else {
+            self.cap.saturating_sub(DRAIN_RESERVE)
+        };
         if mail.0.len() >= cap {
             let frees = mail.0[mail.0.len() - cap];
             return Room::At(frees + self.window + Span::from_millis(1), "message cap");
@@ -76,7 +103,8 @@
         if all > self.most_waiting * part && self.in_flight > 0.0 {
             return Room::AfterAnswers;
         }
-        self.credit = (self.credit + (now - self.credit_at).secs() * self.rate).min(self.rate * BURST.secs());
+        self.credit =
+            (self.credit + (now - self.credit_at).secs() * self.rate).min(self.rate * BURST.secs());
         self.credit_at = now;
         if self.credit < 0.0 {
             let wait = Span::from_micros((-self.credit / self.rate * 1e6) as u64 + 1);
@@ -143,10 +171,16 @@
         let mut channel = Channel::new(1e6, 3.0, 1e6, 6, Span::from_millis(10_000), at(0));
         let mut mail = Mail::default();
         for n in 0..4 {
-            assert_eq!(channel.room(at(n), &mut mail, 1, Urgency::Ordinary), Room::Now);
+            assert_eq!(
+                channel.room(at(n), &mut mail, 1, Urgency::Ordinary),
+                Room::Now
+            );
             channel.wrote(at(n), &mut mail, 1);
         }
-        assert!(matches!(channel.room(at(9), &mut mail, 1, Urgency::Ordinary), Room::At(..)));
+        assert!(matches!(
+            channel.room(at(9), &mut mail, 1, Urgency::Ordinary),
+            Room::At(..)
+        ));
         assert_eq!(channel.room(at(9), &mut mail, 1, Urgency::Drain), Room::Now);
     }
 }
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -21,7 +21,9 @@
     /// mark that joined proxies get tells this start of this steward from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
     pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
-        Core { course: Course::new(site, seed, process, epoch, now) }
+        Core {
+            course: Course::new(site, seed, process, epoch, now),
+        }
     }
 
     /// What a steward that starts again must still know, for `Input::Recovered`.
@@ -39,7 +41,11 @@
 
     /// What the DNS front is to answer from, after `Output::ViewChanged`.
     pub fn view(&self) -> Arc<View> {
-        self.course.names.as_ref().map(Names::view).unwrap_or_default()
+        self.course
+            .names
+            .as_ref()
+            .map(Names::view)
+            .unwrap_or_default()
     }
 
     /// When the next `Input::Tick` is due. What is overdue already waits for some other input, and is looked at
--- a/crates/steward/src/course.rs
+++ b/crates/steward/src/course.rs
@@ -90,7 +90,11 @@
             of.message_window.0,
             now,
         );
-        let load_every = site.probes.as_ref().and_then(|probes| probes.load_every).map(|every| every.0);
+        let load_every = site
+            .probes
+            .as_ref()
+            .and_then(|probes| probes.load_every)
+            .map(|every| every.0);
         Course {
             name: site.name.clone(),
             kinds: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
@@ -106,7 +110,13 @@
             weigher: (site.weights == Weights::Solved).then(|| Weigher::new(site, now)),
             names: Names::new(site),
             books: Books::default(),
-            peers: site.proxies.iter().chain(&names::strangers(site)).enumerate().map(peer).collect(),
+            peers: site
+                .proxies
+                .iter()
+                .chain(&names::strangers(site))
+                .enumerate()
+                .map(peer)
+                .collect(),
             channel,
             rounds: Rounds::new(site.reports.every.0, now),
             chance: fastrand::Rng::with_seed(seed),
@@ -138,14 +148,19 @@
     pub(crate) fn wake_at(&self) -> Time {
         let mut at = self.rounds.wake_at();
         let mut sooner = |other: Option<Time>| {
-            at = other.filter(|other| *other > self.now).map_or(at, |other| at.min(other));
+            at = other
+                .filter(|other| *other > self.now)
+                .map_or(at, |other| at.min(other));
         };
         sooner(self.woken_at);
         sooner(self.load_at);
         sooner(self.names.as_ref().and_then(Names::wake_at));
         sooner(self.weigher.as_ref().map(Weigher::wake_at));
         for peer in &self.peers {
-            sooner(peer.silent_since.map(|since| since + self.links.answer_limit.0));
+            sooner(
+                peer.silent_since
+                    .map(|since| since + self.links.answer_limit.0),
+            );
             match peer.link {
                 Link::Down(dial_at) => sooner(Some(dial_at)),
                 Link::Joined if peer.dirty.is_some() => {
@@ -193,20 +208,43 @@
                     self.lost(proxy, &why);
                 }
             }
-            Input::Probed { host, for_load, good, load } => self.probed(&host, for_load, good, load),
-            Input::AskedByName { proxy, table, serial } => self.asked_by_name(proxy, table, serial),
+            Input::Probed {
+                host,
+                for_load,
+                good,
+                load,
+            } => self.probed(&host, for_load, good, load),
+            Input::AskedByName {
+                proxy,
+                table,
+                serial,
+            } => self.asked_by_name(proxy, table, serial),
             Input::Secondary { n, heard } => self.secondary_heard(n, heard),
-            Input::SenderCame { conn, name, is, run } => self.sender_came(conn, name, is, run),
+            Input::SenderCame {
+                conn,
+                name,
+                is,
+                run,
+            } => self.sender_came(conn, name, is, run),
             Input::Pushed { conn, report } => self.pushed(conn, *report),
             Input::SenderLeft { conn } => self.sender_left(conn),
-            Input::Memory { waiting, records, connections, capped } => {
+            Input::Memory {
+                waiting,
+                records,
+                connections,
+                capped,
+            } => {
                 self.account.takes(Purpose::Waiting, waiting);
                 self.account.takes(Purpose::Records, records);
                 self.account.takes(Purpose::Connections, connections);
                 self.account.capped(Purpose::Connections, capped);
             }
             Input::Solved { number, plan } => self.solved(number, plan),
-            Input::Command { caller, level, line } => {
+            Input::Command {
+                caller,
+                level,
+                line,
+            } => {
                 let text = answer(self, level, &line);
                 self.out.push_back(Output::Reply { caller, text });
             }
@@ -216,12 +254,18 @@
     }
 
     fn named(&self, input: &Input) -> String {
-        let proxy = |n: u16| self.peers.get(n as usize).map_or("?", |peer| peer.name.as_str());
+        let proxy = |n: u16| {
+            self.peers
+                .get(n as usize)
+                .map_or("?", |peer| peer.name.as_str())
+        };
         match input {
             Input::Tick => "beat".into(),
             Input::Recovered(_) => "recovered".into(),
             Input::Records(_) => "records".into(),
-            Input::List { version, .. } => format!("list {}", version.map_or("-".into(), |v| v.to_string())),
+            Input::List { version, .. } => {
+                format!("list {}", version.map_or("-".into(), |v| v.to_string()))
+            }
             Input::ListRefused { .. } => "list refused".into(),
             Input::Connected { proxy: n, .. } => format!("{} connected", proxy(*n)),
             Input::Answer { proxy: n, .. } => format!("answer of {}", proxy(*n)),
@@ -233,29 +277,50 @@
             Input::Pushed { .. } | Input::SenderLeft { .. } => "a report".into(),
             Input::Memory { .. } => "memory".into(),
             Input::Solved { number, .. } => format!("plan {number}"),
-            Input::Command { line, .. } => format!("operator: {}", line.chars().take(80).collect::<String>()),
+            Input::Command { line, .. } => {
+                format!("operator: {}", line.chars().take(80).collect::<String>())
+            }
         }
     }
 
     pub(crate) fn list_changed(&mut self, mut listings: Vec<Listing>) {
         self.weigh_list();
         for listing in &mut listings {
-            listing.weight = self.list.handed.get(&listing.host).copied().unwrap_or(listing.weight);
+            listing.weight = self
+                .list
+                .handed
+                .get(&listing.host)
+                .copied()
+                .unwrap_or(listing.weight);
         }
-        let count = |wanted| self.list.known.values().filter(|k| k.standing == wanted).count();
+        let count = |wanted| {
+            self.list
+                .known
+                .values()
+                .filter(|k| k.standing == wanted)
+                .count()
+        };
         use pondarch::types::Standing::{Draining, Gone, Open};
         let (open, draining, gone) = (count(Open), count(Draining), count(Gone));
         let version = self.list.version;
-        self.tell(Event::ListTaken { version, open, draining, gone });
+        self.tell(Event::ListTaken {
+            version,
+            open,
+            draining,
+            gone,
+        });
         self.steward.list_came(self.now, version, true, listings);
         self.touch_names();
         self.find_echoes();
         for table in self.books.readdress(&self.list) {
             self.mark_table(table);
         }
-        self.loads.retain(|host, _| self.list.known.contains_key(host));
-        self.met.retain(|host, _| self.list.known.contains_key(host));
-        self.told_at.retain(|host, _| self.list.known.contains_key(host));
+        self.loads
+            .retain(|host, _| self.list.known.contains_key(host));
+        self.met
+            .retain(|host, _| self.list.known.contains_key(host));
+        self.told_at
+            .retain(|host, _| self.list.known.contains_key(host));
     }
 
     fn list_refused(&mut self, wrong: String) {
@@ -281,7 +346,9 @@
 
     fn answered(&mut self, proxy: u16, conn: u64, text: &str) {
         let now = self.now;
-        let Some(peer) = self.peer(proxy, conn).filter(|peer| peer.is_connected()) else { return };
+        let Some(peer) = self.peer(proxy, conn).filter(|peer| peer.is_connected()) else {
+            return;
+        };
         let (told, lines) = match peer.session.answered(now, text) {
             Ok(result) => result,
             Err(wrong) => return self.hang_up(proxy, &wrong.to_string()),
@@ -321,9 +388,15 @@
         let name = peer.name.clone();
         for wrong in refused {
             self.error(format!("{name}: refused: {wrong}"));
-            self.tell(Event::Refused { proxy: name.clone(), wrong });
+            self.tell(Event::Refused {
+                proxy: name.clone(),
+                wrong,
+            });
         }
-        self.tell(Event::Applied { proxy: name, took_us: took.as_micros() });
+        self.tell(Event::Applied {
+            proxy: name,
+            took_us: took.as_micros(),
+        });
     }
 
     fn hang_up(&mut self, proxy: u16, why: &str) {
@@ -349,7 +422,10 @@
         // A proxy that is simply not there is told of once, not at every dial.
         if dialled || !again {
             self.error(format!("{name}: {why}"));
-            self.tell(Event::Left { proxy: name, why: why.to_string() });
+            self.tell(Event::Left {
+                proxy: name,
+                why: why.to_string(),
+            });
         }
     }
 
@@ -359,7 +435,8 @@
             self.loads.insert(host.clone(), (self.now, load));
         }
         if !for_load {
-            self.steward.probe_answered(self.now, &host, good, load.map(|told| told.load()));
+            self.steward
+                .probe_answered(self.now, &host, good, load.map(|told| told.load()));
         }
     }
 
@@ -374,11 +451,17 @@
             let speak: Vec<bool> = self.peers.iter().map(|peer| self.speaks(peer.id)).collect();
             let asked = |(peer, speaks): &(&mut Peer, bool)| peer.is_joined() && !speaks;
             for (peer, _) in self.peers.iter_mut().zip(speak).filter(asked) {
-                let Some(line) = peer.session.read_stat() else { continue };
+                let Some(line) = peer.session.read_stat() else {
+                    continue;
+                };
                 peer.silent_since = Some(now);
                 self.rounds.asked(peer.id.0);
                 let (proxy, conn) = (peer.id.0, peer.conn);
-                self.out.push_back(Output::Write { proxy, conn, lines: vec![line] });
+                self.out.push_back(Output::Write {
+                    proxy,
+                    conn,
+                    lines: vec![line],
+                });
             }
         }
         if let Some(gathered) = self.rounds.closed(now) {
@@ -391,7 +474,11 @@
             for (host, known) in &self.list.known {
                 if known.standing == pondarch::types::Standing::Open {
                     let (host, addr) = (host.0.to_string(), known.entry.address);
-                    self.out.push_back(Output::Probe { host, addr, for_load: true });
+                    self.out.push_back(Output::Probe {
+                        host,
+                        addr,
+                        for_load: true,
+                    });
                 }
             }
         }
@@ -399,17 +486,29 @@
         self.names_timers();
         let limit = self.links.answer_limit.0;
         let silent = |peer: &Peer| peer.silent_since.is_some_and(|since| now - since >= limit);
-        let silent: Vec<u16> = self.peers.iter().filter(|p| silent(p)).map(|p| p.id.0).collect();
+        let silent: Vec<u16> = self
+            .peers
+            .iter()
+            .filter(|p| silent(p))
+            .map(|p| p.id.0)
+            .collect();
         for proxy in silent {
             self.hang_up(proxy, "left a command unanswered for too long");
         }
-        let mut dialling = self.peers.iter().filter(|peer| peer.link == Link::Dialling).count();
+        let mut dialling = self
+            .peers
+            .iter()
+            .filter(|peer| peer.link == Link::Dialling)
+            .count();
         for peer in &mut self.peers {
             if matches!(peer.link, Link::Down(at) if at <= now) && dialling < DIALS_MOST {
                 dialling += 1;
                 peer.conn += 1;
                 peer.link = Link::Dialling;
-                self.out.push_back(Output::Dial { proxy: peer.id.0, conn: peer.conn });
+                self.out.push_back(Output::Dial {
+                    proxy: peer.id.0,
+                    conn: peer.conn,
+                });
             }
         }
     }
@@ -435,5 +534,8 @@
         name: kind.name.clone(),
         backend: kind.backend().to_string(),
     };
-    Front { mark: mark.to_string(), kinds: site.kinds.iter().map(kind).collect() }
+    Front {
+        mark: mark.to_string(),
+        kinds: site.kinds.iter().map(kind).collect(),
+    }
 }
--- a/crates/steward/src/follow.rs
+++ b/crates/steward/src/follow.rs
@@ -23,16 +23,33 @@
     }
 
     fn join_known(&mut self) {
-        if !self.peers.iter().any(|peer| matches!(peer.link, Link::Known { .. })) {
+        if !self
+            .peers
+            .iter()
+            .any(|peer| matches!(peer.link, Link::Known { .. }))
+        {
             return;
         }
         // Two commands a line and kind for the largest table so far, and the maps.
-        let largest = self.books.books.values().map(|book| book.dealt.len()).max().unwrap_or(0).max(8);
+        let largest = self
+            .books
+            .books
+            .values()
+            .map(|book| book.dealt.len())
+            .max()
+            .unwrap_or(0)
+            .max(8);
         let lines = (2 * largest * self.kinds.len() + 2 * self.kinds.len() + 1) as f64;
-        let pending = self.peers.iter().filter(|p| p.is_joined() && p.dirty.is_some()).count();
+        let pending = self
+            .peers
+            .iter()
+            .filter(|p| p.is_joined() && p.dirty.is_some())
+            .count();
         let mut room = self.channel.joins(lines, pending);
         for n in 0..self.peers.len() {
-            let Link::Known { fresh } = self.peers[n].link else { continue };
+            let Link::Known { fresh } = self.peers[n].link else {
+                continue;
+            };
             if room == 0 {
                 break;
             }
@@ -41,9 +58,14 @@
             let peer = &mut self.peers[n];
             peer.link = Link::Joined;
             peer.mark_dirty(now, &cause);
-            self.steward.proxy_joined(now, peer.id, fresh, peer.usual, peer.zone);
+            self.steward
+                .proxy_joined(now, peer.id, fresh, peer.usual, peer.zone);
             let proxy = peer.name.clone();
-            self.tell(Event::Joined { proxy, fresh, cause });
+            self.tell(Event::Joined {
+                proxy,
+                fresh,
+                cause,
+            });
         }
     }
 
@@ -53,24 +75,52 @@
         while let Some(ruling) = self.steward.next(self.now) {
             self.touch_names();
             match ruling {
-                Ruling::Deal { table, host, weight } => {
-                    lines.entry(table).or_default().push((host.0.to_string(), weight.unwrap_or(0.0)));
+                Ruling::Deal {
+                    table,
+                    host,
+                    weight,
+                } => {
+                    lines
+                        .entry(table)
+                        .or_default()
+                        .push((host.0.to_string(), weight.unwrap_or(0.0)));
                     self.books.deal(table, host, weight);
                     touched.insert(table);
                 }
-                Ruling::Bind { proxy, table, kinds } => self.bind(proxy.0, table, &kinds),
-                Ruling::Level { table, kind, quota, tries } => {
+                Ruling::Bind {
+                    proxy,
+                    table,
+                    kinds,
+                } => self.bind(proxy.0, table, &kinds),
+                Ruling::Level {
+                    table,
+                    kind,
+                    quota,
+                    tries,
+                } => {
                     self.books.level(table, kind, quota, tries);
                     touched.insert(table);
-                    let (kind, tries) =
-                        (self.kinds[kind.0 as usize].clone(), table::tries_word(tries).into());
+                    let (kind, tries) = (
+                        self.kinds[kind.0 as usize].clone(),
+                        table::tries_word(tries).into(),
+                    );
                     let cause = self.cause.clone();
-                    self.tell(Event::LevelChanged { table: table.0, kind, quota, tries, cause });
+                    self.tell(Event::LevelChanged {
+                        table: table.0,
+                        kind,
+                        quota,
+                        tries,
+                        cause,
+                    });
                 }
                 Ruling::Probe(host) => {
                     if let Some(addr) = self.list.address(&host) {
                         let host = host.0.to_string();
-                        self.out.push_back(Output::Probe { host, addr, for_load: false });
+                        self.out.push_back(Output::Probe {
+                            host,
+                            addr,
+                            for_load: false,
+                        });
                     }
                 }
                 // The list is followed by the edge at all times; a session knows by itself what its proxy has applied.
@@ -80,13 +130,20 @@
         }
         for (table, lines) in lines {
             let cause = self.cause.clone();
-            self.tell(Event::TableChanged { table: table.0, lines, cause });
+            self.tell(Event::TableChanged {
+                table: table.0,
+                lines,
+                cause,
+            });
         }
         for table in touched {
             self.mark_table(table);
             for host in self.books.newly_held_back(table, &self.list, self.now) {
                 let host = host.0.to_string();
-                self.tell(Event::HeldBack { table: table.0, host });
+                self.tell(Event::HeldBack {
+                    table: table.0,
+                    host,
+                });
             }
         }
     }
@@ -94,17 +151,27 @@
     fn bind(&mut self, proxy: u16, table: TableId, kinds: &[KindId]) {
         let (now, cause) = (self.now, self.cause.clone());
         let all: Vec<KindId> = (0..self.kinds.len()).map(|k| KindId(k as u8)).collect();
-        let Some(peer) = self.peers.get_mut(proxy as usize) else { return };
+        let Some(peer) = self.peers.get_mut(proxy as usize) else {
+            return;
+        };
         let kinds = if kinds.is_empty() { &all } else { kinds };
         peer.bound.extend(kinds.iter().map(|kind| (*kind, table)));
         peer.mark_dirty(now, &cause);
         let proxy = peer.name.clone();
-        self.tell(Event::Bound { proxy, table: table.0, cause });
+        self.tell(Event::Bound {
+            proxy,
+            table: table.0,
+            cause,
+        });
     }
 
     pub(crate) fn mark_table(&mut self, table: TableId) {
         let (now, cause) = (self.now, self.cause.clone());
-        for peer in self.peers.iter_mut().filter(|peer| peer.bound.values().any(|t| *t == table)) {
+        for peer in self
+            .peers
+            .iter_mut()
+            .filter(|peer| peer.bound.values().any(|t| *t == table))
+        {
             peer.mark_dirty(now, &cause);
         }
     }
@@ -113,7 +180,9 @@
     fn wanted(&mut self, n: usize) -> Wanted {
         let mut wanted = Wanted::default();
         for (&kind, &table) in &self.peers[n].bound {
-            wanted.lines.insert(kind, self.books.lines(table, &self.list, self.now));
+            wanted
+                .lines
+                .insert(kind, self.books.lines(table, &self.list, self.now));
             if let Some((level, tries)) = self.books.levels(table, kind, self.by_rate) {
                 wanted.levels.insert(kind, level);
                 wanted.tries.insert(kind, tries);
@@ -129,13 +198,17 @@
             let waits = peer.blocked_until.is_some_and(|until| until > now);
             peer.is_joined() && peer.dirty.is_some() && !waits && peer.session.is_quiet()
         };
-        let ready: Vec<usize> = (0..self.peers.len()).filter(|&n| may(&self.peers[n])).collect();
+        let ready: Vec<usize> = (0..self.peers.len())
+            .filter(|&n| may(&self.peers[n]))
+            .collect();
         let mut due = Vec::new();
         for n in ready {
             let wanted = self.wanted(n);
             let (list, peer) = (&self.list, &mut self.peers[n]);
             match peer.session.due(now, &wanted, |host| list.must_go(host)) {
-                Some(batch) => due.push((batch.urgency, peer.dirty.as_ref().map(|d| d.0), n, batch)),
+                Some(batch) => {
+                    due.push((batch.urgency, peer.dirty.as_ref().map(|d| d.0), n, batch))
+                }
                 // Nothing to do, unless a refused line is left for later.
                 None if peer.session.next_due().is_none() => peer.dirty = None,
                 None => {}
@@ -145,7 +218,10 @@
         let mut full = false;
         for (urgency, _, n, batch) in due {
             let peer = &mut self.peers[n];
-            match self.channel.room(now, &mut peer.mail, batch.steps.len() + 1, urgency) {
+            match self
+                .channel
+                .room(now, &mut peer.mail, batch.steps.len() + 1, urgency)
+            {
                 Room::Now if !full || urgency == Urgency::Drain => {
                     // The version is one more.
                     let commands = batch.steps.len() + 1;
@@ -158,13 +234,21 @@
                     let lines = peer.session.order(now, batch);
                     self.out.push_back(Output::Write { proxy, conn, lines });
                     let (proxy, urgency) = (peer.name.clone(), urgency_word(urgency).into());
-                    self.tell(Event::Ordered { proxy, commands, urgency, cause });
+                    self.tell(Event::Ordered {
+                        proxy,
+                        commands,
+                        urgency,
+                        cause,
+                    });
                 }
                 Room::At(at, why) => {
                     peer.blocked_until = Some(at);
                     let proxy = peer.name.clone();
                     if why != "pace" {
-                        self.tell(Event::Waits { proxy, why: why.into() });
+                        self.tell(Event::Waits {
+                            proxy,
+                            why: why.into(),
+                        });
                     }
                 }
                 // Whoever is behind this one waits as well, or small messages would keep a large one out for ever.
--- a/crates/steward/src/info.rs
+++ b/crates/steward/src/info.rs
@@ -11,13 +11,24 @@
     let (now, list) = (core.now, &core.list);
     let open = |s: Standing| list.known.values().filter(|k| k.standing == s).count();
     let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
-    let cold = list.known.keys().filter(|host| list.is_cold(host, now)).count();
-    let behind = core.peers.iter().filter(|peer| peer.is_joined() && peer.dirty.is_some()).count();
+    let cold = list
+        .known
+        .keys()
+        .filter(|host| list.is_cold(host, now))
+        .count();
+    let behind = core
+        .peers
+        .iter()
+        .filter(|peer| peer.is_joined() && peer.dirty.is_some())
+        .count();
     info.put("Name", "pondarch");
     info.put("Version", env!("CARGO_PKG_VERSION"));
     info.put("Pid", core.process);
     info.put("Uptime_sec", (now - core.started).as_micros() / 1_000_000);
-    info.put("Start_time_sec", crate::wire::micros(core.started) / 1_000_000);
+    info.put(
+        "Start_time_sec",
+        crate::wire::micros(core.started) / 1_000_000,
+    );
     info.put("Node", &core.name);
     info.put("ListVersion", list.version);
     info.put("ListRefused", list.refused.as_deref().unwrap_or("-"));
@@ -32,7 +43,13 @@
     info.put("Tables", core.books.books.len());
     let source = core.weigher.as_ref().map_or("listed", Weigher::source);
     info.put("Weights", source);
-    info.put("WeightsFailed", core.weigher.as_ref().and_then(Weigher::failed).unwrap_or("-"));
+    info.put(
+        "WeightsFailed",
+        core.weigher
+            .as_ref()
+            .and_then(Weigher::failed)
+            .unwrap_or("-"),
+    );
     if let Some(names) = &core.names {
         let too_long: Vec<&str> = names
             .holds_too_long()
@@ -41,12 +58,22 @@
         info.put("NamesAsking", names.members());
         info.put("NamesStrangersAsking", names.strangers_asking());
         info.put("NamesSerial", names.view().serial);
-        info.put("NamesHoldTooLong", if too_long.is_empty() { "-".into() } else { too_long.join(" ") });
+        info.put(
+            "NamesHoldTooLong",
+            if too_long.is_empty() {
+                "-".into()
+            } else {
+                too_long.join(" ")
+            },
+        );
     }
     if let Some(records) = &core.records {
         info.put(
             "Records",
-            records.stopped.as_ref().map_or("written".into(), |why| format!("stopped: {why}")),
+            records
+                .stopped
+                .as_ref()
+                .map_or("written".into(), |why| format!("stopped: {why}")),
         );
         info.put("RecordsLost", records.lost);
     }
@@ -69,7 +96,13 @@
         info.put(&format!("Memory_{word}"), core.account.of(purpose).bytes);
     }
     info.put("LinesWaiting", core.channel.waiting().round() as u64);
-    info.put("LinesOrdered", core.peers.iter().map(|peer| peer.ordered).sum::<u64>());
-    info.put("LinesRefused", core.peers.iter().map(|peer| peer.refused).sum::<u64>());
+    info.put(
+        "LinesOrdered",
+        core.peers.iter().map(|peer| peer.ordered).sum::<u64>(),
+    );
+    info.put(
+        "LinesRefused",
+        core.peers.iter().map(|peer| peer.refused).sum::<u64>(),
+    );
     info
 }
--- a/crates/steward/src/list.rs
+++ b/crates/steward/src/list.rs
@@ -38,7 +38,11 @@
 
 impl HostList {
     pub(crate) fn new(zones: Vec<String>, cold: Span) -> HostList {
-        HostList { zones, cold, ..HostList::default() }
+        HostList {
+            zones,
+            cold,
+            ..HostList::default()
+        }
     }
 
     /// The file's word. A version that falls back is an older copy: it is refused.
@@ -51,7 +55,8 @@
         if let (Some(held), Some(new)) = (self.file_version, version)
             && new < held
         {
-            let wrong = format!("the list's version fell from {held} to {new}: an older copy, not taken");
+            let wrong =
+                format!("the list's version fell from {held} to {new}: an older copy, not taken");
             self.refused = Some(wrong.clone());
             return Err(wrong);
         }
@@ -59,11 +64,17 @@
         let listed = |id: &HostId| self.file.iter().any(|entry| *entry.name == *id.0);
         self.added.retain(|id, _| !listed(id));
         let added = &self.added;
-        self.edits.retain(|id, _| listed(id) || added.contains_key(id));
+        self.edits
+            .retain(|id, _| listed(id) || added.contains_key(id));
         Ok(self.listings(now))
     }
 
-    pub(crate) fn edit(&mut self, now: Time, host: &HostId, change: impl FnOnce(&mut Edit)) -> Vec<Listing> {
+    pub(crate) fn edit(
+        &mut self,
+        now: Time,
+        host: &HostId,
+        change: impl FnOnce(&mut Edit),
+    ) -> Vec<Listing> {
         change(self.edits.entry(host.clone()).or_default());
         self.listings(now)
     }
@@ -105,16 +116,30 @@
                 _ => before.and_then(|known| known.told_away).or(Some(now)),
             };
             let started = started(now, first, &entry, before);
-            known.insert(id, Known { entry, started, standing, told_away });
+            known.insert(
+                id,
+                Known {
+                    entry,
+                    started,
+                    standing,
+                    told_away,
+                },
+            );
         }
         // A host that is listed no more stays known as gone: proxies may still hold it.
         for (id, old) in std::mem::take(&mut self.known) {
             let told_away = old.told_away.or(Some(now));
-            known.entry(id).or_insert(Known { standing: Standing::Gone, told_away, ..old });
+            known.entry(id).or_insert(Known {
+                standing: Standing::Gone,
+                told_away,
+                ..old
+            });
         }
         // But not for ever: past the warming time, what has not come back would be new anyway.
         let kept = self.cold + Span::from_millis(600_000);
-        known.retain(|_, k| k.standing != Standing::Gone || k.told_away.is_none_or(|at| now - at < kept));
+        known.retain(|_, k| {
+            k.standing != Standing::Gone || k.told_away.is_none_or(|at| now - at < kept)
+        });
         self.known = known;
         self.complete()
     }
@@ -135,7 +160,11 @@
             file: self.file.clone(),
             file_version: self.file_version,
             added: self.added.values().cloned().collect(),
-            edits: self.edits.iter().map(|(id, edit)| (id.0.to_string(), edit.clone())).collect(),
+            edits: self
+                .edits
+                .iter()
+                .map(|(id, edit)| (id.0.to_string(), edit.clone()))
+                .collect(),
             hosts: self.known.iter().map(host).collect(),
         }
     }
@@ -149,19 +178,43 @@
         let fits = |entry: &HostEntry| zones.contains(&entry.zone);
         self.file = old.file.into_iter().filter(&fits).collect();
         self.file_version = old.file_version;
-        self.added = old.added.into_iter().filter(&fits).map(|entry| (id(&entry.name), entry)).collect();
-        self.edits = old.edits.into_iter().map(|(name, edit)| (id(&name), edit)).collect();
+        self.added = old
+            .added
+            .into_iter()
+            .filter(&fits)
+            .map(|entry| (id(&entry.name), entry))
+            .collect();
+        self.edits = old
+            .edits
+            .into_iter()
+            .map(|(name, edit)| (id(&name), edit))
+            .collect();
         let known = |host: RememberedHost| {
             let standing = match host.standing {
                 HostState::Ready => Standing::Open,
                 HostState::Drain => Standing::Draining,
                 HostState::Gone => Standing::Gone,
             };
-            let (started, told_away) =
-                (Time::from_micros(host.started_us), host.told_away_us.map(Time::from_micros));
-            (id(&host.entry.name), Known { entry: host.entry, started, standing, told_away })
+            let (started, told_away) = (
+                Time::from_micros(host.started_us),
+                host.told_away_us.map(Time::from_micros),
+            );
+            (
+                id(&host.entry.name),
+                Known {
+                    entry: host.entry,
+                    started,
+                    standing,
+                    told_away,
+                },
+            )
         };
-        self.known = old.hosts.into_iter().filter(|host| fits(&host.entry)).map(known).collect();
+        self.known = old
+            .hosts
+            .into_iter()
+            .filter(|host| fits(&host.entry))
+            .map(known)
+            .collect();
         (!self.known.is_empty()).then(|| self.complete())
     }
 
@@ -175,7 +228,10 @@
     fn complete(&mut self) -> Vec<Listing> {
         self.version += 1;
         let handed = &self.handed;
-        let listed = self.known.iter().filter(|(_, k)| k.standing != Standing::Gone);
+        let listed = self
+            .known
+            .iter()
+            .filter(|(_, k)| k.standing != Standing::Gone);
         let zone = |name: &str| self.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
         let (machines, racks) = (&mut self.machines, &mut self.racks);
         listed
@@ -197,7 +253,9 @@
     }
 
     pub(crate) fn must_go(&self, host: &HostId) -> bool {
-        self.known.get(host).is_none_or(|k| k.standing != Standing::Open)
+        self.known
+            .get(host)
+            .is_none_or(|k| k.standing != Standing::Open)
     }
 
     pub(crate) fn address(&self, host: &HostId) -> Option<SocketAddr> {
@@ -219,7 +277,12 @@
     }
 
     pub(crate) fn zone_of(&self, known: &Known) -> ZoneId {
-        ZoneId(self.zones.iter().position(|zone| *zone == known.entry.zone).unwrap_or(0) as u16)
+        ZoneId(
+            self.zones
+                .iter()
+                .position(|zone| *zone == known.entry.zone)
+                .unwrap_or(0) as u16,
+        )
     }
 
     pub(crate) fn zones(&self) -> &[String] {
@@ -242,8 +305,11 @@
 }
 
 fn number_of(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|held| held == name).unwrap_or_else(|| {
-        names.push(name.to_string());
-        names.len() - 1
-    })
+    names
+        .iter()
+        .position(|held| held == name)
+        .unwrap_or_else(|| {
+            names.push(name.to_string());
+            names.len() - 1
+        })
 }
--- a/crates/steward/src/names.rs
+++ b/crates/steward/src/names.rs
@@ -68,21 +68,32 @@
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
         let holds = lifetime.held() + TOLD_WITHIN;
-        let spare = dns.grace.0.as_micros().saturating_sub(dns.learns_within.0.as_micros());
+        let spare = dns
+            .grace
+            .0
+            .as_micros()
+            .saturating_sub(dns.learns_within.0.as_micros());
         Some(Names {
             members: Members::new(holds, MEMBERS_MOST),
             held: Held::default(),
             holds,
             view: Arc::default(),
             stale: true,
-            last_answer_for: Lifetime::last_answer_for(Span::from_micros(spare)).unwrap_or(Span::ZERO),
+            last_answer_for: Lifetime::last_answer_for(Span::from_micros(spare))
+                .unwrap_or(Span::ZERO),
             last_until: None,
             echoes: BTreeMap::new(),
             secondaries: Secondaries::new(dns.secondaries.len(), dns.behind.0, dns.expires.0),
-            keys: dns.secondaries.iter().map(|secondary| secondary.key.clone()).collect(),
+            keys: dns
+                .secondaries
+                .iter()
+                .map(|secondary| secondary.key.clone())
+                .collect(),
             served: Time::default(),
             told: Time::default(),
-            strangers: (0..STRANGERS).map(|n| ProxyId((site.proxies.len() + n) as u16)).collect(),
+            strangers: (0..STRANGERS)
+                .map(|n| ProxyId((site.proxies.len() + n) as u16))
+                .collect(),
         })
     }
 
@@ -92,10 +103,15 @@
 
     pub(crate) fn wake_at(&self) -> Option<Time> {
         let echo = self.echoes.values().min().copied();
-        [self.members.wake_at(), echo, self.last_until, self.secondaries.wake_at()]
-            .into_iter()
-            .flatten()
-            .min()
+        [
+            self.members.wake_at(),
+            echo,
+            self.last_until,
+            self.secondaries.wake_at(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Tables or bindings may have changed.
@@ -114,63 +130,107 @@
 
     /// Of the strangers, those that somebody asked as.
     pub(crate) fn strangers_asking(&self) -> usize {
-        self.strangers.iter().filter(|id| self.members.holds(**id)).count()
+        self.strangers
+            .iter()
+            .filter(|id| self.members.holds(**id))
+            .count()
     }
 
     /// Proxies that hold answers longer than they may, by their places.
     pub(crate) fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
         // Strangers are many, each with a cache of its own.
-        self.members.holds_too_long().filter(|id| !self.strangers.contains(id))
+        self.members
+            .holds_too_long()
+            .filter(|id| !self.strangers.contains(id))
     }
 
     /// Hosts that no table names any more and caches may still hold, each with until when.
     pub(crate) fn lingering(&self, now: Time) -> BTreeMap<String, Time> {
-        self.held.lingering(now).into_iter().map(|(host, until)| (host.0.to_string(), until)).collect()
+        self.held
+            .lingering(now)
+            .into_iter()
+            .map(|(host, until)| (host.0.to_string(), until))
+            .collect()
     }
 
     /// Each secondary by its key: what it holds, and for how long it is behind.
     pub(crate) fn copies(&self, now: Time) -> BTreeMap<String, String> {
         let word = |(holds, behind): (Option<u32>, Option<Time>)| {
-            let holds = holds.map_or("nothing yet".to_string(), |serial| format!("holds {serial}"));
+            let holds = holds.map_or("nothing yet".to_string(), |serial| {
+                format!("holds {serial}")
+            });
             match behind {
                 Some(since) => format!("{holds}, behind for {:.1} s", (now - since).secs()),
                 None => holds,
             }
         };
-        self.keys.iter().cloned().zip(self.secondaries.states().map(word)).collect()
+        self.keys
+            .iter()
+            .cloned()
+            .zip(self.secondaries.states().map(word))
+            .collect()
     }
 
     /// Serials go on from there. Whatever caches were given in the run's last moment they may hold for a while: any host that
     /// was known then, and of one that had just started the process before it.
     pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RememberedHost]) {
         // What the run gave out after its last record is not known: a secondary that has it must see a newer one.
-        self.view = Arc::new(View { serial: serial.wrapping_add(UNSEEN_SERIALS), ..View::default() });
+        self.view = Arc::new(View {
+            serial: serial.wrapping_add(UNSEEN_SERIALS),
+            ..View::default()
+        });
         let until = last + self.holds;
         if until <= now {
             return;
         }
         let (mut known, mut before) = (BTreeMap::new(), BTreeMap::new());
         for host in hosts {
-            let (id, started) = (HostId(host.entry.name.as_str().into()), Time::from_micros(host.started_us));
-            let long_away = host.told_away_us.is_some_and(|at| Time::from_micros(at) + self.holds <= last);
+            let (id, started) = (
+                HostId(host.entry.name.as_str().into()),
+                Time::from_micros(host.started_us),
+            );
+            let long_away = host
+                .told_away_us
+                .is_some_and(|at| Time::from_micros(at) + self.holds <= last);
             if long_away {
                 continue;
             }
-            let named = Named { part: 1.0, addr: host.entry.address, started };
+            let named = Named {
+                part: 1.0,
+                addr: host.entry.address,
+                started,
+            };
             if !started.is_unset() && last - started < self.holds {
-                before.insert(id.clone(), Named { started: Time::default(), ..named });
+                before.insert(
+                    id.clone(),
+                    Named {
+                        started: Time::default(),
+                        ..named
+                    },
+                );
             }
             known.insert(id, named);
         }
-        self.held.recover(now, vec![(BEFORE, serial, until, before), (BEFORE, serial, until, known)]);
+        self.held.recover(
+            now,
+            vec![
+                (BEFORE, serial, until, before),
+                (BEFORE, serial, until, known),
+            ],
+        );
     }
 
     /// Hosts of the list that started anew and are still met by answers from before.
     pub(crate) fn found_echoes(&self, now: Time, list: &HostList) -> BTreeMap<HostId, Time> {
-        let cold =
-            |(host, known): &(&HostId, &Known)| known.standing == Standing::Open && list.is_cold(host, now);
+        let cold = |(host, known): &(&HostId, &Known)| {
+            known.standing == Standing::Open && list.is_cold(host, now)
+        };
         let echo = |(host, known): (&HostId, &Known)| {
-            Some((host.clone(), self.held.echo(now, host, known.entry.address, known.started)?))
+            Some((
+                host.clone(),
+                self.held
+                    .echo(now, host, known.entry.address, known.started)?,
+            ))
         };
         list.known.iter().filter(cold).filter_map(echo).collect()
     }
@@ -185,19 +245,34 @@
     ) -> (Vec<Line>, Option<Time>) {
         let line = |(host, weight): (&HostId, &f64)| {
             let addr = list.address(host).filter(|_| !list.must_go(host))?;
-            Some(Line { host: host.clone(), addr, weight: *weight, cold: list.is_cold(host, now) })
+            Some(Line {
+                host: host.clone(),
+                addr,
+                weight: *weight,
+                cold: list.is_cold(host, now),
+            })
         };
         let mut lines: Vec<Line> = dealt.iter().filter_map(line).collect();
         // One that is kept out is better than none.
-        if lines.iter().any(|line| !self.echoes.contains_key(&line.host)) {
+        if lines
+            .iter()
+            .any(|line| !self.echoes.contains_key(&line.host))
+        {
             lines.retain(|line| !self.echoes.contains_key(&line.host));
         }
         if !lines.is_empty() {
             return (lines, None);
         }
-        let until = |line: &Line| Some(list.known.get(&line.host)?.told_away? + self.last_answer_for);
+        let until =
+            |line: &Line| Some(list.known.get(&line.host)?.told_away? + self.last_answer_for);
         let still = |line: &&Line| until(line).is_some_and(|until| until > now);
-        let last: Vec<Line> = self.view.lines(table).iter().filter(still).cloned().collect();
+        let last: Vec<Line> = self
+            .view
+            .lines(table)
+            .iter()
+            .filter(still)
+            .cloned()
+            .collect();
         let ends = last.iter().filter_map(until).min();
         (last, ends)
     }
--- a/crates/steward/src/operator.rs
+++ b/crates/steward/src/operator.rs
@@ -34,7 +34,10 @@
     if commands.is_empty() {
         return framed_answer("");
     }
-    commands.into_iter().map(|command| framed_answer(&one(core, level, command))).collect()
+    commands
+        .into_iter()
+        .map(|command| framed_answer(&one(core, level, command)))
+        .collect()
 }
 
 fn one(core: &mut Course, level: Level, command: Result<Command, CommandError>) -> String {
@@ -51,15 +54,29 @@
         Command::Quit | Command::Prompt(_) => String::new(),
         Command::ShowInfo { json } => {
             let info = info(core);
-            if json { info.write_json() } else { info.write() }
+            if json {
+                info.write_json()
+            } else {
+                info.write()
+            }
         }
         Command::ShowStat { json } => {
             let rows = rows(core);
-            if json { stat::write_json(&rows) } else { stat::write(&rows) }
+            if json {
+                stat::write_json(&rows)
+            } else {
+                stat::write(&rows)
+            }
         }
         Command::ShowBackend => {
-            let tables = core.books.books.keys().map(|table| format!("table-{}\n", table.0));
-            std::iter::once(format!("# name\n{HOSTS}\n")).chain(tables).collect()
+            let tables = core
+                .books
+                .books
+                .keys()
+                .map(|table| format!("table-{}\n", table.0));
+            std::iter::once(format!("# name\n{HOSTS}\n"))
+                .chain(tables)
+                .collect()
         }
         Command::ShowServersState(backend) => match servers(core, backend.as_deref()) {
             Some(servers) => state::write_state(&servers),
@@ -69,19 +86,34 @@
             Some(servers) => state::write_conn(&servers),
             None => "Can't find backend.\n".into(),
         },
-        Command::ShowMemory => core.account.lines().map(|(of, text)| format!("{of}: {text}\n")).collect(),
+        Command::ShowMemory => core
+            .account
+            .lines()
+            .map(|(of, text)| format!("{of}: {text}\n"))
+            .collect(),
         Command::ShowErrors => {
             let line = |(at, text): &(Time, String)| format!("[{:.3}] {text}\n", since(core, *at));
             core.errors.iter().map(line).collect()
         }
         Command::ShowEvents => {
-            let line =
-                |(at, event): &(Time, crate::Event)| format!("<0> [{:.3}] {event:?}\n", since(core, *at));
+            let line = |(at, event): &(Time, crate::Event)| {
+                format!("<0> [{:.3}] {event:?}\n", since(core, *at))
+            };
             core.events.iter().map(line).collect()
         }
         Command::ShowMaps => {
-            let names = ["levels", "tries", "proxies", "weights", "lingering", "owed", "secondaries", ZONES];
-            let line = |(n, name): (usize, &&str)| format!("{n} ({name}) pondarch: {}\n", of_map(name));
+            let names = [
+                "levels",
+                "tries",
+                "proxies",
+                "weights",
+                "lingering",
+                "owed",
+                "secondaries",
+                ZONES,
+            ];
+            let line =
+                |(n, name): (usize, &&str)| format!("{n} ({name}) pondarch: {}\n", of_map(name));
             std::iter::once("# id (file) description\n".to_string())
                 .chain(names.iter().enumerate().map(line))
                 .collect()
@@ -90,21 +122,30 @@
             Some(entries) => write_map(entries.iter()),
             None => unknown_map(),
         },
-        Command::ShowMap { map, version: Some(version) } if map == ZONES => match core.zones.version(version)
-        {
+        Command::ShowMap {
+            map,
+            version: Some(version),
+        } if map == ZONES => match core.zones.version(version) {
             Some(entries) => write_map(entries.iter()),
             None => "Version not found.\n".into(),
         },
         Command::GetMap { map, key } => match self::map(core, &map) {
             Some(entries) => match entries.get(&key) {
                 Some(value) => {
-                    format!("type=str, case=sensitive, found=yes, key=\"{key}\", value=\"{value}\"\n")
+                    format!(
+                        "type=str, case=sensitive, found=yes, key=\"{key}\", value=\"{value}\"\n"
+                    )
                 }
                 None => "type=str, case=sensitive, found=no\n".into(),
             },
             None => unknown_map(),
         },
-        Command::AddMap { map, version, key, value } if map == ZONES => put_zone(core, version, &key, &value),
+        Command::AddMap {
+            map,
+            version,
+            key,
+            value,
+        } if map == ZONES => put_zone(core, version, &key, &value),
         Command::SetMap { map, key, value } if map == ZONES => match core.zones.of(&key) {
             Some(_) => put_zone(core, None, &key, &value),
             None => "entry not found.\n".into(),
@@ -131,7 +172,9 @@
         | Command::SetMap { map, .. }
         | Command::DelMap { map, .. }
         | Command::ClearMap { map, .. } => match self::map(core, &map) {
-            Some(_) => format!("The map '{map}' shows what the steward decided; it can't be set.\n"),
+            Some(_) => {
+                format!("The map '{map}' shows what the steward decided; it can't be set.\n")
+            }
             None => unknown_map(),
         },
         Command::GetWeight(server) => match host(core, &server) {
@@ -160,7 +203,11 @@
                 )
             }
         },
-        Command::AddServer { server, addr, weight } => add_host(core, &server, addr, weight),
+        Command::AddServer {
+            server,
+            addr,
+            weight,
+        } => add_host(core, &server, addr, weight),
         Command::DelServer(server) => match host(core, &server) {
             Err(wrong) => wrong,
             Ok((_, known)) if known.standing != Standing::Gone => {
@@ -200,14 +247,19 @@
     let by_kind = |value: fn(&(f64, pondarch::types::Tries)) -> String| {
         let of = |(table, book): (&TableId, &crate::books::Book)| {
             let key = |kind: usize| format!("table-{}/{}", table.0, core.kinds[kind]);
-            let entries = book.levels.iter().map(|(kind, level)| (key(kind.0 as usize), value(level)));
+            let entries = book
+                .levels
+                .iter()
+                .map(|(kind, level)| (key(kind.0 as usize), value(level)));
             entries.collect::<Vec<_>>()
         };
         core.books.books.iter().flat_map(of).collect()
     };
     match name {
         "levels" => Some(by_kind(|(quota, _)| quota.to_string())),
-        "tries" => Some(by_kind(|(_, tries)| pondarch_proxy_front::table::tries_word(*tries).to_string())),
+        "tries" => Some(by_kind(|(_, tries)| {
+            pondarch_proxy_front::table::tries_word(*tries).to_string()
+        })),
         "proxies" => {
             let of = |peer: &crate::peer::Peer| {
                 let link = match peer.link {
@@ -230,21 +282,35 @@
         }
         "lingering" => {
             let names = core.names.as_ref();
-            let lingering = names.map(|names| names.lingering(core.now)).unwrap_or_default();
-            let left = |(host, until): (String, Time)| (host, format!("{:.1}", (until - core.now).secs()));
+            let lingering = names
+                .map(|names| names.lingering(core.now))
+                .unwrap_or_default();
+            let left =
+                |(host, until): (String, Time)| (host, format!("{:.1}", (until - core.now).secs()));
             Some(lingering.into_iter().map(left).collect())
         }
         "owed" => Some(core.owed()),
-        "secondaries" => Some(core.names.as_ref().map(|names| names.copies(core.now)).unwrap_or_default()),
+        "secondaries" => Some(
+            core.names
+                .as_ref()
+                .map(|names| names.copies(core.now))
+                .unwrap_or_default(),
+        ),
         "weights" => {
             let of = |(id, known): (&HostId, &Known)| {
-                let handed = core.list.handed.get(id).copied().unwrap_or(known.entry.weight);
+                let handed = core
+                    .list
+                    .handed
+                    .get(id)
+                    .copied()
+                    .unwrap_or(known.entry.weight);
                 (id.0.to_string(), format!("{handed:.3}"))
             };
             Some(core.list.known.iter().map(of).collect())
         }
         ZONES => {
-            let zone = |(id, known): (&HostId, &Known)| (id.0.to_string(), known.entry.zone.clone());
+            let zone =
+                |(id, known): (&HostId, &Known)| (id.0.to_string(), known.entry.zone.clone());
             let mut zones = core.zones.entries().clone();
             zones.extend(core.list.known.iter().map(zone));
             Some(zones)
@@ -278,7 +344,11 @@
     }
     for (table, book) in &core.books.books {
         for (id, weight) in &book.dealt {
-            let standing = core.list.known.get(id).map_or(Standing::Gone, |known| known.standing);
+            let standing = core
+                .list
+                .known
+                .get(id)
+                .map_or(Standing::Gone, |known| known.standing);
             rows.push(StatRow {
                 backend: format!("table-{}", table.0),
                 server: id.0.to_string(),
@@ -322,7 +392,9 @@
     }
     let named = |table: &TableId| format!("table-{}", table.0);
     let tables: Vec<TableId> = core.books.books.keys().copied().collect();
-    let of = tables.iter().filter(|table| backend.is_none_or(|name| name == named(table)));
+    let of = tables
+        .iter()
+        .filter(|table| backend.is_none_or(|name| name == named(table)));
     for &table in of {
         let lines = core.books.lines(table, &core.list, core.now);
         for (id, line) in lines.iter() {
@@ -337,13 +409,18 @@
             });
         }
     }
-    let known = backend.is_none_or(|name| name == HOSTS || tables.iter().any(|table| name == named(table)));
+    let known =
+        backend.is_none_or(|name| name == HOSTS || tables.iter().any(|table| name == named(table)));
     known.then_some(servers)
 }
 
 fn host(core: &Course, server: &ServerRef) -> Result<(HostId, Known), String> {
     if server.backend != HOSTS {
-        let table = core.books.books.keys().any(|table| server.backend == format!("table-{}", table.0));
+        let table = core
+            .books
+            .books
+            .keys()
+            .any(|table| server.backend == format!("table-{}", table.0));
         return Err(if table {
             "Tables are the steward's: change a host under 'hosts'.\n".into()
         } else {
@@ -351,7 +428,11 @@
         });
     }
     let id = HostId(server.server.as_str().into());
-    core.list.known.get(&id).map(|known| (id, known.clone())).ok_or_else(|| "No such server.\n".into())
+    core.list
+        .known
+        .get(&id)
+        .map(|known| (id, known.clone()))
+        .ok_or_else(|| "No such server.\n".into())
 }
 
 fn set_weight(core: &mut Course, server: &ServerRef, weight: GivenWeight) -> String {
@@ -385,7 +466,9 @@
                 AdminState::Drain => HostState::Drain,
                 AdminState::Maint => HostState::Gone,
             };
-            let listings = core.list.edit(core.now, &id, |edit| edit.state = Some(state));
+            let listings = core
+                .list
+                .edit(core.now, &id, |edit| edit.state = Some(state));
             core.list_changed(listings);
             String::new()
         }
@@ -404,7 +487,12 @@
         return "No such backend.\n".into();
     }
     let id = HostId(server.server.as_str().into());
-    if core.list.known.get(&id).is_some_and(|known| known.standing != Standing::Gone) {
+    if core
+        .list
+        .known
+        .get(&id)
+        .is_some_and(|known| known.standing != Standing::Gone)
+    {
         return "Already exists a server with the same name in the backend.\n".into();
     }
     if bad_name(&server.server).is_some() {
@@ -413,7 +501,12 @@
     let entry = HostEntry {
         name: server.server.clone(),
         address: addr,
-        zone: core.zones.of(&id.0).or(core.list.zones().first()).cloned().unwrap_or_default(),
+        zone: core
+            .zones
+            .of(&id.0)
+            .or(core.list.zones().first())
+            .cloned()
+            .unwrap_or_default(),
         rack: String::new(),
         machine: String::new(),
         weight: f64::from(weight.unwrap_or(1).max(1)),
@@ -433,7 +526,10 @@
 fn put_zone(core: &mut Course, version: Option<u64>, key: &str, zone: &str) -> String {
     let id = HostId(key.into());
     if !core.list.zones().iter().any(|known| known == zone) {
-        return format!("'{zone}' is none of the site's zones: {}.\n", core.list.zones().join(", "));
+        return format!(
+            "'{zone}' is none of the site's zones: {}.\n",
+            core.list.zones().join(", ")
+        );
     }
     if core.list.known.contains_key(&id) && !core.list.is_added(&id) {
         return "The file names this host's zone; change it there.\n".into();
@@ -448,7 +544,11 @@
 /// Hosts that operators added take the zones that the map has for them now.
 fn rezone(core: &mut Course) {
     let zone = |id: &HostId| core.zones.of(&id.0).cloned();
-    let of = core.list.known.iter().filter(|(id, _)| core.list.is_added(id));
+    let of = core
+        .list
+        .known
+        .iter()
+        .filter(|(id, _)| core.list.is_added(id));
     let moved: Vec<HostEntry> = of
         .filter_map(|(id, known)| Some((zone(id)?, known.entry.clone())))
         .filter(|(zone, entry)| *zone != entry.zone)
--- a/crates/steward/src/peer.rs
+++ b/crates/steward/src/peer.rs
@@ -57,7 +57,11 @@
         front: Arc<Front>,
         now: Time,
     ) -> Peer {
-        let link = if of.runtime.is_some() { Link::Down(now) } else { Link::ByName { joined: false } };
+        let link = if of.runtime.is_some() {
+            Link::Down(now)
+        } else {
+            Link::ByName { joined: false }
+        };
         Peer {
             id: ProxyId(n as u16),
             name: of.name.clone(),
@@ -79,7 +83,10 @@
     }
 
     pub(crate) fn is_connected(&self) -> bool {
-        !matches!(self.link, Link::Down(_) | Link::Dialling | Link::ByName { .. })
+        !matches!(
+            self.link,
+            Link::Down(_) | Link::Dialling | Link::ByName { .. }
+        )
     }
 
     pub(crate) fn has_runtime(&self) -> bool {
@@ -98,7 +105,9 @@
     /// together do not come back together.
     pub(crate) fn lost(&mut self, now: Time, links: &Links, chance: &mut fastrand::Rng) {
         let (least, most) = (links.redial_least.0, links.redial_most.0);
-        let doubled = least.times(f64::from(1u32 << self.failures.min(16))).min(most);
+        let doubled = least
+            .times(f64::from(1u32 << self.failures.min(16)))
+            .min(most);
         self.failures = self.failures.saturating_add(1);
         self.link = Link::Down(now + doubled.times(0.5 + chance.f64()));
         self.bound.clear();
--- a/crates/steward/src/pushes.rs
+++ b/crates/steward/src/pushes.rs
@@ -72,7 +72,10 @@
 
 impl Pushes {
     pub(crate) fn new(on: bool) -> Pushes {
-        Pushes { on, ..Pushes::default() }
+        Pushes {
+            on,
+            ..Pushes::default()
+        }
     }
 
     /// Senders that are connected.
@@ -103,9 +106,17 @@
 }
 
 pub(crate) fn row(of: Counted) -> StatRow {
-    let sums = Sums { done: of.done, errored: of.errored, done_time: Duration::from_micros(of.done_us) };
+    let sums = Sums {
+        done: of.done,
+        errored: of.errored,
+        done_time: Duration::from_micros(of.done_us),
+    };
     StatRow {
-        of: if of.server.is_some() { RowType::Server } else { RowType::Backend },
+        of: if of.server.is_some() {
+            RowType::Server
+        } else {
+            RowType::Backend
+        },
         backend: of.backend,
         server: of.server.unwrap_or_else(|| "BACKEND".into()),
         total: of.done.saturating_add(of.errored),
@@ -131,13 +142,17 @@
             ("rate", own.rate, COUNT_MOST),
             ("errored_rate", own.errored_rate, COUNT_MOST),
         ];
-        if let Some(odd) = figures.into_iter().find_map(|(what, figure, most)| within(what, figure, most)) {
+        if let Some(odd) = figures
+            .into_iter()
+            .find_map(|(what, figure, most)| within(what, figure, most))
+        {
             return Some(odd);
         }
     }
     let mut last = BTreeMap::new();
     for of in &body.counted {
-        let load = within("busy", of.busy, BUSY_MOST).or_else(|| within("waiting", of.waiting, WAITING_MOST));
+        let load = within("busy", of.busy, BUSY_MOST)
+            .or_else(|| within("waiting", of.waiting, WAITING_MOST));
         let place = of.server.as_deref().unwrap_or("the backend");
         if let Some(odd) = load {
             return Some(format!("{}/{place}: {odd}", of.backend));
@@ -145,9 +160,15 @@
         let key = (of.backend.clone(), of.server.clone());
         let now = (of.reqs, of.done.saturating_add(of.errored));
         if let Some(then) = known.last.get(&key) {
-            let more = now.0.saturating_sub(then.0).max(now.1.saturating_sub(then.1));
+            let more = now
+                .0
+                .saturating_sub(then.0)
+                .max(now.1.saturating_sub(then.1));
             if more as f64 > COUNT_MOST * seconds {
-                return Some(format!("{}/{place}: {more} reqs within {seconds:.1} s", of.backend));
+                return Some(format!(
+                    "{}/{place}: {more} reqs within {seconds:.1} s",
+                    of.backend
+                ));
             }
         }
         last.insert(key, now);
--- a/crates/steward/src/recovering.rs
+++ b/crates/steward/src/recovering.rs
@@ -24,10 +24,23 @@
         }
         let listings = self.list.recover(old.list);
         self.zones.recover(old.zones);
-        let count = |wanted| self.list.known.values().filter(|known| known.standing == wanted).count();
-        let (ready, draining, gone) =
-            (count(Standing::Open), count(Standing::Draining), count(Standing::Gone));
-        self.tell(Event::Recovered { ready, draining, gone });
+        let count = |wanted| {
+            self.list
+                .known
+                .values()
+                .filter(|known| known.standing == wanted)
+                .count()
+        };
+        let (ready, draining, gone) = (
+            count(Standing::Open),
+            count(Standing::Draining),
+            count(Standing::Gone),
+        );
+        self.tell(Event::Recovered {
+            ready,
+            draining,
+            gone,
+        });
         if let Some(listings) = listings {
             self.list_changed(listings);
         }
@@ -36,7 +49,12 @@
     /// Hosts that are to be left alone and that proxies still hold, or may: since when, and by whom.
     pub(crate) fn owed(&self) -> BTreeMap<String, String> {
         let mut owed = BTreeMap::new();
-        for (host, known) in self.list.known.iter().filter(|(_, known)| known.standing != Standing::Open) {
+        for (host, known) in self
+            .list
+            .known
+            .iter()
+            .filter(|(_, known)| known.standing != Standing::Open)
+        {
             let (mut holding, mut unknown) = (Vec::new(), 0);
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
                 match peer.session.holds(host) {
@@ -49,8 +67,15 @@
                 continue;
             }
             let since = (self.now - known.told_away.unwrap_or(Time::default())).secs();
-            let not_seen = if unknown > 0 { format!(" and {unknown} not looked at") } else { String::new() };
-            owed.insert(host.0.to_string(), format!("for {since:.1} s: {}{not_seen}", holding.join(" ")));
+            let not_seen = if unknown > 0 {
+                format!(" and {unknown} not looked at")
+            } else {
+                String::new()
+            };
+            owed.insert(
+                host.0.to_string(),
+                format!("for {since:.1} s: {}{not_seen}", holding.join(" ")),
+            );
         }
         owed
     }
--- a/crates/steward/src/reporting.rs
+++ b/crates/steward/src/reporting.rs
@@ -14,7 +14,12 @@
 impl Course {
     pub(crate) fn sender_came(&mut self, conn: u64, name: String, is: SenderIs, run: u64) {
         let refused = match is {
-            SenderIs::Proxy if !self.peers.iter().any(|peer| peer.has_runtime() && peer.name == name) => {
+            SenderIs::Proxy
+                if !self
+                    .peers
+                    .iter()
+                    .any(|peer| peer.has_runtime() && peer.name == name) =>
+            {
                 Some("no proxy of this steward has that name")
             }
             SenderIs::Host if !self.list.known.contains_key(&HostId(name.as_str().into())) => {
@@ -24,18 +29,27 @@
         };
         if let Some(why) = refused {
             self.pushes.counts.strangers += 1;
-            return self.out.push_back(Output::RefuseSender { conn, why: why.into() });
+            return self.out.push_back(Output::RefuseSender {
+                conn,
+                why: why.into(),
+            });
         }
         // Whoever comes later under a name is it: the other is a connection that nobody has closed yet.
         let known = self.pushes.known.entry(name.clone()).or_default();
         let old = std::mem::replace(&mut known.conn, conn);
         if old != conn && self.pushes.senders.remove(&old).is_some() {
-            self.out
-                .push_back(Output::RefuseSender { conn: old, why: "another connection has the name".into() });
+            self.out.push_back(Output::RefuseSender {
+                conn: old,
+                why: "another connection has the name".into(),
+            });
         }
         self.pushes.senders.insert(conn, Sender { name, is, run });
         let at_us = micros(self.now);
-        self.out.push_back(Output::Credit { conn, more: CREDIT, at_us });
+        self.out.push_back(Output::Credit {
+            conn,
+            more: CREDIT,
+            at_us,
+        });
     }
 
     pub(crate) fn sender_left(&mut self, conn: u64) {
@@ -47,15 +61,26 @@
         // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
         let hosts = &self.list.known;
         let listed = |of: &Counted| {
-            of.server.as_ref().is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
+            of.server
+                .as_ref()
+                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
         };
         let before = report.body.counted.len();
         report.body.counted.retain(listed);
         self.pushes.counts.unlisted += (before - report.body.counted.len()) as u64;
-        let Some(Sender { name, is, run }) = self.pushes.senders.get(&conn) else { return };
+        let Some(Sender { name, is, run }) = self.pushes.senders.get(&conn) else {
+            return;
+        };
         let (name, is, run) = (name.clone(), *is, *run);
-        self.out.push_back(Output::Credit { conn, more: 1, at_us: micros(now) });
-        let (known, counts) = (self.pushes.known.entry(name.clone()).or_default(), &mut self.pushes.counts);
+        self.out.push_back(Output::Credit {
+            conn,
+            more: 1,
+            at_us: micros(now),
+        });
+        let (known, counts) = (
+            self.pushes.known.entry(name.clone()).or_default(),
+            &mut self.pushes.counts,
+        );
         counts.taken += 1;
         match known.order.came(run, report.number) {
             Verdict::Newest { missing } => counts.missing += missing,
@@ -67,14 +92,19 @@
             Verdict::Doubled => return counts.doubled += 1,
         }
         let word = (report.word_us > 0).then(|| {
-            (Time::from_micros(report.word_us), Span::from_micros(report.had_us.min(86_400_000_000)))
+            (
+                Time::from_micros(report.word_us),
+                Span::from_micros(report.had_us.min(86_400_000_000)),
+            )
         });
         let mapped = known.clocks.came(now, report.sent_us, word);
         if mapped.jumped {
             counts.jumps += 1;
         }
         let sent = mapped.sent();
-        let over = sent.map_or(Span::ZERO, |sent| sent - known.last_at).max(Span::from_millis(100));
+        let over = sent
+            .map_or(Span::ZERO, |sent| sent - known.last_at)
+            .max(Span::from_millis(100));
         if let Some(odd) = odd(&report.body, known, over.secs()) {
             counts.odd += 1;
             counts.last_odd = Some(format!("{name}: {odd}"));
@@ -96,7 +126,8 @@
                         rate: own.rate,
                         errored_rate: own.errored_rate,
                     };
-                    self.loads.insert(HostId(name.as_str().into()), (sent, told));
+                    self.loads
+                        .insert(HostId(name.as_str().into()), (sent, told));
                 }
             }
             SenderIs::Proxy => self.proxy_pushed(&name, sent, fresh, report.body.counted),
@@ -105,12 +136,18 @@
 
     fn proxy_pushed(&mut self, name: &str, sent: Option<Time>, fresh: bool, counted: Vec<Counted>) {
         let now = self.now;
-        let Some(peer) = self.peers.iter_mut().find(|peer| peer.name == name && peer.is_joined()) else {
+        let Some(peer) = self
+            .peers
+            .iter_mut()
+            .find(|peer| peer.name == name && peer.is_joined())
+        else {
             return;
         };
         let (id, at) = (peer.id, sent.unwrap_or(now));
         let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
-        let Some(look) = peer.session.counted(at, &rows) else { return };
+        let Some(look) = peer.session.counted(at, &rows) else {
+            return;
+        };
         self.pushes.silence.heard(now, id);
         if fresh {
             self.looked(id, look, at);
@@ -127,8 +164,13 @@
         if let Some(weigher) = &mut self.weigher {
             weigher.looked(&look);
         }
-        self.rounds.came(id.0, &look, age::counts(now - at, look.over), at);
-        self.loads.extend(look.loads.into_iter().map(|(host, load)| (host, (at, LoadTold::of(&load)))));
+        self.rounds
+            .came(id.0, &look, age::counts(now - at, look.over), at);
+        self.loads.extend(
+            look.loads
+                .into_iter()
+                .map(|(host, load)| (host, (at, LoadTold::of(&load)))),
+        );
     }
 
     /// Proxies whose counters come by pushes now; the others are asked.
@@ -138,17 +180,40 @@
 
     /// Hosts that are told of as not heard of through no fault of their own, with a line that says nothing.
     pub(crate) fn excused(&self) -> BTreeMap<HostId, Met> {
-        if !self.pushes.on || self.pushes.silence.silent(self.now, self.report_every).is_empty() {
+        if !self.pushes.on
+            || self
+                .pushes
+                .silence
+                .silent(self.now, self.report_every)
+                .is_empty()
+        {
             return BTreeMap::new();
         }
-        let meets = self.peers.iter().filter(|peer| peer.is_joined()).map(|peer| {
-            let tables: BTreeSet<_> = peer.bound.values().collect();
-            let books = tables.into_iter().filter_map(|table| self.books.books.get(table));
-            (peer.id, books.flat_map(|book| book.dealt.keys().cloned()).collect::<BTreeSet<HostId>>())
-        });
+        let meets = self
+            .peers
+            .iter()
+            .filter(|peer| peer.is_joined())
+            .map(|peer| {
+                let tables: BTreeSet<_> = peer.bound.values().collect();
+                let books = tables
+                    .into_iter()
+                    .filter_map(|table| self.books.books.get(table));
+                (
+                    peer.id,
+                    books
+                        .flat_map(|book| book.dealt.keys().cloned())
+                        .collect::<BTreeSet<HostId>>(),
+                )
+            });
         let meets = meets.collect();
-        let excused = self.pushes.silence.excused(self.now, self.report_every, &meets);
-        let nothing = Met { over: self.report_every, ..Met::default() };
+        let excused = self
+            .pushes
+            .silence
+            .excused(self.now, self.report_every, &meets);
+        let nothing = Met {
+            over: self.report_every,
+            ..Met::default()
+        };
         excused.into_iter().map(|host| (host, nothing)).collect()
     }
 
@@ -163,15 +228,23 @@
     /// A round is over: its lines go to the module, within the budget, each with how old it is.
     pub(crate) fn tell_round(&mut self, gathered: BTreeMap<HostId, Gathered>) {
         let (now, every) = (self.now, self.report_every);
-        let stale = gathered.iter().filter(|(_, of)| now - of.at >= age::STALE).count();
-        let mut gathered: Vec<(HostId, Gathered)> =
-            gathered.into_iter().filter(|(_, of)| now - of.at < age::STALE).collect();
-        let budget =
-            self.lines_per_second.map_or(usize::MAX, |lines| (lines * every.secs()).max(1.0) as usize);
+        let stale = gathered
+            .iter()
+            .filter(|(_, of)| now - of.at >= age::STALE)
+            .count();
+        let mut gathered: Vec<(HostId, Gathered)> = gathered
+            .into_iter()
+            .filter(|(_, of)| now - of.at < age::STALE)
+            .collect();
+        let budget = self
+            .lines_per_second
+            .map_or(usize::MAX, |lines| (lines * every.secs()).max(1.0) as usize);
         let mut kept = 0;
         if gathered.len() > budget {
-            let candidates: Vec<Candidate> =
-                gathered.iter().map(|(host, of)| self.candidate(host, of)).collect();
+            let candidates: Vec<Candidate> = gathered
+                .iter()
+                .map(|(host, of)| self.candidate(host, of))
+                .collect();
             let chosen = self.choice.among(now, every, &candidates, budget);
             let mut n = 0;
             let told = |_: &mut (HostId, Gathered)| {
@@ -182,22 +255,44 @@
             kept = rest.len();
             let fades = age::faded(every);
             for (host, of) in rest {
-                let met = Met { tries: of.met.tries * fades, errored: of.met.errored * fades, ..of.met };
-                let met = Met { over: met.over + every, ..met };
+                let met = Met {
+                    tries: of.met.tries * fades,
+                    errored: of.met.errored * fades,
+                    ..of.met
+                };
+                let met = Met {
+                    over: met.over + every,
+                    ..met
+                };
                 self.rounds.keep(host, Gathered { met, ..of });
             }
         }
-        let oldest = gathered.iter().map(|(_, of)| now - of.at).max().unwrap_or(Span::ZERO);
-        let mut lines: BTreeMap<HostId, Met> =
-            gathered.into_iter().map(|(host, of)| (host, of.met)).collect();
+        let oldest = gathered
+            .iter()
+            .map(|(_, of)| now - of.at)
+            .max()
+            .unwrap_or(Span::ZERO);
+        let mut lines: BTreeMap<HostId, Met> = gathered
+            .into_iter()
+            .map(|(host, of)| (host, of.met))
+            .collect();
         for (host, met) in self.told_of_themselves().into_iter().chain(self.excused()) {
             lines.entry(host).or_insert(met);
         }
         if !lines.is_empty() || kept > 0 {
             let (hosts, oldest_us) = (lines.len(), oldest.as_micros());
-            self.out.push_back(Output::Looked { hosts, kept, oldest_us, dropped: stale });
+            self.out.push_back(Output::Looked {
+                hosts,
+                kept,
+                oldest_us,
+                dropped: stale,
+            });
         }
-        let fresh = self.load_every.unwrap_or(Span::ZERO).max(every).times(LOAD_PERIODS);
+        let fresh = self
+            .load_every
+            .unwrap_or(Span::ZERO)
+            .max(every)
+            .times(LOAD_PERIODS);
         for (host, met) in lines {
             let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
             let load = load.map(|(_, told)| told.load());
@@ -213,9 +308,18 @@
             let times = self.pushes.shed(reports - Purpose::Reports.cap());
             self.account.capped(Purpose::Reports, times);
         }
-        let tables = self.books.bytes() + self.peers.iter().map(|peer| peer.session.bytes()).sum::<u64>();
+        let tables = self.books.bytes()
+            + self
+                .peers
+                .iter()
+                .map(|peer| peer.session.bytes())
+                .sum::<u64>();
         if !self.account.takes(Purpose::Tables, tables) {
-            let used = self.peers.iter().flat_map(|peer| peer.bound.values().copied()).collect();
+            let used = self
+                .peers
+                .iter()
+                .flat_map(|peer| peer.bound.values().copied())
+                .collect();
             let times = self.books.shed(&used);
             self.account.capped(Purpose::Tables, times);
         }
--- a/crates/steward/src/round.rs
+++ b/crates/steward/src/round.rs
@@ -35,7 +35,8 @@
     }
 
     pub(crate) fn wake_at(&self) -> Time {
-        self.closes_at.map_or(self.next_at, |at| at.min(self.next_at))
+        self.closes_at
+            .map_or(self.next_at, |at| at.min(self.next_at))
     }
 
     /// Whether a round is to begin.
@@ -67,13 +68,21 @@
             return;
         }
         for (host, met) in &look.met {
-            let met = Met { tries: met.tries * counts, errored: met.errored * counts, ..*met };
-            let all = self.gathered.entry(host.clone()).or_insert(Gathered { met: Met::default(), at });
+            let met = Met {
+                tries: met.tries * counts,
+                errored: met.errored * counts,
+                ..*met
+            };
+            let all = self.gathered.entry(host.clone()).or_insert(Gathered {
+                met: Met::default(),
+                at,
+            });
             all.at = all.at.min(at);
             let all = &mut all.met;
             let (done, more) = (all.tries - all.errored, met.tries - met.errored);
             if more > 0.0 {
-                let sum = all.mean_time.as_micros() as f64 * done + met.mean_time.as_micros() as f64 * more;
+                let sum = all.mean_time.as_micros() as f64 * done
+                    + met.mean_time.as_micros() as f64 * more;
                 all.mean_time = Span::from_micros((sum / (done + more)) as u64);
             }
             all.tries += met.tries;
--- a/crates/steward/src/weigher.rs
+++ b/crates/steward/src/weigher.rs
@@ -26,10 +26,19 @@
             benefit: kind.benefit,
         };
         let kinds = site.kinds.iter().map(kind).collect();
-        let all = site.proxies_of_site.unwrap_or(site.proxies.len() as u64).max(1);
+        let all = site
+            .proxies_of_site
+            .unwrap_or(site.proxies.len() as u64)
+            .max(1);
         let own_part = site.proxies.len() as f64 / all as f64;
         Weigher {
-            planner: Planner::new(kinds, site.zones.clone(), site.crossing_price, own_part, now),
+            planner: Planner::new(
+                kinds,
+                site.zones.clone(),
+                site.crossing_price,
+                own_part,
+                now,
+            ),
             start_share: site.cold.start_share,
             gathered: BTreeMap::new(),
             started: BTreeMap::new(),
@@ -81,7 +90,10 @@
     }
 
     pub(crate) fn listed(&self, now: Time, list: &HostList) -> Vec<Listed> {
-        let known = list.known.iter().filter(|(_, k)| k.standing != Standing::Gone);
+        let known = list
+            .known
+            .iter()
+            .filter(|(_, k)| k.standing != Standing::Gone);
         known
             .map(|(host, k)| Listed {
                 host: host.clone(),
--- a/crates/steward/src/weighing.rs
+++ b/crates/steward/src/weighing.rs
@@ -9,10 +9,16 @@
     /// Weights for a list that has just come; the listed ones where nobody solves.
     pub(crate) fn weigh_list(&mut self) {
         let (now, list) = (self.now, &mut self.list);
-        let Some(weigher) = &mut self.weigher else { return };
+        let Some(weigher) = &mut self.weigher else {
+            return;
+        };
         let listed = weigher.listed(now, list);
         let before = std::mem::take(&mut weigher.started);
-        weigher.started = list.known.iter().map(|(host, known)| (host.clone(), known.started)).collect();
+        weigher.started = list
+            .known
+            .iter()
+            .map(|(host, known)| (host.clone(), known.started))
+            .collect();
         let anew = |host: &HostId| before.get(host) != weigher.started.get(host);
         weigher.planner.list_came(&listed, anew);
         list.handed = weigher.planner.handed(now, &listed);
@@ -20,7 +26,9 @@
 
     pub(crate) fn round_closed(&mut self, fresh: Span) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else { return };
+        let Some(weigher) = &mut self.weigher else {
+            return;
+        };
         let loads = &self.loads;
         weigher.closed(now, &self.list, |host| {
             let (at, load) = loads.get(host)?;
@@ -31,7 +39,9 @@
     /// Asks for a plan when it is time, and gives up one that is late.
     pub(crate) fn weigh(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else { return };
+        let Some(weigher) = &mut self.weigher else {
+            return;
+        };
         if now < weigher.wake_at() {
             return;
         }
@@ -39,7 +49,9 @@
         let listed = weigher.listed(now, &self.list);
         let problem = weigher.planner.due(now, &listed);
         if late {
-            self.tell(Event::PlanFailed { wrong: "the solver is too late".into() });
+            self.tell(Event::PlanFailed {
+                wrong: "the solver is too late".into(),
+            });
         }
         match problem {
             Some(Problem { number, fleet }) => self.out.push_back(Output::Solve { number, fleet }),
@@ -50,7 +62,9 @@
 
     pub(crate) fn solved(&mut self, number: u64, answer: Result<Plan, String>) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else { return };
+        let Some(weigher) = &mut self.weigher else {
+            return;
+        };
         let failed = answer.as_ref().err().cloned();
         weigher.planner.answered(now, number, answer);
         match failed {
@@ -61,22 +75,31 @@
 
     fn take_step(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else { return };
+        let Some(weigher) = &mut self.weigher else {
+            return;
+        };
         let listed = weigher.listed(now, &self.list);
         let stepped = weigher.planner.step(now, &listed);
         let (source, let_in) = (weigher.planner.source(), weigher.planner.let_in());
         let news = std::mem::replace(&mut weigher.told, source) != source;
         self.steward.plan_came(now, let_in);
         if news {
-            self.tell(Event::WeightsFrom { source: source.word().into() });
+            self.tell(Event::WeightsFrom {
+                source: source.word().into(),
+            });
         }
         let Some(handed) = stepped else { return };
-        let moved = handed.iter().filter(|(host, weight)| self.list.handed.get(host) != Some(weight));
-        let moved = moved.map(|(host, weight)| (host.0.to_string(), *weight)).collect();
+        let moved = handed
+            .iter()
+            .filter(|(host, weight)| self.list.handed.get(host) != Some(weight));
+        let moved = moved
+            .map(|(host, weight)| (host.0.to_string(), *weight))
+            .collect();
         let cause = self.cause.clone();
         self.tell(Event::Weighed { moved, cause });
         let listings = self.list.reweigh(handed);
-        self.steward.list_came(now, self.list.version, true, listings);
+        self.steward
+            .list_came(now, self.list.version, true, listings);
     }
 
     pub(crate) fn reqs_asked(&mut self, proxy: u16, kind: KindId, many: f64, over: Span) {
--- a/crates/steward/src/wire.rs
+++ b/crates/steward/src/wire.rs
@@ -298,7 +298,12 @@
 impl LoadTold {
     pub(crate) fn of(load: &Load) -> LoadTold {
         let service_ms = load.service.map(|span| span.secs() * 1e3);
-        LoadTold { busy: load.busy, queue: load.queue, service_ms, ..LoadTold::default() }
+        LoadTold {
+            busy: load.busy,
+            queue: load.queue,
+            service_ms,
+            ..LoadTold::default()
+        }
     }
 
     /// What the host says as if proxies had met it for so long.
@@ -306,12 +311,22 @@
         let many = |rate: Option<f64>| rate.unwrap_or(0.0).clamp(0.0, 1e6) * over.secs();
         let (tries, errored) = (many(self.rate), many(self.errored_rate));
         let mean_time = self.load().service.unwrap_or(Span::ZERO);
-        Met { tries, errored: errored.min(tries), mean_time, over, load: None }
+        Met {
+            tries,
+            errored: errored.min(tries),
+            mean_time,
+            over,
+            load: None,
+        }
     }
 
     pub(crate) fn load(&self) -> Load {
         let ms = |ms: f64| Span::from_micros((ms.clamp(0.0, 3_600e3) * 1e3) as u64);
-        Load { busy: self.busy, queue: self.queue, service: self.service_ms.map(ms) }
+        Load {
+            busy: self.busy,
+            queue: self.queue,
+            service: self.service_ms.map(ms),
+        }
     }
 }
 
--- a/crates/steward/src/zones.rs
+++ b/crates/steward/src/zones.rs
@@ -45,10 +45,18 @@
     }
 
     /// Adds or changes an entry, of a version or of the map itself. The error is the answer.
-    pub(crate) fn put(&mut self, version: Option<u64>, host: &str, zone: &str) -> Result<(), &'static str> {
+    pub(crate) fn put(
+        &mut self,
+        version: Option<u64>,
+        host: &str,
+        zone: &str,
+    ) -> Result<(), &'static str> {
         let entries = match version {
             None => &mut self.entries,
-            Some(version) => self.prepared.get_mut(&version).ok_or("Version not found.\n")?,
+            Some(version) => self
+                .prepared
+                .get_mut(&version)
+                .ok_or("Version not found.\n")?,
         };
         if entries.len() >= ENTRIES_MOST && !entries.contains_key(host) {
             return Err("The map is full.\n");
@@ -64,14 +72,21 @@
     pub(crate) fn clear(&mut self, version: Option<u64>) -> Result<(), &'static str> {
         match version {
             None => self.entries.clear(),
-            Some(version) => self.prepared.get_mut(&version).ok_or("Version not found.\n")?.clear(),
+            Some(version) => self
+                .prepared
+                .get_mut(&version)
+                .ok_or("Version not found.\n")?
+                .clear(),
         }
         Ok(())
     }
 
     /// A version becomes the map; older ones under way can't be committed any more.
     pub(crate) fn commit(&mut self, version: u64) -> Result<(), &'static str> {
-        self.entries = self.prepared.remove(&version).ok_or("Version not found.\n")?;
+        self.entries = self
+            .prepared
+            .remove(&version)
+            .ok_or("Version not found.\n")?;
         self.prepared.retain(|other, _| *other > version);
         Ok(())
     }
--- a/crates/steward/tests/in_memory/hard_cases.rs
+++ b/crates/steward/tests/in_memory/hard_cases.rs
@@ -22,8 +22,10 @@
     let table = table.unwrap_or_else(|| panic!("front-{n} has no table: {map}"));
     let state = town.command(2, &format!("show servers state {table}"));
     let state = pondarch_runtime_api::state::read_state(state.trim_end()).expect("a state");
-    let wanted: std::collections::BTreeMap<_, _> =
-        state.into_iter().map(|s| (s.server, (s.addr, s.weight))).collect();
+    let wanted: std::collections::BTreeMap<_, _> = state
+        .into_iter()
+        .map(|s| (s.server, (s.addr, s.weight)))
+        .collect();
     for kind in KINDS {
         assert_eq!(town.serving(n, kind), wanted, "front-{n}, {kind}");
     }
@@ -35,7 +37,10 @@
     for n in 0..6 {
         holds_its_table(&mut town, n);
         for kind in KINDS {
-            assert_eq!(town.fronts[n].tables.entry("pond_tries", kind), Some("unsent"));
+            assert_eq!(
+                town.fronts[n].tables.entry("pond_tries", kind),
+                Some("unsent")
+            );
         }
     }
 }
@@ -51,8 +56,15 @@
     town.run(4_000);
     assert_eq!(town.fronts[0].fault, Fault::None, "no orders came");
     holds_its_table(&mut town, 0);
-    assert_eq!(town.fronts[0].tables.entry("pond_tries", "release"), Some("unsent"));
-    assert!(town.events.iter().all(|event| !matches!(event, Event::Refused { .. })));
+    assert_eq!(
+        town.fronts[0].tables.entry("pond_tries", "release"),
+        Some("unsent")
+    );
+    assert!(
+        town.events
+            .iter()
+            .all(|event| !matches!(event, Event::Refused { .. }))
+    );
 }
 
 proptest! {
@@ -113,7 +125,10 @@
     town.list(hosts);
     town.run(500);
     for n in 1..8 {
-        assert!(!town.serving(n, "proof").contains_key("host-2"), "front-{n} waits for front-0");
+        assert!(
+            !town.serving(n, "proof").contains_key("host-2"),
+            "front-{n} waits for front-0"
+        );
     }
     assert!(town.info("LinesWaiting") <= 8_000);
     town.run(3_000);
@@ -133,10 +148,22 @@
     let mut town = settled(1, 8);
     let old = town.fronts[0].conn.expect("connected");
     town.drop_link(0);
-    town.give(Input::Answer { proxy: 0, conn: old, text: "1\n# nonsense".into() });
-    town.give(Input::Lost { proxy: 0, conn: old, why: "again".into() });
+    town.give(Input::Answer {
+        proxy: 0,
+        conn: old,
+        text: "1\n# nonsense".into(),
+    });
+    town.give(Input::Lost {
+        proxy: 0,
+        conn: old,
+        why: "again".into(),
+    });
     town.run(4_000);
-    town.give(Input::Answer { proxy: 0, conn: old, text: "late".into() });
+    town.give(Input::Answer {
+        proxy: 0,
+        conn: old,
+        text: "late".into(),
+    });
     assert_eq!(town.info("ProxiesJoined"), 1);
     holds_its_table(&mut town, 0);
 }
@@ -147,9 +174,15 @@
     let conn = town.fronts[0].conn.expect("connected");
     // Quiet: all was answered. One answer more means that both ends count differently.
     town.run(100);
-    town.give(Input::Answer { proxy: 0, conn, text: String::new() });
+    town.give(Input::Answer {
+        proxy: 0,
+        conn,
+        text: String::new(),
+    });
     assert!(
-        town.events.iter().any(|e| matches!(e, Event::Left { why, .. } if why.contains("nothing asked for")))
+        town.events
+            .iter()
+            .any(|e| matches!(e, Event::Left { why, .. } if why.contains("nothing asked for")))
     );
     town.run(4_000);
     assert_eq!(town.info("ProxiesJoined"), 1);
@@ -174,11 +207,16 @@
     town.run(2_500);
     let stat = town.command(0, "show stat");
     let rows = pondarch_runtime_api::stat::read(stat.trim_end()).expect("stat");
-    let used = rows.iter().filter(|row| row.backend == "hosts" && row.total + row.ended().done > 0);
+    let used = rows
+        .iter()
+        .filter(|row| row.backend == "hosts" && row.total + row.ended().done > 0);
     let sums: Vec<_> = used.map(|row| row.ended()).collect();
     assert!(!sums.is_empty());
     // Three kinds' five done and one errored each, counted from 0 and once.
-    assert!(sums.iter().all(|sums| sums.done == 15 && sums.errored == 3), "{sums:?}");
+    assert!(
+        sums.iter().all(|sums| sums.done == 15 && sums.errored == 3),
+        "{sums:?}"
+    );
 }
 
 #[test]
@@ -191,7 +229,9 @@
     town.list(hosts);
     town.run(2_500);
     assert!(
-        town.events.iter().any(|e| matches!(e, Event::Refused { wrong, .. } if wrong.contains("Not now")))
+        town.events
+            .iter()
+            .any(|e| matches!(e, Event::Refused { wrong, .. } if wrong.contains("Not now")))
     );
     let few = town.fronts[0].orders.len() - before;
     assert!(few <= 3, "{few} messages for one refusal");
@@ -205,14 +245,20 @@
     let mut town = Town::open(&site(6), 40);
     for backend in town.fronts[0].tables.backends.values_mut() {
         backend.servers.clear();
-        let server =
-            pondarch_proxy_rules::holding::Server::new(addr(99), 50, pondarch_runtime_api::AdminState::Ready);
+        let server = pondarch_proxy_rules::holding::Server::new(
+            addr(99),
+            50,
+            pondarch_runtime_api::AdminState::Ready,
+        );
         backend.servers.insert("elsewhere".into(), server);
     }
     town.fronts[0].fault = Fault::RefuseAdds;
     town.run(20_000);
     for kind in KINDS {
-        assert!(town.serving(0, kind).contains_key("elsewhere"), "nothing to pick for {kind}");
+        assert!(
+            town.serving(0, kind).contains_key("elsewhere"),
+            "nothing to pick for {kind}"
+        );
     }
     town.fronts[0].fault = Fault::None;
     town.run(10_000);
@@ -239,7 +285,9 @@
     let mut hosts: Vec<_> = (0..8).map(host).collect();
     (hosts[1].address, hosts[2].address) = (hosts[2].address, hosts[1].address);
     // Known to run on: the list says since when.
-    hosts.iter_mut().for_each(|host| host.started = Some(1_700_000_000.0));
+    hosts
+        .iter_mut()
+        .for_each(|host| host.started = Some(1_700_000_000.0));
     town.list(hosts);
     town.run(20_000);
     for n in 0..4 {
@@ -264,9 +312,14 @@
     town.list(hosts);
     town.run(2_000);
     for n in 0..2 {
-        let commands: Vec<&String> = town.fronts[n].orders[before[n]..].iter().flat_map(|(_, c)| c).collect();
+        let commands: Vec<&String> = town.fronts[n].orders[before[n]..]
+            .iter()
+            .flat_map(|(_, c)| c)
+            .collect();
         let place = |part: &str| {
-            commands.iter().position(|c| c.starts_with(&format!("set server proof/host-3 {part}")))
+            commands
+                .iter()
+                .position(|c| c.starts_with(&format!("set server proof/host-3 {part}")))
         };
         if !old[n].contains_key("host-3") {
             continue;
@@ -274,7 +327,10 @@
         let now = town.serving(n, "proof").get("host-3").copied();
         if let Some((addr_now, units)) = now {
             assert_eq!(addr_now, addr(33));
-            assert!(units < old[n]["host-3"].1, "a cold host with a warm one's weight");
+            assert!(
+                units < old[n]["host-3"].1,
+                "a cold host with a warm one's weight"
+            );
             assert!(place("weight") < place("addr"), "{commands:?}");
         }
     }
@@ -283,11 +339,19 @@
 #[test]
 fn broken_and_older_lists_leave_the_last_good_one() {
     let mut town = settled(2, 8);
-    town.give(Input::ListRefused { wrong: "hosts.jsonnet:3:1: syntax error".into() });
-    town.give(Input::List { version: Some(0), hosts: Vec::new() });
+    town.give(Input::ListRefused {
+        wrong: "hosts.jsonnet:3:1: syntax error".into(),
+    });
+    town.give(Input::List {
+        version: Some(0),
+        hosts: Vec::new(),
+    });
     town.run(3_000);
     assert_eq!(town.info("HostsReady"), 8);
-    assert!(town.command(0, "show info").contains("ListRefused: the list's version fell"));
+    assert!(
+        town.command(0, "show info")
+            .contains("ListRefused: the list's version fell")
+    );
     holds_its_table(&mut town, 0);
     // An empty list of the right version does count.
     town.list(Vec::new());
@@ -298,12 +362,25 @@
 #[test]
 fn before_the_first_list_nothing_is_touched() {
     let site = site(2);
-    let mut core = pondarch_steward::Core::new(&site, 7, 1, START, pondarch::types::Time::from_micros(START));
+    let mut core = pondarch_steward::Core::new(
+        &site,
+        7,
+        1,
+        START,
+        pondarch::types::Time::from_micros(START),
+    );
     for n in 1..40u64 {
-        core.handle(pondarch::types::Time::from_micros(START + n * 250_000), Input::Tick);
+        core.handle(
+            pondarch::types::Time::from_micros(START + n * 250_000),
+            Input::Tick,
+        );
     }
     let out: Vec<_> = std::iter::from_fn(|| core.next_output()).collect();
-    assert!(out.iter().all(|o| !matches!(o, pondarch_steward::Output::Write { .. })), "{out:?}");
+    assert!(
+        out.iter()
+            .all(|o| !matches!(o, pondarch_steward::Output::Write { .. })),
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -320,12 +397,18 @@
     assert!(most <= 2_000, "{most} lines waited");
     let (name, _) = town.serving(0, "proof").into_iter().next().expect("a host");
     let mut hosts: Vec<_> = (0..700).map(host).collect();
-    let drained = hosts.iter_mut().find(|host| host.name == name).expect("listed");
+    let drained = hosts
+        .iter_mut()
+        .find(|host| host.name == name)
+        .expect("listed");
     drained.state = HostState::Drain;
     town.list(hosts);
     town.run(1_500);
     for n in 0..200 {
-        assert!(!town.serving(n, "proof").contains_key(&name), "front-{n} still holds {name}");
+        assert!(
+            !town.serving(n, "proof").contains_key(&name),
+            "front-{n} still holds {name}"
+        );
         assert!(!town.serving(n, "proof").is_empty());
     }
 }
--- a/crates/steward/tests/in_memory/names.rs
+++ b/crates/steward/tests/in_memory/names.rs
@@ -42,12 +42,22 @@
 
 fn asks(town: &mut Town, proxy: u16) {
     let view = town.core.view();
-    let table = view.table_of(Some(ProxyId(proxy)), pondarch::types::KindId(0), 1).map(|table| table.0);
-    town.give(Input::AskedByName { proxy: Some(proxy), table, serial: view.serial });
+    let table = view
+        .table_of(Some(ProxyId(proxy)), pondarch::types::KindId(0), 1)
+        .map(|table| table.0);
+    town.give(Input::AskedByName {
+        proxy: Some(proxy),
+        table,
+        serial: view.serial,
+    });
 }
 
 fn bound(town: &Town, proxy: u16) -> Option<TableId> {
-    town.core.view().bound.get(&(ProxyId(proxy), pondarch::types::KindId(0))).copied()
+    town.core
+        .view()
+        .bound
+        .get(&(ProxyId(proxy), pondarch::types::KindId(0)))
+        .copied()
 }
 
 #[test]
@@ -81,24 +91,38 @@
 fn strangers_are_bound_like_proxies_and_no_other_table_is_given_away() {
     let mut town = town();
     let first = town.core.view();
-    let standing = first.table_of(None, pondarch::types::KindId(0), 77).expect("the list itself");
+    let standing = first
+        .table_of(None, pondarch::types::KindId(0), 77)
+        .expect("the list itself");
     assert!(standing == STANDING && first.lines(standing).len() == 12);
     for mark in 0..40 {
         let stranger = first.stranger(mark).map(|id| id.0);
-        town.give(Input::AskedByName { proxy: stranger, table: Some(STANDING.0), serial: first.serial });
+        town.give(Input::AskedByName {
+            proxy: stranger,
+            table: Some(STANDING.0),
+            serial: first.serial,
+        });
     }
     town.run(500);
     assert_eq!(
-        (town.info("NamesStrangersAsking"), town.info("NamesAsking"), town.info("Proxies")),
+        (
+            town.info("NamesStrangersAsking"),
+            town.info("NamesAsking"),
+            town.info("Proxies")
+        ),
         (4, 0, 4)
     );
     asks(&mut town, 2);
     town.run(500);
     for _ in 0..20 {
         let view = town.core.view();
-        let used: std::collections::BTreeSet<_> = view.bound.values().copied().chain([STANDING]).collect();
+        let used: std::collections::BTreeSet<_> =
+            view.bound.values().copied().chain([STANDING]).collect();
         assert!(view.tables.keys().all(|table| used.contains(table)));
-        assert!(view.table_of(None, pondarch::types::KindId(0), 77).is_some());
+        assert!(
+            view.table_of(None, pondarch::types::KindId(0), 77)
+                .is_some()
+        );
         town.run(2_000);
         asks(&mut town, 2);
     }
@@ -119,19 +143,35 @@
     };
     let weight = |town: &Town, name: &str| {
         let view = town.core.view();
-        let lines = view.tables.iter().filter(|(table, _)| **table != STANDING).flat_map(|(_, lines)| lines);
-        lines.filter(|line| *line.host.0 == *name).map(|line| line.weight).sum::<f64>()
+        let lines = view
+            .tables
+            .iter()
+            .filter(|(table, _)| **table != STANDING)
+            .flat_map(|(_, lines)| lines);
+        lines
+            .filter(|line| *line.host.0 == *name)
+            .map(|line| line.weight)
+            .sum::<f64>()
     };
     let mut before = (0.0, 0.0);
     for step in 0..60 {
         (0..4).for_each(|proxy| asks(&mut town, proxy));
         for n in (0..12).filter(|n| step < 20 || *n != 7) {
             let load = Some(if step < 20 {
-                LoadTold { busy: Some(0.3), queue: Some(0.0), ..word(n) }
+                LoadTold {
+                    busy: Some(0.3),
+                    queue: Some(0.0),
+                    ..word(n)
+                }
             } else {
                 word(n)
             });
-            town.give(Input::Probed { host: format!("host-{n}"), for_load: true, good: true, load });
+            town.give(Input::Probed {
+                host: format!("host-{n}"),
+                for_load: true,
+                good: true,
+                load,
+            });
         }
         if step == 19 {
             before = (weight(&town, "host-5"), weight(&town, "host-7"));
@@ -140,8 +180,18 @@
     }
     assert!(before.0 > 0.0 && before.1 > 0.0);
     let after = (weight(&town, "host-5"), weight(&town, "host-7"));
-    assert!(after.0 < before.0 * 0.7, "busy: {} after {}", after.0, before.0);
-    assert!(after.1 < before.1 * 0.1, "silent: {} after {}", after.1, before.1);
+    assert!(
+        after.0 < before.0 * 0.7,
+        "busy: {} after {}",
+        after.0,
+        before.0
+    );
+    assert!(
+        after.1 < before.1 * 0.1,
+        "silent: {} after {}",
+        after.1,
+        before.1
+    );
 }
 
 #[test]
@@ -156,11 +206,20 @@
     // The drain is learnt just after an answer.
     let told = town.now;
     let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts.iter_mut().filter(|host| *host.name == *host_of.0).for_each(|host| host.state = HostState::Drain);
+    hosts
+        .iter_mut()
+        .filter(|host| *host.name == *host_of.0)
+        .for_each(|host| host.state = HostState::Drain);
     town.list(hosts);
     let view = town.core.view();
     assert!(view.serial > serial);
-    assert!(view.tables.values().flatten().all(|line| line.host != host_of), "it is answered no more");
+    assert!(
+        view.tables
+            .values()
+            .flatten()
+            .all(|line| line.host != host_of),
+        "it is answered no more"
+    );
     let lingering = town.command(1, "show map lingering");
     assert!(lingering.contains(&*host_of.0), "{lingering}");
     town.run(6_000);
@@ -205,14 +264,25 @@
     asks(&mut town, 2);
     town.run(1_000);
     let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts.iter_mut().skip(1).for_each(|host| host.state = HostState::Drain);
+    hosts
+        .iter_mut()
+        .skip(1)
+        .for_each(|host| host.state = HostState::Drain);
     town.list(hosts);
     town.run(5_000);
     town.list(Vec::new());
     town.run(500);
     let view = town.core.view();
-    let named: Vec<_> = view.tables.values().flatten().map(|line| &*line.host.0).collect();
-    assert!(!named.is_empty() && named.iter().all(|name| *name == "host-0"), "{named:?}");
+    let named: Vec<_> = view
+        .tables
+        .values()
+        .flatten()
+        .map(|line| &*line.host.0)
+        .collect();
+    assert!(
+        !named.is_empty() && named.iter().all(|name| *name == "host-0"),
+        "{named:?}"
+    );
 }
 
 /// Reqs a second of each proxy, and what a warm host can do, so that the fleet is at 0.6.
@@ -229,22 +299,37 @@
 impl Load {
     fn at(&mut self, town: &mut Town, host: &str) -> f64 {
         for proxy in [2, 3] {
-            if self.caches.get(&proxy).is_none_or(|(until, _)| *until <= town.now) {
+            if self
+                .caches
+                .get(&proxy)
+                .is_none_or(|(until, _)| *until <= town.now)
+            {
                 asks(town, proxy);
                 let view = town.core.view();
                 let table = view.table_of(Some(ProxyId(proxy)), pondarch::types::KindId(0), 1);
-                let lines = table.map(|table| view.lines(table).to_vec()).unwrap_or_default();
+                let lines = table
+                    .map(|table| view.lines(table).to_vec())
+                    .unwrap_or_default();
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
-                let parts = lines.iter().map(|line| (line.host.0.to_string(), line.weight / all)).collect();
+                let parts = lines
+                    .iter()
+                    .map(|line| (line.host.0.to_string(), line.weight / all))
+                    .collect();
                 // The worst that a cache does: it counts whole seconds.
                 self.caches.insert(proxy, (town.now + 5 * SECOND, parts));
             }
         }
-        let held = self.caches.values().filter_map(|(_, parts)| parts.get(host)).sum::<f64>();
+        let held = self
+            .caches
+            .values()
+            .filter_map(|(_, parts)| parts.get(host))
+            .sum::<f64>();
         let by_runtime = [0, 1].map(|n| {
             let serving = town.serving(n, "proof");
             let all: f64 = serving.values().map(|(_, weight)| f64::from(*weight)).sum();
-            serving.get(host).map_or(0.0, |(_, weight)| f64::from(*weight) / all)
+            serving
+                .get(host)
+                .map_or(0.0, |(_, weight)| f64::from(*weight) / all)
         });
         EACH * (held + by_runtime.iter().sum::<f64>())
     }
@@ -257,7 +342,9 @@
     let mut worst = 0.0f64;
     for n in 0..12 {
         let mut town = town();
-        let mut load = Load { caches: BTreeMap::new() };
+        let mut load = Load {
+            caches: BTreeMap::new(),
+        };
         let name = format!("host-{n}");
         for _ in 0..30 {
             town.run(100);
@@ -282,16 +369,35 @@
                 let part = brought.iter().sum::<f64>() / (FALL_MULTIPLE * share * 2.0);
                 worst = worst.max(part);
             }
-            let own = [0, 1].iter().any(|&p| town.serving(p, "proof").contains_key(&name));
-            let answered = town.core.view().tables.values().flatten().any(|line| *line.host.0 == *name);
-            if age < 2.0 && load.caches.values().any(|(_, parts)| parts.contains_key(&name)) {
-                assert!(!own && !answered, "{name} is met by old answers, and by new ones at {age} s");
+            let own = [0, 1]
+                .iter()
+                .any(|&p| town.serving(p, "proof").contains_key(&name));
+            let answered = town
+                .core
+                .view()
+                .tables
+                .values()
+                .flatten()
+                .any(|line| *line.host.0 == *name);
+            if age < 2.0
+                && load
+                    .caches
+                    .values()
+                    .any(|(_, parts)| parts.contains_key(&name))
+            {
+                assert!(
+                    !own && !answered,
+                    "{name} is met by old answers, and by new ones at {age} s"
+                );
             }
             if own || answered {
                 returned.get_or_insert(age);
             }
         }
-        assert!(returned.is_some_and(|age| age < 8.0), "{name} came back at {returned:?}");
+        assert!(
+            returned.is_some_and(|age| age < 8.0),
+            "{name} came back at {returned:?}"
+        );
     }
     assert!(worst < 1.0, "{worst} of what a cold host bears");
 }
@@ -308,7 +414,10 @@
     town.list(vec![again]);
     town.run(300);
     let view = town.core.view();
-    assert!(view.tables.values().any(|lines| !lines.is_empty()), "a cold host is better than none");
+    assert!(
+        view.tables.values().any(|lines| !lines.is_empty()),
+        "a cold host is better than none"
+    );
     assert!(town.serving(0, "proof").contains_key("host-0"));
 }
 
@@ -331,7 +440,10 @@
     town.run(2_000);
     let serial = town.core.view().serial;
     for n in [0, 1] {
-        town.give(Input::Secondary { n, heard: Heard::Fetched(serial) });
+        town.give(Input::Secondary {
+            n,
+            heard: Heard::Fetched(serial),
+        });
     }
     town.events.clear();
     says(&mut town);
@@ -341,23 +453,40 @@
     town.list(hosts);
     assert_eq!(says(&mut town), [0, 1]);
     let serial = town.core.view().serial;
-    town.give(Input::Secondary { n: 0, heard: Heard::Acknowledged });
-    town.give(Input::Secondary { n: 0, heard: Heard::Fetched(serial) });
-    assert!(town.command(1, "show map secondaries").contains("second-1 holds"));
+    town.give(Input::Secondary {
+        n: 0,
+        heard: Heard::Acknowledged,
+    });
+    town.give(Input::Secondary {
+        n: 0,
+        heard: Heard::Fetched(serial),
+    });
+    assert!(
+        town.command(1, "show map secondaries")
+            .contains("second-1 holds")
+    );
     // The other is cut off: it is told again, said to be late, and what it serves goes on lingering.
     town.run(9_000);
     assert!(says(&mut town).iter().filter(|n| **n == 1).count() >= 4);
-    let late =
-        |event: &&Event| matches!(event, Event::SecondaryLate { secondary } if secondary == "second-1");
+    let late = |event: &&Event| matches!(event, Event::SecondaryLate { secondary } if secondary == "second-1");
     assert_eq!(town.events.iter().filter(late).count(), 1);
     assert!(town.command(1, "show map lingering").contains("host-3"));
     let serial = town.core.view().serial;
-    town.give(Input::Secondary { n: 0, heard: Heard::Fetched(serial) });
-    town.give(Input::Secondary { n: 1, heard: Heard::Fetched(serial) });
+    town.give(Input::Secondary {
+        n: 0,
+        heard: Heard::Fetched(serial),
+    });
+    town.give(Input::Secondary {
+        n: 1,
+        heard: Heard::Fetched(serial),
+    });
     let fetched = town.now;
     while town.command(1, "show map lingering").contains("host-3") {
         town.run(50);
-        assert!(town.now - fetched < 4_500_000, "answers live 3 s, and 1 for how caches count");
+        assert!(
+            town.now - fetched < 4_500_000,
+            "answers live 3 s, and 1 for how caches count"
+        );
     }
     assert!(town.now - told > 12 * SECOND);
 }
--- a/crates/steward/tests/in_memory/pushes.rs
+++ b/crates/steward/tests/in_memory/pushes.rs
@@ -48,7 +48,10 @@
             ..Counted::default()
         }
     });
-    Body { counted: counted.collect(), own: None }
+    Body {
+        counted: counted.collect(),
+        own: None,
+    }
 }
 
 impl Pusher {
@@ -72,7 +75,12 @@
 
     fn come(&mut self, town: &mut Town) {
         let (conn, name, is, run) = (self.conn, self.name.clone(), self.is, self.run);
-        town.give(Input::SenderCame { conn, name, is, run });
+        town.give(Input::SenderCame {
+            conn,
+            name,
+            is,
+            run,
+        });
         self.hear(town);
     }
 
@@ -96,11 +104,20 @@
         self.number += 1;
         let sent_us = self.theirs(town.now);
         let had_us = sent_us - self.word.1;
-        Report { number: self.number, sent_us, word_us: self.word.0, had_us, body }
+        Report {
+            number: self.number,
+            sent_us,
+            word_us: self.word.0,
+            had_us,
+            body,
+        }
     }
 
     fn send(&mut self, town: &mut Town, report: Report) {
-        town.give(Input::Pushed { conn: self.conn, report: Box::new(report) });
+        town.give(Input::Pushed {
+            conn: self.conn,
+            report: Box::new(report),
+        });
         self.hear(town);
     }
 
@@ -144,9 +161,14 @@
 fn done(town: &mut Town) -> u64 {
     let stat = town.command(1, "show stat");
     let header: Vec<&str> = stat.lines().next().unwrap_or_default().split(',').collect();
-    let at = header.iter().position(|name| *name == "pond_done").expect("our column");
+    let at = header
+        .iter()
+        .position(|name| *name == "pond_done")
+        .expect("our column");
     let hosts = stat.lines().filter(|line| line.starts_with("hosts,"));
-    hosts.filter_map(|line| line.split(',').nth(at)?.parse::<u64>().ok()).sum()
+    hosts
+        .filter_map(|line| line.split(',').nth(at)?.parse::<u64>().ok())
+        .sum()
 }
 
 fn weights(town: &mut Town) -> BTreeMap<String, f64> {
@@ -155,7 +177,10 @@
     let mut all = BTreeMap::new();
     for row in rows {
         let fields: Vec<&str> = row.split(',').collect();
-        let weight: f64 = fields.get(18).and_then(|weight| weight.parse().ok()).unwrap_or(0.0);
+        let weight: f64 = fields
+            .get(18)
+            .and_then(|weight| weight.parse().ok())
+            .unwrap_or(0.0);
         *all.entry(fields[1].to_string()).or_default() += weight;
     }
     all
@@ -176,7 +201,10 @@
     assert_eq!(stat_reads(&mut town), 0);
     let tries = |town: &mut Town| {
         let stat = town.command(1, "show stat");
-        let hosts = stat.lines().filter(|line| line.starts_with("hosts,")).count();
+        let hosts = stat
+            .lines()
+            .filter(|line| line.starts_with("hosts,"))
+            .count();
         assert_eq!(hosts, 12);
         town.info("Reports")
     };
@@ -221,7 +249,11 @@
     town.run(1_500);
     let (_, oldest) = looked(&mut town);
     assert!(oldest < STALE_US, "{oldest} us old");
-    assert!(done(&mut town) <= counted.max(60), "{} after {counted}", done(&mut town));
+    assert!(
+        done(&mut town) <= counted.max(60),
+        "{} after {counted}",
+        done(&mut town)
+    );
     // 14 s of them are too old to be evidence in any case.
     let stale = town.info("ReportsStale") - before;
     assert!((6 * 13..=6 * 15).contains(&stale), "{stale}");
@@ -270,7 +302,10 @@
     (pusher.number, pusher.run) = (0, 6);
     town.fronts[0].tables = {
         let mut fresh = town.fronts[0].tables.clone();
-        fresh.backends.values_mut().for_each(|backend| backend.reqs = 0);
+        fresh
+            .backends
+            .values_mut()
+            .for_each(|backend| backend.reqs = 0);
         fresh
     };
     pusher.come(&mut town);
@@ -291,7 +326,10 @@
     town.run(1_000);
     for (n, busy) in [-1.0, f64::NAN, 1e300, 40.0].into_iter().enumerate() {
         let mut body = body(&town.fronts[0].tables);
-        body.counted.iter_mut().take(1).for_each(|of| of.busy = Some(busy));
+        body.counted
+            .iter_mut()
+            .take(1)
+            .for_each(|of| of.busy = Some(busy));
         let report = pusher.report(&town, body);
         pusher.send(&mut town, report);
         assert_eq!(town.info("ReportsRefused"), n as u64 + 1);
@@ -304,10 +342,23 @@
     town.run(1_500);
     let said = |event: &&Event| matches!(event, Event::ReportRefused { wrong, .. } if wrong.starts_with("front-0: "));
     assert_eq!(town.events.iter().filter(said).count(), 1, "once a round");
-    let mut host = Pusher { name: "host-3".into(), is: SenderIs::Host, ..Pusher::proxy(50, 0) };
+    let mut host = Pusher {
+        name: "host-3".into(),
+        is: SenderIs::Host,
+        ..Pusher::proxy(50, 0)
+    };
     host.come(&mut town);
-    let own = Own { rate: Some(1e9), ..Own::default() };
-    let report = host.report(&town, Body { own: Some(own), counted: Vec::new() });
+    let own = Own {
+        rate: Some(1e9),
+        ..Own::default()
+    };
+    let report = host.report(
+        &town,
+        Body {
+            own: Some(own),
+            counted: Vec::new(),
+        },
+    );
     host.send(&mut town, report);
     assert_eq!(town.info("ReportsRefused"), 6);
 }
@@ -317,18 +368,37 @@
     let mut town = town(None, 12);
     let before = town.command(1, "show memory");
     for n in 0..100_000u64 {
-        let is = if n % 2 == 0 { SenderIs::Proxy } else { SenderIs::Host };
-        town.give(Input::SenderCame { conn: 1_000 + n, name: format!("nobody-{n}"), is, run: n });
-        town.give(Input::Pushed { conn: 1_000 + n, report: Box::default() });
+        let is = if n % 2 == 0 {
+            SenderIs::Proxy
+        } else {
+            SenderIs::Host
+        };
+        town.give(Input::SenderCame {
+            conn: 1_000 + n,
+            name: format!("nobody-{n}"),
+            is,
+            run: n,
+        });
+        town.give(Input::Pushed {
+            conn: 1_000 + n,
+            report: Box::default(),
+        });
         town.outputs.clear();
         town.inputs.clear();
     }
     assert_eq!(
-        (town.info("ReportsOfStrangers"), town.info("Senders"), town.info("Reports")),
+        (
+            town.info("ReportsOfStrangers"),
+            town.info("Senders"),
+            town.info("Reports")
+        ),
         (100_000, 0, 0)
     );
     town.run(2_000);
-    assert_eq!(before.lines().next(), town.command(1, "show memory").lines().next());
+    assert_eq!(
+        before.lines().next(),
+        town.command(1, "show memory").lines().next()
+    );
 }
 
 /// Hosts that nobody listed, made up by the thousand in each report.
@@ -363,14 +433,33 @@
     let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
     pushers.iter_mut().for_each(|pusher| pusher.come(&mut town));
     let mut hosts: Vec<Pusher> = (0..12)
-        .map(|n| Pusher { name: format!("host-{n}"), is: SenderIs::Host, ..Pusher::proxy(200 + n, 0) })
+        .map(|n| Pusher {
+            name: format!("host-{n}"),
+            is: SenderIs::Host,
+            ..Pusher::proxy(200 + n, 0)
+        })
         .collect();
     hosts.iter_mut().for_each(|host| host.come(&mut town));
-    let own = Own { busy: Some(0.4), waiting: Some(0.0), rate: Some(20.0), ..Own::default() };
+    let own = Own {
+        busy: Some(0.4),
+        waiting: Some(0.0),
+        rate: Some(20.0),
+        ..Own::default()
+    };
     let mut before = BTreeMap::new();
     for step in 0..30 {
-        for (n, host) in hosts.iter_mut().enumerate().filter(|(n, _)| step < 10 || *n != 4) {
-            let report = host.report(&town, Body { own: Some(own), counted: Vec::new() });
+        for (n, host) in hosts
+            .iter_mut()
+            .enumerate()
+            .filter(|(n, _)| step < 10 || *n != 4)
+        {
+            let report = host.report(
+                &town,
+                Body {
+                    own: Some(own),
+                    counted: Vec::new(),
+                },
+            );
             host.send(&mut town, report);
             assert!(n < 12);
         }
@@ -380,7 +469,12 @@
         }
     }
     let after = weights(&mut town);
-    assert!(after["host-4"] > before["host-4"] * 0.8, "{} after {}", after["host-4"], before["host-4"]);
+    assert!(
+        after["host-4"] > before["host-4"] * 0.8,
+        "{} after {}",
+        after["host-4"],
+        before["host-4"]
+    );
 }
 
 /// Nothing is heard for 3 s, as the steward itself stood still: that makes no host silent.
@@ -421,13 +515,21 @@
         for _ in 0..12 {
             second(&mut town, &mut pushers);
         }
-        let bad = weights(&mut town).into_iter().find(|(_, weight)| *weight > 0.0).expect("a host").0;
+        let bad = weights(&mut town)
+            .into_iter()
+            .find(|(_, weight)| *weight > 0.0)
+            .expect("a host")
+            .0;
         for step in 0..40 {
             town.run(500);
             for (n, pusher) in pushers.iter_mut().enumerate() {
                 town.traffic(n, 6, 0, 40);
                 for backend in town.fronts[n].tables.backends.values_mut() {
-                    if let Some(server) = backend.servers.get_mut(&bad).filter(|server| server.serves()) {
+                    if let Some(server) = backend
+                        .servers
+                        .get_mut(&bad)
+                        .filter(|server| server.serves())
+                    {
                         server.sums.done -= 6;
                         server.sums.errored += 6;
                     }
@@ -435,7 +537,10 @@
                 pusher.push(&mut town, n);
             }
             town.run(500);
-            if weights(&mut town).get(&bad).is_none_or(|weight| *weight == 0.0) {
+            if weights(&mut town)
+                .get(&bad)
+                .is_none_or(|weight| *weight == 0.0)
+            {
                 return step;
             }
         }
@@ -464,8 +569,13 @@
         let mut site = site(6);
         site.reports.push = Some("unix:/push".parse().expect("a path"));
         site.reports.lines_per_second = Some(5.0);
-        let mut core =
-            pondarch_steward::Core::new(&site, 7, 1, START, pondarch::types::Time::from_micros(START));
+        let mut core = pondarch_steward::Core::new(
+            &site,
+            7,
+            1,
+            START,
+            pondarch::types::Time::from_micros(START),
+        );
         let mut outputs = Vec::new();
         for (at, input) in &inputs {
             core.handle(pondarch::types::Time::from_micros(*at), input.clone());
--- a/crates/steward/tests/in_memory/replay.rs
+++ b/crates/steward/tests/in_memory/replay.rs
@@ -29,7 +29,11 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop_oneof![Just(HostState::Ready), Just(HostState::Drain), Just(HostState::Gone)];
+    let state = prop_oneof![
+        Just(HostState::Ready),
+        Just(HostState::Drain),
+        Just(HostState::Gone)
+    ];
     let fault = prop_oneof![
         (0..30usize).prop_map(Fault::CutAfter),
         Just(Fault::Twice),
--- a/crates/steward/tests/in_memory/town.rs
+++ b/crates/steward/tests/in_memory/town.rs
@@ -64,7 +64,9 @@
 fn raving(fleet: &pondarch_weights::Fleet) -> pondarch_weights::Plan {
     let hosts = fleet.hosts.len();
     pondarch_weights::Plan {
-        weights: (0..hosts).map(|n| if n + 1 == hosts { hosts as f64 } else { 0.0 }).collect(),
+        weights: (0..hosts)
+            .map(|n| if n + 1 == hosts { hosts as f64 } else { 0.0 })
+            .collect(),
         utilisation: vec![0.5; hosts],
         let_in: vec![1.0; fleet.kinds.len()],
         in_time: vec![1.0; fleet.kinds.len()],
@@ -126,7 +128,10 @@
             message_window: span(10_000),
         },
         reports: site::Reports::default(),
-        cold: site::Cold { start_share: 0.2, warm_within: span(18_000) },
+        cold: site::Cold {
+            start_share: 0.2,
+            warm_within: span(18_000),
+        },
         probes: None,
         links: site::Links::default(),
         admission: site::AdmissionBy::Share,
@@ -179,7 +184,10 @@
 
     pub fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List { version: Some(self.version), hosts });
+        self.give(Input::List {
+            version: Some(self.version),
+            hosts,
+        });
     }
 
     pub fn give(&mut self, input: Input) {
@@ -199,12 +207,18 @@
                 front.lines.clear();
                 let input = match front.conn {
                     Some(conn) => Input::Connected { proxy, conn },
-                    None => Input::Lost { proxy, conn, why: "refused".into() },
+                    None => Input::Lost {
+                        proxy,
+                        conn,
+                        why: "refused".into(),
+                    },
                 };
                 self.give(input);
             }
             Output::Write { proxy, conn, lines } => {
-                self.fronts[proxy as usize].lines.extend(lines.into_iter().map(|line| (conn, line)));
+                self.fronts[proxy as usize]
+                    .lines
+                    .extend(lines.into_iter().map(|line| (conn, line)));
             }
             Output::Hangup { proxy, conn } => {
                 let front = &mut self.fronts[proxy as usize];
@@ -223,7 +237,10 @@
                     Solver::Raves => Ok(raving(&fleet)),
                     Solver::Silent => return,
                 };
-                self.give(Input::Solved { number, plan: answer });
+                self.give(Input::Solved {
+                    number,
+                    plan: answer,
+                });
             }
             Output::Probe { .. }
             | Output::ViewChanged { .. }
@@ -238,7 +255,9 @@
     pub fn deliver(&mut self) {
         while let Some(n) = (0..self.fronts.len()).find(|&n| !self.fronts[n].lines.is_empty()) {
             let front = &mut self.fronts[n];
-            let Some((conn, line)) = front.lines.pop_front() else { continue };
+            let Some((conn, line)) = front.lines.pop_front() else {
+                continue;
+            };
             if front.conn != Some(conn) || front.fault == Fault::Silent {
                 continue;
             }
@@ -246,7 +265,9 @@
             let commands: Vec<Command> = command::parse_line(&line).into_iter().flatten().collect();
             let orders = commands.iter().any(Holding::is_order);
             if orders {
-                front.orders.push((self.now, commands.iter().map(Command::to_string).collect()));
+                front
+                    .orders
+                    .push((self.now, commands.iter().map(Command::to_string).collect()));
             }
             let fault = if orders { front.fault } else { Fault::None };
             if orders && fault != Fault::RefuseAdds {
@@ -264,7 +285,9 @@
                 }
             }
             if fault == Fault::Twice {
-                commands.iter().for_each(|command| drop(front.tables.command(command.clone())));
+                commands
+                    .iter()
+                    .for_each(|command| drop(front.tables.command(command.clone())));
             }
             if matches!(fault, Fault::CutAfter(cut) if cut < commands.len()) {
                 // The answers are lost with the connection.
@@ -281,7 +304,11 @@
     pub fn drop_link(&mut self, n: usize) {
         self.fronts[n].lines.clear();
         if let Some(conn) = self.fronts[n].conn.take() {
-            self.give(Input::Lost { proxy: n as u16, conn, why: "broke".into() });
+            self.give(Input::Lost {
+                proxy: n as u16,
+                conn,
+                why: "broke".into(),
+            });
         }
     }
 
@@ -290,7 +317,9 @@
         let end = self.now + millis * 1_000;
         self.deliver();
         loop {
-            let wake = (self.core.wake_at() - Time::default()).as_micros().max(self.now + 1);
+            let wake = (self.core.wake_at() - Time::default())
+                .as_micros()
+                .max(self.now + 1);
             if wake > end {
                 break;
             }
@@ -304,7 +333,11 @@
     pub fn command(&mut self, level: u8, line: &str) -> String {
         self.callers += 1;
         let caller = self.callers;
-        self.give(Input::Command { caller, level, line: line.into() });
+        self.give(Input::Command {
+            caller,
+            level,
+            line: line.into(),
+        });
         self.replies.remove(&caller).unwrap_or_default()
     }
 
@@ -312,7 +345,11 @@
     pub fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
         for backend in self.fronts[n].tables.backends.values_mut() {
             backend.reqs += done + errored;
-            for server in backend.servers.values_mut().filter(|server| server.serves()) {
+            for server in backend
+                .servers
+                .values_mut()
+                .filter(|server| server.serves())
+            {
                 server.total += done + errored;
                 server.sums.done += done;
                 server.sums.errored += errored;
@@ -324,11 +361,15 @@
     pub fn serving(&self, n: usize, kind: &str) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
         let servers = &self.fronts[n].tables.backends[kind].servers;
         let serving = servers.iter().filter(|(_, server)| server.serves());
-        serving.map(|(name, server)| (name.clone(), (server.addr, server.weight))).collect()
+        serving
+            .map(|(name, server)| (name.clone(), (server.addr, server.weight)))
+            .collect()
     }
 
     pub fn info(&mut self, name: &str) -> u64 {
         let text = self.command(0, "show info");
-        pondarch_runtime_api::info::Info::read(&text).number(name).unwrap_or(0)
+        pondarch_runtime_api::info::Info::read(&text)
+            .number(name)
+            .unwrap_or(0)
     }
 }
