--- a/crates/steward/tests/in_memory/weights.rs
+++ b/crates/steward/tests/in_memory/weights.rs
@@ -22,8 +22,17 @@
 fn second(town: &mut Town, slow: &str) {
     for front in &mut town.fronts {
         for backend in front.tables.backends.values_mut() {
-            let all: u64 = backend.servers.values().filter(|s| s.serves()).map(|s| u64::from(s.weight)).sum();
-            for (name, server) in backend.servers.iter_mut().filter(|(_, server)| server.serves()) {
+            let all: u64 = backend
+                .servers
+                .values()
+                .filter(|s| s.serves())
+                .map(|s| u64::from(s.weight))
+                .sum();
+            for (name, server) in backend
+                .servers
+                .iter_mut()
+                .filter(|(_, server)| server.serves())
+            {
                 let reqs = 40 * u64::from(server.weight) / all.max(1);
                 let ms = if name == slow { 60 } else { 20 };
                 (server.total, server.sums.done) = (server.total + reqs, server.sums.done + reqs);
@@ -46,14 +55,20 @@
 
 fn source(town: &mut Town) -> String {
     let text = town.command(0, "show info");
-    text.lines().find_map(|line| line.strip_prefix("Weights: ")).unwrap_or("?").to_string()
+    text.lines()
+        .find_map(|line| line.strip_prefix("Weights: "))
+        .unwrap_or("?")
+        .to_string()
 }
 
 #[test]
 fn a_slow_host_gets_less_in_the_list_the_module_sees_and_in_tables() {
     let mut town = solved(4, 8);
     let before = weights(&mut town);
-    assert!(before.values().all(|weight| (weight - 1.0).abs() < 1e-9), "{before:?}");
+    assert!(
+        before.values().all(|weight| (weight - 1.0).abs() < 1e-9),
+        "{before:?}"
+    );
     for _ in 0..30 {
         second(&mut town, "host-3");
     }
@@ -61,10 +76,17 @@
     assert_eq!(source(&mut town), "solved");
     assert!(after["host-3"] < 0.7 && after["host-2"] > 0.9, "{after:?}");
     // The list's own word stays what it was, and the whole does not seem to grow.
-    assert!(town.command(1, "get weight hosts/host-3").starts_with("1 (initial 1)"));
+    assert!(
+        town.command(1, "get weight hosts/host-3")
+            .starts_with("1 (initial 1)")
+    );
     assert!((after.values().sum::<f64>() - 8.0).abs() < 1.0, "{after:?}");
     let lines = town.serving(0, "proof");
-    let usual = lines.iter().filter(|(name, _)| *name != "host-3").map(|(_, line)| line.1).min();
+    let usual = lines
+        .iter()
+        .filter(|(name, _)| *name != "host-3")
+        .map(|(_, line)| line.1)
+        .min();
     if let (Some(slow), Some(usual)) = (lines.get("host-3"), usual) {
         assert!(slow.1 < usual, "{lines:?}");
     }
@@ -76,7 +98,11 @@
     for _ in 0..10 {
         second(&mut town, "host-3");
     }
-    assert!(town.outputs.iter().all(|output| !matches!(output, Output::Solve { .. })));
+    assert!(
+        town.outputs
+            .iter()
+            .all(|output| !matches!(output, Output::Solve { .. }))
+    );
     assert_eq!(source(&mut town), "listed");
 }
 
@@ -92,7 +118,11 @@
         let failed = |event: &Event| matches!(event, Event::PlanFailed { .. });
         assert!(town.events.iter().any(failed));
         assert!(!town.command(0, "show info").contains("WeightsFailed: -"));
-        assert!(weights(&mut town).values().all(|weight| (weight - 1.0).abs() < 1e-9));
+        assert!(
+            weights(&mut town)
+                .values()
+                .all(|weight| (weight - 1.0).abs() < 1e-9)
+        );
         town.solver = Solver::Answers;
         for _ in 0..10 {
             second(&mut town, "host-3");
@@ -119,22 +149,37 @@
         second(&mut town, "host-3");
         let now = weights(&mut town);
         // A host that drains is judged afresh: its weight is the list's again. Cold ones go by the guard.
-        for (host, weight) in
-            now.iter().filter(|(host, _)| !["host-2", "host-8", "host-9"].contains(&host.as_str()))
+        for (host, weight) in now
+            .iter()
+            .filter(|(host, _)| !["host-2", "host-8", "host-9"].contains(&host.as_str()))
         {
             let before = last.get(host).copied().unwrap_or(*weight);
-            assert!(*weight <= before * 1.251 + 2e-3, "{host} from {before} to {weight} in a second");
+            assert!(
+                *weight <= before * 1.251 + 2e-3,
+                "{host} from {before} to {weight} in a second"
+            );
         }
         last = now;
         for front in 0..4 {
             for kind in KINDS {
                 let lines = town.serving(front, kind);
                 assert!(!lines.is_empty(), "nothing to pick for {kind}");
-                assert!(n < 11 || !lines.contains_key("host-2"), "a drained host is held");
-                let warm = lines.iter().filter(|(name, _)| !["host-8", "host-9"].contains(&name.as_str()));
+                assert!(
+                    n < 11 || !lines.contains_key("host-2"),
+                    "a drained host is held"
+                );
+                let warm = lines
+                    .iter()
+                    .filter(|(name, _)| !["host-8", "host-9"].contains(&name.as_str()));
                 let most = warm.map(|(_, line)| line.1).max().unwrap_or(0);
-                for cold in ["host-8", "host-9"].iter().filter(|_| (11..25).contains(&n)) {
-                    assert!(lines.get(*cold).is_none_or(|line| line.1 <= most.max(1)), "{cold}: {lines:?}");
+                for cold in ["host-8", "host-9"]
+                    .iter()
+                    .filter(|_| (11..25).contains(&n))
+                {
+                    assert!(
+                        lines.get(*cold).is_none_or(|line| line.1 <= most.max(1)),
+                        "{cold}: {lines:?}"
+                    );
                 }
             }
         }
@@ -143,7 +188,9 @@
     for front in &town.fronts {
         let times: Vec<u64> = front.orders.iter().map(|(at, _)| *at).collect();
         for at in &times {
-            let near = times.iter().filter(|other| (at.saturating_sub(10 * SECOND)..=*at).contains(*other));
+            let near = times
+                .iter()
+                .filter(|other| (at.saturating_sub(10 * SECOND)..=*at).contains(*other));
             assert!(near.count() <= 12);
         }
     }
@@ -162,16 +209,27 @@
         for _ in 0..60 {
             second(&mut town, "host-3");
         }
-        town.fronts.iter().map(|front| front.orders.len()).sum::<usize>() - before
+        town.fronts
+            .iter()
+            .map(|front| front.orders.len())
+            .sum::<usize>()
+            - before
     });
-    assert!(messages[0] <= messages[1] + 16, "{messages:?} messages to four proxies within a quiet minute");
+    assert!(
+        messages[0] <= messages[1] + 16,
+        "{messages:?} messages to four proxies within a quiet minute"
+    );
 }
 
 #[test]
 fn a_run_with_plans_replays_to_the_same() {
     let mut town = solved(4, 8);
     for n in 0..20 {
-        town.solver = if n % 7 == 3 { Solver::Fails } else { Solver::Answers };
+        town.solver = if n % 7 == 3 {
+            Solver::Fails
+        } else {
+            Solver::Answers
+        };
         second(&mut town, "host-3");
     }
     let mut site = site(4);
@@ -184,6 +242,10 @@
         core.handle(Time::from_micros(*at), input);
         outputs.extend(std::iter::from_fn(|| core.next_output()));
     }
-    assert!(outputs.iter().any(|output| matches!(output, Output::Solve { .. })));
+    assert!(
+        outputs
+            .iter()
+            .any(|output| matches!(output, Output::Solve { .. }))
+    );
     assert_eq!(outputs, town.outputs);
 }
--- a/crates/steward/tests/in_memory/wire_texts.rs
+++ b/crates/steward/tests/in_memory/wire_texts.rs
@@ -18,5 +18,9 @@
     for (n, (line, expected)) in text.lines().zip(expected.lines()).enumerate() {
         assert_eq!(line, expected, "line {} of:\n{text}", n + 1);
     }
-    assert_eq!(text.lines().count(), expected.lines().count(), "lines of:\n{text}");
+    assert_eq!(
+        text.lines().count(),
+        expected.lines().count(),
+        "lines of:\n{text}"
+    );
 }
--- a/crates/steward/tests/in_memory/wire_texts/answers.rs
+++ b/crates/steward/tests/in_memory/wire_texts/answers.rs
@@ -69,7 +69,10 @@
     let mut out = String::new();
     for (level, line) in commands {
         let answer = town.command(*level, line);
-        out.push_str(&format!("> {line}\n{}", answer.strip_suffix('\n').expect("an empty line")));
+        out.push_str(&format!(
+            "> {line}\n{}",
+            answer.strip_suffix('\n').expect("an empty line")
+        ));
     }
     out
 }
@@ -79,7 +82,10 @@
     let mut town = town();
     town.traffic(0, 30, 3, 80);
     town.run(2_500);
-    assert_same(&transcript(&mut town, COMMANDS), include_str!("answers.txt"));
+    assert_same(
+        &transcript(&mut town, COMMANDS),
+        include_str!("answers.txt"),
+    );
 }
 
 /// The figures that stand in `show info` only with a DNS front, records or senders.
@@ -100,8 +106,16 @@
     site.reports.push = Some("unix:/push".parse().expect("a path"));
     let mut town = Town::open(&site, 3);
     town.run(1_000);
-    town.give(pondarch_steward::Input::Records(pondarch_steward::RecordsState { stopped: None, lost: 2 }));
-    assert_same(&transcript(&mut town, &[(0, "show info")]), include_str!("info.txt"));
+    town.give(pondarch_steward::Input::Records(
+        pondarch_steward::RecordsState {
+            stopped: None,
+            lost: 2,
+        },
+    ));
+    assert_same(
+        &transcript(&mut town, &[(0, "show info")]),
+        include_str!("info.txt"),
+    );
 }
 
 /// `show events` prints the names of the code's own event types and fields: they are on the wire, so they are held
@@ -109,10 +123,16 @@
 #[test]
 fn show_events() {
     let mut town = town();
-    town.command(2, "set server hosts/host-1 weight 3; set server hosts/host-2 state drain");
+    town.command(
+        2,
+        "set server hosts/host-1 weight 3; set server hosts/host-2 state drain",
+    );
     town.fronts[0].fault = Fault::Refuse(1);
     town.run(2_000);
     town.drop_link(1);
     town.run(1_000);
-    assert_same(&transcript(&mut town, &[(2, "show events")]), include_str!("events.txt"));
+    assert_same(
+        &transcript(&mut town, &[(2, "show events")]),
+        include_str!("events.txt"),
+    );
 }
--- a/crates/weights/src/delay.rs
+++ b/crates/weights/src/delay.rs
@@ -28,7 +28,11 @@
     for n in 1..=cores as u32 {
         blocked = offered * blocked / (f64::from(n) + offered * blocked);
     }
-    if utilisation >= 1.0 { 1.0 } else { blocked / (1.0 - utilisation * (1.0 - blocked)) }
+    if utilisation >= 1.0 {
+        1.0
+    } else {
+        blocked / (1.0 - utilisation * (1.0 - blocked))
+    }
 }
 
 /// The part of what a host of so many cores could do that misses its target.
@@ -66,13 +70,17 @@
     #[test]
     fn the_pieces_bound_the_curve_within_the_stated_error() {
         let most = POINTS[POINTS.len() - 1];
-        for (cores, room) in
-            [1.0, 2.0, 4.0, 8.0, 32.0].into_iter().flat_map(|c| [2.0, 3.0, 5.0, 10.0, 40.0].map(|r| (c, r)))
+        for (cores, room) in [1.0, 2.0, 4.0, 8.0, 32.0]
+            .into_iter()
+            .flat_map(|c| [2.0, 3.0, 5.0, 10.0, 40.0].map(|r| (c, r)))
         {
             for n in 0..=1_000 {
                 let u = most * f64::from(n) / 1_000.0;
                 let over = bound(u, cores, room) - missing(u, cores, room);
-                assert!((-1e-9..=ERROR).contains(&over), "{over} at {u}, {cores} cores, room {room}");
+                assert!(
+                    (-1e-9..=ERROR).contains(&over),
+                    "{over} at {u}, {cores} cores, room {room}"
+                );
             }
             let slopes: Vec<f64> = pieces(cores, room).map(|(_, slope)| slope).collect();
             assert!(slopes.is_sorted());
--- a/crates/weights/src/estimate.rs
+++ b/crates/weights/src/estimate.rs
@@ -130,8 +130,19 @@
 
 impl Estimates {
     pub fn new(kinds: usize, zones: usize, own_part: f64) -> Estimates {
-        let own_part = if own_part.is_finite() { own_part.clamp(1e-3, 1.0) } else { 1.0 };
-        Estimates { kinds, zones, own_part, hosts: BTreeMap::new(), asked: BTreeMap::new(), newest: None }
+        let own_part = if own_part.is_finite() {
+            own_part.clamp(1e-3, 1.0)
+        } else {
+            1.0
+        };
+        Estimates {
+            kinds,
+            zones,
+            own_part,
+            hosts: BTreeMap::new(),
+            asked: BTreeMap::new(),
+            newest: None,
+        }
     }
 
     /// What was seen at a host that is warm; a cold one's times say nothing of what it can do later.
@@ -143,7 +154,9 @@
         sums.fade(now);
         let before = sums.reqs();
         for (kind, done, time) in &seen.done {
-            let Some((reqs, time_s)) = sums.kinds.get_mut(kind.0 as usize) else { continue };
+            let Some((reqs, time_s)) = sums.kinds.get_mut(kind.0 as usize) else {
+                continue;
+            };
             let sound = (0.0..=REQS_MOST).contains(done) && time.secs() <= done * TIME_MOST_S;
             if sound {
                 *reqs += done;
@@ -169,14 +182,21 @@
 
     /// Reqs that came to one of our proxies.
     pub fn asked(&mut self, proxy: ProxyId, zone: ZoneId, kind: KindId, reqs: f64, over: Span) {
-        let asked = self.asked.entry(proxy).or_insert_with(|| Asked { zone, rates: vec![0.0; self.kinds] });
+        let asked = self.asked.entry(proxy).or_insert_with(|| Asked {
+            zone,
+            rates: vec![0.0; self.kinds],
+        });
         asked.zone = zone;
         if let Some(rate) = asked.rates.get_mut(kind.0 as usize)
             && over > Span::ZERO
             && (0.0..=REQS_MOST).contains(&reqs)
         {
             let new = reqs / over.secs();
-            *rate = if *rate > 0.0 { *rate + (new - *rate) * over.say_in(DEMAND_OVER) } else { new };
+            *rate = if *rate > 0.0 {
+                *rate + (new - *rate) * over.say_in(DEMAND_OVER)
+            } else {
+                new
+            };
         }
     }
 
@@ -206,7 +226,11 @@
         let prior = listed_speeds(listed);
         let evidence: Vec<Option<Evidence>> = listed
             .iter()
-            .map(|l| self.hosts.get(&l.host).and_then(|sums| sums.evidence(now, l.cores(), self.own_part)))
+            .map(|l| {
+                self.hosts
+                    .get(&l.host)
+                    .and_then(|sums| sums.evidence(now, l.cores(), self.own_part))
+            })
             .collect();
         let (speed, work) = self.settle(&prior, &evidence);
         let figure = |n: usize| {
@@ -215,23 +239,47 @@
                 None => (0.0, Span::ZERO),
             };
             let spread = (1.0 / (precision + 1.0 / LISTED_SPREAD.powi(2))).sqrt();
-            Figure { value: speed[n], spread, age }
+            Figure {
+                value: speed[n],
+                spread,
+                age,
+            }
         };
         let scale = self.scale(listed, &evidence, &speed, &work);
         let mut rates = vec![vec![0.0; self.kinds]; self.zones];
         for asked in self.asked.values() {
             if let Some(of_zone) = rates.get_mut(asked.zone.0 as usize) {
-                of_zone.iter_mut().zip(&asked.rates).for_each(|(sum, rate)| *sum += rate * scale);
+                of_zone
+                    .iter_mut()
+                    .zip(&asked.rates)
+                    .for_each(|(sum, rate)| *sum += rate * scale);
             }
         }
         let of_kind = |k: usize| {
             let seen: f64 = evidence.iter().flatten().map(|e| e.kinds[k].0).sum();
-            let ages = evidence.iter().flatten().map(|e| e.age.secs() * e.kinds[k].0).sum::<f64>();
+            let ages = evidence
+                .iter()
+                .flatten()
+                .map(|e| e.age.secs() * e.kinds[k].0)
+                .sum::<f64>();
             let age = Span::from_micros((ages / seen.max(1e-9) * 1e6) as u64);
-            Figure { value: work[k], spread: (REQ_SPREAD / seen.max(0.25).sqrt()).max(HOST_SPREAD), age }
+            Figure {
+                value: work[k],
+                spread: (REQ_SPREAD / seen.max(0.25).sqrt()).max(HOST_SPREAD),
+                age,
+            }
         };
-        let speeds = listed.iter().enumerate().map(|(n, l)| (l.host.clone(), figure(n))).collect();
-        Some(Estimated { speed: speeds, work: (0..self.kinds).map(of_kind).collect(), rates, scale })
+        let speeds = listed
+            .iter()
+            .enumerate()
+            .map(|(n, l)| (l.host.clone(), figure(n)))
+            .collect();
+        Some(Estimated {
+            speed: speeds,
+            work: (0..self.kinds).map(of_kind).collect(),
+            rates,
+            scale,
+        })
     }
 
     /// One figure a kind and one a host, in a few rounds: time at work = work of the kind / speed of the host.
@@ -241,7 +289,9 @@
             let mut by_kind = vec![(0.0, 0.0); self.kinds];
             for (evidence, speed) in evidence.iter().zip(&speed) {
                 // Where most of the time is waiting, what is left for work is mostly the error of that.
-                let Some((evidence, say)) = evidence.as_ref().map(|e| (e, (1.0 - e.waiting).powi(2))) else {
+                let Some((evidence, say)) =
+                    evidence.as_ref().map(|e| (e, (1.0 - e.waiting).powi(2)))
+                else {
                     continue;
                 };
                 for (sum, (reqs, at_work)) in by_kind.iter_mut().zip(&evidence.kinds) {
@@ -250,20 +300,35 @@
             }
             let known = by_kind.iter().filter(|(reqs, _)| *reqs > 0.0);
             let (reqs, all) = known.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-            let usual = if reqs > 0.0 { all / reqs } else { UNSEEN_WORK_S };
+            let usual = if reqs > 0.0 {
+                all / reqs
+            } else {
+                UNSEEN_WORK_S
+            };
             for (work, (reqs, all)) in work.iter_mut().zip(&by_kind) {
                 *work = if *reqs > 0.0 { all / reqs } else { usual }.clamp(1e-6, TIME_MOST_S);
             }
             // How far each host's figures are from its listed speed, and its say.
             let off = |(evidence, prior): (&Option<Evidence>, &f64)| {
                 let evidence = evidence.as_ref()?;
-                let due: f64 = evidence.kinds.iter().zip(&work).map(|((reqs, _), work)| reqs * work).sum();
+                let due: f64 = evidence
+                    .kinds
+                    .iter()
+                    .zip(&work)
+                    .map(|((reqs, _), work)| reqs * work)
+                    .sum();
                 let took: f64 = evidence.kinds.iter().map(|(_, at_work)| at_work).sum();
-                Some(((due / took / prior).clamp(1.0 / OFF_MOST, OFF_MOST).ln(), evidence.precision()))
+                Some((
+                    (due / took / prior).clamp(1.0 / OFF_MOST, OFF_MOST).ln(),
+                    evidence.precision(),
+                ))
             };
             let off: Vec<Option<(f64, f64)>> = evidence.iter().zip(prior).map(off).collect();
             // Hosts that were heard of and those that were not go by one yardstick.
-            let (sum, say) = off.iter().flatten().fold((0.0, 0.0), |(s, w), (ln, p)| (s + ln * p, w + p));
+            let (sum, say) = off
+                .iter()
+                .flatten()
+                .fold((0.0, 0.0), |(s, w), (ln, p)| (s + ln * p, w + p));
             let middle = if say > 0.0 { sum / say } else { 0.0 };
             for ((speed, prior), off) in speed.iter_mut().zip(prior).zip(off) {
                 let (ln, precision) = off.unwrap_or((middle, 0.0));
@@ -276,18 +341,35 @@
 
     /// All load over what our proxies bring: other stewards' proxies send to the same hosts, and whoever plans for the
     /// whole with the same figures comes to the same weights, so that nobody pours onto what is idle twice.
-    fn scale(&self, listed: &[Listed], evidence: &[Option<Evidence>], speed: &[f64], work: &[f64]) -> f64 {
+    fn scale(
+        &self,
+        listed: &[Listed],
+        evidence: &[Option<Evidence>],
+        speed: &[f64],
+        work: &[f64],
+    ) -> f64 {
         let (mut all, mut own, mut capacity) = (0.0, 0.0, 0.0);
         for ((listed, evidence), speed) in listed.iter().zip(evidence).zip(speed) {
-            let Some((evidence, busy)) = evidence.as_ref().and_then(|e| Some((e, e.busy?))) else { continue };
+            let Some((evidence, busy)) = evidence.as_ref().and_then(|e| Some((e, e.busy?))) else {
+                continue;
+            };
             capacity += listed.cores() * speed;
             all += listed.cores() * speed * busy;
-            own += evidence.rates.iter().zip(work).map(|(rate, work)| rate * work).sum::<f64>();
+            own += evidence
+                .rates
+                .iter()
+                .zip(work)
+                .map(|(rate, work)| rate * work)
+                .sum::<f64>();
         }
         let by_proxies = 1.0 / self.own_part;
         let seen = if own > 0.0 { all / own } else { by_proxies };
         // Cores that are all busy don't say how much was asked for.
-        let seen = if all > capacity * FULL { seen.max(by_proxies) } else { seen };
+        let seen = if all > capacity * FULL {
+            seen.max(by_proxies)
+        } else {
+            seen
+        };
         seen.clamp(1.0, by_proxies * 2.0)
     }
 }
@@ -323,8 +405,15 @@
     fn fade(&mut self, now: Time) {
         let (part, passed) = ((now - self.at).half_life(HALF), (now - self.at).secs());
         self.at = self.at.max(now);
-        self.kinds.iter_mut().for_each(|(reqs, time)| (*reqs, *time) = (*reqs * part, *time * part));
-        for sum in [&mut self.busy, &mut self.queue, &mut self.loads, &mut self.over_s] {
+        self.kinds
+            .iter_mut()
+            .for_each(|(reqs, time)| (*reqs, *time) = (*reqs * part, *time * part));
+        for sum in [
+            &mut self.busy,
+            &mut self.queue,
+            &mut self.loads,
+            &mut self.over_s,
+        ] {
             *sum *= part;
         }
         self.age_s += passed;
@@ -338,22 +427,39 @@
             return None;
         }
         let mean: f64 = sums.kinds.iter().map(|(_, time)| time).sum::<f64>() / reqs;
-        let per_s = if sums.over_s > 0.0 { 1.0 / sums.over_s } else { 0.0 };
+        let per_s = if sums.over_s > 0.0 {
+            1.0 / sums.over_s
+        } else {
+            0.0
+        };
         let told = (sums.loads > 0.0).then(|| (sums.busy / sums.loads, sums.queue / sums.loads));
         let (waiting, variance) = told.map_or((0.0, LISTED_SPREAD.powi(2)), |(busy, queue)| {
             let at_work = (cores * busy).max(1e-6);
             let little = queue / (queue + at_work);
-            let by_little = ((mean * (1.0 - little)).max(1e-9), (QUEUE_SPREAD * little).powi(2) + 1e-4);
+            let by_little = (
+                (mean * (1.0 - little)).max(1e-9),
+                (QUEUE_SPREAD * little).powi(2) + 1e-4,
+            );
             let share = (SHARE_SPREAD * (1.0 - own_part)).powi(2);
-            let by_use =
-                ((at_work * own_part / (reqs * per_s).max(1e-9)).max(1e-9), BUSY_SPREAD.powi(2) + share);
+            let by_use = (
+                (at_work * own_part / (reqs * per_s).max(1e-9)).max(1e-9),
+                BUSY_SPREAD.powi(2) + share,
+            );
             // In logs, as both are off by a factor; the less sure one counts less.
             let (a, b) = (1.0 / by_little.1, 1.0 / by_use.1);
             let work = ((by_little.0.ln() * a + by_use.0.ln() * b) / (a + b)).exp();
-            ((1.0 - work / mean.max(1e-9)).clamp(0.0, 1.0 - WORK_LEAST), 1.0 / (a + b))
+            (
+                (1.0 - work / mean.max(1e-9)).clamp(0.0, 1.0 - WORK_LEAST),
+                1.0 / (a + b),
+            )
         });
         let at_work = |(reqs, time): &(f64, f64)| {
-            (*reqs, (time - reqs * mean * waiting).max(time * WORK_LEAST).max(reqs * 1e-6))
+            (
+                *reqs,
+                (time - reqs * mean * waiting)
+                    .max(time * WORK_LEAST)
+                    .max(reqs * 1e-6),
+            )
         };
         Some(Evidence {
             kinds: sums.kinds.iter().map(at_work).collect(),
--- a/crates/weights/src/guard.rs
+++ b/crates/weights/src/guard.rs
@@ -18,16 +18,35 @@
 /// The same weights with each cold host's cut to its bound. Weights that are negative or no number count as 0. If
 /// there is no warm host with a weight, cold ones are bound by their capacity alone.
 pub fn guarded(hosts: &[Bears], weights: &[f64]) -> Vec<f64> {
-    let clean = |weight: f64| if weight.is_finite() { weight.clamp(0.0, WEIGHT_MOST) } else { 0.0 };
+    let clean = |weight: f64| {
+        if weight.is_finite() {
+            weight.clamp(0.0, WEIGHT_MOST)
+        } else {
+            0.0
+        }
+    };
     let mut out: Vec<f64> = weights.iter().copied().map(clean).collect();
     out.resize(hosts.len(), 0.0);
     let warm = || hosts.iter().zip(&out).filter(|(host, _)| host.warm);
-    let (given, capacity) = warm().fold((0.0, 0.0), |(w, c), (host, weight)| (w + weight, c + host.capacity));
-    let per_capacity = if given > 0.0 { given / capacity } else { f64::INFINITY };
+    let (given, capacity) = warm().fold((0.0, 0.0), |(w, c), (host, weight)| {
+        (w + weight, c + host.capacity)
+    });
+    let per_capacity = if given > 0.0 {
+        given / capacity
+    } else {
+        f64::INFINITY
+    };
     // Without a warm one the heaviest cold ones come down to the least given per capacity.
-    let least = hosts.iter().zip(&out).filter(|(_, w)| **w > 0.0).map(|(h, w)| w / h.capacity);
-    let per_capacity =
-        if per_capacity.is_finite() { per_capacity } else { least.fold(f64::INFINITY, f64::min) };
+    let least = hosts
+        .iter()
+        .zip(&out)
+        .filter(|(_, w)| **w > 0.0)
+        .map(|(h, w)| w / h.capacity);
+    let per_capacity = if per_capacity.is_finite() {
+        per_capacity
+    } else {
+        least.fold(f64::INFINITY, f64::min)
+    };
     for (host, weight) in hosts.iter().zip(&mut out).filter(|(host, _)| !host.warm) {
         *weight = weight.min(COLD_SHARE * per_capacity * host.capacity);
     }
--- a/crates/weights/src/model.rs
+++ b/crates/weights/src/model.rs
@@ -32,12 +32,16 @@
 impl Host {
     /// Work it can do a second, now.
     pub fn capacity(&self) -> f64 {
-        self.connections.map_or(self.cores, |most| most.min(self.cores)) * self.speed * self.warm
+        self.connections
+            .map_or(self.cores, |most| most.min(self.cores))
+            * self.speed
+            * self.warm
     }
 
     /// Others' work a second as far as an old figure still says anything.
     pub fn taken_now(&self) -> f64 {
-        (self.taken * 0.5f64.powf(self.taken_age_s / TAKEN_HALF_S)).min(TAKEN_MOST * self.capacity())
+        (self.taken * 0.5f64.powf(self.taken_age_s / TAKEN_HALF_S))
+            .min(TAKEN_MOST * self.capacity())
     }
 }
 
@@ -62,7 +66,11 @@
 impl Table {
     /// One table of all hosts.
     pub fn of_all(rates: Vec<Vec<f64>>) -> Table {
-        Table { name: "all".into(), hosts: None, rates }
+        Table {
+            name: "all".into(),
+            hosts: None,
+            rates,
+        }
     }
 }
 
@@ -96,38 +104,67 @@
             return Err(ModelError::TooMany(self.hosts.len(), "hosts", HOSTS_MOST));
         }
         if self.tables.len() > TABLES_MOST {
-            return Err(ModelError::TooMany(self.tables.len(), "tables", TABLES_MOST));
+            return Err(ModelError::TooMany(
+                self.tables.len(),
+                "tables",
+                TABLES_MOST,
+            ));
         }
         within("crossing", self.crossing, 0.0, 1.0)?;
         for kind in &self.kinds {
             let key = |figure: &str| format!("kind {}: {figure}", kind.name);
             within(&key("work"), kind.work_s, 1e-6, 3_600.0)?;
-            within(&key("response target"), kind.response_target_s, 1e-6, 3_600.0)?;
+            within(
+                &key("response target"),
+                kind.response_target_s,
+                1e-6,
+                3_600.0,
+            )?;
             within(&key("benefit"), kind.benefit, 0.0, 1e9)?;
         }
         for host in &self.hosts {
             let key = |figure: &str| format!("host {}: {figure}", host.name);
             within(&key("cores"), host.cores, 1e-3, 4_096.0)?;
             within(&key("speed"), host.speed, 1e-3, 1e3)?;
-            within(&key("connections"), host.connections.unwrap_or(1.0), 1e-3, 1e6)?;
+            within(
+                &key("connections"),
+                host.connections.unwrap_or(1.0),
+                1e-3,
+                1e6,
+            )?;
             within(&key("warm"), host.warm, 1e-3, 1.0)?;
             within(&key("taken"), host.taken, 0.0, 1e7)?;
             within(&key("age of taken"), host.taken_age_s, 0.0, 1e9)?;
             place(&key("zone"), host.zone, self.zones.len())?;
         }
-        self.tables.iter().try_for_each(|table| self.check_table(table))
+        self.tables
+            .iter()
+            .try_for_each(|table| self.check_table(table))
     }
 
     fn check_table(&self, table: &Table) -> Result<(), ModelError> {
         let key = |of: &str| format!("table {}: demand{of}", table.name);
         for host in table.hosts.iter().flatten() {
-            place(&format!("table {}: hosts", table.name), *host, self.hosts.len())?;
+            place(
+                &format!("table {}: hosts", table.name),
+                *host,
+                self.hosts.len(),
+            )?;
         }
         count(&key(": zones"), table.rates.len(), self.zones.len())?;
         for (zone, rates) in self.zones.iter().zip(&table.rates) {
-            count(&key(&format!(" of {zone}: kinds")), rates.len(), self.kinds.len())?;
+            count(
+                &key(&format!(" of {zone}: kinds")),
+                rates.len(),
+                self.kinds.len(),
+            )?;
             for (kind, rate) in self.kinds.iter().zip(rates) {
-                within(&key(&format!(" of {zone}: {}", kind.name)), *rate, 0.0, RATE_MOST)?;
+                within(
+                    &key(&format!(" of {zone}: {}", kind.name)),
+                    *rate,
+                    0.0,
+                    RATE_MOST,
+                )?;
             }
         }
         Ok(())
@@ -136,7 +173,13 @@
     /// Places of a table's hosts.
     pub fn hosts_of<'a>(&'a self, table: &'a Table) -> impl Iterator<Item = usize> + Clone + 'a {
         let listed = table.hosts.iter().flatten().copied();
-        listed.chain(0..if table.hosts.is_none() { self.hosts.len() } else { 0 })
+        listed.chain(
+            0..if table.hosts.is_none() {
+                self.hosts.len()
+            } else {
+                0
+            },
+        )
     }
 
     /// Each demand: reqs a second, and their kind.
@@ -163,9 +206,17 @@
 }
 
 fn count(key: &str, count: usize, due: usize) -> Result<(), ModelError> {
-    if count == due { Ok(()) } else { Err(ModelError::Count(key.into(), count, due)) }
+    if count == due {
+        Ok(())
+    } else {
+        Err(ModelError::Count(key.into(), count, due))
+    }
 }
 
 fn place(key: &str, at: usize, of: usize) -> Result<(), ModelError> {
-    if at < of { Ok(()) } else { Err(ModelError::Place(key.into(), at, of)) }
+    if at < of {
+        Ok(())
+    } else {
+        Err(ModelError::Place(key.into(), at, of))
+    }
 }
--- a/crates/weights/src/planner.rs
+++ b/crates/weights/src/planner.rs
@@ -136,7 +136,10 @@
 
     /// The part of all reqs that the plan in force lets in; none where no plan is in force.
     pub fn let_in(&self) -> Option<f64> {
-        self.answer.as_ref().filter(|_| self.source == Source::Solved).map(|answer| answer.let_in)
+        self.answer
+            .as_ref()
+            .filter(|_| self.source == Source::Solved)
+            .map(|answer| answer.let_in)
     }
 
     /// A list has come. What operators change of a listed weight changes the one in use by as much; a host that is not
@@ -176,16 +179,29 @@
             return None;
         }
         self.number += 1;
-        let spread = |l: &Listed| estimated.speed.get(&l.host).map_or(1.0, |speed| speed.spread);
+        let spread = |l: &Listed| {
+            estimated
+                .speed
+                .get(&l.host)
+                .map_or(1.0, |speed| speed.spread)
+        };
         let kinds = 0..self.kinds.len();
         self.question = Some(Question {
             number: self.number,
             at: now,
             hosts: open.iter().map(|l| l.host.clone()).collect(),
-            warm: open.iter().map(|l| (l.warm.clamp(LEAST, 1.0), spread(l))).collect(),
-            rates: kinds.map(|k| estimated.rates.iter().map(|rates| rates[k]).sum()).collect(),
+            warm: open
+                .iter()
+                .map(|l| (l.warm.clamp(LEAST, 1.0), spread(l)))
+                .collect(),
+            rates: kinds
+                .map(|k| estimated.rates.iter().map(|rates| rates[k]).sum())
+                .collect(),
         });
-        Some(Problem { number: self.number, fleet: self.fleet(&open, &estimated) })
+        Some(Problem {
+            number: self.number,
+            fleet: self.fleet(&open, &estimated),
+        })
     }
 
     fn fleet(&self, open: &[Listed], estimated: &Estimated) -> Fleet {
@@ -220,7 +236,9 @@
 
     /// The solver's word. An answer to another question than the last one says nothing.
     pub fn answered(&mut self, now: Time, number: u64, answer: Result<Plan, String>) {
-        let Some(question) = self.question.take_if(|question| question.number == number) else { return };
+        let Some(question) = self.question.take_if(|question| question.number == number) else {
+            return;
+        };
         let plan = match answer {
             Ok(plan) if plan.weights.len() == question.hosts.len() => plan,
             Ok(_) => return self.failed = Some("an answer for other hosts".into()),
@@ -233,11 +251,20 @@
         let facts = plan.weights.iter().zip(question.warm);
         let weights = facts.map(|(weight, (warm, spread))| (weight / warm, spread));
         let came: f64 = question.rates.iter().sum();
-        let taken = question.rates.iter().zip(&plan.let_in).map(|(rate, part)| rate * part).sum::<f64>();
+        let taken = question
+            .rates
+            .iter()
+            .zip(&plan.let_in)
+            .map(|(rate, part)| rate * part)
+            .sum::<f64>();
         let let_in = (taken / came.max(1e-9) / PRUDENCE).clamp(0.0, 1.0);
         let weights = question.hosts.into_iter().zip(weights).collect();
         self.failed = None;
-        self.answer = Some(Answer { at: now, weights, let_in });
+        self.answer = Some(Answer {
+            at: now,
+            weights,
+            let_in,
+        });
     }
 
     /// Says where weights come from now. One step towards the plan, or back
@@ -255,11 +282,14 @@
             (_, Source::Listed) => listed.iter().map(|l| (l.weight, 0.0)).collect(),
             _ => return None,
         };
-        let used: Vec<Option<f64>> =
-            listed.iter().map(|l| Some(*self.in_use.get(&l.host).unwrap_or(&l.weight))).collect();
+        let used: Vec<Option<f64>> = listed
+            .iter()
+            .map(|l| Some(*self.in_use.get(&l.host).unwrap_or(&l.weight)))
+            .collect();
         let next = step(&used, &planned);
         let stepped = listed.iter().zip(next).filter(|(l, _)| l.open);
-        self.in_use.extend(stepped.map(|(l, weight)| (l.host.clone(), weight)));
+        self.in_use
+            .extend(stepped.map(|(l, weight)| (l.host.clone(), weight)));
         (self.in_use != before).then(|| self.handed(now, listed))
     }
 
@@ -269,7 +299,11 @@
         let known = listed.iter().filter(|l| l.open && l.warm >= 1.0);
         let pairs = known.filter_map(|l| Some((l.weight, answer.weights.get(&l.host)?.0)));
         let (listed_sum, planned_sum) = pairs.fold((0.0, 0.0), |(a, b), (l, p)| (a + l, b + p));
-        let scale = if planned_sum > 0.0 { listed_sum / planned_sum } else { 1.0 };
+        let scale = if planned_sum > 0.0 {
+            listed_sum / planned_sum
+        } else {
+            1.0
+        };
         let one = |l: &Listed| match answer.weights.get(&l.host) {
             Some((weight, spread)) => ((weight * scale).max(l.weight * LEAST), *spread),
             None => (l.weight, 0.0),
@@ -279,7 +313,10 @@
 
     /// The question that is too late, given up: whether there was one.
     pub fn gave_up(&mut self, now: Time) -> bool {
-        let late = self.question.take_if(|question| now - question.at >= LATE).is_some();
+        let late = self
+            .question
+            .take_if(|question| now - question.at >= LATE)
+            .is_some();
         if late {
             self.failed = Some("the solver is too late".into());
         }
@@ -292,17 +329,34 @@
         let open: Vec<Listed> = listed.iter().filter(|l| l.open).cloned().collect();
         let believed = self.estimates.read(now, &open);
         let bears = |(l, prior): (&Listed, f64)| {
-            let speed = believed.as_ref().and_then(|b| b.speed.get(&l.host)).map_or(prior, |f| f.value);
-            let (warm, speed) = (l.warm >= 1.0, if l.warm >= 1.0 { speed } else { speed.min(prior) });
-            Bears { capacity: (l.cores() * speed * l.warm).max(1e-9), warm }
+            let speed = believed
+                .as_ref()
+                .and_then(|b| b.speed.get(&l.host))
+                .map_or(prior, |f| f.value);
+            let (warm, speed) = (
+                l.warm >= 1.0,
+                if l.warm >= 1.0 {
+                    speed
+                } else {
+                    speed.min(prior)
+                },
+            );
+            Bears {
+                capacity: (l.cores() * speed * l.warm).max(1e-9),
+                warm,
+            }
         };
         let used = |l: &Listed| self.in_use.get(&l.host).copied().unwrap_or(l.weight) * l.warm;
         let hosts: Vec<Bears> = open.iter().zip(listed_speeds(&open)).map(bears).collect();
         let safe = guarded(&hosts, &open.iter().map(used).collect::<Vec<_>>());
-        let mut handed: BTreeMap<HostId, f64> = listed.iter().map(|l| (l.host.clone(), l.weight)).collect();
+        let mut handed: BTreeMap<HostId, f64> =
+            listed.iter().map(|l| (l.host.clone(), l.weight)).collect();
         for (l, weight) in open.iter().zip(safe) {
             // The module takes a weight of 0 for none given.
-            handed.insert(l.host.clone(), (weight / l.warm.max(LEAST)).max(l.weight * LEAST));
+            handed.insert(
+                l.host.clone(),
+                (weight / l.warm.max(LEAST)).max(l.weight * LEAST),
+            );
         }
         handed
     }
--- a/crates/weights/src/solve.rs
+++ b/crates/weights/src/solve.rs
@@ -8,8 +8,8 @@
 use good_lp::constraint::ConstraintReference;
 use good_lp::solvers::DualValues;
 use good_lp::{
-    Expression, ProblemVariables, ResolutionError, Solution, SolutionWithDual, SolverModel, Variable,
-    clarabel, constraint, microlp, variable, variables,
+    Expression, ProblemVariables, ResolutionError, Solution, SolutionWithDual, SolverModel,
+    Variable, clarabel, constraint, microlp, variable, variables,
 };
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -92,10 +92,21 @@
     let now = solve(fleet, solver)?.worth;
     let with = |zone: usize| {
         let mut more = fleet.clone();
-        more.tables.iter_mut().filter_map(|t| t.hosts.as_mut()).for_each(|h| h.push(fleet.hosts.len()));
-        more.hosts.push(Host { name: "one more".into(), zone, ..make.clone() });
+        more.tables
+            .iter_mut()
+            .filter_map(|t| t.hosts.as_mut())
+            .for_each(|h| h.push(fleet.hosts.len()));
+        more.hosts.push(Host {
+            name: "one more".into(),
+            zone,
+            ..make.clone()
+        });
         let gain = solve(&more, solver)?.worth - now;
-        Ok(if gain.abs() <= now.abs() * NOISE { 0.0 } else { gain })
+        Ok(if gain.abs() <= now.abs() * NOISE {
+            0.0
+        } else {
+            gain
+        })
     };
     (0..fleet.zones.len()).map(with).collect()
 }
@@ -105,8 +116,16 @@
     let mean = fleet.capacity() / fleet.hosts.len().max(1) as f64;
     let nothing_asked = fleet.work_asked() <= 0.0;
     Plan {
-        weights: fleet.hosts.iter().map(|host| host.capacity() / mean).collect(),
-        utilisation: fleet.hosts.iter().map(|host| host.taken_now() / host.capacity()).collect(),
+        weights: fleet
+            .hosts
+            .iter()
+            .map(|host| host.capacity() / mean)
+            .collect(),
+        utilisation: fleet
+            .hosts
+            .iter()
+            .map(|host| host.taken_now() / host.capacity())
+            .collect(),
         let_in: vec![if nothing_asked { 1.0 } else { 0.0 }; fleet.kinds.len()],
         in_time: vec![if nothing_asked { 1.0 } else { 0.0 }; fleet.kinds.len()],
         served: (!nothing_asked).then_some(0.0),
@@ -133,11 +152,20 @@
 
 impl Prices {
     pub(crate) fn of(fleet: &Fleet) -> Prices {
-        let (reqs, benefit) =
-            fleet.asked().fold((0.0, 0.0), |(r, b), (rate, kind)| (r + rate, b + rate * kind.benefit));
+        let (reqs, benefit) = fleet.asked().fold((0.0, 0.0), |(r, b), (rate, kind)| {
+            (r + rate, b + rate * kind.benefit)
+        });
         let work = fleet.work_asked();
-        let room = fleet.asked().map(|(rate, kind)| rate * room(kind)).sum::<f64>() / reqs;
-        Prices { crossing: fleet.crossing * benefit / work, missed: benefit / work, room }
+        let room = fleet
+            .asked()
+            .map(|(rate, kind)| rate * room(kind))
+            .sum::<f64>()
+            / reqs;
+        Prices {
+            crossing: fleet.crossing * benefit / work,
+            missed: benefit / work,
+            room,
+        }
     }
 }
 
@@ -181,8 +209,14 @@
                 worth += kind.benefit * reqs;
                 reqs
             };
-            let mut of_zone =
-                |rates: &Vec<f64>| fleet.kinds.iter().zip(rates).map(&mut of_kind).collect::<Vec<_>>();
+            let mut of_zone = |rates: &Vec<f64>| {
+                fleet
+                    .kinds
+                    .iter()
+                    .zip(rates)
+                    .map(&mut of_kind)
+                    .collect::<Vec<_>>()
+            };
             let_in.push(table.rates.iter().map(&mut of_zone).collect::<Vec<_>>());
             let to_host = |host: usize| (host, variables.add(variable().min(0.0)));
             flow.push(fleet.hosts_of(table).map(to_host).collect::<Vec<_>>());
@@ -202,7 +236,15 @@
             pieces(host.cores, prices.room).map(piece).collect()
         };
         let filled = fleet.hosts.iter().map(of_host).collect();
-        Program { fleet, variables, let_in, flow, away, filled, worth }
+        Program {
+            fleet,
+            variables,
+            let_in,
+            flow,
+            away,
+            filled,
+            worth,
+        }
     }
 
     fn values(&self, solver: Solver, limit: Option<Duration>) -> Result<Values, SolveError> {
@@ -221,10 +263,16 @@
                 let dual = solution.compute_dual();
                 let of = |(all, zones): &TableRows| {
                     // Signs as libraries have them; a price is none under zero.
-                    let zones = zones.iter().map(|row| dual.dual(row.clone()).abs()).collect();
+                    let zones = zones
+                        .iter()
+                        .map(|row| dual.dual(row.clone()).abs())
+                        .collect();
                     (dual.dual(all.clone()).abs(), zones)
                 };
-                Values { price: rows.iter().map(of).collect(), ..found }
+                Values {
+                    price: rows.iter().map(of).collect(),
+                    ..found
+                }
             }
             Solver::Simplex => {
                 let mut model = variables.maximise(worth).using(microlp);
@@ -233,16 +281,31 @@
             }
         };
         // A library may give an answer that it knows to be none.
-        let all = values.flow.iter().flatten().map(|(_, work)| *work).chain([values.worth]);
-        let sound = all.into_iter().all(|value| value.is_finite() && value.abs() < 1e12);
-        if sound { Ok(values) } else { Err(SolveError::Solver("its figures are no plan".into())) }
+        let all = values
+            .flow
+            .iter()
+            .flatten()
+            .map(|(_, work)| *work)
+            .chain([values.worth]);
+        let sound = all
+            .into_iter()
+            .all(|value| value.is_finite() && value.abs() < 1e12);
+        if sound {
+            Ok(values)
+        } else {
+            Err(SolveError::Solver("its figures are no plan".into()))
+        }
     }
 
     /// By table: the row that sends on all that is let in, and those that count what crosses into a zone.
     fn constrain<M: SolverModel>(&self, model: &mut M) -> Vec<TableRows> {
         let fleet = self.fleet;
         let of_zone = |let_in: &Vec<Variable>| -> Expression {
-            let_in.iter().zip(&fleet.kinds).map(|(reqs, kind)| kind.work_s * *reqs).sum()
+            let_in
+                .iter()
+                .zip(&fleet.kinds)
+                .map(|(reqs, kind)| kind.work_s * *reqs)
+                .sum()
         };
         let mut rows = Vec::new();
         for ((let_in, flow), away) in self.let_in.iter().zip(&self.flow).zip(&self.away) {
@@ -250,7 +313,9 @@
             let sent: Expression = flow.iter().map(|(_, work)| *work).sum();
             let all = model.add_constraint(constraint!(sent == work));
             let zone = |(zone, (let_in, away)): (usize, (&Vec<Variable>, &Variable))| {
-                let here = flow.iter().filter(|(host, _)| fleet.hosts[*host].zone == zone);
+                let here = flow
+                    .iter()
+                    .filter(|(host, _)| fleet.hosts[*host].zone == zone);
                 let came: Expression = here.map(|(_, work)| *work).sum();
                 let own = of_zone(let_in);
                 model.add_constraint(constraint!(came - own - *away <= 0.0))
@@ -258,9 +323,15 @@
             rows.push((all, let_in.iter().zip(away).enumerate().map(zone).collect()));
         }
         // What comes to a host fills it, beside what others bring.
-        let mut came: Vec<Expression> =
-            fleet.hosts.iter().map(|host| Expression::from(host.taken_now())).collect();
-        self.flow.iter().flatten().for_each(|(host, work)| came[*host] += *work);
+        let mut came: Vec<Expression> = fleet
+            .hosts
+            .iter()
+            .map(|host| Expression::from(host.taken_now()))
+            .collect();
+        self.flow
+            .iter()
+            .flatten()
+            .for_each(|(host, work)| came[*host] += *work);
         for ((came, pieces), host) in came.into_iter().zip(&self.filled).zip(&fleet.hosts) {
             let filled: Expression = pieces.iter().sum();
             model.add_constraint(constraint!(came == host.capacity() * filled));
@@ -273,8 +344,16 @@
         let value = |v: &Variable| solution.value(*v).max(0.0);
         let row = |row: &Vec<Variable>| row.iter().map(value).collect::<Vec<f64>>();
         Values {
-            let_in: self.let_in.iter().map(|zones| zones.iter().map(row).collect()).collect(),
-            flow: self.flow.iter().map(|flow| flow.iter().map(|(h, v)| (*h, value(v))).collect()).collect(),
+            let_in: self
+                .let_in
+                .iter()
+                .map(|zones| zones.iter().map(row).collect())
+                .collect(),
+            flow: self
+                .flow
+                .iter()
+                .map(|flow| flow.iter().map(|(h, v)| (*h, value(v))).collect())
+                .collect(),
             away: self.away.iter().map(row).collect(),
             worth: solution.eval(&self.worth),
             price: Vec::new(),
@@ -285,7 +364,11 @@
 /// Work a second at each host, others' not counted.
 pub(crate) fn loads(fleet: &Fleet, values: &Values) -> Vec<f64> {
     let mut load = vec![0.0; fleet.hosts.len()];
-    values.flow.iter().flatten().for_each(|(host, work)| load[*host] += work);
+    values
+        .flow
+        .iter()
+        .flatten()
+        .for_each(|(host, work)| load[*host] += work);
     load
 }
 
@@ -298,32 +381,68 @@
     let of_kind = |kind: usize| {
         let rate = |table: &Table| table.rates.iter().map(|rates| rates[kind]).sum::<f64>();
         let asked: f64 = fleet.tables.iter().map(rate).sum();
-        let came: f64 = values.let_in.iter().flatten().map(|let_in| let_in[kind]).sum();
-        if asked > 0.0 { (came / asked).min(1.0) } else { 1.0 }
+        let came: f64 = values
+            .let_in
+            .iter()
+            .flatten()
+            .map(|let_in| let_in[kind])
+            .sum();
+        if asked > 0.0 {
+            (came / asked).min(1.0)
+        } else {
+            1.0
+        }
     };
     let let_in: Vec<f64> = (0..fleet.kinds.len()).map(of_kind).collect();
     let of_let_in = |let_in: &Vec<f64>| -> f64 {
-        let_in.iter().zip(&fleet.kinds).map(|(reqs, kind)| reqs * kind.benefit).sum()
+        let_in
+            .iter()
+            .zip(&fleet.kinds)
+            .map(|(reqs, kind)| reqs * kind.benefit)
+            .sum()
     };
     let late = |kind: &Kind| -> f64 {
         let of = |((load, host), u): ((&f64, &Host), &f64)| match *u > 0.0 {
             true => load * missing(u.min(1.0), host.cores, room(kind)) / u.min(1.0),
             false => 0.0,
         };
-        load.iter().zip(&fleet.hosts).zip(&utilisation).map(of).sum::<f64>() / all.max(1e-12)
+        load.iter()
+            .zip(&fleet.hosts)
+            .zip(&utilisation)
+            .map(of)
+            .sum::<f64>()
+            / all.max(1e-12)
     };
-    let in_time = fleet.kinds.iter().zip(&let_in).map(|(kind, part)| part * (1.0 - late(kind))).collect();
+    let in_time = fleet
+        .kinds
+        .iter()
+        .zip(&let_in)
+        .map(|(kind, part)| part * (1.0 - late(kind)))
+        .collect();
     let asked: f64 = fleet.asked().map(|(rate, kind)| rate * kind.benefit).sum();
     let full = |(host, u): (&Host, &f64)| (*u >= LITTLE_ROOM).then(|| host.name.clone());
     Plan {
-        weights: if mean > 0.0 { load.iter().map(|load| load / mean).collect() } else { idle(fleet).weights },
-        little_room: fleet.hosts.iter().zip(&utilisation).filter_map(full).collect(),
+        weights: if mean > 0.0 {
+            load.iter().map(|load| load / mean).collect()
+        } else {
+            idle(fleet).weights
+        },
+        little_room: fleet
+            .hosts
+            .iter()
+            .zip(&utilisation)
+            .filter_map(full)
+            .collect(),
         utilisation,
         served: (asked > 0.0)
             .then(|| (values.let_in.iter().flatten().map(of_let_in).sum::<f64>() / asked).min(1.0)),
         let_in,
         in_time,
-        crossing: if all > 0.0 { values.away.iter().flatten().sum::<f64>() / all } else { 0.0 },
+        crossing: if all > 0.0 {
+            values.away.iter().flatten().sum::<f64>() / all
+        } else {
+            0.0
+        },
         worth: values.worth,
     }
 }
--- a/crates/weights/src/steady.rs
+++ b/crates/weights/src/steady.rs
@@ -15,7 +15,11 @@
         Some(used) if *used > 0.0 && planned.is_finite() => {
             let off = planned / used - 1.0;
             let dead = DEAD.max(spread.min(SPREAD_MOST));
-            if off.abs() < dead { *used } else { used * (1.0 + off.clamp(-STEP, STEP)) }
+            if off.abs() < dead {
+                *used
+            } else {
+                used * (1.0 + off.clamp(-STEP, STEP))
+            }
         }
         Some(used) if !planned.is_finite() => *used,
         _ => *planned,
@@ -32,7 +36,10 @@
         assert_eq!(step(&[Some(1.0)], &[(1.09, 0.0)]), [1.0]);
         assert_eq!(step(&[Some(1.0)], &[(3.0, 0.0)]), [1.25]);
         assert_eq!(step(&[Some(1.0)], &[(0.1, 0.0)]), [0.75]);
-        assert_eq!(step(&[Some(1.0), None], &[(f64::NAN, 0.0), (0.4, 0.0)]), [1.0, 0.4]);
+        assert_eq!(
+            step(&[Some(1.0), None], &[(f64::NAN, 0.0), (0.4, 0.0)]),
+            [1.0, 0.4]
+        );
         // What rests on little moves nothing until it is clear.
         assert_eq!(step(&[Some(1.0)], &[(1.14, 0.25)]), [1.0]);
         assert_eq!(step(&[Some(1.0)], &[(1.4, 5.0)]), [1.25]);
@@ -43,7 +50,10 @@
         let mut used = 1.0;
         let mut turns = 0;
         for n in 0..100 {
-            let next = step(&[Some(used)], &[(if n % 2 == 0 { 1.08 } else { 0.93 }, 0.05)])[0];
+            let next = step(
+                &[Some(used)],
+                &[(if n % 2 == 0 { 1.08 } else { 0.93 }, 0.05)],
+            )[0];
             turns += usize::from(next != used);
             used = next;
         }
--- a/crates/weights/src/warm.rs
+++ b/crates/weights/src/warm.rs
@@ -45,35 +45,58 @@
 /// The last plan as a plan for a fleet with other figures; none if it does not fit.
 fn scaled(then: &Fleet, fleet: &Fleet, values: &Values) -> Option<Values> {
     let same_hosts = then.hosts.len() == fleet.hosts.len()
-        && then.hosts.iter().zip(&fleet.hosts).all(|(a, b)| a.name == b.name && a.zone == b.zone);
+        && then
+            .hosts
+            .iter()
+            .zip(&fleet.hosts)
+            .all(|(a, b)| a.name == b.name && a.zone == b.zone);
     let same_tables = then.tables.len() == fleet.tables.len()
-        && then.tables.iter().zip(&fleet.tables).all(|(a, b)| a.hosts == b.hosts);
-    if !same_hosts || !same_tables || then.kinds.len() != fleet.kinds.len() || fleet.work_asked() <= 0.0 {
+        && then
+            .tables
+            .iter()
+            .zip(&fleet.tables)
+            .all(|(a, b)| a.hosts == b.hosts);
+    if !same_hosts
+        || !same_tables
+        || then.kinds.len() != fleet.kinds.len()
+        || fleet.work_asked() <= 0.0
+    {
         return None;
     }
     let prices = Prices::of(fleet);
-    let mut now = Values { worth: 0.0, ..values.clone() };
+    let mut now = Values {
+        worth: 0.0,
+        ..values.clone()
+    };
     for (t, table) in fleet.tables.iter().enumerate() {
         let mut own = vec![0.0; fleet.zones.len()];
         for (z, rates) in table.rates.iter().enumerate() {
             for (k, kind) in fleet.kinds.iter().enumerate() {
                 let asked = then.tables[t].rates[z][k];
                 // What was not asked for then is let in as far as others of its kind were.
-                let part = if asked > 0.0 { values.let_in[t][z][k] / asked } else { 1.0 };
+                let part = if asked > 0.0 {
+                    values.let_in[t][z][k] / asked
+                } else {
+                    1.0
+                };
                 now.let_in[t][z][k] = part.min(1.0) * rates[k];
                 own[z] += now.let_in[t][z][k] * kind.work_s;
                 now.worth += now.let_in[t][z][k] * kind.benefit;
             }
         }
-        let (before, after): (f64, f64) =
-            (values.flow[t].iter().map(|(_, work)| work).sum(), own.iter().sum());
+        let (before, after): (f64, f64) = (
+            values.flow[t].iter().map(|(_, work)| work).sum(),
+            own.iter().sum(),
+        );
         if before <= 0.0 && after > 0.0 {
             return None;
         }
         let factor = if before > 0.0 { after / before } else { 0.0 };
         now.flow[t].iter_mut().for_each(|(_, work)| *work *= factor);
         for (z, own) in own.iter().enumerate() {
-            let here = now.flow[t].iter().filter(|(host, _)| fleet.hosts[*host].zone == z);
+            let here = now.flow[t]
+                .iter()
+                .filter(|(host, _)| fleet.hosts[*host].zone == z);
             now.away[t][z] = (here.map(|(_, work)| work).sum::<f64>() - own).max(0.0);
             now.worth -= prices.crossing * now.away[t][z];
         }
@@ -94,10 +117,17 @@
     let mut worth = 0.0;
     let mut host_price = vec![0.0f64; fleet.hosts.len()];
     for (table, (all, zones)) in fleet.tables.iter().zip(price) {
-        let own = |zone: usize| all - zones.get(zone).copied().unwrap_or(0.0).clamp(0.0, prices.crossing);
+        let own = |zone: usize| {
+            all - zones
+                .get(zone)
+                .copied()
+                .unwrap_or(0.0)
+                .clamp(0.0, prices.crossing)
+        };
         for (zone, rates) in table.rates.iter().enumerate() {
-            let of =
-                |(rate, kind): (&f64, &crate::Kind)| rate * (kind.benefit - kind.work_s * own(zone)).max(0.0);
+            let of = |(rate, kind): (&f64, &crate::Kind)| {
+                rate * (kind.benefit - kind.work_s * own(zone)).max(0.0)
+            };
             worth += rates.iter().zip(&fleet.kinds).map(of).sum::<f64>();
         }
         for host in fleet.hosts_of(table) {
@@ -106,7 +136,9 @@
     }
     let of = |(host, price): (&Host, f64)| {
         let capacity = host.capacity();
-        let gain = |(width, slope): (f64, f64)| width * capacity * (price - prices.missed * slope).max(0.0);
+        let gain = |(width, slope): (f64, f64)| {
+            width * capacity * (price - prices.missed * slope).max(0.0)
+        };
         pieces(host.cores, prices.room).map(gain).sum::<f64>() - price * host.taken_now()
     };
     worth + fleet.hosts.iter().zip(host_price).map(of).sum::<f64>()
@@ -119,8 +151,12 @@
     use proptest::prelude::*;
 
     fn fleet(speeds: &[f64], load: f64) -> Fleet {
-        let kind =
-            |name: &str, work_s, benefit| Kind { name: name.into(), work_s, response_target_s: 1.0, benefit };
+        let kind = |name: &str, work_s, benefit| Kind {
+            name: name.into(),
+            work_s,
+            response_target_s: 1.0,
+            benefit,
+        };
         let host = |(n, speed): (usize, &f64)| Host {
             name: format!("host-{n}"),
             zone: n % 2,
@@ -138,7 +174,10 @@
             zones: vec!["ede".into(), "arnhem".into()],
             kinds: vec![kind("proof", 0.1, 1.0), kind("order", 0.05, 5.0)],
             hosts,
-            tables: vec![Table::of_all(vec![vec![reqs * 0.7; 2], vec![reqs * 0.3; 2]])],
+            tables: vec![Table::of_all(vec![
+                vec![reqs * 0.7; 2],
+                vec![reqs * 0.3; 2],
+            ])],
             crossing: 0.06,
         }
     }
@@ -149,13 +188,33 @@
     fn small_changes_keep_the_plan_and_large_ones_do_not() {
         let mut warm = Warm::default();
         let speeds = [1.0, 0.8, 1.2, 1.0, 1.5, 0.9];
-        assert_eq!(warm.solve(&fleet(&speeds, 0.6), LIMIT).map(|(_, start)| start), Ok(Start::Solved));
-        assert_eq!(warm.solve(&fleet(&speeds, 0.6), LIMIT).map(|(_, start)| start), Ok(Start::Kept));
-        assert_eq!(warm.solve(&fleet(&speeds, 0.62), LIMIT).map(|(_, start)| start), Ok(Start::Kept));
+        assert_eq!(
+            warm.solve(&fleet(&speeds, 0.6), LIMIT)
+                .map(|(_, start)| start),
+            Ok(Start::Solved)
+        );
+        assert_eq!(
+            warm.solve(&fleet(&speeds, 0.6), LIMIT)
+                .map(|(_, start)| start),
+            Ok(Start::Kept)
+        );
+        assert_eq!(
+            warm.solve(&fleet(&speeds, 0.62), LIMIT)
+                .map(|(_, start)| start),
+            Ok(Start::Kept)
+        );
         let mut slow = speeds;
         slow[0] = 0.3;
-        assert_eq!(warm.solve(&fleet(&slow, 0.75), LIMIT).map(|(_, start)| start), Ok(Start::Solved));
-        assert_eq!(warm.solve(&fleet(&speeds[..5], 0.6), LIMIT).map(|(_, start)| start), Ok(Start::Solved));
+        assert_eq!(
+            warm.solve(&fleet(&slow, 0.75), LIMIT)
+                .map(|(_, start)| start),
+            Ok(Start::Solved)
+        );
+        assert_eq!(
+            warm.solve(&fleet(&speeds[..5], 0.6), LIMIT)
+                .map(|(_, start)| start),
+            Ok(Start::Solved)
+        );
     }
 
     proptest! {
--- a/crates/weights/tests/estimates.rs
+++ b/crates/weights/tests/estimates.rs
@@ -28,7 +28,14 @@
 }
 
 /// One second at a host: `busy` of its cores and so many waiting, by the truth, and `own` of its reqs ours.
-fn second(chance: &mut fastrand::Rng, speed: f64, cores: f64, own: f64, busy: f64, queue: f64) -> Seen {
+fn second(
+    chance: &mut fastrand::Rng,
+    speed: f64,
+    cores: f64,
+    own: f64,
+    busy: f64,
+    queue: f64,
+) -> Seen {
     let due = own * cores * busy * speed / WORK_S.iter().sum::<f64>();
     let reqs = due.floor() + f64::from(u8::from(chance.f64() < due.fract()));
     let mut done = Vec::new();
@@ -39,11 +46,19 @@
         for _ in 0..reqs as u64 {
             time += waits * 2.0 * chance.f64() + work / speed * (0.5 + chance.f64());
         }
-        done.push((KindId(k as u8), reqs, Span::from_micros((time * 1e6) as u64)));
+        done.push((
+            KindId(k as u8),
+            reqs,
+            Span::from_micros((time * 1e6) as u64),
+        ));
     }
     let noise = |chance: &mut fastrand::Rng| 0.8 + 0.4 * chance.f64();
     let load = Some(((busy * noise(chance)).min(1.0), queue * 2.0 * chance.f64()));
-    Seen { done, load, over: SECOND }
+    Seen {
+        done,
+        load,
+        over: SECOND,
+    }
 }
 
 fn speeds(of: &Estimated) -> Vec<f64> {
@@ -62,17 +77,35 @@
     for s in 0..20 {
         for (n, (speed, queue)) in truth.iter().zip(queues).enumerate() {
             let busy = if queue > 2.0 { 0.95 } else { 0.6 };
-            estimates.seen(at(f64::from(s)), &id(n), &second(&mut chance, *speed, 2.0, 1.0, busy, queue));
+            estimates.seen(
+                at(f64::from(s)),
+                &id(n),
+                &second(&mut chance, *speed, 2.0, 1.0, busy, queue),
+            );
         }
     }
     let known = estimates.read(at(19.0), &list).expect("figures");
-    let ratios: Vec<f64> = speeds(&known).iter().zip(truth).map(|(found, truth)| found / truth).collect();
+    let ratios: Vec<f64> = speeds(&known)
+        .iter()
+        .zip(truth)
+        .map(|(found, truth)| found / truth)
+        .collect();
     // Both have their own yardstick. The slowest is mostly waited at: its figure stays nearer to the listed one.
     let middle = (ratios.iter().map(|ratio| ratio.ln()).sum::<f64>() / ratios.len() as f64).exp();
-    assert!(ratios.iter().all(|ratio| (0.8..1.4).contains(&(ratio / middle))), "{ratios:?}");
+    assert!(
+        ratios
+            .iter()
+            .all(|ratio| (0.8..1.4).contains(&(ratio / middle))),
+        "{ratios:?}"
+    );
     let ratio = known.work[0].value / known.work[1].value;
     assert!((ratio - 2.0).abs() < 0.2, "{ratio}");
-    assert!(known.speed.values().all(|figure| figure.spread < 0.3 && figure.age < Span::from_millis(12_000)));
+    assert!(
+        known
+            .speed
+            .values()
+            .all(|figure| figure.spread < 0.3 && figure.age < Span::from_millis(12_000))
+    );
 }
 
 #[test]
@@ -83,7 +116,11 @@
     for s in 0..15 {
         for n in 0..4 {
             let speed = if n == 0 { 3.0 } else { 1.0 };
-            estimates.seen(at(f64::from(s)), &id(n), &second(&mut chance, speed, 1.0, 1.0, 0.5, 0.2));
+            estimates.seen(
+                at(f64::from(s)),
+                &id(n),
+                &second(&mut chance, speed, 1.0, 1.0, 0.5, 0.2),
+            );
         }
     }
     let relative = |known: &Estimated| speeds(known)[0] / speeds(known)[1];
@@ -92,7 +129,11 @@
     let mut last = f64::INFINITY;
     for s in 15..220 {
         for n in 1..4 {
-            estimates.seen(at(f64::from(s)), &id(n), &second(&mut chance, 1.0, 1.0, 1.0, 0.5, 0.2));
+            estimates.seen(
+                at(f64::from(s)),
+                &id(n),
+                &second(&mut chance, 1.0, 1.0, 1.0, 0.5, 0.2),
+            );
         }
         let known = estimates.read(at(f64::from(s)), &list).expect("figures");
         last = relative(&known);
@@ -110,11 +151,18 @@
     let mut estimates = Estimates::new(2, 2, 1.0);
     let list = listed(&[2.0, 1.0, 1.0], 1.0);
     for n in 0..3 {
-        estimates.seen(at(0.0), &id(n), &second(&mut chance, 1.0, 1.0, 1.0, 0.09, 0.0));
+        estimates.seen(
+            at(0.0),
+            &id(n),
+            &second(&mut chance, 1.0, 1.0, 1.0, 0.09, 0.0),
+        );
     }
     let known = estimates.read(at(0.0), &list).expect("figures");
     let ratio = speeds(&known)[0] / speeds(&known)[1];
-    assert!((1.05..2.0).contains(&ratio), "two reqs say something, not all: {ratio}");
+    assert!(
+        (1.05..2.0).contains(&ratio),
+        "two reqs say something, not all: {ratio}"
+    );
     assert!(Estimates::new(2, 2, 1.0).read(at(0.0), &list).is_none());
 }
 
@@ -127,7 +175,11 @@
     let own = 0.3 / WORK_S.iter().sum::<f64>();
     for s in 0..30 {
         for n in 0..4 {
-            estimates.seen(at(f64::from(s)), &id(n), &second(&mut chance, 1.0, 1.0, 0.5, 0.6, 0.0));
+            estimates.seen(
+                at(f64::from(s)),
+                &id(n),
+                &second(&mut chance, 1.0, 1.0, 0.5, 0.6, 0.0),
+            );
         }
         for (p, zone) in [(0, 0), (1, 1)] {
             estimates.asked(ProxyId(p), ZoneId(zone), KindId(0), 2.0 * own, SECOND);
@@ -137,10 +189,21 @@
     let known = estimates.read(at(29.0), &list).expect("figures");
     assert!((1.6..2.6).contains(&known.scale), "{}", known.scale);
     let due = 2.0 * own * known.scale;
-    assert!(known.rates.iter().flatten().all(|rate| (rate / due - 1.0).abs() < 0.05), "{:?}", known.rates);
+    assert!(
+        known
+            .rates
+            .iter()
+            .flatten()
+            .all(|rate| (rate / due - 1.0).abs() < 0.05),
+        "{:?}",
+        known.rates
+    );
     // Ours alone: no more than what our own proxies bring.
     estimates.left(ProxyId(1));
-    assert_eq!(estimates.read(at(29.0), &list).expect("figures").rates[1], [0.0, 0.0]);
+    assert_eq!(
+        estimates.read(at(29.0), &list).expect("figures").rates[1],
+        [0.0, 0.0]
+    );
 }
 
 proptest! {
--- a/crates/weights/tests/planners.rs
+++ b/crates/weights/tests/planners.rs
@@ -31,8 +31,18 @@
 }
 
 fn planner(own_part: f64) -> Planner {
-    let kind = KindFacts { name: "proof".into(), response_target: SECOND, benefit: 1.0 };
-    Planner::new(vec![kind], vec!["ede".into(), "arnhem".into()], 0.06, own_part, at(0.0))
+    let kind = KindFacts {
+        name: "proof".into(),
+        response_target: SECOND,
+        benefit: 1.0,
+    };
+    Planner::new(
+        vec![kind],
+        vec!["ede".into(), "arnhem".into()],
+        0.06,
+        own_part,
+        at(0.0),
+    )
 }
 
 /// Some planners, each with an equal part of the traffic.
@@ -49,7 +59,8 @@
 impl Town {
     fn new(speeds: &[f64], load: f64, planners: usize) -> Town {
         let list = listed(speeds.len());
-        let weights: BTreeMap<HostId, f64> = list.iter().map(|l| (l.host.clone(), l.weight)).collect();
+        let weights: BTreeMap<HostId, f64> =
+            list.iter().map(|l| (l.host.clone(), l.weight)).collect();
         Town {
             speeds: speeds.to_vec(),
             reqs: speeds.iter().sum::<f64>() * load / WORK_S,
@@ -75,27 +86,39 @@
             .iter()
             .map(|(_, _, weights)| {
                 let sum: f64 = weights.values().sum();
-                self.list.iter().map(|l| part * weights[&l.host] / sum).collect()
+                self.list
+                    .iter()
+                    .map(|l| part * weights[&l.host] / sum)
+                    .collect()
             })
             .collect();
         for (n, speed) in self.speeds.iter().enumerate() {
             let brought = sent.iter().map(|of| of[n]).sum::<f64>() * WORK_S / speed;
             self.busy[n] = brought;
             let busy = brought.min(1.0);
-            let queue = if brought < 0.97 { busy * busy / (1.0 - busy) } else { 30.0 };
+            let queue = if brought < 0.97 {
+                busy * busy / (1.0 - busy)
+            } else {
+                30.0
+            };
             for ((planner, _, _), sent) in self.planners.iter_mut().zip(&sent) {
                 let done = sent[n] * busy / brought.max(1e-9);
                 let each = WORK_S / speed * (1.0 + queue / busy.max(1e-9));
                 let time = Span::from_micros((done * each * 1e6) as u64);
-                let seen =
-                    Seen { done: vec![(KindId(0), done, time)], load: Some((busy, queue)), over: SECOND };
+                let seen = Seen {
+                    done: vec![(KindId(0), done, time)],
+                    load: Some((busy, queue)),
+                    over: SECOND,
+                };
                 planner.estimates.seen(now, &id(n), &seen);
             }
         }
         for (n, (planner, warm, weights)) in self.planners.iter_mut().enumerate() {
             for zone in 0..2 {
                 let proxy = ProxyId((2 * n + zone) as u16);
-                planner.estimates.asked(proxy, ZoneId(zone as u16), KindId(0), part / 2.0, SECOND);
+                planner
+                    .estimates
+                    .asked(proxy, ZoneId(zone as u16), KindId(0), part / 2.0, SECOND);
             }
             planner.gave_up(now);
             if let Some(problem) = planner.due(now, &self.list)
@@ -128,12 +151,23 @@
 fn slow_hosts_are_relieved_and_then_nothing_moves_any_more() {
     let mut town = Town::new(&[1.0, 0.5, 2.0, 1.0, 0.7, 1.5], 0.7, 1);
     town.second(true);
-    assert!(town.most() > 1.2, "with equal weights the slow host is overrun");
+    assert!(
+        town.most() > 1.2,
+        "with equal weights the slow host is overrun"
+    );
     town.run(45);
-    assert!(town.busy.iter().all(|busy| (0.5..0.9).contains(busy)), "{:?}", town.busy);
+    assert!(
+        town.busy.iter().all(|busy| (0.5..0.9).contains(busy)),
+        "{:?}",
+        town.busy
+    );
     let changes = town.changes;
     town.run(60);
-    assert!(town.changes <= changes + 2, "{} changes in a quiet minute", town.changes - changes);
+    assert!(
+        town.changes <= changes + 2,
+        "{} changes in a quiet minute",
+        town.changes - changes
+    );
 }
 
 /// Each sees a part; together they must not pour onto the host that is idle.
@@ -152,7 +186,11 @@
         }
         assert!(most < 0.9, "{planners} stewards: the idle host got {most}");
         assert!(turns <= 2, "{planners} stewards: {turns} steps back");
-        assert!(town.busy[0] > 0.55 && town.most() < 0.9, "{planners} stewards: {:?}", town.busy);
+        assert!(
+            town.busy[0] > 0.55 && town.most() < 0.9,
+            "{planners} stewards: {:?}",
+            town.busy
+        );
     }
 }
 
@@ -160,7 +198,11 @@
 fn hosts_alike_are_left_at_their_listed_weights() {
     let mut town = Town::new(&[1.0; 12], 0.6, 2);
     town.run(60);
-    assert!(town.planners.iter().all(|(_, _, weights)| weights.values().all(|w| (w - 1.0).abs() < 1e-9)));
+    assert!(
+        town.planners
+            .iter()
+            .all(|(_, _, weights)| weights.values().all(|w| (w - 1.0).abs() < 1e-9))
+    );
 }
 
 /// A burst of figures that make a host ten times faster than it is.
@@ -170,7 +212,11 @@
     town.run(10);
     for _ in 0..6 {
         let time = Span::from_micros((40.0 * WORK_S / 10.0 * 1e6) as u64);
-        let wrong = Seen { done: vec![(KindId(0), 40.0, time)], load: Some((0.1, 0.0)), over: SECOND };
+        let wrong = Seen {
+            done: vec![(KindId(0), 40.0, time)],
+            load: Some((0.1, 0.0)),
+            over: SECOND,
+        };
         let now = at(town.now);
         town.planners[0].0.estimates.seen(now, &id(0), &wrong);
         town.second(true);
@@ -203,7 +249,10 @@
     }
     assert_eq!(town.planners[0].0.source(), Source::Listed);
     assert!(
-        town.planners[0].2.values().all(|weight| (weight - 1.0).abs() < 0.11),
+        town.planners[0]
+            .2
+            .values()
+            .all(|weight| (weight - 1.0).abs() < 0.11),
         "{:?}",
         town.planners[0].2
     );
@@ -220,15 +269,31 @@
     let plan = |fleet: &Fleet| pondarch_weights::solve(fleet, Default::default()).expect("a plan");
     let answer = plan(&problem.fleet);
     planner.answered(at(2.1), problem.number + 1, Ok(answer.clone()));
-    assert!(planner.step(at(2.2), &town.list).is_none(), "no such question");
+    assert!(
+        planner.step(at(2.2), &town.list).is_none(),
+        "no such question"
+    );
     planner.answered(at(6.0), problem.number, Ok(answer.clone()));
     assert_eq!(planner.failed(), Some("the answer came too late"));
-    let problem = planner.due(at(6.0), &town.list).or_else(|| planner.due(at(7.0), &town.list));
+    let problem = planner
+        .due(at(6.0), &town.list)
+        .or_else(|| planner.due(at(7.0), &town.list));
     let number = problem.expect("the next").number;
-    planner.answered(at(7.1), number, Ok(Plan { weights: vec![1.0], ..answer }));
+    planner.answered(
+        at(7.1),
+        number,
+        Ok(Plan {
+            weights: vec![1.0],
+            ..answer
+        }),
+    );
     assert_eq!(planner.failed(), Some("an answer for other hosts"));
     planner.answered(at(7.2), number, Err("again".into()));
-    assert_eq!(planner.failed(), Some("an answer for other hosts"), "answered once only");
+    assert_eq!(
+        planner.failed(),
+        Some("an answer for other hosts"),
+        "answered once only"
+    );
 }
 
 #[test]
@@ -254,8 +319,15 @@
     assert!(planner.handed(at(5.0), &[]).is_empty());
     let list = listed(1);
     planner.estimates.seen(at(5.0), &id(0), &Seen::default());
-    assert!(planner.due(at(9.0), &list).is_none(), "nothing is asked for");
-    assert!(planner.step(at(9.0), &list).is_none_or(|handed| handed[&id(0)] == 1.0));
+    assert!(
+        planner.due(at(9.0), &list).is_none(),
+        "nothing is asked for"
+    );
+    assert!(
+        planner
+            .step(at(9.0), &list)
+            .is_none_or(|handed| handed[&id(0)] == 1.0)
+    );
 }
 
 proptest! {
--- a/crates/weights/tests/plans.rs
+++ b/crates/weights/tests/plans.rs
@@ -7,16 +7,33 @@
 
 fn host(n: usize, zone: usize, speed: f64) -> Host {
     let name = format!("host-{n}");
-    Host { name, zone, cores: 1.0, speed, connections: None, warm: 1.0, taken: 0.0, taken_age_s: 0.0 }
+    Host {
+        name,
+        zone,
+        cores: 1.0,
+        speed,
+        connections: None,
+        warm: 1.0,
+        taken: 0.0,
+        taken_age_s: 0.0,
+    }
 }
 
 fn kind(name: &str, work_ms: f64, target_ms: f64, benefit: f64) -> Kind {
-    Kind { name: name.into(), work_s: work_ms / 1e3, response_target_s: target_ms / 1e3, benefit }
+    Kind {
+        name: name.into(),
+        work_s: work_ms / 1e3,
+        response_target_s: target_ms / 1e3,
+        benefit,
+    }
 }
 
 /// Two zones, `hosts` of speed 1, and this part of their capacity asked for, half in each zone.
 fn fleet(hosts: usize, load: f64) -> Fleet {
-    let kinds = vec![kind("proof", 60.0, 1_500.0, 1.0), kind("order", 40.0, 1_000.0, 5.0)];
+    let kinds = vec![
+        kind("proof", 60.0, 1_500.0, 1.0),
+        kind("order", 40.0, 1_000.0, 5.0),
+    ];
     let reqs = hosts as f64 * load / (0.05 * 2.0);
     Fleet {
         zones: vec!["ede".into(), "arnhem".into()],
@@ -36,7 +53,8 @@
         assert!((weight - 1.0).abs() < 0.02, "{:?}", plan.weights);
     }
     assert!(
-        plan.crossing < 0.01 && plan.let_in == [1.0, 1.0] || plan.let_in.iter().all(|part| *part > 0.999)
+        plan.crossing < 0.01 && plan.let_in == [1.0, 1.0]
+            || plan.let_in.iter().all(|part| *part > 0.999)
     );
 }
 
@@ -54,7 +72,11 @@
     fleet.hosts[0].speed = 2.0;
     fleet.hosts[3].warm = 0.17;
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.weights[0] > plan.weights[2] * 1.5, "{:?}", plan.weights);
+    assert!(
+        plan.weights[0] > plan.weights[2] * 1.5,
+        "{:?}",
+        plan.weights
+    );
     assert!(plan.utilisation[3] <= 0.93, "{:?}", plan.utilisation);
     assert!(plan.weights[3] < plan.weights[1] * 0.3);
 }
@@ -62,13 +84,24 @@
 #[test]
 fn too_little_for_all_lets_the_greater_benefit_in() {
     let plan = solve(&fleet(10, 1.0 / 0.6), Solver::Interior).expect("a plan");
-    assert!(plan.let_in[1] > 0.99 && plan.let_in[0] < 0.6, "{:?}", plan.let_in);
+    assert!(
+        plan.let_in[1] > 0.99 && plan.let_in[0] < 0.6,
+        "{:?}",
+        plan.let_in
+    );
     assert!(plan.utilisation.iter().all(|u| *u <= 0.921));
     assert!(plan.served.is_some_and(|served| served > 0.85));
     assert!(
-        plan.in_time.iter().zip(&plan.let_in).all(|(in_time, part)| in_time <= part && *in_time > part * 0.8)
+        plan.in_time
+            .iter()
+            .zip(&plan.let_in)
+            .all(|(in_time, part)| in_time <= part && *in_time > part * 0.8)
+    );
+    assert!(
+        plan.utilisation.iter().all(|u| *u > 0.6),
+        "{:?}",
+        plan.utilisation
     );
-    assert!(plan.utilisation.iter().all(|u| *u > 0.6), "{:?}", plan.utilisation);
     let gains = one_more(&fleet(10, 1.0 / 0.6), &host(0, 0, 1.0), Solver::Interior).expect("gains");
     assert!(gains.iter().all(|gain| *gain > 0.0), "{gains:?}");
 }
@@ -81,15 +114,24 @@
     assert!((plan.crossing - 0.5).abs() < 0.02, "{}", plan.crossing);
     assert!(plan.let_in.iter().all(|part| *part > 0.99));
     let gains = one_more(&fleet, &host(0, 0, 1.0), Solver::Interior).expect("gains");
-    assert!(gains[0] > gains[1], "a host where there is none brings more: {gains:?}");
+    assert!(
+        gains[0] > gains[1],
+        "a host where there is none brings more: {gains:?}"
+    );
 }
 
 #[test]
 fn nobody_nothing_and_nonsense() {
     for solver in BOTH {
-        let none = Fleet { hosts: Vec::new(), ..fleet(2, 0.5) };
+        let none = Fleet {
+            hosts: Vec::new(),
+            ..fleet(2, 0.5)
+        };
         assert_eq!(solve(&none, solver).expect("a plan").served, Some(0.0));
-        let idle = Fleet { tables: vec![Table::of_all(vec![vec![0.0; 2]; 2])], ..fleet(4, 0.5) };
+        let idle = Fleet {
+            tables: vec![Table::of_all(vec![vec![0.0; 2]; 2])],
+            ..fleet(4, 0.5)
+        };
         let plan = solve(&idle, solver).expect("a plan");
         assert_eq!((plan.weights, plan.served), (vec![1.0; 4], None));
         let one = solve(&fleet(1, 0.5), solver).expect("a plan");
@@ -98,7 +140,9 @@
     for wrong in [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.0] {
         let mut fleet = fleet(3, 0.5);
         fleet.hosts[1].speed = wrong;
-        let message = solve(&fleet, Solver::Interior).expect_err("no plan").to_string();
+        let message = solve(&fleet, Solver::Interior)
+            .expect_err("no plan")
+            .to_string();
         assert!(message.starts_with("host host-1: speed:"), "{message}");
     }
     let mut fleet = fleet(3, 0.5);
@@ -116,14 +160,25 @@
     let mut fleet = fleet(10, 0.5);
     fleet.hosts[0].taken = 0.6;
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.weights[0] < plan.weights[2] * 0.5, "{:?}", plan.weights);
+    assert!(
+        plan.weights[0] < plan.weights[2] * 0.5,
+        "{:?}",
+        plan.weights
+    );
     fleet.hosts[0].taken_age_s = 600.0;
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!((plan.weights[0] / plan.weights[2] - 1.0).abs() < 0.1, "{:?}", plan.weights);
+    assert!(
+        (plan.weights[0] / plan.weights[2] - 1.0).abs() < 0.1,
+        "{:?}",
+        plan.weights
+    );
     // More than it can do: it is full, and the rest goes on.
     (fleet.hosts[0].taken, fleet.hosts[0].taken_age_s) = (50.0, 0.0);
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.weights[0] < 0.1 && plan.let_in.iter().all(|part| *part > 0.99), "{plan:?}");
+    assert!(
+        plan.weights[0] < 0.1 && plan.let_in.iter().all(|part| *part > 0.99),
+        "{plan:?}"
+    );
 }
 
 #[test]
@@ -131,9 +186,17 @@
     let mut fleet = fleet(6, 0.5);
     fleet.hosts.iter_mut().for_each(|host| host.cores = 4.0);
     fleet.hosts[1].connections = Some(1.0);
-    fleet.tables[0].rates.iter_mut().flatten().for_each(|rate| *rate *= 4.0);
+    fleet.tables[0]
+        .rates
+        .iter_mut()
+        .flatten()
+        .for_each(|rate| *rate *= 4.0);
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.weights[1] < plan.weights[3] * 0.4, "{:?}", plan.weights);
+    assert!(
+        plan.weights[1] < plan.weights[3] * 0.4,
+        "{:?}",
+        plan.weights
+    );
 }
 
 #[test]
@@ -142,30 +205,60 @@
     let mut fleet = fleet(10, 0.6);
     let all = fleet.tables[0].rates.clone();
     let part = |factor: f64| -> Vec<Vec<f64>> {
-        all.iter().map(|rates| rates.iter().map(|rate| rate * factor).collect()).collect()
+        all.iter()
+            .map(|rates| rates.iter().map(|rate| rate * factor).collect())
+            .collect()
     };
     let table = |name: &str, hosts: Vec<usize>, factor| Table {
         name: name.into(),
         hosts: Some(hosts),
         rates: part(factor),
     };
-    fleet.tables = vec![table("hot", vec![0, 1, 2], 0.25), table("rest", (2..10).collect(), 0.75)];
+    fleet.tables = vec![
+        table("hot", vec![0, 1, 2], 0.25),
+        table("rest", (2..10).collect(), 0.75),
+    ];
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.let_in.iter().all(|part| *part > 0.99), "{:?}", plan.let_in);
+    assert!(
+        plan.let_in.iter().all(|part| *part > 0.99),
+        "{:?}",
+        plan.let_in
+    );
     // The host of both tables takes from the fuller one, and all come out alike.
-    assert!(plan.utilisation.iter().all(|u| (0.4..0.83).contains(u)), "{:?}", plan.utilisation);
-    fleet.tables = vec![table("hot", vec![0], 0.25), table("rest", (1..10).collect(), 0.75)];
+    assert!(
+        plan.utilisation.iter().all(|u| (0.4..0.83).contains(u)),
+        "{:?}",
+        plan.utilisation
+    );
+    fleet.tables = vec![
+        table("hot", vec![0], 0.25),
+        table("rest", (1..10).collect(), 0.75),
+    ];
     let plan = solve(&fleet, Solver::Interior).expect("a plan");
-    assert!(plan.utilisation[0] > 0.85 && plan.let_in[1] > 0.9 && plan.let_in[0] < 0.9, "{plan:?}");
+    assert!(
+        plan.utilisation[0] > 0.85 && plan.let_in[1] > 0.9 && plan.let_in[0] < 0.9,
+        "{plan:?}"
+    );
     fleet.tables[0].hosts = Some(vec![10]);
-    assert_eq!(fleet.check().expect_err("no place").to_string(), "table hot: hosts: place 10 of 10");
+    assert_eq!(
+        fleet.check().expect_err("no place").to_string(),
+        "table hot: hosts: place 10 of 10"
+    );
 }
 
 #[test]
 fn a_time_limit_is_kept() {
-    let wrong =
-        solve::solve_within(&fleet(400, 0.8), Solver::Interior, Some(std::time::Duration::from_nanos(1)));
-    assert!(wrong.expect_err("no time").to_string().contains("Time limit"));
+    let wrong = solve::solve_within(
+        &fleet(400, 0.8),
+        Solver::Interior,
+        Some(std::time::Duration::from_nanos(1)),
+    );
+    assert!(
+        wrong
+            .expect_err("no time")
+            .to_string()
+            .contains("Time limit")
+    );
 }
 
 proptest! {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -104,11 +104,17 @@
         let channel = Channel::new(&ticket, now, MarkId(chance.u16(..)));
         let mut ready = Makeready::from_ticket(ticket);
         ready.shared_tables = (proxies.saturating_sub(1) / PROXIES_PER_TABLE).max(1) as usize;
-        ready.gather =
-            UPDATE_INTERVAL.max(ready.window.times(1.0 / (ready.cap as f64 * ORDINARY_CAP_PART).max(1.0)));
+        ready.gather = UPDATE_INTERVAL.max(
+            ready
+                .window
+                .times(1.0 / (ready.cap as f64 * ORDINARY_CAP_PART).max(1.0)),
+        );
         ready.report_every = ready.report_every.max(TICK);
         ready.ask_again = must_ask.then(|| ask_within.times(LIST_RETRY_PART).max(UPDATE_INTERVAL));
-        let board = Board { levels_sent: vec![told; kinds], ..Board::default() };
+        let board = Board {
+            levels_sent: vec![told; kinds],
+            ..Board::default()
+        };
         Steward {
             chance,
             channel,
@@ -136,7 +142,11 @@
         (self.now, self.news, self.list_changed, self.version) = (now, true, true, Some(version));
         if complete {
             let on_it: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
-            for host in self.hosts.iter_mut().filter(|host| !on_it.contains(&host.id)) {
+            for host in self
+                .hosts
+                .iter_mut()
+                .filter(|host| !on_it.contains(&host.id))
+            {
                 host.standing = Standing::Gone;
             }
         }
@@ -144,23 +154,47 @@
             let (id, known) = (entry.host, self.hosts.len());
             let place = *self.place_of.entry(id.clone()).or_insert(known);
             if place == known {
-                let luck = id.0.bytes().fold(0, |so_far, byte| hash(so_far ^ u64::from(byte)));
-                self.hosts.push(Host { id, luck, standing: Standing::Gone, ..Host::default() });
+                let luck =
+                    id.0.bytes()
+                        .fold(0, |so_far, byte| hash(so_far ^ u64::from(byte)));
+                self.hosts.push(Host {
+                    id,
+                    luck,
+                    standing: Standing::Gone,
+                    ..Host::default()
+                });
             }
             let host = &mut self.hosts[place];
             // A new start time is a cold start, even of a host that was never announced as out.
             if entry.started != host.started || host.standing == Standing::Gone {
-                let Host { id, luck, places, .. } = std::mem::take(host);
-                *host = Host { id, luck, places, heard: now, in_use_since: now, ..Host::default() };
+                let Host {
+                    id, luck, places, ..
+                } = std::mem::take(host);
+                *host = Host {
+                    id,
+                    luck,
+                    places,
+                    heard: now,
+                    in_use_since: now,
+                    ..Host::default()
+                };
             }
             (host.zone, host.machine, host.started) = (entry.zone, entry.machine, entry.started);
-            host.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
+            host.weight = if entry.weight.is_finite() && entry.weight > 0.0 {
+                entry.weight
+            } else {
+                1.0
+            };
             host.standing = entry.standing;
             host.drained |= entry.standing == Standing::Draining;
         }
         // What a table holds may now be gone or cold: that waits for no beat. More hosts do.
         let ready = &self.ready;
-        let in_use = |h: &Host| h.places.iter().any(|p| p.sent > 0.0 && self.boards[p.table].bound > 0);
+        let in_use = |h: &Host| {
+            h.places
+                .iter()
+                .any(|p| p.sent > 0.0 && self.boards[p.table].bound > 0)
+        };
         let lost = |h: &Host| in_use(h) && (!ready.open(h, now) || ready.ramp(h, now) < 1.0);
         self.urgent |= !self.hosts.iter().any(in_use) || self.hosts.iter().any(lost);
     }
@@ -171,16 +205,36 @@
         self.follow_at = self.ready.ask_again.map(|again| now + again);
     }
 
-    pub fn proxy_joined(&mut self, now: Time, proxy: ProxyId, fresh: bool, usual: f64, zone: ZoneId) {
+    pub fn proxy_joined(
+        &mut self,
+        now: Time,
+        proxy: ProxyId,
+        fresh: bool,
+        usual: f64,
+        zone: ZoneId,
+    ) {
         self.proxy_left(now, proxy);
-        let usual = if usual.is_finite() && usual > 0.0 { usual } else { 0.0 };
+        let usual = if usual.is_finite() && usual > 0.0 {
+            usual
+        } else {
+            0.0
+        };
         // Until its reqs are heard of, it is taken to have its usual ones, of the kinds that others have.
         let of_kind = |k: usize| self.proxies.values().map(|p| p.rates[k]).sum::<f64>() + MIN_RATE;
         let came: Vec<f64> = (0..self.levels.len()).map(of_kind).collect();
         let all: f64 = came.iter().sum();
         let rates = came.iter().map(|rate| usual * rate / all).collect();
         let before = self.demand();
-        self.proxies.insert(proxy, Proxy { zone, rates, fresh, bind_from: now, ..Proxy::default() });
+        self.proxies.insert(
+            proxy,
+            Proxy {
+                zone,
+                rates,
+                fresh,
+                bind_from: now,
+                ..Proxy::default()
+            },
+        );
         self.joined_changed(before);
     }
 
@@ -209,17 +263,26 @@
         self.urgent |= !rest.is_empty() && went_on;
         // A proxy that cannot be bound has most likely left, and we shall hear of it.
         if let Some(Ruling::Bind { proxy, .. }) = refused {
-            self.proxies.entry(*proxy).and_modify(|p| (p.unsure, p.bind_from) = (true, now + EJECTION_TIME));
+            self.proxies
+                .entry(*proxy)
+                .and_modify(|p| (p.unsure, p.bind_from) = (true, now + EJECTION_TIME));
         }
         for order in rest {
             match order {
                 Ruling::Deal { table, host, .. } => {
                     let host = self.place_of.get(host).map(|&place| &mut self.hosts[place]);
-                    host.into_iter().for_each(|host| host.place(table.0 as usize).unsure = true);
+                    host.into_iter()
+                        .for_each(|host| host.place(table.0 as usize).unsure = true);
                 }
                 Ruling::Bind { proxy, .. } => {
-                    let from = if went_on { now } else { now + EXPEDITED_INTERVAL };
-                    self.proxies.entry(*proxy).and_modify(|p| (p.unsure, p.bind_from) = (true, from));
+                    let from = if went_on {
+                        now
+                    } else {
+                        now + EXPEDITED_INTERVAL
+                    };
+                    self.proxies
+                        .entry(*proxy)
+                        .and_modify(|p| (p.unsure, p.bind_from) = (true, from));
                 }
                 Ruling::Level { table, kind, .. } => {
                     self.boards[table.0 as usize].levels_sent[kind.0 as usize] = None;
@@ -232,10 +295,13 @@
     /// Orders that were surely not taken made no messages. They were all of the last round.
     fn uncount_messages(&mut self, orders: &[Ruling]) {
         for order in orders {
-            if let Ruling::Deal { table, .. } | Ruling::Bind { table, .. } | Ruling::Level { table, .. } =
-                order
+            if let Ruling::Deal { table, .. }
+            | Ruling::Bind { table, .. }
+            | Ruling::Level { table, .. } = order
             {
-                self.boards[table.0 as usize].messages.retain(|&at| at != self.round_at);
+                self.boards[table.0 as usize]
+                    .messages
+                    .retain(|&at| at != self.round_at);
             }
         }
     }
@@ -243,24 +309,34 @@
     pub fn proxy_left(&mut self, now: Time, proxy: ProxyId) {
         (self.now, self.news) = (now, true);
         let before = self.demand();
-        let Some(left) = self.proxies.remove(&proxy) else { return };
+        let Some(left) = self.proxies.remove(&proxy) else {
+            return;
+        };
         self.joined_changed(before);
         if let Some((table, zone)) = left.table.map(|table| (table, left.zone)) {
-            self.ready.tables_of(table, zone).for_each(|t| self.boards[t].bound -= 1);
+            self.ready
+                .tables_of(table, zone)
+                .for_each(|t| self.boards[t].bound -= 1);
         }
     }
 
     /// What proxies met at a host. It says nothing of hosts it does not name.
     pub fn met(&mut self, now: Time, host: &HostId, met: Met) {
         self.now = now;
-        let Some(&place) = self.place_of.get(host) else { return };
+        let Some(&place) = self.place_of.get(host) else {
+            return;
+        };
         let host = &mut self.hosts[place];
         let fade = (now - host.heard).half_life(TRIES_HALF_LIFE);
         let since = (now - host.heard).max(self.ready.report_every);
         host.tries = host.tries * fade + met.tries;
         host.errored = host.errored * fade + met.errored.min(met.tries);
         if met.tries > met.errored && met.mean_time > Span::ZERO {
-            host.time = mix(host.time, met.mean_time.secs(), since.say_in(RESPONSE_TIME_WINDOW));
+            host.time = mix(
+                host.time,
+                met.mean_time.secs(),
+                since.say_in(RESPONSE_TIME_WINDOW),
+            );
         }
         host.heard = now;
         self.newest_line = now;
@@ -269,13 +345,21 @@
         host.queue = met.load.and_then(|l| l.queue).or(host.queue);
         if let Some(busy) = met.load.and_then(|l| l.busy) {
             let load = busy + QUEUE_WEIGHT * host.queue.unwrap_or(0.0);
-            host.busy = Some(mix(host.busy.unwrap_or(0.0), load, since.say_in(LOAD_WINDOW)));
+            host.busy = Some(mix(
+                host.busy.unwrap_or(0.0),
+                load,
+                since.say_in(LOAD_WINDOW),
+            ));
         }
     }
 
     pub fn reqs_came(&mut self, now: Time, proxy: ProxyId, kind: KindId, many: f64, over: Span) {
         self.now = now;
-        let rate = self.proxies.get_mut(&proxy).filter(|_| many > 0.0).and_then(|p| p.rate_of(kind));
+        let rate = self
+            .proxies
+            .get_mut(&proxy)
+            .filter(|_| many > 0.0)
+            .and_then(|p| p.rate_of(kind));
         if let Some(rate) = rate.filter(|_| over > Span::ZERO && many.is_finite()) {
             *rate += many / RATE_WINDOW.secs();
             self.newest_reqs = now;
@@ -284,10 +368,14 @@
 
     pub fn probe_answered(&mut self, now: Time, host: &HostId, good: bool, load: Option<Load>) {
         self.now = now;
-        let Some(&place) = self.place_of.get(host) else { return };
+        let Some(&place) = self.place_of.get(host) else {
+            return;
+        };
         // A shallow probe is answered beside the queue: a host that piles up reqs is no better for it.
         let usual = median(self.hosts.iter().filter_map(|h| h.queue)).unwrap_or(0.0);
-        let light = load.and_then(|l| l.queue).is_none_or(|q| q <= usual * 2.0 + MAX_EXTRA_QUEUE);
+        let light = load
+            .and_then(|l| l.queue)
+            .is_none_or(|q| q <= usual * 2.0 + MAX_EXTRA_QUEUE);
         if good && light && self.hosts[place].out_until.is_some() {
             self.hosts[place].start_trial(now);
         }
@@ -325,10 +413,14 @@
         if self.follow_at.take_if(|at| self.now >= *at).is_some() {
             self.out.push_back(Ruling::FollowList);
         }
-        let (woken, urgent) = (std::mem::take(&mut self.woken), std::mem::take(&mut self.urgent));
+        let (woken, urgent) = (
+            std::mem::take(&mut self.woken),
+            std::mem::take(&mut self.urgent),
+        );
         if woken {
             // Stewards that start together do not look, probe and try again in step.
-            self.out.push_back(Ruling::WakeIn(TICK.times(0.9 + 0.2 * self.chance.f64())));
+            self.out
+                .push_back(Ruling::WakeIn(TICK.times(0.9 + 0.2 * self.chance.f64())));
             let passed = (self.now - self.last_beat).secs();
             self.last_beat = self.now;
             self.forget();
@@ -352,13 +444,17 @@
     /// What was ordered since then goes out together.
     fn end_round(&mut self, orders_before: usize) {
         let is_order = |ruling: &&Ruling| {
-            matches!(ruling, Ruling::Deal { .. } | Ruling::Bind { .. } | Ruling::Level { .. })
+            matches!(
+                ruling,
+                Ruling::Deal { .. } | Ruling::Bind { .. } | Ruling::Level { .. }
+            )
         };
         let orders = self.out.iter().skip(orders_before).filter(is_order).count();
         if orders > 0 {
             self.round_at = self.now;
         }
-        self.out.extend(self.channel.end_round(self.now, orders).map(Ruling::Mark));
+        self.out
+            .extend(self.channel.end_round(self.now, orders).map(Ruling::Mark));
     }
 
     /// Reqs that came lose their say. Spans in which none came bring no line: rates by the lines' own spans
@@ -374,18 +470,31 @@
         let now = self.now;
         let old = |h: &Host| h.standing == Standing::Gone && now - h.heard > FORGET_AFTER;
         for host in self.hosts.iter_mut().filter(|h| old(h)) {
-            for place in host.places.iter_mut().filter(|p| p.held() && self.boards[p.table].bound == 0) {
+            for place in host
+                .places
+                .iter_mut()
+                .filter(|p| p.held() && self.boards[p.table].bound == 0)
+            {
                 // Nobody uses the table: this costs no line.
                 (place.sent, place.unsure) = (0.0, false);
                 let (table, host) = (TableId(place.table as u16), host.id.clone());
-                self.out.push_back(Ruling::Deal { table, host, weight: None });
+                self.out.push_back(Ruling::Deal {
+                    table,
+                    host,
+                    weight: None,
+                });
             }
             host.places.retain(Place::held);
         }
         let (held, keeps) = (self.hosts.len(), |h: &Host| !old(h) || !h.places.is_empty());
         self.hosts.retain(keeps);
         if self.hosts.len() < held {
-            self.place_of = self.hosts.iter().enumerate().map(|(at, host)| (host.id.clone(), at)).collect();
+            self.place_of = self
+                .hosts
+                .iter()
+                .enumerate()
+                .map(|(at, host)| (host.id.clone(), at))
+                .collect();
             self.list_changed = true;
         }
     }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -49,20 +49,32 @@
     /// Share of all reqs that the levels let in.
     pub(super) fn share_let_in(&self) -> f64 {
         let came = self.demand();
-        let taken = |p: &Proxy| -> f64 { p.rates.iter().zip(&self.levels).map(|(r, level)| r * level).sum() };
-        if came > 0.0 { self.proxies.values().map(taken).sum::<f64>() / came } else { 1.0 }
+        let taken = |p: &Proxy| -> f64 {
+            p.rates
+                .iter()
+                .zip(&self.levels)
+                .map(|(r, level)| r * level)
+                .sum()
+        };
+        if came > 0.0 {
+            self.proxies.values().map(taken).sum::<f64>() / came
+        } else {
+            1.0
+        }
     }
 
     /// Under real overload the kinds of least benefit are let in less, down to what the fleet can do.
     pub(super) fn set_levels(&mut self, passed: f64) {
         // Old sums are no evidence: hosts unheard of lately say nothing of the strain.
         let usable = || self.hosts.iter().filter(|h| self.ready.usable(h, self.now));
-        let known = || usable().filter(|h| (self.newest_line - h.heard).secs() < self.lag * FRESH_LAGS);
+        let known =
+            || usable().filter(|h| (self.newest_line - h.heard).secs() < self.lag * FRESH_LAGS);
         let time = median(known().map(|h| h.time).filter(|&time| time > 0.0)).unwrap_or(0.0);
         let failing = median(known().filter_map(Host::failing)).unwrap_or(0.0);
         // Answers that take long though nothing waits are no overload: refusing would make none faster.
-        let (told, queue) =
-            known().filter_map(|h| h.queue).fold((0.0, 0.0), |(n, sum), q| (n + 1.0, sum + q));
+        let (told, queue) = known()
+            .filter_map(|h| h.queue)
+            .fold((0.0, 0.0), |(n, sum), q| (n + 1.0, sum + q));
         let time = if queue >= told * QUEUED { time } else { 0.0 };
         let (_, done) = self.flow(self.hosts.iter());
         // The most ever done goes by weight, so that it grows and shrinks with the fleet.
@@ -70,15 +82,26 @@
         self.peak_per_weight = self.peak_per_weight.max(done / weight);
         let peak = self.peak_per_weight * weight;
         let kinds = 0..self.levels.len();
-        let came: Vec<f64> = kinds.map(|k| self.proxies.values().map(|p| p.rates[k]).sum()).collect();
+        let came: Vec<f64> = kinds
+            .map(|k| self.proxies.values().map(|p| p.rates[k]).sum())
+            .collect();
         let demand: f64 = came.iter().sum();
-        let target = came.iter().zip(&self.ready.targets).map(|(rate, t)| rate * t).sum::<f64>() / demand;
+        let target = came
+            .iter()
+            .zip(&self.ready.targets)
+            .map(|(rate, t)| rate * t)
+            .sum::<f64>()
+            / demand;
         // Sums tell of what the fleet could do then: what went since shows in them seconds later.
-        let able = usable().map(|h| h.weight * self.ready.ramp(h, self.now)).sum::<f64>().max(1e-9);
+        let able = usable()
+            .map(|h| h.weight * self.ready.ramp(h, self.now))
+            .sum::<f64>()
+            .max(1e-9);
         let shown = 1.0 - (-passed / LOAD_WINDOW.secs()).exp();
         let missing = mix(self.missing, 1.0, shown) * self.able / able;
         (self.missing, self.able) = (missing.clamp(1.0, MAX_MISSING), able);
-        let strain = (time / (target * STRAINED_TIME)).max(failing / STRAINED_FAILING) * self.missing;
+        let strain =
+            (time / (target * STRAINED_TIME)).max(failing / STRAINED_FAILING) * self.missing;
         self.strain = strain;
         // The first sums after a start tell of a few tries: a cut to those would refuse nearly all.
         let since = self.cut_at.max(self.first_line.unwrap_or(self.now));
@@ -89,13 +112,23 @@
             self.cut_at = self.now;
         } else if strain <= 1.0 {
             let room = |held: f64| self.planned.is_some_and(|part| held < part * demand);
-            let rise = |held| if strain < RELAXED || room(held) { RISE_FAST } else { RISE_SLOW };
+            let rise = |held| {
+                if strain < RELAXED || room(held) {
+                    RISE_FAST
+                } else {
+                    RISE_SLOW
+                }
+            };
             let risen = self.let_in.map(|held| held + peak * rise(held) * passed);
             self.let_in = risen.filter(|&let_in| let_in < demand);
         }
         let mut over = self.let_in.map_or(0.0, |let_in| demand - let_in);
         for &kind in &self.ready.least_benefit_first {
-            let least = if self.ready.least_benefit_first.ends_with(&[kind]) { MIN_TOP_LEVEL } else { 0.0 };
+            let least = if self.ready.least_benefit_first.ends_with(&[kind]) {
+                MIN_TOP_LEVEL
+            } else {
+                0.0
+            };
             let share = (1.0 - over / came[kind].max(1e-9)).clamp(least, 1.0);
             over = (over - came[kind]).max(0.0);
             self.levels[kind] = (share / LEVEL_STEP).round() * LEVEL_STEP;
--- a/src/decide/assignment.rs
+++ b/src/decide/assignment.rs
@@ -15,7 +15,10 @@
     /// Reqs a second of our proxies on each shared table.
     pub(super) fn usage(&self) -> Vec<f64> {
         let mut usage = vec![0.0; self.ready.shared_tables];
-        let bound = self.proxies.values().filter_map(|p| Some((p.table?, p.rate())));
+        let bound = self
+            .proxies
+            .values()
+            .filter_map(|p| Some((p.table?, p.rate())));
         bound.for_each(|(t, rate)| usage[t] += rate);
         usage
     }
@@ -28,19 +31,36 @@
         for host in &self.hosts {
             for place in host.places.iter().filter(|p| p.table < tables) {
                 weight[place.table] += place.want;
-                near[place.table] += if host.zone == proxy.zone { place.want } else { 0.0 };
+                near[place.table] += if host.zone == proxy.zone {
+                    place.want
+                } else {
+                    0.0
+                };
             }
         }
-        let per_weight: Vec<f64> =
-            self.usage().iter().zip(&weight).map(|(used, weight)| (used + proxy.rate()) / weight).collect();
+        let per_weight: Vec<f64> = self
+            .usage()
+            .iter()
+            .zip(&weight)
+            .map(|(used, weight)| (used + proxy.rate()) / weight)
+            .collect();
         let mean = per_weight.iter().sum::<f64>() / tables as f64;
-        let pull = if self.ready.zones_cost { ZONE_PREFERENCE } else { 0.0 };
+        let pull = if self.ready.zones_cost {
+            ZONE_PREFERENCE
+        } else {
+            0.0
+        };
         let cost = |t: usize| per_weight[t] / mean.max(1e-9) + pull * (1.0 - near[t] / weight[t]);
         let bound = |t: usize| self.boards[t].bound;
-        let by_cost = |&a: &usize, &b: &usize| cost(a).total_cmp(&cost(b)).then(bound(a).cmp(&bound(b)));
+        let by_cost =
+            |&a: &usize, &b: &usize| cost(a).total_cmp(&cost(b)).then(bound(a).cmp(&bound(b)));
         let least = (0..tables).min_by(by_cost).unwrap_or(0);
         let hashed = hash(id.0 as u64) as usize % tables;
-        if proxy.fresh || per_weight[hashed] > mean * CLEARLY_BUSIEST { least } else { hashed }
+        if proxy.fresh || per_weight[hashed] > mean * CLEARLY_BUSIEST {
+            least
+        } else {
+            hashed
+        }
     }
 
     /// Lines that a proxy is sent when it is bound to a table.
@@ -80,14 +100,25 @@
                 }
             }
             let own = self.ready.own_table(zone).unwrap_or(table);
-            let pairs = [(table, self.ready.free.clone()), (own, self.ready.confined.clone())];
-            let pairs: Vec<_> = pairs.into_iter().filter(|(_, kinds)| !kinds.is_empty()).collect();
-            let lines = pairs.iter().map(|(table, _)| self.binding_lines(*table)).sum();
+            let pairs = [
+                (table, self.ready.free.clone()),
+                (own, self.ready.confined.clone()),
+            ];
+            let pairs: Vec<_> = pairs
+                .into_iter()
+                .filter(|(_, kinds)| !kinds.is_empty())
+                .collect();
+            let lines = pairs
+                .iter()
+                .map(|(table, _)| self.binding_lines(*table))
+                .sum();
             if !self.channel.admits_binding(self.now, lines) {
                 break;
             }
             self.channel.send_binding(lines);
-            self.proxies.entry(id).and_modify(|p| (p.table, p.unsure) = (Some(table), false));
+            self.proxies
+                .entry(id)
+                .and_modify(|p| (p.table, p.unsure) = (Some(table), false));
             for t in self.ready.tables_of(table, zone) {
                 if bound_to.is_some() {
                     // One message more to whoever did hold it, counted once for all of this round.
@@ -97,10 +128,20 @@
                 self.boards[t].bound += 1;
             }
             for (table, kinds) in pairs {
-                let kinds = if self.ready.own_tables == 0 { Vec::new() } else { kinds };
-                self.out.push_back(Ruling::Bind { proxy: id, table: TableId(table as u16), kinds });
+                let kinds = if self.ready.own_tables == 0 {
+                    Vec::new()
+                } else {
+                    kinds
+                };
+                self.out.push_back(Ruling::Bind {
+                    proxy: id,
+                    table: TableId(table as u16),
+                    kinds,
+                });
             }
         }
-        again.into_iter().for_each(|t| self.boards[t].messages.push_back(self.now));
+        again
+            .into_iter()
+            .for_each(|t| self.boards[t].messages.push_back(self.now));
     }
 }
--- a/src/decide/channel.rs
+++ b/src/decide/channel.rs
@@ -108,7 +108,11 @@
     pub(crate) fn new(ticket: &JobTicket, now: Time, first_mark: MarkId) -> Channel {
         let mut channel = Channel {
             stated_rate: ticket.channel_rate.max(1.0),
-            line_limit: if ticket.most_waiting > 0.0 { ticket.most_waiting } else { f64::INFINITY },
+            line_limit: if ticket.most_waiting > 0.0 {
+                ticket.most_waiting
+            } else {
+                f64::INFINITY
+            },
             message_overhead: ticket.lines_per_message,
             drain_grace: ticket.drain_grace,
             can_mark: ticket.marks,
@@ -127,12 +131,17 @@
         self.counted_at = now;
         let send = |waiting: f64, rate: f64| (waiting - passed * rate).max(0.0);
         self.waiting_at_stated_rate = send(self.waiting_at_stated_rate, self.stated_rate);
-        self.waiting_at_slow_rate = send(self.waiting_at_slow_rate, self.stated_rate / SLOW_CHANNEL);
+        self.waiting_at_slow_rate =
+            send(self.waiting_at_slow_rate, self.stated_rate / SLOW_CHANNEL);
     }
 
     /// Lines that may still wait.
     fn waiting(&self) -> f64 {
-        if self.can_mark { self.sent - self.confirmed } else { self.waiting_at_stated_rate }
+        if self.can_mark {
+            self.sent - self.confirmed
+        } else {
+            self.waiting_at_stated_rate
+        }
     }
 
     /// Where messages take longer than they should, the time until what is ordered shows: the delay of the last answer, or
@@ -143,7 +152,11 @@
             return Span::ZERO;
         }
         let delay = self.last_delay.max(self.unanswered_for(now));
-        if delay > self.max_delay() { delay } else { Span::ZERO }
+        if delay > self.max_delay() {
+            delay
+        } else {
+            Span::ZERO
+        }
     }
 
     /// How long a mark has waited for its first answer by now.
@@ -189,8 +202,12 @@
             UpdateReason::Ordinary if !self.can_mark => {
                 self.waiting_at_slow_rate < self.line_limit * ORDINARY_PART
             }
-            UpdateReason::Ordinary => self.has_room(lines, ORDINARY_PART) && self.is_quick(now, lines, 1.0),
-            UpdateReason::Expedited => self.has_room(lines, EXPEDITED_PART) && self.is_quick(now, lines, 1.0),
+            UpdateReason::Ordinary => {
+                self.has_room(lines, ORDINARY_PART) && self.is_quick(now, lines, 1.0)
+            }
+            UpdateReason::Expedited => {
+                self.has_room(lines, EXPEDITED_PART) && self.is_quick(now, lines, 1.0)
+            }
             UpdateReason::Hazard => {
                 self.has_room(lines, HAZARD_PART) && self.is_quick(now, lines, HAZARD_DELAYS)
             }
@@ -303,19 +320,26 @@
     /// of the round's messages as were answered. Which ones these were is not known: each has the lines of the
     /// smallest there can be.
     pub(crate) fn mark_applied(&mut self, now: Time, id: MarkId) {
-        let Some(place) = self.open_marks.iter().position(|mark| mark.id == id) else { return };
+        let Some(place) = self.open_marks.iter().position(|mark| mark.id == id) else {
+            return;
+        };
         let smallest_message = self.message_overhead + 2.0;
         let mark = &mut self.open_marks[place];
         mark.answers += 1.0;
         let complete = mark.answers >= mark.messages;
         let answered_lines = mark.answers * smallest_message;
-        let position = if complete { mark.lines_after } else { mark.lines_before + answered_lines };
+        let position = if complete {
+            mark.lines_after
+        } else {
+            mark.lines_before + answered_lines
+        };
         self.confirmed = self.confirmed.max(position.min(mark.lines_after));
         let first = (mark.answers == 1.0).then_some((now - mark.sent_at, mark.waiting_before));
         self.answered += 1;
         (self.quiet_since, self.probe_wait) = (now, PROBE_WAIT);
         // The channel keeps the order: older marks say nothing more.
-        self.open_marks.drain(..if complete { place + 1 } else { place });
+        self.open_marks
+            .drain(..if complete { place + 1 } else { place });
         if let Some((delay, waiting)) = first {
             self.last_delay = delay;
             self.adapt_window(delay, waiting);
@@ -329,7 +353,10 @@
         }
         if delay > self.max_delay() {
             let fitting = waiting * (self.max_delay() / delay);
-            self.window = self.window.min(fitting).max(self.max_window() / SLOW_CHANNEL);
+            self.window = self
+                .window
+                .min(fitting)
+                .max(self.max_window() / SLOW_CHANNEL);
         } else if waiting * 2.0 >= self.window {
             self.window = (self.window * WINDOW_GROWTH).min(self.max_window());
         }
--- a/src/decide/glance.rs
+++ b/src/decide/glance.rs
@@ -9,11 +9,16 @@
 impl Steward {
     /// What is believed now, for whoever watches.
     pub fn glance(&self) -> Glance {
-        let named =
-            |of: &dyn Fn(&&Host) -> bool| self.hosts.iter().filter(of).map(|h| h.id.clone()).collect();
+        let named = |of: &dyn Fn(&&Host) -> bool| {
+            self.hosts.iter().filter(of).map(|h| h.id.clone()).collect()
+        };
         Glance {
             known: self.hosts.len(),
-            open: self.hosts.iter().filter(|h| self.ready.open(h, self.now)).count(),
+            open: self
+                .hosts
+                .iter()
+                .filter(|h| self.ready.open(h, self.now))
+                .count(),
             kept_out: named(&|h| h.out_until.is_some()),
             on_trial: named(&|h| h.trial_since.is_some()),
             eased: named(&|h| h.eased > 1.0 - MIN_STRONG_PART),
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -86,7 +86,9 @@
     /// Deals all hosts anew if the list has changed.
     fn renew_draw(&mut self) {
         let on_list = |h: &Host| h.standing == Standing::Draining || self.ready.open(h, self.now);
-        let listed: Vec<usize> = (0..self.hosts.len()).filter(|&h| on_list(&self.hosts[h])).collect();
+        let listed: Vec<usize> = (0..self.hosts.len())
+            .filter(|&h| on_list(&self.hosts[h]))
+            .collect();
         if std::mem::take(&mut self.list_changed) || listed != self.listed {
             self.drawn = self.draw_tables(&listed);
             self.listed = listed;
@@ -100,7 +102,10 @@
             listed: self.listed.clone(),
             ramp: hosts.iter().map(|h| ready.ramp(h, now)).collect(),
             can_serve: hosts.iter().map(|h| ready.usable(h, now)).collect(),
-            strength: hosts.iter().map(|h| h.weight * ready.strength(h, now)).collect(),
+            strength: hosts
+                .iter()
+                .map(|h| h.weight * ready.strength(h, now))
+                .collect(),
             max_table_hosts: most.max(MIN_TABLE_HOSTS),
         }
     }
@@ -110,7 +115,12 @@
     fn stand_in_rank(&self, host: usize, table: usize, tables_of_host: usize) -> impl Ord + use<> {
         let home = self.drawn[table].first().map(|&(h, _)| self.hosts[h].zone);
         let host = &self.hosts[host];
-        (!host.holds(table), tables_of_host, home != Some(host.zone), table_hash(host, table))
+        (
+            !host.holds(table),
+            tables_of_host,
+            home != Some(host.zone),
+            table_hash(host, table),
+        )
     }
 
     /// A drained, gone, failed or still cold member gives way to the host in fewest tables, as far as the fleet has
@@ -119,11 +129,19 @@
         let rank = |h: usize, t: usize, places: usize| self.stand_in_rank(h, t, places);
         let strong_part = fleet.strong_part();
         for t in 0..self.drawn.len() {
-            let members = shards.tables[t].iter().filter(|(h, _)| fleet.is_strong(*h)).count();
-            let due = ((self.drawn[t].len() as f64 * strong_part).ceil() as usize).max(MIN_TABLE_HOSTS);
-            for _ in 0..due.saturating_sub(members).min(fleet.places_left(&shards.tables[t])) {
+            let members = shards.tables[t]
+                .iter()
+                .filter(|(h, _)| fleet.is_strong(*h))
+                .count();
+            let due =
+                ((self.drawn[t].len() as f64 * strong_part).ceil() as usize).max(MIN_TABLE_HOSTS);
+            for _ in 0..due
+                .saturating_sub(members)
+                .min(fleet.places_left(&shards.tables[t]))
+            {
                 let strong = |h: usize| fleet.is_strong(h);
-                let Some(h) = shards.stand_in(t, &fleet.listed, MAX_SHARED_HOSTS, strong, rank) else {
+                let Some(h) = shards.stand_in(t, &fleet.listed, MAX_SHARED_HOSTS, strong, rank)
+                else {
                     break;
                 };
                 shards.put(t, h);
@@ -139,7 +157,10 @@
     fn usage_by_draw(&self) -> Vec<f64> {
         let count = self.drawn.len();
         let mut usage = vec![0.0; count];
-        self.usage().into_iter().enumerate().for_each(|(t, used)| usage[t % count] += used);
+        self.usage()
+            .into_iter()
+            .enumerate()
+            .for_each(|(t, used)| usage[t % count] += used);
         usage
     }
 
@@ -148,14 +169,22 @@
     fn lend_hosts(&self, shards: &mut Shards, fleet: &Fleet, usage: &[f64]) {
         let rank = |h: usize, t: usize, places: usize| self.stand_in_rank(h, t, places);
         let pressure = shards.settle(usage, &fleet.strength);
-        let idle = |h: usize, of: &[usize]| fleet.is_strong(h) && of.iter().all(|&u| pressure[u] < 1.0);
-        let lenders: Vec<usize> = fleet.listed.iter().copied().filter(|&h| idle(h, &shards.of[h])).collect();
+        let idle =
+            |h: usize, of: &[usize]| fleet.is_strong(h) && of.iter().all(|&u| pressure[u] < 1.0);
+        let lenders: Vec<usize> = fleet
+            .listed
+            .iter()
+            .copied()
+            .filter(|&h| idle(h, &shards.of[h]))
+            .collect();
         for t in (0..usage.len()).filter(|&t| pressure[t] > 1.0) {
             // A borrowed host stays until the table needs it no more: each change costs connections.
             let due = (shards.tables[t].len() as f64 * (pressure[t] - 1.0)).ceil() as usize;
             for _ in 0..due.min(fleet.places_left(&shards.tables[t])) {
                 let keeps = |h: usize| pressure[t] > BORROWING_PRESSURE || self.hosts[h].holds(t);
-                let Some(h) = shards.stand_in(t, &lenders, MAX_SHARED_HOSTS, keeps, rank) else { break };
+                let Some(h) = shards.stand_in(t, &lenders, MAX_SHARED_HOSTS, keeps, rank) else {
+                    break;
+                };
                 shards.put(t, h);
             }
         }
@@ -167,19 +196,34 @@
     /// than the fleet's usual load per weight, however short of hosts or full of heavy proxies its table.
     fn shared_lines(&self, shards: &Shards, fleet: &Fleet, usage: &[f64]) -> Vec<WantedLine> {
         let let_in = self.share_let_in();
-        let listed_weight = fleet.listed.iter().map(|&h| self.hosts[h].weight).sum::<f64>();
+        let listed_weight = fleet
+            .listed
+            .iter()
+            .map(|&h| self.hosts[h].weight)
+            .sum::<f64>();
         let even = usage.iter().sum::<f64>() / listed_weight.max(1e-9);
-        let usual = if self.peak_per_weight > 0.0 { self.peak_per_weight } else { even };
+        let usual = if self.peak_per_weight > 0.0 {
+            self.peak_per_weight
+        } else {
+            even
+        };
         let mut wanted = Vec::new();
         for (t, table) in shards.tables.iter().enumerate() {
             let warm = |h: usize| fleet.ramp[h] >= 1.0;
             let waits = self.cold_hosts_wait(table, warm);
-            let weight: f64 = table.iter().map(|(h, part)| fleet.strength[*h] * part).sum();
+            let weight: f64 = table
+                .iter()
+                .map(|(h, part)| fleet.strength[*h] * part)
+                .sum();
             let cap = (MAX_COLD_LOAD * usual * weight / (usage[t] * let_in).max(1e-9)).min(1.0);
             for &(host, part) in table.iter().filter(|(h, _)| warm(*h) || !waits) {
                 let weight = fleet.strength[host] * part * if warm(host) { 1.0 } else { cap };
                 let same = (t..self.ready.shared_tables).step_by(usage.len());
-                wanted.extend(same.map(|table| WantedLine { host, table, weight }));
+                wanted.extend(same.map(|table| WantedLine {
+                    host,
+                    table,
+                    weight,
+                }));
             }
         }
         wanted
@@ -193,20 +237,37 @@
 
     /// Kinds confined to the proxy's zone: one table a zone, of all its hosts.
     fn zone_lines(&self, fleet: &Fleet) -> Vec<WantedLine> {
-        let serving = fleet.listed.iter().filter(|&&h| self.ready.own_tables > 0 && fleet.can_serve[h]);
+        let serving = fleet
+            .listed
+            .iter()
+            .filter(|&&h| self.ready.own_tables > 0 && fleet.can_serve[h]);
         let line = |&host: &usize| {
             let table = self.ready.own_table(self.hosts[host].zone)?;
-            Some(WantedLine { host, table, weight: fleet.strength[host] })
+            Some(WantedLine {
+                host,
+                table,
+                weight: fleet.strength[host],
+            })
         };
         serving.filter_map(line).collect()
     }
 
     fn set_wanted(&mut self, wanted: Vec<WantedLine>) {
-        self.hosts.iter_mut().flat_map(|h| &mut h.places).for_each(|place| place.want = 0.0);
-        for WantedLine { host, table, weight } in wanted {
+        self.hosts
+            .iter_mut()
+            .flat_map(|h| &mut h.places)
+            .for_each(|place| place.want = 0.0);
+        for WantedLine {
+            host,
+            table,
+            weight,
+        } in wanted
+        {
             self.hosts[host].place(table).want = (weight * 1e3).round().max(1.0) / 1e3;
         }
-        self.hosts.iter_mut().for_each(|h| h.places.retain(|p| p.want > 0.0 || p.held()));
+        self.hosts
+            .iter_mut()
+            .for_each(|h| h.places.retain(|p| p.want > 0.0 || p.held()));
     }
 
     /// The seeded draw: the same at every steward that has as many tables, since only the list goes in. If no
@@ -218,8 +279,16 @@
         let (mut tables, kept) = (self.ready.shared_tables, self.drawn.len());
         while tables > 1 {
             // Each change deals all anew and tears connections: more only with much room, fewer with none.
-            let more = if (1..tables).contains(&kept) { GROWTH_MARGIN } else { 1 };
-            let room = if kept == tables { MIN_TABLE_HOSTS } else { more * PLACES_PER_TABLE };
+            let more = if (1..tables).contains(&kept) {
+                GROWTH_MARGIN
+            } else {
+                1
+            };
+            let room = if kept == tables {
+                MIN_TABLE_HOSTS
+            } else {
+                more * PLACES_PER_TABLE
+            };
             if let Some(dealt) = self.deal_hosts(&order, tables, room) {
                 return dealt;
             }
@@ -234,7 +303,13 @@
         if MAX_TABLES_PER_HOST * order.len() < room * tables {
             return None;
         }
-        let zone = |h: usize| if self.ready.zones_cost { self.hosts[h].zone.0 } else { 0 };
+        let zone = |h: usize| {
+            if self.ready.zones_cost {
+                self.hosts[h].zone.0
+            } else {
+                0
+            }
+        };
         // A zone has the tables whose middles lie in its part of all hosts; one without any chooses freely.
         let mut by_zone = order.to_vec();
         by_zone.sort_by_key(|&h| zone(h));
@@ -247,7 +322,10 @@
             let near = (0..tables).filter(|&t| anywhere || home[t] == zone(h));
             let mut liked: Vec<(u64, usize)> = near.map(|t| (like(h, t), t)).collect();
             liked.sort_unstable();
-            let emptiest = liked.iter().take(HASH_CHOICES).min_by_key(|(_, t)| shards.tables[*t].len());
+            let emptiest = liked
+                .iter()
+                .take(HASH_CHOICES)
+                .min_by_key(|(_, t)| shards.tables[*t].len());
             shards.put(emptiest?.1, h);
         }
         for t in 0..tables {
@@ -258,7 +336,11 @@
             }
         }
         let most = MAX_TABLES_PER_HOST * order.len() / tables;
-        shards.tables.iter().all(|table| table.len() <= most).then_some(shards.tables)
+        shards
+            .tables
+            .iter()
+            .all(|table| table.len() <= most)
+            .then_some(shards.tables)
     }
 }
 
@@ -273,10 +355,16 @@
         rank: impl Fn(usize, usize, usize) -> R,
     ) -> Option<usize> {
         let mut shared = vec![0; self.tables.len()];
-        self.tables[t].iter().flat_map(|(h, _)| &self.of[*h]).for_each(|&u| shared[u] += 1);
+        self.tables[t]
+            .iter()
+            .flat_map(|(h, _)| &self.of[*h])
+            .for_each(|&u| shared[u] += 1);
         shared[t] = usize::MAX;
         let fits = |&h: &usize| may(h) && self.of[h].iter().all(|&u| shared[u] < most);
-        of.iter().copied().filter(fits).min_by_key(|&h| rank(h, t, self.of[h].len()))
+        of.iter()
+            .copied()
+            .filter(fits)
+            .min_by_key(|&h| rank(h, t, self.of[h].len()))
     }
 
     /// Splits hosts in several tables so that usage per weight comes as even as it can; gives that, mean 1.
@@ -292,14 +380,25 @@
             }
             let mut weights = Vec::with_capacity(usage.len());
             for (table, lean) in self.tables.iter_mut().zip(&pressure) {
-                table.iter_mut().for_each(|(h, part)| *part = (*part * lean / sums[*h]).max(MIN_SHARED_PART));
-                let weight = table.iter().map(|(h, part)| strength[*h] * part).sum::<f64>().max(1e-9);
+                table
+                    .iter_mut()
+                    .for_each(|(h, part)| *part = (*part * lean / sums[*h]).max(MIN_SHARED_PART));
+                let weight = table
+                    .iter()
+                    .map(|(h, part)| strength[*h] * part)
+                    .sum::<f64>()
+                    .max(1e-9);
                 weights.push(weight);
                 total += weight;
             }
             if all > 0.0 {
-                let even = usage.iter().zip(weights).map(|(used, weight)| used / all * total / weight);
-                pressure = even.map(|p| p.clamp(MIN_SHARED_PART, 1.0 / MIN_SHARED_PART)).collect();
+                let even = usage
+                    .iter()
+                    .zip(weights)
+                    .map(|(used, weight)| used / all * total / weight);
+                pressure = even
+                    .map(|p| p.clamp(MIN_SHARED_PART, 1.0 / MIN_SHARED_PART))
+                    .collect();
             }
         }
         pressure
--- a/src/decide/publishing.rs
+++ b/src/decide/publishing.rs
@@ -26,15 +26,24 @@
     pub(super) fn publish_updates(&mut self) {
         self.channel.advance(self.now);
         let needs = self.table_needs();
-        let mut tables: Vec<usize> = (0..needs.len()).filter(|&t| needs[t].reason.is_some()).collect();
-        tables.sort_by_key(|&t| (std::cmp::Reverse(needs[t].reason), self.boards[t].differs_since));
+        let mut tables: Vec<usize> = (0..needs.len())
+            .filter(|&t| needs[t].reason.is_some())
+            .collect();
+        tables.sort_by_key(|&t| {
+            (
+                std::cmp::Reverse(needs[t].reason),
+                self.boards[t].differs_since,
+            )
+        });
         for t in tables {
             // The rest goes out once this is carried out.
             if self.out.len() >= self.ready.round_most {
                 self.urgent = true;
                 break;
             }
-            let Some(reason) = needs[t].reason.filter(|reason| self.is_due(t, *reason)) else { continue };
+            let Some(reason) = needs[t].reason.filter(|reason| self.is_due(t, *reason)) else {
+                continue;
+            };
             let scope = self.scope(needs[t].serving);
             let (lines, bound) = (self.lines_due(t, scope), self.boards[t].bound);
             // An update with nothing in scope is no message, and must not count as one.
@@ -60,22 +69,35 @@
                 need.reason = None;
                 continue;
             }
-            board.messages.retain(|&at| self.now - at <= self.ready.window);
-            if board.levels_sent.iter().zip(&self.levels).any(|(sent, level)| *sent != Some(*level)) {
+            board
+                .messages
+                .retain(|&at| self.now - at <= self.ready.window);
+            if board
+                .levels_sent
+                .iter()
+                .zip(&self.levels)
+                .any(|(sent, level)| *sent != Some(*level))
+            {
                 need.reason = need.reason.max(Some(UpdateReason::Ordinary));
             }
             // A table that has run empty is refilled as fast as a drain goes out.
             if need.reason.is_some() && need.serving == 0 {
                 need.reason = Some(UpdateReason::Drain);
             }
-            board.differs_since = board.differs_since.or(Some(self.now)).filter(|_| need.reason.is_some());
+            board.differs_since = board
+                .differs_since
+                .or(Some(self.now))
+                .filter(|_| need.reason.is_some());
         }
         needs
     }
 
     /// Why a line should be sent.
     fn update_reason(&self, host: &Host, place: &Place) -> Option<UpdateReason> {
-        let (open, usable) = (self.ready.open(host, self.now), self.ready.usable(host, self.now));
+        let (open, usable) = (
+            self.ready.open(host, self.now),
+            self.ready.usable(host, self.now),
+        );
         let cold = self.ready.ramp(host, self.now) < 1.0;
         let heavy = place.sent > place.want * HAZARD_RATIO;
         if place.held() && !open {
@@ -92,13 +114,21 @@
 
     /// Messages to a proxy of this table that count against the cap, its binding among them.
     pub(super) fn messages_used(&self, t: usize) -> usize {
-        1 + self.boards[t].messages.iter().filter(|&&at| self.now - at <= self.ready.window).count()
+        1 + self.boards[t]
+            .messages
+            .iter()
+            .filter(|&&at| self.now - at <= self.ready.window)
+            .count()
     }
 
     /// Whether differences have gathered for long enough, and the message cap has room.
     fn is_due(&self, t: usize, reason: UpdateReason) -> bool {
         let board = &self.boards[t];
-        let gathered = |least: Span| board.differs_since.is_some_and(|since| self.now - since >= least);
+        let gathered = |least: Span| {
+            board
+                .differs_since
+                .is_some_and(|since| self.now - since >= least)
+        };
         let (used, cap) = (self.messages_used(t), self.ready.cap);
         let under = |part: f64| (used as f64) < cap as f64 * part;
         match reason {
@@ -123,9 +153,15 @@
     /// How many lines an update of a table has for each proxy that uses it.
     fn lines_due(&self, t: usize, scope: UpdateScope) -> usize {
         let places = self.hosts.iter().flat_map(|host| &host.places);
-        let hosts = places.filter(|place| place.table == t && scope.takes(place)).count();
+        let hosts = places
+            .filter(|place| place.table == t && scope.takes(place))
+            .count();
         let sent = &self.boards[t].levels_sent;
-        let levels = sent.iter().zip(&self.levels).filter(|(sent, level)| **sent != Some(**level)).count();
+        let levels = sent
+            .iter()
+            .zip(&self.levels)
+            .filter(|(sent, level)| **sent != Some(**level))
+            .count();
         hosts + if scope == UpdateScope::All { levels } else { 0 }
     }
 
@@ -133,28 +169,68 @@
     pub(super) fn send_update(&mut self, t: usize, reason: UpdateReason, scope: UpdateScope) {
         let (now, table, orders_before) = (self.now, TableId(t as u16), self.out.len());
         for host in &mut self.hosts {
-            for place in host.places.iter_mut().filter(|place| place.table == t && scope.takes(place)) {
+            for place in host
+                .places
+                .iter_mut()
+                .filter(|place| place.table == t && scope.takes(place))
+            {
                 (place.sent, place.unsure) = (place.want, false);
                 let weight = (place.want > 0.0).then_some(place.want);
-                self.out.push_back(Ruling::Deal { table, host: host.id.clone(), weight });
+                self.out.push_back(Ruling::Deal {
+                    table,
+                    host: host.id.clone(),
+                    weight,
+                });
             }
         }
         let board = &mut self.boards[t];
-        for (k, &share) in self.levels.iter().enumerate().filter(|_| scope == UpdateScope::All) {
+        for (k, &share) in self
+            .levels
+            .iter()
+            .enumerate()
+            .filter(|_| scope == UpdateScope::All)
+        {
             if board.levels_sent[k].replace(share) == Some(share) {
                 continue;
             }
             // Where proxies count reqs a second, the busiest proxy sets the measure.
-            let busiest = self.proxies.values().map(|p| p.rates[k]).fold(0.0, f64::max);
-            let measure = if share < 1.0 { busiest } else { f64::from(u32::MAX) };
-            let (kind, quota) = (KindId(k as u8), if self.ready.by_rate { share * measure } else { share });
-            self.out.push_back(Ruling::Level { table, kind, quota, tries: Tries::AgainIfNeverRun });
+            let busiest = self
+                .proxies
+                .values()
+                .map(|p| p.rates[k])
+                .fold(0.0, f64::max);
+            let measure = if share < 1.0 {
+                busiest
+            } else {
+                f64::from(u32::MAX)
+            };
+            let (kind, quota) = (
+                KindId(k as u8),
+                if self.ready.by_rate {
+                    share * measure
+                } else {
+                    share
+                },
+            );
+            self.out.push_back(Ruling::Level {
+                table,
+                kind,
+                quota,
+                tries: Tries::AgainIfNeverRun,
+            });
         }
         board.differs_since = None;
-        self.channel.send_update(reason, self.out.len() - orders_before, board.bound);
+        self.channel
+            .send_update(reason, self.out.len() - orders_before, board.bound);
         // Where proxies hold two tables, a message on either counts for both.
-        let also = if self.ready.own_tables > 0 { 0..self.boards.len() } else { t..t + 1 };
-        self.boards[also].iter_mut().for_each(|board| board.messages.push_back(now));
+        let also = if self.ready.own_tables > 0 {
+            0..self.boards.len()
+        } else {
+            t..t + 1
+        };
+        self.boards[also]
+            .iter_mut()
+            .for_each(|board| board.messages.push_back(now));
     }
 }
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -91,7 +91,15 @@
         pub struct $name(pub $inner);
     )*};
 }
-id!(ProxyId(u16), TableId(u16), ZoneId(u16), MachineId(u16), CellId(u64), KindId(u8), MarkId(u16));
+id!(
+    ProxyId(u16),
+    TableId(u16),
+    ZoneId(u16),
+    MachineId(u16),
+    CellId(u64),
+    KindId(u8),
+    MarkId(u16)
+);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Arc<str>);
@@ -376,14 +384,21 @@
         let mut least_benefit_first: Vec<usize> = (0..kinds.len()).collect();
         least_benefit_first.sort_by(|&a, &b| kinds[a].benefit.total_cmp(&kinds[b].benefit));
         let of_zone = |own: bool| -> Vec<KindId> {
-            (0..kinds.len()).filter(|&k| kinds[k].own_zone == own).map(|k| KindId(k as u8)).collect()
+            (0..kinds.len())
+                .filter(|&k| kinds[k].own_zone == own)
+                .map(|k| KindId(k as u8))
+                .collect()
         };
         let confined = of_zone(true);
         let or_any = |most: u64| if most == 0 { usize::MAX } else { most as usize };
         Makeready {
             sliced: ticket.sliced,
             least_benefit_first,
-            own_tables: if confined.is_empty() { 0 } else { ticket.zones as usize },
+            own_tables: if confined.is_empty() {
+                0
+            } else {
+                ticket.zones as usize
+            },
             confined,
             free: of_zone(false),
             targets: kinds.iter().map(|k| k.response_target.secs()).collect(),
@@ -412,7 +427,11 @@
     }
 
     /// All tables of a proxy of this zone that is bound to this shared one.
-    pub(crate) fn tables_of(&self, shared: usize, zone: ZoneId) -> impl Iterator<Item = usize> + use<> {
+    pub(crate) fn tables_of(
+        &self,
+        shared: usize,
+        zone: ZoneId,
+    ) -> impl Iterator<Item = usize> + use<> {
         std::iter::once(shared).chain(self.own_table(zone))
     }
 }
@@ -431,9 +450,16 @@
     }
 
     pub(crate) fn place(&mut self, table: usize) -> &mut Place {
-        let known = self.places.iter().position(|p| p.table == table).unwrap_or(self.places.len());
+        let known = self
+            .places
+            .iter()
+            .position(|p| p.table == table)
+            .unwrap_or(self.places.len());
         if known == self.places.len() {
-            self.places.push(Place { table, ..Place::default() });
+            self.places.push(Place {
+                table,
+                ..Place::default()
+            });
         }
         &mut self.places[known]
     }
@@ -457,7 +483,10 @@
 
 impl Shards {
     pub(crate) fn new(tables: usize, hosts: usize) -> Shards {
-        Shards { tables: vec![Vec::new(); tables], of: vec![Vec::new(); hosts] }
+        Shards {
+            tables: vec![Vec::new(); tables],
+            of: vec![Vec::new(); hosts],
+        }
     }
 
     pub(crate) fn put(&mut self, table: usize, host: usize) {
@@ -467,7 +496,11 @@
 }
 
 pub(crate) fn mix(old: f64, new: f64, part: f64) -> f64 {
-    if old > 0.0 { old + (new - old) * part } else { new }
+    if old > 0.0 {
+        old + (new - old) * part
+    } else {
+        new
+    }
 }
 
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
--- a/tests/decisions/channel.rs
+++ b/tests/decisions/channel.rs
@@ -31,11 +31,21 @@
     let turn = (shop.now / SECOND / 2) as usize;
     for n in 0..HOSTS {
         let fails = (n + turn).is_multiple_of(5);
-        shop.met(n, 12.0, if fails { 12.0 } else { 0.0 }, 40 + 15 * (n as u64 % 3));
+        shop.met(
+            n,
+            12.0,
+            if fails { 12.0 } else { 0.0 },
+            40 + 15 * (n as u64 % 3),
+        );
     }
     for n in 0..PROXIES {
-        let many = if (usize::from(n) + turn).is_multiple_of(8) { 40.0 } else { 2.0 };
-        shop.steward.reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
+        let many = if (usize::from(n) + turn).is_multiple_of(8) {
+            40.0
+        } else {
+            2.0
+        };
+        shop.steward
+            .reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
     }
 }
 
@@ -89,7 +99,11 @@
 }
 
 fn assert_queue_kept(shop: &Shop) {
-    assert!(shop.most_waiting() <= 1.0, "{:.2} of what may wait", shop.most_waiting());
+    assert!(
+        shop.most_waiting() <= 1.0,
+        "{:.2} of what may wait",
+        shop.most_waiting()
+    );
 }
 
 fn assert_updates_go_on(shop: &mut Shop) {
@@ -129,28 +143,44 @@
 #[test]
 fn refused_orders_take_no_room() {
     // Room for one round: all updates and bindings come to some 5,000 lines.
-    let ticket = JobTicket { channel_rate: 2_000.0, most_waiting: 6_000.0, ..ticket(PROXIES.into()) };
+    let ticket = JobTicket {
+        channel_rate: 2_000.0,
+        most_waiting: 6_000.0,
+        ..ticket(PROXIES.into())
+    };
     let now = |millis: u64| Time::from_micros(100 * SECOND + millis * 1_000);
     let mut steward = Steward::open(ticket, 7, now(0));
-    let hosts = (0..HOSTS).map(|n| listing(n, Standing::Open, Time::default())).collect();
+    let hosts = (0..HOSTS)
+        .map(|n| listing(n, Standing::Open, Time::default()))
+        .collect();
     steward.list_came(now(0), 1, true, hosts);
     (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
     let mut bound = 0;
     for millis in (0..30_000).step_by(250) {
         steward.woke(now(millis));
         let orders: Vec<Ruling> = std::iter::from_fn(|| steward.next(now(millis))).collect();
-        bound = orders.iter().filter(|order| matches!(order, Ruling::Bind { .. })).count();
-        let orders: Vec<Ruling> =
-            orders.into_iter().filter(|order| !matches!(order, Ruling::WakeIn(_))).collect();
+        bound = orders
+            .iter()
+            .filter(|order| matches!(order, Ruling::Bind { .. }))
+            .count();
+        let orders: Vec<Ruling> = orders
+            .into_iter()
+            .filter(|order| !matches!(order, Ruling::WakeIn(_)))
+            .collect();
         steward.carried_out(now(millis), &orders, Outcome::NotTaken);
     }
-    assert_eq!(bound, usize::from(PROXIES), "all are ordered in the last round as in the first");
+    assert_eq!(
+        bound,
+        usize::from(PROXIES),
+        "all are ordered in the last round as in the first"
+    );
 }
 
 /// Whether what the steward takes to have sent is at least what the channel was given.
 fn counts_all_lines(shop: &Shop) -> bool {
     let sent = shop.steward.glance().channel.sent_for;
-    let counted = sent.bindings + sent.drains + sent.hazards + sent.expedited + sent.ordinary + sent.marks;
+    let counted =
+        sent.bindings + sent.drains + sent.hazards + sent.expedited + sent.ordinary + sent.marks;
     counted + 1e-6 >= shop.lines_ordered()
 }
 
@@ -164,7 +194,11 @@
 /// A proxy with kinds confined to its zone is bound to two tables, and the zone's own is the longer one by far.
 #[test]
 fn bindings_to_the_table_of_a_zone_are_counted() {
-    let mut ticket = JobTicket { channel_rate: 2_000.0, most_waiting: 100_000.0, ..ticket(PROXIES.into()) };
+    let mut ticket = JobTicket {
+        channel_rate: 2_000.0,
+        most_waiting: 100_000.0,
+        ..ticket(PROXIES.into())
+    };
     ticket.kinds[1].own_zone = true;
     let mut shop = Shop::open(ticket, HOSTS);
     (0..PROXIES).for_each(|n| shop.join(n, true, 2.0));
@@ -184,7 +218,10 @@
         for _ in 0..40 {
             shop.run(500, changing_sums);
             let wait = shop.queue_seconds();
-            assert!(wait <= DRAIN_GRACE.secs(), "a drain would wait for {wait:.1} s at {part} of the rate");
+            assert!(
+                wait <= DRAIN_GRACE.secs(),
+                "a drain would wait for {wait:.1} s at {part} of the rate"
+            );
         }
     }
 }
@@ -203,7 +240,11 @@
     let mut shop = Shop::open(ticket, HOSTS);
     shop.slow_channel_to(0.125);
     (0..PROXIES).for_each(|n| shop.join(n, false, 4.0));
-    shop.run(6_000, |shop| (0..HOSTS).step_by(2).for_each(|n| shop.met(n, 10.0, 0.0, 40)));
+    shop.run(6_000, |shop| {
+        (0..HOSTS)
+            .step_by(2)
+            .for_each(|n| shop.met(n, 10.0, 0.0, 40))
+    });
     assert!(shop.queue_seconds() > 1.0, "the tables have arrived");
     let kept_out = shop.steward.glance().kept_out.len();
     assert_eq!(kept_out, 0, "{kept_out} hosts are taken for silent");
@@ -213,22 +254,36 @@
 #[test]
 fn levels_are_not_cut_again_before_the_cut_has_arrived() {
     let mut shop = site();
-    shop.run(5_000, |shop| (0..HOSTS).for_each(|n| shop.met(n, 12.0, 0.0, 40)));
+    shop.run(5_000, |shop| {
+        (0..HOSTS).for_each(|n| shop.met(n, 12.0, 0.0, 40))
+    });
     shop.slow_channel_to(0.0);
-    shop.run(20_000, |shop| (0..HOSTS).for_each(|n| shop.met(n, 12.0, 6.0, 40)));
+    shop.run(20_000, |shop| {
+        (0..HOSTS).for_each(|n| shop.met(n, 12.0, 6.0, 40))
+    });
     let glance = shop.steward.glance();
     let served = glance.levels.iter().sum::<f64>() / glance.levels.len() as f64;
-    assert!(served > 0.6, "levels of {:?} for strain that no order has reached", glance.levels);
+    assert!(
+        served > 0.6,
+        "levels of {:?} for strain that no order has reached",
+        glance.levels
+    );
 }
 
 /// For 20 s no call is answered, and none was carried out. Once calls are taken again, a drain must not wait until it is
 /// clear that nothing of all that waits.
 #[test]
 fn a_drain_goes_out_soon_after_calls_without_an_answer() {
-    let ticket = JobTicket { channel_rate: 2_000.0, most_waiting: 4_800.0, ..ticket(PROXIES.into()) };
+    let ticket = JobTicket {
+        channel_rate: 2_000.0,
+        most_waiting: 4_800.0,
+        ..ticket(PROXIES.into())
+    };
     let now = |millis: u64| Time::from_micros(100 * SECOND + millis * 1_000);
     let mut steward = Steward::open(ticket, 7, now(0));
-    let hosts = (0..HOSTS).map(|n| listing(n, Standing::Open, Time::default())).collect();
+    let hosts = (0..HOSTS)
+        .map(|n| listing(n, Standing::Open, Time::default()))
+        .collect();
     steward.list_came(now(0), 1, true, hosts);
     (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
     let mut marks: Vec<(u64, MarkId)> = Vec::new();
@@ -237,22 +292,41 @@
         steward.woke(now(millis));
         let answers = millis >= 20_000;
         if millis == 20_500 {
-            steward.list_came(now(millis), 2, false, vec![listing(7, Standing::Draining, Time::default())]);
+            steward.list_came(
+                now(millis),
+                2,
+                false,
+                vec![listing(7, Standing::Draining, Time::default())],
+            );
         }
         marks
             .iter()
             .filter(|(at, _)| *at + 250 == millis)
             .for_each(|(_, m)| steward.mark_applied(now(millis), *m));
         let all = std::iter::from_fn(|| steward.next(now(millis)));
-        let orders: Vec<Ruling> = all.filter(|order| !matches!(order, Ruling::WakeIn(_))).collect();
+        let orders: Vec<Ruling> = all
+            .filter(|order| !matches!(order, Ruling::WakeIn(_)))
+            .collect();
         for order in orders.iter().filter(|_| answers) {
             match order {
                 Ruling::Mark(mark) => marks.push((millis, *mark)),
-                Ruling::Deal { host: out, weight: None, .. } if *out == host(7) => drained.push(millis),
+                Ruling::Deal {
+                    host: out,
+                    weight: None,
+                    ..
+                } if *out == host(7) => drained.push(millis),
                 _ => {}
             }
         }
-        steward.carried_out(now(millis), &orders, if answers { Outcome::Taken } else { Outcome::Unknown });
+        steward.carried_out(
+            now(millis),
+            &orders,
+            if answers {
+                Outcome::Taken
+            } else {
+                Outcome::Unknown
+            },
+        );
     }
     let last = drained.last().expect("the drain was ordered");
     assert!(*last <= 22_000, "ordered at {drained:?} ms");
@@ -267,7 +341,11 @@
         shop.slow_channel_to(part);
         for wave in 0..40 {
             let cold = (0..HOSTS).skip(wave * 7 % HOSTS).take(10);
-            shop.list(false, cold.map(|n| listing(n, Standing::Open, shop.time())).collect());
+            shop.list(
+                false,
+                cold.map(|n| listing(n, Standing::Open, shop.time()))
+                    .collect(),
+            );
             shop.run(500, changing_sums);
             let wait = shop.queue_seconds();
             let noticed = wave >= 10;
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -30,7 +30,11 @@
 }
 
 pub fn ticket(proxies: u64) -> JobTicket {
-    let kind = |target, benefit| KindTicket { response_target: ms(target), benefit, own_zone: false };
+    let kind = |target, benefit| KindTicket {
+        response_target: ms(target),
+        benefit,
+        own_zone: false,
+    };
     JobTicket {
         kinds: vec![kind(1_000, 1.0), kind(800, 5.0), kind(600, 3.0)],
         proxies,
@@ -94,7 +98,8 @@
 impl Channel {
     fn send(&mut self, lines: f64, mark: Option<MarkId>) {
         self.waiting += lines;
-        self.marked.extend(mark.map(|mark| (self.sent + self.waiting, mark)));
+        self.marked
+            .extend(mark.map(|mark| (self.sent + self.waiting, mark)));
         self.most_seen = self.most_seen.max(self.waiting);
     }
 
@@ -103,16 +108,28 @@
         let sent = (self.rate * seconds).min(self.waiting);
         self.waiting -= sent;
         self.sent += sent;
-        let out = self.marked.iter().take_while(|(lines, _)| *lines <= self.sent + 1e-6).count();
+        let out = self
+            .marked
+            .iter()
+            .take_while(|(lines, _)| *lines <= self.sent + 1e-6)
+            .count();
         let marks = self.marked.drain(..out).map(|(_, mark)| mark);
-        if self.loses_marks { Vec::new() } else { marks.collect() }
+        if self.loses_marks {
+            Vec::new()
+        } else {
+            marks.collect()
+        }
     }
 }
 
 impl Shop {
     pub fn open(ticket: JobTicket, hosts: usize) -> Shop {
         let now = 100 * SECOND;
-        let cap = if ticket.message_cap == 0 { usize::MAX } else { ticket.message_cap as usize };
+        let cap = if ticket.message_cap == 0 {
+            usize::MAX
+        } else {
+            ticket.message_cap as usize
+        };
         let kinds = ticket.kinds.len();
         let channel = Channel {
             stated_rate: ticket.channel_rate,
@@ -137,7 +154,12 @@
             channel,
             kinds,
         };
-        shop.list(true, (0..hosts).map(|n| listing(n, Standing::Open, Time::default())).collect());
+        shop.list(
+            true,
+            (0..hosts)
+                .map(|n| listing(n, Standing::Open, Time::default()))
+                .collect(),
+        );
         shop
     }
 
@@ -150,21 +172,29 @@
         if complete {
             self.listed.clear();
         }
-        self.listed.extend(entries.iter().map(|entry| (entry.host.clone(), entry.clone())));
-        let state = |of: &BTreeMap<HostId, Listing>, id: &HostId| of.get(id).map(|h| (h.standing, h.started));
+        self.listed.extend(
+            entries
+                .iter()
+                .map(|entry| (entry.host.clone(), entry.clone())),
+        );
+        let state = |of: &BTreeMap<HostId, Listing>, id: &HostId| {
+            of.get(id).map(|h| (h.standing, h.started))
+        };
         for id in before.keys().chain(self.listed.keys()) {
             if state(&before, id) != state(&self.listed, id) {
                 self.told_at.insert(id.clone(), self.now);
             }
         }
         self.version += 1;
-        self.steward.list_came(self.time(), self.version, complete, entries);
+        self.steward
+            .list_came(self.time(), self.version, complete, entries);
         self.pull();
     }
 
     pub fn join(&mut self, n: u16, fresh: bool, usual: f64) {
         self.proxies.insert(ProxyId(n), Joined::default());
-        self.steward.proxy_joined(self.time(), ProxyId(n), fresh, usual, ZoneId(n % 4));
+        self.steward
+            .proxy_joined(self.time(), ProxyId(n), fresh, usual, ZoneId(n % 4));
         self.pull();
     }
 
@@ -175,7 +205,13 @@
     }
 
     pub fn met(&mut self, n: usize, tries: f64, errored: f64, mean: u64) {
-        let met = Met { tries, errored, mean_time: ms(mean), over: ms(1_000), load: None };
+        let met = Met {
+            tries,
+            errored,
+            mean_time: ms(mean),
+            over: ms(1_000),
+            load: None,
+        };
         self.steward.met(self.time(), &host(n), met);
     }
 
@@ -201,15 +237,26 @@
     fn pull(&mut self) {
         let mut told: BTreeMap<ProxyId, usize> = BTreeMap::new();
         let mut round_mark = None;
-        let mut line =
-            |proxies: Vec<ProxyId>| proxies.into_iter().for_each(|id| *told.entry(id).or_default() += 1);
+        let mut line = |proxies: Vec<ProxyId>| {
+            proxies
+                .into_iter()
+                .for_each(|id| *told.entry(id).or_default() += 1)
+        };
         while let Some(ruling) = self.steward.next(self.time()) {
             let of_table = |proxies: &BTreeMap<ProxyId, Joined>, table: TableId| -> Vec<ProxyId> {
                 let on_it = |p: &Joined| p.tables.values().any(|t| *t == table);
-                proxies.iter().filter(|(_, p)| on_it(p)).map(|(id, _)| *id).collect()
+                proxies
+                    .iter()
+                    .filter(|(_, p)| on_it(p))
+                    .map(|(id, _)| *id)
+                    .collect()
             };
             match ruling {
-                Ruling::Deal { table, host, weight } => {
+                Ruling::Deal {
+                    table,
+                    host,
+                    weight,
+                } => {
                     line(of_table(&self.proxies, table));
                     match weight {
                         Some(weight) => {
@@ -221,13 +268,25 @@
                         }
                     }
                 }
-                Ruling::Bind { proxy, table, kinds } => {
+                Ruling::Bind {
+                    proxy,
+                    table,
+                    kinds,
+                } => {
                     let lines = self.lines.keys().filter(|(t, _)| *t == table).count() + self.kinds;
                     line(vec![proxy; lines + 1]);
-                    let joined = self.proxies.get_mut(&proxy).expect("only joined proxies are bound");
+                    let joined = self
+                        .proxies
+                        .get_mut(&proxy)
+                        .expect("only joined proxies are bound");
                     joined.tables.insert(kinds, table);
                 }
-                Ruling::Level { table, kind, quota, tries } => {
+                Ruling::Level {
+                    table,
+                    kind,
+                    quota,
+                    tries,
+                } => {
                     line(of_table(&self.proxies, table));
                     assert!(quota.is_finite() && quota >= 0.0, "a level of {quota}");
                     self.levels.insert((table, kind), (quota, tries));
@@ -239,9 +298,14 @@
             }
         }
         for (proxy, lines) in told {
-            self.proxies.get_mut(&proxy).expect("joined").messages.push(self.now);
+            self.proxies
+                .get_mut(&proxy)
+                .expect("joined")
+                .messages
+                .push(self.now);
             let marks = f64::from(u8::from(round_mark.is_some()));
-            self.channel.send(lines as f64 + marks + self.channel.head, round_mark);
+            self.channel
+                .send(lines as f64 + marks + self.channel.head, round_mark);
         }
     }
 
@@ -266,12 +330,19 @@
     }
 
     fn used(&self) -> BTreeSet<TableId> {
-        self.proxies.values().flat_map(|p| p.tables.values()).copied().collect()
+        self.proxies
+            .values()
+            .flat_map(|p| p.tables.values())
+            .copied()
+            .collect()
     }
 
     /// Whether no table in use names a host.
     pub fn is_out(&self, n: usize) -> bool {
-        !self.used().iter().any(|table| self.lines.contains_key(&(*table, host(n))))
+        !self
+            .used()
+            .iter()
+            .any(|table| self.lines.contains_key(&(*table, host(n))))
     }
 
     pub fn hosts_of(&self, table: TableId) -> BTreeSet<HostId> {
@@ -281,7 +352,11 @@
 
     /// Hosts of the table in use that has the fewest.
     pub fn smallest_table(&self) -> usize {
-        self.used().into_iter().map(|table| self.hosts_of(table).len()).min().unwrap_or(0)
+        self.used()
+            .into_iter()
+            .map(|table| self.hosts_of(table).len())
+            .min()
+            .unwrap_or(0)
     }
 
     fn warm(&self, host: &Listing) -> bool {
@@ -306,32 +381,52 @@
             assert!(!proxy.tables.is_empty(), "{id:?} was not answered");
             for table in proxy.tables.values() {
                 let hosts = self.hosts_of(*table);
-                assert!(!open_warm || !hosts.is_empty(), "{id:?} has nothing to pick on {table:?}");
+                assert!(
+                    !open_warm || !hosts.is_empty(),
+                    "{id:?} has nothing to pick on {table:?}"
+                );
                 for host in &hosts {
                     let standing = self.listed.get(host).map_or(Standing::Gone, |h| h.standing);
-                    assert!(standing == Standing::Open || !self.due(host), "{host:?} is still used");
+                    assert!(
+                        standing == Standing::Open || !self.due(host),
+                        "{host:?} is still used"
+                    );
                 }
             }
             let since = self.now.saturating_sub(10 * SECOND);
             let lately = proxy.messages.iter().filter(|at| **at > since).count();
-            assert!(lately <= self.cap, "{lately} messages to {id:?} within the window");
+            assert!(
+                lately <= self.cap,
+                "{lately} messages to {id:?} within the window"
+            );
         }
         for table in self.used() {
-            for (host, weight) in
-                self.lines.iter().filter(|((t, _), _)| *t == table).map(|((_, h), w)| (h, w))
+            for (host, weight) in self
+                .lines
+                .iter()
+                .filter(|((t, _), _)| *t == table)
+                .map(|((_, h), w)| (h, w))
             {
-                let Some(listed) = self.listed.get(host).filter(|h| !h.started.is_unset()) else { continue };
+                let Some(listed) = self.listed.get(host).filter(|h| !h.started.is_unset()) else {
+                    continue;
+                };
                 if !self.due(host) {
                     continue;
                 }
                 let age = (self.time() - listed.started) / ms(18_000);
                 // What a cold host may get: its part of its listed weight, with the slack of one line step.
                 let most = listed.weight * (0.2 + 0.8 * age.min(1.0)) * 1.5 + 0.01;
-                assert!(*weight <= most, "{host:?} has {weight} at {age} of its warming");
+                assert!(
+                    *weight <= most,
+                    "{host:?} has {weight} at {age} of its warming"
+                );
             }
         }
         for (quota, tries) in self.levels.values() {
-            assert!(*quota >= 0.0 && *tries <= Tries::AgainIfNeverRun, "a try that may have run is repeated");
+            assert!(
+                *quota >= 0.0 && *tries <= Tries::AgainIfNeverRun,
+                "a try that may have run is repeated"
+            );
         }
     }
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -47,7 +47,12 @@
         Step::Restart(n) => shop.list(false, vec![listing(n, Standing::Open, shop.time())]),
         Step::Emptied => shop.list(true, Vec::new()),
         Step::Refilled(n) => {
-            shop.list(true, (0..n).map(|n| listing(n, Standing::Open, Time::default())).collect());
+            shop.list(
+                true,
+                (0..n)
+                    .map(|n| listing(n, Standing::Open, Time::default()))
+                    .collect(),
+            );
         }
         Step::Wait(millis) => shop.run(millis, |shop| {
             for n in 0..24 {
@@ -134,10 +139,13 @@
 }
 
 fn sums_but(shop: &mut Shop, missing: &[usize]) {
-    (0..12).filter(|n| !missing.contains(n)).for_each(|n| shop.met(n, 8.0, 0.0, 200));
+    (0..12)
+        .filter(|n| !missing.contains(n))
+        .for_each(|n| shop.met(n, 8.0, 0.0, 200));
     for n in 0..8 {
         for (kind, many) in [6.0, 5.0, 1.0].into_iter().enumerate() {
-            shop.steward.reqs_came(shop.time(), ProxyId(n), KindId(kind as u8), many, ms(1_000));
+            shop.steward
+                .reqs_came(shop.time(), ProxyId(n), KindId(kind as u8), many, ms(1_000));
         }
     }
 }
@@ -151,7 +159,10 @@
     };
     for hosts in 16..30 {
         let moved = lines(hosts).symmetric_difference(&lines(hosts + 1)).count();
-        assert!(moved <= 9, "{moved} lines moved from {hosts} hosts to one more");
+        assert!(
+            moved <= 9,
+            "{moved} lines moved from {hosts} hosts to one more"
+        );
     }
 }
 
@@ -159,8 +170,14 @@
 /// that doubles leaves the old lines where they are.
 #[test]
 fn full_size_keeps_the_rules_and_its_lines() {
-    let mut shop =
-        Shop::open(JobTicket { channel_rate: 20_000.0, most_waiting: 40_000.0, ..ticket(1_000) }, 300);
+    let mut shop = Shop::open(
+        JobTicket {
+            channel_rate: 20_000.0,
+            most_waiting: 40_000.0,
+            ..ticket(1_000)
+        },
+        300,
+    );
     (0..350).for_each(|n| shop.join(n, true, 1.0 + f64::from(n % 7)));
     let sums = |shop: &mut Shop| {
         (0..300).for_each(|n| shop.met(n, 4.0, 0.0, 200));
@@ -171,11 +188,28 @@
     let fresh = (300..600).map(|n| listing(n, Standing::Open, shop.time()));
     shop.list(false, fresh.collect());
     shop.run(3_000, sums);
-    let kept = before.iter().filter(|line| shop.lines.contains_key(line)).count();
-    assert!(kept * 10 >= before.len() * 9, "{kept} of {} lines are left", before.len());
-    shop.list(false, (0..75).map(|n| listing(n * 4, Standing::Draining, Time::default())).collect());
+    let kept = before
+        .iter()
+        .filter(|line| shop.lines.contains_key(line))
+        .count();
+    assert!(
+        kept * 10 >= before.len() * 9,
+        "{kept} of {} lines are left",
+        before.len()
+    );
+    shop.list(
+        false,
+        (0..75)
+            .map(|n| listing(n * 4, Standing::Draining, Time::default()))
+            .collect(),
+    );
     shop.run(4_000, sums);
-    shop.list(false, (0..75).map(|n| listing(n * 4, Standing::Open, shop.time())).collect());
+    shop.list(
+        false,
+        (0..75)
+            .map(|n| listing(n * 4, Standing::Open, shop.time()))
+            .collect(),
+    );
     shop.run(4_000, sums);
 }
 
@@ -183,12 +217,22 @@
 /// queue, and hurried pushes of all differences at each drain filled the rest and more, before the drains behind them.
 #[test]
 fn all_proxies_of_a_platform_at_one_steward_leave_room_in_its_queue() {
-    let mut shop =
-        Shop::open(JobTicket { channel_rate: 9_000.0, most_waiting: 56_000.0, ..ticket(2_400) }, 200);
+    let mut shop = Shop::open(
+        JobTicket {
+            channel_rate: 9_000.0,
+            most_waiting: 56_000.0,
+            ..ticket(2_400)
+        },
+        200,
+    );
     (0..470).for_each(|n| shop.join(n, true, 0.3));
     let sums = |shop: &mut Shop| {
-        let listed: Vec<usize> = (0..400).filter(|&n| shop.listed.contains_key(&host(n))).collect();
-        listed.into_iter().for_each(|n| shop.met(n, 3.0, f64::from(n % 3 == 0), 300));
+        let listed: Vec<usize> = (0..400)
+            .filter(|&n| shop.listed.contains_key(&host(n)))
+            .collect();
+        listed
+            .into_iter()
+            .for_each(|n| shop.met(n, 3.0, f64::from(n % 3 == 0), 300));
     };
     shop.run(5_000, sums);
     let mut least = usize::MAX;
@@ -196,19 +240,31 @@
         // Three waves of joins, among six of a release.
         let joins = (470..2_400).filter(|n| (1..4).contains(&wave) && n % 3 == wave - 1);
         joins.for_each(|n| shop.join(n, false, 0.3));
-        let fresh =
-            (200 + wave * 30..230 + wave * 30).map(|n| listing(n as usize, Standing::Open, shop.time()));
+        let fresh = (200 + wave * 30..230 + wave * 30)
+            .map(|n| listing(n as usize, Standing::Open, shop.time()));
         shop.list(false, fresh.collect());
         let drained = wave * 30..30 + wave * 30;
-        shop.list(false, drained.map(|n| listing(n as usize, Standing::Draining, Time::default())).collect());
+        shop.list(
+            false,
+            drained
+                .map(|n| listing(n as usize, Standing::Draining, Time::default()))
+                .collect(),
+        );
         shop.run(2_000, sums);
         shop.check();
         least = least.min(shop.smallest_table());
     }
     shop.run(10_000, sums);
     shop.check();
-    assert!(shop.most_waiting() < 1.0, "{:.2} of what may wait", shop.most_waiting());
-    assert!(least >= 3, "a table in use was left with {least} hosts: all its proxies bring falls to them");
+    assert!(
+        shop.most_waiting() < 1.0,
+        "{:.2} of what may wait",
+        shop.most_waiting()
+    );
+    assert!(
+        least >= 3,
+        "a table in use was left with {least} hosts: all its proxies bring falls to them"
+    );
 }
 
 /// A list that calls most hosts gone for a while must not deal the rest anew, to tear all connections twice.
@@ -217,12 +273,27 @@
     let mut shop = Shop::open(ticket(500), 400);
     (0..200).for_each(|n| shop.join(n, true, 2.0));
     let before = shop.lines.keys().cloned().collect::<BTreeSet<_>>();
-    shop.list(false, (0..180).map(|n| listing(n, Standing::Gone, Time::default())).collect());
+    shop.list(
+        false,
+        (0..180)
+            .map(|n| listing(n, Standing::Gone, Time::default()))
+            .collect(),
+    );
     shop.run(5_000, |_| {});
     let gone: BTreeSet<HostId> = (0..180).map(host).collect();
-    let stay = before.iter().filter(|(_, host)| !gone.contains(host)).collect::<Vec<_>>();
-    let kept = stay.iter().filter(|line| shop.lines.contains_key(line)).count();
-    assert!(kept * 10 >= stay.len() * 6, "{kept} of {} lines are left", stay.len());
+    let stay = before
+        .iter()
+        .filter(|(_, host)| !gone.contains(host))
+        .collect::<Vec<_>>();
+    let kept = stay
+        .iter()
+        .filter(|line| shop.lines.contains_key(line))
+        .count();
+    assert!(
+        kept * 10 >= stay.len() * 6,
+        "{kept} of {} lines are left",
+        stay.len()
+    );
 }
 
 #[test]
@@ -248,10 +319,14 @@
         for n in 0..12 {
             let heavy = shop.proxies[&ProxyId(n)].tables[&Vec::new()] == table;
             let many = if heavy { 30.0 } else { 5.0 };
-            shop.steward.reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
+            shop.steward
+                .reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
         }
     });
-    assert!(shop.hosts_of(table).len() > before, "the heavy table still has {before} hosts");
+    assert!(
+        shop.hosts_of(table).len() > before,
+        "the heavy table still has {before} hosts"
+    );
 }
 
 #[test]
@@ -260,14 +335,26 @@
     (0..12).for_each(|n| shop.join(n, true, 6.0));
     let table = shop.proxies[&ProxyId(0)].tables[&Vec::new()];
     let members = shop.hosts_of(table);
-    let gone = (0..18).find(|n| members.contains(&host(*n))).expect("a member");
-    shop.list(false, vec![listing(gone, Standing::Draining, Time::default())]);
+    let gone = (0..18)
+        .find(|n| members.contains(&host(*n)))
+        .expect("a member");
+    shop.list(
+        false,
+        vec![listing(gone, Standing::Draining, Time::default())],
+    );
     assert!(shop.is_out(gone));
-    assert_eq!(shop.hosts_of(table).len(), members.len(), "the drained host got no stand-in");
+    assert_eq!(
+        shop.hosts_of(table).len(),
+        members.len(),
+        "the drained host got no stand-in"
+    );
     shop.join(40, false, 3.0);
     shop.list(
         true,
-        (0..18).filter(|n| *n != gone).map(|n| listing(n, Standing::Open, Time::default())).collect(),
+        (0..18)
+            .filter(|n| *n != gone)
+            .map(|n| listing(n, Standing::Open, Time::default()))
+            .collect(),
     );
     shop.run(3_000, |_| {});
     shop.check();
@@ -293,16 +380,31 @@
 
 #[test]
 fn probed_host_comes_back_only_without_a_pile_of_reqs() {
-    let mut shop = shop_of(JobTicket { probes: true, ..ticket(8) });
+    let mut shop = shop_of(JobTicket {
+        probes: true,
+        ..ticket(8)
+    });
     shop.run(4_000, all_well);
     shop.run(9_000, |shop| sums_but(shop, &[5]));
     assert!(shop.is_out(5), "a silent host is in use");
     assert!(shop.probes.contains(&host(5)));
-    let piled = Load { queue: Some(17.0), ..Load::default() };
-    shop.steward.probe_answered(shop.time(), &host(5), true, Some(piled));
+    let piled = Load {
+        queue: Some(17.0),
+        ..Load::default()
+    };
+    shop.steward
+        .probe_answered(shop.time(), &host(5), true, Some(piled));
     shop.run(2_000, |shop| sums_but(shop, &[5]));
     assert!(shop.is_out(5), "a hung host answers shallow probes");
-    shop.steward.probe_answered(shop.time(), &host(5), true, Some(Load { queue: Some(0.0), ..piled }));
+    shop.steward.probe_answered(
+        shop.time(),
+        &host(5),
+        true,
+        Some(Load {
+            queue: Some(0.0),
+            ..piled
+        }),
+    );
     shop.run(3_000, all_well);
     assert!(!shop.is_out(5));
 }
@@ -312,13 +414,18 @@
     let mut shop = shop_of(ticket(8));
     shop.run(4_000, all_well);
     shop.run(8_000, |_| {});
-    assert!((0..12).all(|n| !shop.is_out(n)), "sums that are late for all are no evidence against anyone");
+    assert!(
+        (0..12).all(|n| !shop.is_out(n)),
+        "sums that are late for all are no evidence against anyone"
+    );
 }
 
 #[test]
 fn jam_of_the_whole_fleet_keeps_away_from_nobody() {
     let mut shop = shop_of(ticket(8));
-    shop.run(10_000, |shop| (0..12).for_each(|n| shop.met(n, 9.0, 6.0, 2_000)));
+    shop.run(10_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 9.0, 6.0, 2_000))
+    });
     assert!((0..12).all(|n| !shop.is_out(n)));
 }
 
@@ -329,7 +436,10 @@
     let before = shop.lines[&(TableId(0), host(2))];
     shop.list(false, vec![listing(2, Standing::Open, shop.time())]);
     let after = shop.lines[&(TableId(0), host(2))];
-    assert!(after < before * 0.3, "the cold host has {after} of {before}");
+    assert!(
+        after < before * 0.3,
+        "the cold host has {after} of {before}"
+    );
     shop.run(30_000, all_well);
     assert!(shop.lines[&(TableId(0), host(2))] > before * 0.9);
 }
@@ -338,9 +448,14 @@
 #[test]
 fn cold_host_waits_until_the_jam_is_over() {
     let mut shop = shop_of(ticket(8));
-    shop.run(6_000, |shop| (0..12).for_each(|n| shop.met(n, 40.0, 20.0, 900)));
+    shop.run(6_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 40.0, 20.0, 900))
+    });
     shop.list(false, vec![listing(2, Standing::Open, shop.time())]);
-    assert!(!shop.hosts_of(TableId(0)).contains(&host(2)), "a cold host joins a jam");
+    assert!(
+        !shop.hosts_of(TableId(0)).contains(&host(2)),
+        "a cold host joins a jam"
+    );
     shop.check();
     shop.run(12_000, all_well);
     assert!(shop.hosts_of(TableId(0)).contains(&host(2)));
@@ -350,13 +465,18 @@
 #[test]
 fn dead_host_is_kept_away_from_even_in_a_jam() {
     let mut shop = shop_of(ticket(8));
-    shop.run(8_000, |shop| (0..12).for_each(|n| shop.met(n, 9.0, if n == 4 { 9.0 } else { 5.0 }, 900)));
+    shop.run(8_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 9.0, if n == 4 { 9.0 } else { 5.0 }, 900))
+    });
     assert!((0..12).all(|n| shop.is_out(n) == (n == 4)));
 }
 
 #[test]
 fn last_open_host_is_used_even_if_it_failed() {
-    let mut shop = shop_of(JobTicket { probes: true, ..ticket(8) });
+    let mut shop = shop_of(JobTicket {
+        probes: true,
+        ..ticket(8)
+    });
     shop.run(4_000, all_well);
     shop.run(6_000, |shop| {
         sums_but(shop, &[3]);
@@ -376,8 +496,17 @@
         shop.run(5_000, all_well);
         shop.run(8_000, |shop| {
             sums_but(shop, &(0..12).collect::<Vec<_>>());
-            let load = Some(Load { queue: Some(queue), ..Load::default() });
-            let met = Met { tries: 8.0, errored: 0.0, mean_time: ms(700), over: ms(1_000), load };
+            let load = Some(Load {
+                queue: Some(queue),
+                ..Load::default()
+            });
+            let met = Met {
+                tries: 8.0,
+                errored: 0.0,
+                mean_time: ms(700),
+                over: ms(1_000),
+                load,
+            };
             (0..12).for_each(|n| shop.steward.met(shop.time(), &host(n), met));
         });
         assert_eq!(shop.levels.values().any(|(quota, _)| *quota < 1.0), cut);
@@ -393,10 +522,17 @@
         (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500));
     };
     shop.run(8_000, jam);
-    let level = |shop: &Shop, kind| shop.levels.get(&(TableId(0), KindId(kind))).map_or(1.0, |l| l.0);
+    let level = |shop: &Shop, kind| {
+        shop.levels
+            .get(&(TableId(0), KindId(kind)))
+            .map_or(1.0, |l| l.0)
+    };
     assert!(level(&shop, 0) < 0.9 && level(&shop, 0) < level(&shop, 2) && level(&shop, 1) >= 1.0);
     shop.run(60_000, all_well);
-    assert!((0..3).all(|kind| level(&shop, kind) >= 1.0), "levels stay down after the jam");
+    assert!(
+        (0..3).all(|kind| level(&shop, kind) >= 1.0),
+        "levels stay down after the jam"
+    );
 }
 
 /// A fleet that grows can do more than it ever did: after a jam twice the hosts let reqs in again twice as fast.
@@ -405,7 +541,9 @@
     let after_jam = |grown: bool| {
         let mut shop = shop_of(ticket(8));
         shop.run(6_000, all_well);
-        shop.run(7_000, |shop| (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500)));
+        shop.run(7_000, |shop| {
+            (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
+        });
         if grown {
             let more = (12..36).map(|n| listing(n, Standing::Open, Time::default()));
             shop.list(false, more.collect());
@@ -422,7 +560,9 @@
     let after_jam = |planned: Option<f64>| {
         let mut shop = shop_of(ticket(8));
         shop.run(6_000, all_well);
-        shop.run(7_000, |shop| (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500)));
+        shop.run(7_000, |shop| {
+            (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
+        });
         shop.steward.plan_came(shop.time(), planned);
         shop.run(9_000, all_well);
         shop.levels[&(TableId(0), KindId(0))].0
@@ -441,19 +581,33 @@
 fn old_sums_are_no_evidence_of_strain() {
     let mut shop = shop_of(ticket(8));
     shop.run(5_000, all_well);
-    shop.run(6_000, |shop| (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500)));
+    shop.run(6_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
+    });
     shop.run(60_000, |shop| sums_but(shop, &(0..7).collect::<Vec<_>>()));
-    assert!(shop.levels.values().all(|(quota, _)| *quota >= 1.0), "levels stay at {:?}", shop.levels);
+    assert!(
+        shop.levels.values().all(|(quota, _)| *quota >= 1.0),
+        "levels stay at {:?}",
+        shop.levels
+    );
 }
 
 #[test]
 fn levels_in_reqs_a_second_go_by_the_busiest_proxy() {
-    let mut shop = shop_of(JobTicket { admission: Admission::Rate, ..ticket(8) });
+    let mut shop = shop_of(JobTicket {
+        admission: Admission::Rate,
+        ..ticket(8)
+    });
     shop.run(5_000, all_well);
     assert!(shop.levels.values().all(|(quota, _)| *quota > 1e6));
-    shop.run(6_000, |shop| (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500)));
+    shop.run(6_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
+    });
     let quota = shop.levels[&(TableId(0), KindId(0))].0;
-    assert!(quota < 6.0, "the least kind still has {quota} reqs a second");
+    assert!(
+        quota < 6.0,
+        "the least kind still has {quota} reqs a second"
+    );
 }
 
 #[test]
@@ -464,7 +618,11 @@
     let tables = &shop.proxies[&ProxyId(2)].tables;
     let own = tables[&vec![KindId(1)]];
     assert_eq!(tables.len(), 2);
-    assert!(shop.hosts_of(own).iter().all(|id| shop.listed[id].zone == ZoneId(2)));
+    assert!(
+        shop.hosts_of(own)
+            .iter()
+            .all(|id| shop.listed[id].zone == ZoneId(2))
+    );
 }
 
 /// A list names a zone that the settings do not: its hosts serve all kinds but the confined ones, and a proxy there
@@ -474,22 +632,40 @@
     let mut ticket = ticket(8);
     ticket.kinds[1].own_zone = true;
     let mut shop = shop_of(ticket);
-    let far = |n| Listing { zone: ZoneId(9), ..listing(n, Standing::Open, Time::default()) };
+    let far = |n| Listing {
+        zone: ZoneId(9),
+        ..listing(n, Standing::Open, Time::default())
+    };
     shop.list(false, (20..24).map(far).collect());
     shop.proxies.insert(ProxyId(7), common::Joined::default());
-    shop.steward.proxy_joined(shop.time(), ProxyId(7), true, 2.0, ZoneId(9));
+    shop.steward
+        .proxy_joined(shop.time(), ProxyId(7), true, 2.0, ZoneId(9));
     shop.run(3_000, all_well);
     shop.check();
     let tables = &shop.proxies[&ProxyId(7)].tables;
-    assert_eq!(tables[&vec![KindId(1)]], tables[&vec![KindId(0), KindId(2)]]);
-    assert!((20..24).any(|n| !shop.is_out(n)), "its hosts serve the other kinds");
+    assert_eq!(
+        tables[&vec![KindId(1)]],
+        tables[&vec![KindId(0), KindId(2)]]
+    );
+    assert!(
+        (20..24).any(|n| !shop.is_out(n)),
+        "its hosts serve the other kinds"
+    );
 }
 
 #[test]
 fn merely_dropped_host_stays_while_it_answers() {
-    let mut shop = shop_of(JobTicket { gone_is_no_drain: true, ..ticket(8) });
+    let mut shop = shop_of(JobTicket {
+        gone_is_no_drain: true,
+        ..ticket(8)
+    });
     shop.run(4_000, all_well);
-    shop.list(true, (1..12).map(|n| listing(n, Standing::Open, Time::default())).collect());
+    shop.list(
+        true,
+        (1..12)
+            .map(|n| listing(n, Standing::Open, Time::default()))
+            .collect(),
+    );
     shop.run(4_000, all_well);
     assert!(shop.hosts_of(TableId(0)).contains(&host(0)));
     shop.run(8_000, |shop| sums_but(shop, &[0]));
@@ -498,7 +674,13 @@
 
 #[test]
 fn list_on_request_is_followed_and_asked_for_again() {
-    let mut shop = Shop::open(JobTicket { must_ask: true, ..ticket(8) }, 12);
+    let mut shop = Shop::open(
+        JobTicket {
+            must_ask: true,
+            ..ticket(8)
+        },
+        12,
+    );
     assert_eq!(shop.asked, 1, "it follows the list from its start");
     shop.steward.list_failed(shop.time());
     shop.run(9_000, |_| {});
@@ -510,12 +692,26 @@
     let mut shop = Shop::open(JobTicket::default(), 1);
     shop.join(1, true, f64::NAN);
     shop.join(1, true, -3.0);
-    let odd = Listing { weight: f64::NAN, ..listing(0, Standing::Open, Time::from_micros(u64::MAX)) };
+    let odd = Listing {
+        weight: f64::NAN,
+        ..listing(0, Standing::Open, Time::from_micros(u64::MAX))
+    };
     shop.list(false, vec![odd]);
     shop.met(77, 3.0, 9.0, 0);
-    shop.steward.reqs_came(shop.time(), ProxyId(9), KindId(200), f64::INFINITY, Span::ZERO);
+    shop.steward.reqs_came(
+        shop.time(),
+        ProxyId(9),
+        KindId(200),
+        f64::INFINITY,
+        Span::ZERO,
+    );
     shop.list(false, vec![listing(0, Standing::Open, Time::default())]);
-    shop.steward.list_came(shop.time(), 0, false, vec![listing(0, Standing::Gone, Time::default())]);
+    shop.steward.list_came(
+        shop.time(),
+        0,
+        false,
+        vec![listing(0, Standing::Gone, Time::default())],
+    );
     shop.run(3 * SECOND / 1_000, |shop| shop.met(0, 5.0, 50.0, 100));
     assert_eq!(shop.hosts_of(TableId(0)).len(), 1);
 }
@@ -529,12 +725,16 @@
         second += 1;
         let came = |n: u16| (n + second).is_multiple_of(5);
         let now = shop.time();
-        (0..8)
-            .filter(|&n| came(n))
-            .for_each(|n| shop.steward.reqs_came(now, ProxyId(n), KindId(0), 1.0, ms(1_000)));
+        (0..8).filter(|&n| came(n)).for_each(|n| {
+            shop.steward
+                .reqs_came(now, ProxyId(n), KindId(0), 1.0, ms(1_000))
+        });
     });
     let believed = shop.steward.glance().demand;
-    assert!((believed - 1.6).abs() < 0.3, "8 proxies with 0.2 reqs a second are taken for {believed}");
+    assert!(
+        (believed - 1.6).abs() < 0.3,
+        "8 proxies with 0.2 reqs a second are taken for {believed}"
+    );
     // Where no line comes at all, that is no word of any req.
     shop.run(30_000, |_| {});
     assert!(shop.steward.glance().demand > 1.3);
@@ -547,7 +747,10 @@
     (0..8).for_each(|n| shop.join(n, false, 3.0));
     let reqs = |shop: &mut Shop, of: std::ops::Range<u16>| {
         let now = shop.time();
-        of.for_each(|n| shop.steward.reqs_came(now, ProxyId(n), KindId(0), 3.0, ms(1_000)));
+        of.for_each(|n| {
+            shop.steward
+                .reqs_came(now, ProxyId(n), KindId(0), 3.0, ms(1_000))
+        });
     };
     shop.run(20_000, |shop| {
         (0..12).for_each(|n| shop.met(n, 2.0, 0.0, 300));
@@ -569,7 +772,10 @@
 /// A host that answers looks but fails its reqs was tried again every few seconds, at full weight.
 #[test]
 fn who_fails_again_is_kept_out_for_longer() {
-    let mut shop = shop_of(JobTicket { probes: true, ..ticket(8) });
+    let mut shop = shop_of(JobTicket {
+        probes: true,
+        ..ticket(8)
+    });
     let (mut used, mut seconds) = (0, 0);
     shop.run(60_000, |shop| {
         for asked in std::mem::take(&mut shop.probes) {
@@ -583,7 +789,10 @@
             shop.met(0, 1.5, 1.5, 0);
         }
     });
-    assert!(seconds == 60 && used < 20, "a failing host was used in {used} of {seconds} seconds");
+    assert!(
+        seconds == 60 && used < 20,
+        "a failing host was used in {used} of {seconds} seconds"
+    );
 }
 
 /// The first sums after a restart told of a few tries; a cut to those refused nearly all for ten seconds.
@@ -591,11 +800,18 @@
 fn the_first_sums_after_a_start_cut_nothing() {
     let mut shop = Shop::open(ticket(16), 12);
     (0..16).for_each(|n| shop.join(n, false, 5.0));
-    shop.run(2_500, |shop| (0..12).for_each(|n| shop.met(n, 0.3, 0.0, 1_500)));
+    shop.run(2_500, |shop| {
+        (0..12).for_each(|n| shop.met(n, 0.3, 0.0, 1_500))
+    });
     assert_eq!(shop.steward.glance().levels[0], 1.0);
-    shop.run(6_000, |shop| (0..12).for_each(|n| shop.met(n, 6.0, 0.0, 1_500)));
+    shop.run(6_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 6.0, 0.0, 1_500))
+    });
     let levels = shop.steward.glance().levels;
-    assert!(levels[0] < 1.0 && levels[1] > 0.8, "a strain that stays is answered, in measure: {levels:?}");
+    assert!(
+        levels[0] < 1.0 && levels[1] > 0.8,
+        "a strain that stays is answered, in measure: {levels:?}"
+    );
 }
 
 /// Twelve of thirty hosts went within 2 s: sums showed the strain seconds later, when reqs had piled up.
@@ -603,9 +819,16 @@
 fn strain_is_foreseen_when_hosts_go() {
     let after = |gone: usize| {
         let mut shop = shop_of(ticket(8));
-        shop.run(8_000, |shop| (0..12).for_each(|n| shop.met(n, 8.0, 0.0, 220)));
+        shop.run(8_000, |shop| {
+            (0..12).for_each(|n| shop.met(n, 8.0, 0.0, 220))
+        });
         assert_eq!(shop.steward.glance().levels[0], 1.0);
-        shop.list(false, (0..gone).map(|n| listing(n, Standing::Draining, Time::default())).collect());
+        shop.list(
+            false,
+            (0..gone)
+                .map(|n| listing(n, Standing::Draining, Time::default()))
+                .collect(),
+        );
         shop.run(900, |_| {});
         shop.steward.glance().levels[0]
     };
@@ -617,7 +840,9 @@
 #[test]
 fn a_host_that_fails_two_of_three_is_kept_out() {
     let mut shop = shop_of(ticket(8));
-    shop.run(6_000, |shop| (0..12).for_each(|n| shop.met(n, 2.0, if n == 3 { 1.4 } else { 0.0 }, 200)));
+    shop.run(6_000, |shop| {
+        (0..12).for_each(|n| shop.met(n, 2.0, if n == 3 { 1.4 } else { 0.0 }, 200))
+    });
     assert!(shop.is_out(3) && !shop.is_out(4));
 }
 
@@ -632,9 +857,26 @@
         steward.woke(now);
         decided.extend(std::iter::from_fn(|| steward.next(now)));
     }
-    assert!(decided.iter().all(|ruling| matches!(ruling, Ruling::WakeIn(_))), "{decided:?}");
+    assert!(
+        decided
+            .iter()
+            .all(|ruling| matches!(ruling, Ruling::WakeIn(_))),
+        "{decided:?}"
+    );
     let now = Time::from_micros(7 * SECOND);
-    steward.list_came(now, 1, true, (0..8).map(|n| listing(n, Standing::Open, Time::default())).collect());
+    steward.list_came(
+        now,
+        1,
+        true,
+        (0..8)
+            .map(|n| listing(n, Standing::Open, Time::default()))
+            .collect(),
+    );
     let decided: Vec<Ruling> = std::iter::from_fn(|| steward.next(now)).collect();
-    assert!(decided.iter().any(|ruling| matches!(ruling, Ruling::Bind { .. })), "{decided:?}");
+    assert!(
+        decided
+            .iter()
+            .any(|ruling| matches!(ruling, Ruling::Bind { .. })),
+        "{decided:?}"
+    );
 }
