--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,6 +3,9 @@
 //! Exit codes: 0 done; 1 a command was refused, or a rehearsal broke a rule; 2 bad settings, bad usage, or
 //! something could not be had.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 mod ctl;
 mod plan;
 mod records;
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -1,5 +1,8 @@
 //! The DNS front of a real steward, asked like any client does.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use pondarch_dns_server::Key;
 use pondarch_rehearsal::secondary::Secondary;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 /// Lines that a message counts beyond its own.
-pub const MESSAGE_OVERHEAD: f64 = 3.0;
+pub(crate) const MESSAGE_OVERHEAD: f64 = 3.0;
 /// From leaving the channel to being applied by the proxy.
 const TRANSIT: Duration = Duration::from_millis(200);
 const STEP: Duration = Duration::from_millis(5);
 
-pub struct ChannelRelay {
+pub(crate) struct ChannelRelay {
     pub at: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -55,7 +55,7 @@
 
 impl ChannelRelay {
     /// Lines a second; the proxies that are joined.
-    pub fn start(rate: f64, proxies: u16) -> ChannelRelay {
+    pub(crate) fn start(rate: f64, proxies: u16) -> ChannelRelay {
         let (listener, at) = listener();
         let state = Arc::new(Mutex::new(State {
             rate,
@@ -72,17 +72,17 @@
         self.state.lock().expect("no panic")
     }
 
-    pub fn set_rate(&self, rate: f64) {
+    pub(crate) fn set_rate(&self, rate: f64) {
         self.state().rate = rate;
     }
 
     /// Whether calls are carried out without an answer from now on.
-    pub fn lose_answers(&self, lost: bool) {
+    pub(crate) fn lose_answers(&self, lost: bool) {
         self.state().loses_answers = lost;
     }
 
     /// Breaks all connections that bring news.
-    pub fn break_news(&self) {
+    pub(crate) fn break_news(&self) {
         for watcher in self.state().watchers.drain(..) {
             // It may be gone already.
             watcher.shutdown(Shutdown::Both).ok();
@@ -90,12 +90,12 @@
     }
 
     /// The most lines that waited at any time.
-    pub fn most_waiting(&self) -> f64 {
+    pub(crate) fn most_waiting(&self) -> f64 {
         self.state().most_waiting
     }
 
     /// Proxies that may still send to a host, by what they have applied.
-    pub fn holders(&self, host: &str) -> usize {
+    pub(crate) fn holders(&self, host: &str) -> usize {
         self.state()
             .held
             .values()
@@ -104,7 +104,7 @@
     }
 
     /// Tables with proxies that hold a host, by what has been ordered.
-    pub fn tables_with(&self, host: &str) -> usize {
+    pub(crate) fn tables_with(&self, host: &str) -> usize {
         let state = self.state();
         let used: BTreeSet<u16> = state.bound.values().copied().collect();
         state
@@ -115,11 +115,11 @@
     }
 
     /// How long no call has come.
-    pub fn idle_for(&self) -> Option<Duration> {
+    pub(crate) fn idle_for(&self) -> Option<Duration> {
         self.state().last_call.map(|at| at.elapsed())
     }
 
-    pub fn bound(&self) -> usize {
+    pub(crate) fn bound(&self) -> usize {
         self.state().bound.len()
     }
 }
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -5,6 +5,9 @@
 //! - `channel_relay`: a relay whose channel to the proxies sends at a limited rate.
 //! - the rest: one file a way in and out.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 mod channel;
 mod channel_relay;
 mod clients;
--- a/crates/cli/tests/platform/party.rs
+++ b/crates/cli/tests/platform/party.rs
@@ -14,13 +14,13 @@
 
 /// What happened on which connection, counted from 0 in the order they came.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     Came(usize),
     Line(usize, String),
     Closed(usize),
 }
 
-pub struct Party {
+pub(crate) struct Party {
     pub at: SocketAddr,
     events: Receiver<Event>,
     /// What was passed over while something else was waited for.
@@ -29,7 +29,7 @@
 }
 
 impl Party {
-    pub fn open() -> Party {
+    pub(crate) fn open() -> Party {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
         let (say, events) = channel();
@@ -80,14 +80,14 @@
     }
 
     /// A line with that in it, and on which connection.
-    pub fn line(&mut self, with: &str) -> (usize, String) {
+    pub(crate) fn line(&mut self, with: &str) -> (usize, String) {
         self.wait(with, |event| match event {
             Event::Line(who, line) if line.contains(with) => Some((*who, line.clone())),
             _ => None,
         })
     }
 
-    pub fn came(&mut self) -> usize {
+    pub(crate) fn came(&mut self) -> usize {
         self.wait("a connection", |event| {
             if let Event::Came(who) = event {
                 Some(*who)
@@ -97,13 +97,13 @@
         })
     }
 
-    pub fn closed(&mut self, who: usize) {
+    pub(crate) fn closed(&mut self, who: usize) {
         let of = |event: &Event| matches!(event, Event::Closed(gone) if *gone == who).then_some(());
         self.wait(&format!("the end of connection {who}"), of);
     }
 
     /// Whether a connection has ended by now.
-    pub fn has_closed(&mut self, who: usize) -> bool {
+    pub(crate) fn has_closed(&mut self, who: usize) -> bool {
         self.passed.extend(self.events.try_iter());
         self.passed
             .iter()
@@ -111,7 +111,7 @@
     }
 
     /// Lines with that in them that came by now and were not taken.
-    pub fn line_count(&mut self, with: &str) -> usize {
+    pub(crate) fn line_count(&mut self, with: &str) -> usize {
         self.passed.extend(self.events.try_iter());
         self.passed
             .iter()
@@ -120,25 +120,25 @@
     }
 
     /// Connections so far.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.streams.lock().expect("no panic").len()
     }
 
     /// The other end may be gone: then nobody hears it.
-    pub fn say(&self, who: usize, text: &str) {
+    pub(crate) fn say(&self, who: usize, text: &str) {
         if let Some(stream) = self.streams.lock().expect("no panic")[who].as_mut() {
             stream.write_all(text.as_bytes()).ok();
         }
     }
 
     /// Ends a connection in an orderly way.
-    pub fn close(&self, who: usize) {
+    pub(crate) fn close(&self, who: usize) {
         if let Some(stream) = self.streams.lock().expect("no panic")[who].take() {
             stream.shutdown(Shutdown::Both).ok();
         }
     }
 
-    pub fn reset(&self, who: usize) {
+    pub(crate) fn reset(&self, who: usize) {
         if let Some(stream) = self.streams.lock().expect("no panic")[who].take() {
             SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
@@ -151,7 +151,7 @@
     // ---- As a relay ----
 
     /// The connection that asks for news, told who stands, without a sign of life.
-    pub fn watcher(&mut self, standing: &[u16]) -> usize {
+    pub(crate) fn watcher(&mut self, standing: &[u16]) -> usize {
         let (who, _) = self.line("relay.watch");
         self.say(who, "{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}\n");
         standing
@@ -161,7 +161,7 @@
     }
 
     /// The next call with that in it, not answered yet; all calls before it are taken.
-    pub fn call(&mut self, with: &str) -> (usize, Value) {
+    pub(crate) fn call(&mut self, with: &str) -> (usize, Value) {
         loop {
             let (who, line) = self.line("relay.apply");
             let call: Value = serde_json::from_str(&line).expect("an object");
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn take(&self, who: usize, call: &Value) {
+    pub(crate) fn take(&self, who: usize, call: &Value) {
         let orders = call["params"]["changes"].as_array().expect("orders").len();
         self.say(
             who,
@@ -181,7 +181,7 @@
     }
 
     /// Takes all calls up to one with that in it.
-    pub fn takes(&mut self, with: &str) -> usize {
+    pub(crate) fn takes(&mut self, with: &str) -> usize {
         let (who, call) = self.call(with);
         self.take(who, &call);
         who
@@ -190,7 +190,7 @@
     // ---- As discovery ----
 
     /// Answers a question for the whole list.
-    pub fn lists(&mut self, version: u64, hosts: &[String]) {
+    pub(crate) fn lists(&mut self, version: u64, hosts: &[String]) {
         let (who, _) = self.line("GET /registry/instances HTTP");
         let list = list_of(version, hosts);
         self.say(
@@ -203,38 +203,38 @@
     }
 
     /// The next watch from there on, its answer begun.
-    pub fn watch(&mut self, since: u64) -> usize {
+    pub(crate) fn watch(&mut self, since: u64) -> usize {
         let (who, _) = self.line(&format!("follow=1&since={since} "));
         self.say(who, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         who
     }
 
     /// A piece of a watch's answer.
-    pub fn piece(&self, who: usize, text: &str) {
+    pub(crate) fn piece(&self, who: usize, text: &str) {
         self.say(who, &format!("{:x}\r\n{text}\r\n", text.len()));
     }
 }
 
-pub fn joined(proxy: u16) -> String {
+pub(crate) fn joined(proxy: u16) -> String {
     format!(
         "{{\"method\":\"joined\",\"params\":{{\"id\":{proxy},\"site\":\"a\",\"rps\":4.0,\"new\":true}}}}\n"
     )
 }
 
-pub const ALIVE: &str = "{\"method\":\"ping\"}\n";
+pub(crate) const ALIVE: &str = "{\"method\":\"ping\"}\n";
 
 /// An answer to a call, with this as its outcome.
-pub fn answer(call: &Value, outcome: &str) -> String {
+pub(crate) fn answer(call: &Value, outcome: &str) -> String {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{},{outcome}}}\n", call["id"])
 }
 
 /// Changes of some hosts, as a line of a watch.
-pub fn changes(version: u64, hosts: &[String]) -> String {
+pub(crate) fn changes(version: u64, hosts: &[String]) -> String {
     list_of(version, hosts).replace("\"reset\":true", "\"reset\":false") + "\n"
 }
 
 /// A steward that serves so many proxies, and the connections it has.
-pub struct Served {
+pub(crate) struct Served {
     pub steward: Steward,
     pub relay: Party,
     pub discovery: Party,
@@ -244,7 +244,7 @@
 }
 
 impl Served {
-    pub fn with(proxies: u16) -> Served {
+    pub(crate) fn with(proxies: u16) -> Served {
         let (mut relay, mut discovery) = (Party::open(), Party::open());
         let steward = Steward::start(discovery.at, relay.at);
         let watch = discovery.watch(1);
@@ -264,14 +264,14 @@
     }
 
     /// Discovery tells that host `n` drains.
-    pub fn drains(&self, version: u64, n: usize) {
+    pub(crate) fn drains(&self, version: u64, n: usize) {
         self.discovery
             .piece(self.watch, &changes(version, &[host(1, n, "Terminating")]));
     }
 }
 
 /// A listener whose connections take in little at a time, and where it listens.
-pub fn narrow_listener() -> (TcpListener, SocketAddr) {
+pub(crate) fn narrow_listener() -> (TcpListener, SocketAddr) {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(2_048).expect("set");
@@ -291,7 +291,7 @@
 
 /// Accepts as a relay, and lets twenty proxies join at once: binds and lines that take more than a narrow window. Gives
 /// the connection with that call on it, nothing of it read yet.
-pub fn caller_with_a_call(relay: &TcpListener) -> TcpStream {
+pub(crate) fn caller_with_a_call(relay: &TcpListener) -> TcpStream {
     let accept = || relay.accept().expect("a connection").0;
     let (mut caller, mut news) = (accept(), accept());
     // Before anybody has joined only one of them says something.
@@ -311,7 +311,7 @@
 }
 
 /// The order that takes host `n` of the first list off a table.
-pub fn off(n: usize) -> String {
+pub(crate) fn off(n: usize) -> String {
     // To its end: a small part of a host begins with the same digits.
     format!("\"target\":\"s-1-{n}\",\"rps\":0.0}}")
 }
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -10,25 +10,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const SOON: Duration = Duration::from_secs(5);
+pub(crate) const SOON: Duration = Duration::from_secs(5);
 
 /// Whatever a party reads, as lines.
-pub type Lines = Receiver<String>;
+pub(crate) type Lines = Receiver<String>;
 
-pub fn listener() -> (TcpListener, SocketAddr) {
+pub(crate) fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     (listener, at)
 }
 
 /// A byte at a time: nothing may hang on how the network cuts.
-pub fn drip(stream: &mut TcpStream, text: &str) -> Option<()> {
+pub(crate) fn drip(stream: &mut TcpStream, text: &str) -> Option<()> {
     text.bytes()
         .try_for_each(|byte| stream.write_all(&[byte]).ok())
 }
 
 /// Serves each connection by `talk`, which says what it reads.
-pub fn party(
+pub(crate) fn party(
     talk: impl Fn(TcpStream, &Sender<String>) -> Option<()> + Clone + Send + 'static,
 ) -> (SocketAddr, Lines) {
     let (listener, at) = listener();
@@ -43,16 +43,16 @@
 }
 
 /// Tells who is joined to whoever watches, and takes every call.
-pub fn relay(proxies: usize) -> (SocketAddr, Lines) {
+pub(crate) fn relay(proxies: usize) -> (SocketAddr, Lines) {
     slow_relay(proxies, Duration::ZERO)
 }
 
 /// The same, and each answer takes its time.
-pub fn slow_relay(proxies: usize, takes: Duration) -> (SocketAddr, Lines) {
+pub(crate) fn slow_relay(proxies: usize, takes: Duration) -> (SocketAddr, Lines) {
     party(move |stream, say| relay_talk(stream, proxies, takes, say))
 }
 
-pub fn relay_talk(
+pub(crate) fn relay_talk(
     mut stream: TcpStream,
     proxies: usize,
     takes: Duration,
@@ -88,21 +88,21 @@
     Some(())
 }
 
-pub fn host(version: u64, n: usize, lifecycle: &str) -> String {
+pub(crate) fn host(version: u64, n: usize, lifecycle: &str) -> String {
     format!(
         "{{\"instanceId\":\"s-{version}-{n}\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\",\"machineType\":\"m\",\
          \"cell\":1,\"lifecycle\":\"{lifecycle}\",\"weight\":1.0,\"startedAtMs\":0}}"
     )
 }
 
-pub fn list_of(version: u64, hosts: &[String]) -> String {
+pub(crate) fn list_of(version: u64, hosts: &[String]) -> String {
     format!(
         "{{\"generation\":{version},\"reset\":true,\"instances\":[{}]}}",
         hosts.join(",")
     )
 }
 
-pub fn list(version: u64) -> String {
+pub(crate) fn list(version: u64) -> String {
     list_of(
         version,
         &(0..8)
@@ -112,20 +112,20 @@
 }
 
 /// What a watch says after its head: its number from 0 on, and how to say a line.
-pub type Watch = fn(usize, &mut dyn FnMut(&str) -> Option<()>) -> Option<()>;
+pub(crate) type Watch = fn(usize, &mut dyn FnMut(&str) -> Option<()>) -> Option<()>;
 
 /// Answers with the whole list; a watch gets it too, a byte at a time, and is silent from then on.
-pub fn discovery(version: u64) -> (SocketAddr, Lines) {
+pub(crate) fn discovery(version: u64) -> (SocketAddr, Lines) {
     watched_discovery(version, None)
 }
 
-pub fn watched_discovery(version: u64, watch: Option<Watch>) -> (SocketAddr, Lines) {
+pub(crate) fn watched_discovery(version: u64, watch: Option<Watch>) -> (SocketAddr, Lines) {
     let watches = Arc::new(AtomicUsize::new(0));
     party(move |stream, say| discovery_talk(stream, version, watch, &watches, say))
 }
 
 /// Each watch is told what `watch` says.
-pub fn scripted_discovery(
+pub(crate) fn scripted_discovery(
     version: u64,
     watch: impl Fn(usize, &mut dyn FnMut(&str) -> Option<()>) -> Option<()> + Clone + Send + 'static,
 ) -> (SocketAddr, Lines) {
@@ -133,7 +133,7 @@
     party(move |stream, say| discovery_talk(stream, version, Some(&watch), &watches, say))
 }
 
-pub fn discovery_talk(
+pub(crate) fn discovery_talk(
     mut stream: TcpStream,
     version: u64,
     watch: Option<impl Fn(usize, &mut dyn FnMut(&str) -> Option<()>) -> Option<()>>,
@@ -174,7 +174,7 @@
     Some(())
 }
 
-pub struct Steward {
+pub(crate) struct Steward {
     pub child: Child,
     pub config: PathBuf,
     pub listen: SocketAddr,
@@ -189,7 +189,7 @@
     }
 }
 
-pub fn config(listen: SocketAddr, discovery: SocketAddr, relay: SocketAddr) -> String {
+pub(crate) fn config(listen: SocketAddr, discovery: SocketAddr, relay: SocketAddr) -> String {
     format!(
         "{{\"name\":\"n0\",\"listen\":\"{listen}\",\"discovery\":\"{discovery}\",\"seed\":\"1f\",\
          \"limits\":{{\"sockets\":128}},\"hub\":{{\"address\":\"{relay}\"}},\"known\":{},\
@@ -202,12 +202,12 @@
 }
 
 impl Steward {
-    pub fn start(discovery: SocketAddr, relay: SocketAddr) -> Steward {
+    pub(crate) fn start(discovery: SocketAddr, relay: SocketAddr) -> Steward {
         Steward::start_with(discovery, relay, |command| command)
     }
 
     /// The same, with whatever that makes of the command.
-    pub fn start_with(
+    pub(crate) fn start_with(
         discovery: SocketAddr,
         relay: SocketAddr,
         so: impl FnOnce(Command) -> Command,
@@ -216,7 +216,7 @@
     }
 
     /// With a configuration of its own, made for the address at which it is to listen.
-    pub fn start_configured(config: impl FnOnce(SocketAddr) -> String) -> Steward {
+    pub(crate) fn start_configured(config: impl FnOnce(SocketAddr) -> String) -> Steward {
         Steward::start_as(config, |command| command)
     }
 
@@ -251,17 +251,17 @@
     }
 
     /// Tells it where discovery and relay are from now on.
-    pub fn moves(&self, discovery: SocketAddr, relay: SocketAddr) {
+    pub(crate) fn moves(&self, discovery: SocketAddr, relay: SocketAddr) {
         std::fs::write(&self.config, config(self.listen, discovery, relay)).expect("written");
         self.signal("-HUP");
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).expect("its log")
     }
 
     /// Waits until its log has that so many times.
-    pub fn logs(&self, what: &str, times: usize) {
+    pub(crate) fn logs(&self, what: &str, times: usize) {
         let until = Instant::now() + SOON;
         while self.log().matches(what).count() < times {
             assert!(
@@ -274,7 +274,7 @@
     }
 
     /// How it ended; none: it has not within that time.
-    pub fn exits_within(&mut self, limit: Duration) -> Option<ExitStatus> {
+    pub(crate) fn exits_within(&mut self, limit: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
             let ended = self.child.try_wait().expect("its state");
@@ -285,7 +285,7 @@
         }
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .arg(name)
             .arg(self.child.id().to_string())
@@ -293,7 +293,7 @@
         assert!(sent.expect("kill").success());
     }
 
-    pub fn dial(&self) -> TcpStream {
+    pub(crate) fn dial(&self) -> TcpStream {
         let until = Instant::now() + SOON;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
@@ -305,14 +305,14 @@
         }
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("its files")
             .count()
     }
 
     /// KiB that it has in memory.
-    pub fn memory(&self) -> u64 {
+    pub(crate) fn memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("its state");
         let line = status
@@ -326,7 +326,7 @@
     }
 
     /// Ends it, as a planned restart does; gives its log.
-    pub fn ends(mut self) -> String {
+    pub(crate) fn ends(mut self) -> String {
         self.signal("-TERM");
         let ended = self.child.wait().expect("its end");
         let log = self.log();
@@ -335,7 +335,7 @@
     }
 }
 
-pub fn platform(config: Option<&Path>) -> Command {
+pub(crate) fn platform(config: Option<&Path>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
     command
         .arg("platform")
@@ -355,7 +355,7 @@
     command
 }
 
-pub fn message(text: &str) -> Vec<u8> {
+pub(crate) fn message(text: &str) -> Vec<u8> {
     let words: Vec<&str> = text.split(' ').collect();
     let word = |word: &&str| format!("${}\r\n{word}\r\n", word.len());
     format!(
@@ -366,14 +366,14 @@
     .into_bytes()
 }
 
-pub fn said(mut stream: TcpStream) -> String {
+pub(crate) fn said(mut stream: TcpStream) -> String {
     let mut all = Vec::new();
     // A reset is a close too.
     stream.read_to_end(&mut all).ok();
     String::from_utf8_lossy(&all).into_owned()
 }
 
-pub fn wait_for(lines: &Lines, what: &str) -> String {
+pub(crate) fn wait_for(lines: &Lines, what: &str) -> String {
     let until = Instant::now() + SOON;
     loop {
         let left = until.saturating_duration_since(Instant::now());
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -1,5 +1,8 @@
 //! A real steward killed again and again: what it was told holds, what proxies serve follows, and its records replay.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use pondarch_rehearsal::client::Kind;
 use pondarch_rehearsal::facts::Facts;
 use pondarch_rehearsal::front::Front;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,6 +6,9 @@
 //! - `plan`: a described fleet, for planning.
 //! - `hosts`: the file that lists the hosts.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod fronts;
 pub mod hosts;
 mod jsonnet;
--- a/crates/config/tests/broken_files.rs
+++ b/crates/config/tests/broken_files.rs
@@ -1,5 +1,8 @@
 //! Each broken file gives one plain message that names the file, and the line or the key.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use pondarch_config::{read_hosts, read_site};
 use std::path::PathBuf;
 
--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -5,19 +5,19 @@
 use pondarch_controller::types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND: u64 = 1_000_000;
 /// Less than the shortest grace of any site less the longest way of a message.
-pub const GRACE: u64 = SECOND;
+pub(crate) const GRACE: u64 = SECOND;
 
-pub fn ms(count: u64) -> Span {
+pub(crate) fn ms(count: u64) -> Span {
     Span::from_millis(count)
 }
 
-pub fn host(n: usize) -> HostId {
+pub(crate) fn host(n: usize) -> HostId {
     HostId(format!("host_{n}").into())
 }
 
-pub fn listing(n: usize, standing: Standing, started: Time) -> Listing {
+pub(crate) fn listing(n: usize, standing: Standing, started: Time) -> Listing {
     Listing {
         host: host(n),
         zone: ZoneId((n % 4) as u16),
@@ -29,7 +29,7 @@
     }
 }
 
-pub fn ticket(proxies: u64) -> JobTicket {
+pub(crate) fn ticket(proxies: u64) -> JobTicket {
     let kind = |target, benefit| KindTicket {
         response_target: ms(target),
         benefit,
@@ -57,13 +57,13 @@
 }
 
 #[derive(Default)]
-pub struct Joined {
+pub(crate) struct Joined {
     pub tables: BTreeMap<Vec<KindId>, TableId>,
     pub messages: Vec<u64>,
 }
 
 /// The world as the steward's rulings make it.
-pub struct Shop {
+pub(crate) struct Shop {
     pub steward: Steward,
     pub now: u64,
     pub wake: Option<u64>,
@@ -123,7 +123,7 @@
 }
 
 impl Shop {
-    pub fn open(ticket: JobTicket, hosts: usize) -> Shop {
+    pub(crate) fn open(ticket: JobTicket, hosts: usize) -> Shop {
         let now = 100 * SECOND;
         let cap = if ticket.message_cap == 0 {
             usize::MAX
@@ -163,11 +163,11 @@
         shop
     }
 
-    pub fn time(&self) -> Time {
+    pub(crate) fn time(&self) -> Time {
         Time::from_micros(self.now)
     }
 
-    pub fn list(&mut self, complete: bool, entries: Vec<Listing>) {
+    pub(crate) fn list(&mut self, complete: bool, entries: Vec<Listing>) {
         let before = self.listed.clone();
         if complete {
             self.listed.clear();
@@ -191,20 +191,20 @@
         self.pull();
     }
 
-    pub fn join(&mut self, n: u16, fresh: bool, usual: f64) {
+    pub(crate) fn join(&mut self, n: u16, fresh: bool, usual: f64) {
         self.proxies.insert(ProxyId(n), Joined::default());
         self.steward
             .proxy_joined(self.time(), ProxyId(n), fresh, usual, ZoneId(n % 4));
         self.pull();
     }
 
-    pub fn leave(&mut self, n: u16) {
+    pub(crate) fn leave(&mut self, n: u16) {
         self.proxies.remove(&ProxyId(n));
         self.steward.proxy_left(self.time(), ProxyId(n));
         self.pull();
     }
 
-    pub fn met(&mut self, n: usize, tries: f64, errored: f64, mean: u64) {
+    pub(crate) fn met(&mut self, n: usize, tries: f64, errored: f64, mean: u64) {
         let met = Met {
             tries,
             errored,
@@ -216,7 +216,7 @@
     }
 
     /// Time goes on, with the wakes that the steward asked for and, every second, sums as `sums` tells them.
-    pub fn run(&mut self, millis: u64, mut sums: impl FnMut(&mut Shop)) {
+    pub(crate) fn run(&mut self, millis: u64, mut sums: impl FnMut(&mut Shop)) {
         let end = self.now + millis * 1_000;
         while self.now < end {
             self.now += 50_000;
@@ -310,22 +310,22 @@
     }
 
     /// From now on the channel sends at this part of its stated rate.
-    pub fn slow_channel_to(&mut self, part: f64) {
+    pub(crate) fn slow_channel_to(&mut self, part: f64) {
         self.channel.rate = self.channel.stated_rate * part;
     }
 
     /// Whether answers to marks are lost from now on.
-    pub fn lose_marks(&mut self, lost: bool) {
+    pub(crate) fn lose_marks(&mut self, lost: bool) {
         self.channel.loses_marks = lost;
     }
 
     /// How long a message that is sent now takes to leave the channel.
-    pub fn queue_seconds(&self) -> f64 {
+    pub(crate) fn queue_seconds(&self) -> f64 {
         self.channel.waiting / self.channel.rate
     }
 
     /// Lines that the channel was given since the start.
-    pub fn lines_ordered(&self) -> f64 {
+    pub(crate) fn lines_ordered(&self) -> f64 {
         self.channel.sent + self.channel.waiting
     }
 
@@ -338,20 +338,20 @@
     }
 
     /// Whether no table in use names a host.
-    pub fn is_out(&self, n: usize) -> bool {
+    pub(crate) fn is_out(&self, n: usize) -> bool {
         !self
             .used()
             .iter()
             .any(|table| self.lines.contains_key(&(*table, host(n))))
     }
 
-    pub fn hosts_of(&self, table: TableId) -> BTreeSet<HostId> {
+    pub(crate) fn hosts_of(&self, table: TableId) -> BTreeSet<HostId> {
         let open = self.lines.keys().filter(|(t, _)| *t == table);
         open.map(|(_, host)| host.clone()).collect()
     }
 
     /// Hosts of the table in use that has the fewest.
-    pub fn smallest_table(&self) -> usize {
+    pub(crate) fn smallest_table(&self) -> usize {
         self.used()
             .into_iter()
             .map(|table| self.hosts_of(table).len())
@@ -370,12 +370,12 @@
     }
 
     /// The most lines that ever waited, in parts of how many may.
-    pub fn most_waiting(&self) -> f64 {
+    pub(crate) fn most_waiting(&self) -> f64 {
         self.channel.most_seen / self.channel.most
     }
 
     /// Rules that must hold whenever the steward has no more to say.
-    pub fn check(&self) {
+    pub(crate) fn check(&self) {
         let open_warm = self.listed.values().any(|h| self.warm(h));
         for (id, proxy) in &self.proxies {
             assert!(!proxy.tables.is_empty(), "{id:?} was not answered");
--- a/crates/controller/tests/decisions/main.rs
+++ b/crates/controller/tests/decisions/main.rs
@@ -1,5 +1,8 @@
 //! The module's rules under random runs, and a few plain cases, each for a failure that was met once.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 mod channel;
 mod common;
 
--- a/crates/daemon-core/src/books.rs
+++ b/crates/daemon-core/src/books.rs
@@ -102,7 +102,7 @@
         for (host, units) in book.dealt.keys().zip(units(&shares)) {
             match (list.address(host), units) {
                 (Some(addr), Some(units)) => {
-                    drop(lines.insert(host.clone(), WantedLine { addr, units }))
+                    lines.insert(host.clone(), WantedLine { addr, units });
                 }
                 (_, None) => book.held_back.push(host.clone()),
                 // A host the list no longer knows at all cannot be reached by anybody.
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -15,6 +15,9 @@
 //! - `round`: sums of all proxies gathered into one look.
 //! - `operator`, `info`, `zones`: the runtime API of the steward itself, and the map that operators set.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod asking;
 mod books;
 mod channel;
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/town.rs
@@ -9,13 +9,13 @@
 use pondarch_runtime_api::{AdminState, Command, command};
 use std::collections::{BTreeMap, VecDeque};
 
-pub const SECOND: u64 = 1_000_000;
-pub const KINDS: [&str; 3] = ["proof", "order", "release"];
-pub const START: u64 = 1_800_000_000 * SECOND;
+pub(crate) const SECOND: u64 = 1_000_000;
+pub(crate) const KINDS: [&str; 3] = ["proof", "order", "release"];
+pub(crate) const START: u64 = 1_800_000_000 * SECOND;
 
 /// What a proxy does with the next orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub(crate) enum Fault {
     None,
     /// Breaks off after so many commands.
     CutAfter(usize),
@@ -28,7 +28,7 @@
     Silent,
 }
 
-pub struct Front {
+pub(crate) struct Front {
     pub tables: Holding,
     pub up: bool,
     pub conn: Option<u64>,
@@ -38,7 +38,7 @@
     lines: VecDeque<(u64, String)>,
 }
 
-pub struct Town {
+pub(crate) struct Town {
     pub core: Core,
     pub now: u64,
     pub fronts: Vec<Front>,
@@ -53,7 +53,7 @@
 
 /// What becomes of a problem.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Solver {
+pub(crate) enum Solver {
     Answers,
     Fails,
     /// All work to the last host of the list.
@@ -77,11 +77,11 @@
     }
 }
 
-pub fn addr(n: usize) -> std::net::SocketAddr {
+pub(crate) fn addr(n: usize) -> std::net::SocketAddr {
     ([127, 0, (n / 200) as u8, (n % 200) as u8 + 1], 8000).into()
 }
 
-pub fn host(n: usize) -> HostEntry {
+pub(crate) fn host(n: usize) -> HostEntry {
     HostEntry {
         name: format!("host-{n}"),
         address: addr(n),
@@ -95,7 +95,7 @@
     }
 }
 
-pub fn site(proxies: usize) -> Site {
+pub(crate) fn site(proxies: usize) -> Site {
     let span = Length::millis;
     let kind = |name: &str| site::Kind {
         name: name.into(),
@@ -145,7 +145,7 @@
 }
 
 impl Town {
-    pub fn open(site: &Site, hosts: usize) -> Town {
+    pub(crate) fn open(site: &Site, hosts: usize) -> Town {
         let front = |(n, proxy): (usize, &site::Proxy)| {
             let mut tables = Holding::new(&proxy.name, 100 + n as u64, &KINDS);
             // Standing tables: two hosts each.
@@ -182,7 +182,7 @@
         town
     }
 
-    pub fn list(&mut self, hosts: Vec<HostEntry>) {
+    pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
         self.give(Input::List {
             version: Some(self.version),
@@ -190,7 +190,7 @@
         });
     }
 
-    pub fn give(&mut self, input: Input) {
+    pub(crate) fn give(&mut self, input: Input) {
         self.inputs.push((self.now, input.clone()));
         self.core.handle(Time::from_micros(self.now), input);
         while let Some(output) = self.core.next_output() {
@@ -252,7 +252,7 @@
     }
 
     /// Proxies answer all that was written to them.
-    pub fn deliver(&mut self) {
+    pub(crate) fn deliver(&mut self) {
         while let Some(n) = (0..self.fronts.len()).find(|&n| !self.fronts[n].lines.is_empty()) {
             let front = &mut self.fronts[n];
             let Some((conn, line)) = front.lines.pop_front() else {
@@ -301,7 +301,7 @@
     }
 
     /// A connection breaks.
-    pub fn drop_link(&mut self, n: usize) {
+    pub(crate) fn drop_link(&mut self, n: usize) {
         self.fronts[n].lines.clear();
         if let Some(conn) = self.fronts[n].conn.take() {
             self.give(Input::Lost {
@@ -313,7 +313,7 @@
     }
 
     /// Time goes on, and proxies answer at once.
-    pub fn run(&mut self, millis: u64) {
+    pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         self.deliver();
         loop {
@@ -330,7 +330,7 @@
         self.now = end;
     }
 
-    pub fn command(&mut self, level: u8, line: &str) -> String {
+    pub(crate) fn command(&mut self, level: u8, line: &str) -> String {
         self.callers += 1;
         let caller = self.callers;
         self.give(Input::Command {
@@ -342,7 +342,7 @@
     }
 
     /// Counts reqs at a proxy's servers, as if traffic had gone there.
-    pub fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
+    pub(crate) fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
         for backend in self.fronts[n].tables.backends.values_mut() {
             backend.reqs += done + errored;
             for server in backend
@@ -358,7 +358,11 @@
         }
     }
 
-    pub fn serving(&self, n: usize, kind: &str) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
+    pub(crate) fn serving(
+        &self,
+        n: usize,
+        kind: &str,
+    ) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
         let servers = &self.fronts[n].tables.backends[kind].servers;
         let serving = servers.iter().filter(|(_, server)| server.serves());
         serving
@@ -366,7 +370,7 @@
             .collect()
     }
 
-    pub fn info(&mut self, name: &str) -> u64 {
+    pub(crate) fn info(&mut self, name: &str) -> u64 {
         let text = self.command(0, "show info");
         pondarch_runtime_api::info::Info::read(&text)
             .number(name)
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -1,6 +1,9 @@
 //! What recording costs: the time of one input with records off, on, and on a disk whose every sync takes 2 s; records and
 //! bytes a second; time to recover by the size of the log; replay against real time: `cargo bench -p pondarch-daemon`.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use hdrhistogram::Histogram;
 use pondarch_config::site::Records;
 use pondarch_config::{HostEntry, Site, site_from_text};
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -9,6 +9,9 @@
 //! - `recorder`: records on the way to the disk, and what was found there.
 //! - `log`: events as structured logs.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod daemon;
 mod desk;
 mod dial;
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,6 +1,9 @@
 //! From a deployment's settings object, as the bench and the platform both hand it over, to the job ticket and the
 //! names that it gives numbers to. Times there are in microseconds.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
+
 use pondarch_controller::types::*;
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/dns-core/src/lib.rs
+++ b/crates/dns-core/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `limits`: how often a source is answered.
 //! - `secondaries`: who serves copies of the zone, how far behind they are, and when to tell them.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(elided_lifetimes_in_paths, missing_docs)]
+
 pub mod held;
 pub mod lifetime;
 pub mod limits;
--- a/crates/dns-server/src/journal.rs
+++ b/crates/dns-server/src/journal.rs
@@ -9,7 +9,7 @@
 
 /// From one serial to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
+pub(crate) struct Step {
     pub from: u32,
     pub to: u32,
     pub gone: Vec<Row>,
@@ -24,7 +24,7 @@
 
 /// What brings a copy up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changes {
+pub(crate) enum Changes {
     /// It is.
     None,
     Steps(Vec<Step>),
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Journal {
+pub(crate) struct Journal {
     serial: u32,
     rows: BTreeSet<Row>,
     steps: VecDeque<Step>,
@@ -41,16 +41,16 @@
 }
 
 impl Journal {
-    pub fn serial(&self) -> u32 {
+    pub(crate) fn serial(&self) -> u32 {
         self.serial
     }
 
-    pub fn rows(&self) -> &BTreeSet<Row> {
+    pub(crate) fn rows(&self) -> &BTreeSet<Row> {
         &self.rows
     }
 
     /// The zone is this from now on.
-    pub fn follow(&mut self, serial: u32, rows: BTreeSet<Row>) {
+    pub(crate) fn follow(&mut self, serial: u32, rows: BTreeSet<Row>) {
         if serial == self.serial {
             return;
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn since(&self, serial: u32) -> Changes {
+    pub(crate) fn since(&self, serial: u32) -> Changes {
         if serial == self.serial {
             return Changes::None;
         }
--- a/crates/dns-server/src/lib.rs
+++ b/crates/dns-server/src/lib.rs
@@ -8,6 +8,9 @@
 //! - `rows`, `journal`, `transfer`, `keys`: copies of the zone for secondaries, whole and by differences, signed.
 //! - `fetch`: the secondary's side of that.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, elided_lifetimes_in_paths, missing_docs)]
+
 mod answer;
 pub mod ask;
 pub mod fetch;
--- a/crates/dns-server/tests/copies.rs
+++ b/crates/dns-server/tests/copies.rs
@@ -1,5 +1,8 @@
 //! Copies of the zone: whole, by differences, and not for everybody.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RecordType};
 use pondarch_controller::types::{HostId, KindId, ProxyId, Span, TableId, Time};
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `disk`: the folder: its lock, files that are replaced whole, and a stand-in that is slow, full or read-only.
 //! - `log`: writing, by what `keeping` says.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(missing_docs)]
+
 pub mod disk;
 pub mod frame;
 pub mod keeping;
--- a/crates/load-ingestion/src/lib.rs
+++ b/crates/load-ingestion/src/lib.rs
@@ -8,6 +8,9 @@
 //! - `silence`: who is excused when reports stop.
 //! - `account`: memory by purpose, its caps, and what is done at them.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(missing_docs)]
+
 pub mod account;
 pub mod age;
 pub mod choice;
--- a/crates/load-report-protocol/src/lib.rs
+++ b/crates/load-report-protocol/src/lib.rs
@@ -8,6 +8,9 @@
 //! - `message`: what is said, and the codec.
 //! - `sender`: when a sender may send what, without I/O.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(missing_docs)]
+
 pub mod message;
 pub mod sender;
 
--- a/crates/load-report/src/lib.rs
+++ b/crates/load-report/src/lib.rs
@@ -6,6 +6,9 @@
 //! `rps_fractional` (reqs ended a second) and `eps` (of those, errored) are published ones; `named_metrics` are the
 //! sender's own: here `queue` (reqs waiting) and `latency_ms` (recent service time without waiting, milliseconds).
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(missing_docs)]
+
 use serde_json::Value;
 use std::fmt::Write;
 
--- a/crates/platform-core/src/lib.rs
+++ b/crates/platform-core/src/lib.rs
@@ -3,6 +3,9 @@
 //!
 //! It owns the decision module, who is joined, where hosts answer probes, and the call under way. It decides nothing.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::wildcard_imports, missing_docs)]
+
 mod core;
 mod members;
 mod tally;
--- a/crates/platform-core/tests/decision_streams/controller.rs
+++ b/crates/platform-core/tests/decision_streams/controller.rs
@@ -7,15 +7,15 @@
 use pondarch_platform_protocol::{load, registry, report};
 
 /// What the controller does, as text.
-pub enum Action {
+pub(crate) enum Action {
     Call { id: u64, line: String },
     Probe { host: String, address: String },
 }
 
-pub struct Controller(Core);
+pub(crate) struct Controller(Core);
 
 impl Controller {
-    pub fn open(config: &str, now: u64) -> Controller {
+    pub(crate) fn open(config: &str, now: u64) -> Controller {
         let config = config::read(config.as_bytes(), &Env::default()).expect("a configuration");
         Controller(Core::open(config, Time::from_micros(now)))
     }
@@ -25,7 +25,7 @@
     }
 
     /// Time has passed; the controller is called if it asked for that.
-    pub fn time_passed(&mut self, now: u64) {
+    pub(crate) fn time_passed(&mut self, now: u64) {
         if self
             .0
             .wake_at()
@@ -36,13 +36,13 @@
     }
 
     /// A list of hosts; text that is none counts as a failure of discovery.
-    pub fn list(&mut self, now: u64, text: &str) {
+    pub(crate) fn list(&mut self, now: u64, text: &str) {
         let input = registry::read(text.as_bytes()).map_or(Input::ListFailed, Input::Listed);
         self.handle(now, input);
     }
 
     /// A line of the relay: the answer to a call, or news.
-    pub fn relay_line(&mut self, now: u64, text: &str) {
+    pub(crate) fn relay_line(&mut self, now: u64, text: &str) {
         match relay::read(text) {
             Some(Line::Taken { id, orders }) => {
                 self.call_ended(now, id, CallEnd::Answered { orders })
@@ -55,7 +55,7 @@
     }
 
     /// A call has had no answer in time.
-    pub fn no_answer(&mut self, now: u64, call: u64) {
+    pub(crate) fn no_answer(&mut self, now: u64, call: u64) {
         self.call_ended(now, call, CallEnd::Unknown);
     }
 
@@ -63,12 +63,12 @@
         self.handle(now, Input::CallEnded { call, end });
     }
 
-    pub fn relay_reachable(&mut self, now: u64, up: bool) {
+    pub(crate) fn relay_reachable(&mut self, now: u64, up: bool) {
         self.handle(now, Input::Relay { up });
     }
 
     /// A report, its words set apart by spaces.
-    pub fn report(&mut self, now: u64, text: &str) {
+    pub(crate) fn report(&mut self, now: u64, text: &str) {
         let words: Vec<String> = text.split(' ').map(str::to_string).collect();
         self.handle(
             now,
@@ -77,7 +77,7 @@
     }
 
     /// A probe's answer, with the body that came along.
-    pub fn probe_answer(&mut self, now: u64, host: &str, good: bool, body: &str) {
+    pub(crate) fn probe_answer(&mut self, now: u64, host: &str, good: bool, body: &str) {
         let load = load::read_body(body.as_bytes());
         self.handle(
             now,
@@ -89,7 +89,7 @@
         );
     }
 
-    pub fn next_action(&mut self, now: u64) -> Option<Action> {
+    pub(crate) fn next_action(&mut self, now: u64) -> Option<Action> {
         match self.0.next_output(Time::from_micros(now))? {
             Output::Call { call, line } => Some(Action::Call { id: call, line }),
             Output::Probe { host, at } => Some(Action::Probe {
--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -16,7 +16,7 @@
 
 /// What the calls held, and how they ended.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub calls: usize,
     pub lines: usize,
     pub tables: usize,
@@ -31,7 +31,7 @@
 }
 
 /// A finished run: the digest of all that the controller did, and what that was.
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub digest: String,
     pub counts: Counts,
 }
@@ -61,7 +61,7 @@
 }
 
 /// Runs one site to its end.
-pub fn run(site: &Site) -> Outcome {
+pub(crate) fn run(site: &Site) -> Outcome {
     let mut session = Session {
         site: *site,
         now: START,
--- a/crates/platform-core/tests/town/mod.rs
+++ b/crates/platform-core/tests/town/mod.rs
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Grace for drains, empty tables and cold hosts, and how long these wait after a fault.
-pub const GRACE: Span = Span::from_millis(1_500);
+pub(crate) const GRACE: Span = Span::from_millis(1_500);
 const CAP: usize = 12;
 const WINDOW: u64 = 10_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub(crate) enum Fault {
     None,
     Busy,
     /// No answer; carried out all the same.
@@ -32,7 +32,7 @@
     told: u64,
 }
 
-pub struct Town {
+pub(crate) struct Town {
     pub core: Core,
     pub now: u64,
     pub fault: Fault,
@@ -56,11 +56,11 @@
 }
 
 impl Town {
-    pub fn open(hosts: usize, proxies: u64) -> Town {
+    pub(crate) fn open(hosts: usize, proxies: u64) -> Town {
         Town::with_cap(hosts, proxies, CAP)
     }
 
-    pub fn with_cap(hosts: usize, proxies: u64, cap: usize) -> Town {
+    pub(crate) fn with_cap(hosts: usize, proxies: u64, cap: usize) -> Town {
         let kind =
             |name: &str, aim: u64, worth: f64| json!({"name": name, "aim": aim, "worth": worth});
         let config = json!({
@@ -104,16 +104,16 @@
         town
     }
 
-    pub fn time(&self) -> Time {
+    pub(crate) fn time(&self) -> Time {
         Time::from_micros(self.now)
     }
 
     /// The rules' limits wait from now on.
-    pub fn forgive(&mut self) {
+    pub(crate) fn forgive(&mut self) {
         self.forgiven = self.now;
     }
 
-    pub fn run(&mut self, millis: u64) {
+    pub(crate) fn run(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(50) {
             self.now += 50_000;
             if self.core.wake_at().is_some_and(|at| at <= self.time()) {
@@ -225,12 +225,12 @@
             .collect()
     }
 
-    pub fn relay_lines(&self) -> usize {
+    pub(crate) fn relay_lines(&self) -> usize {
         self.lines.len()
     }
 
     /// Proxies that may send to a host.
-    pub fn users_of(&self, n: usize) -> usize {
+    pub(crate) fn users_of(&self, n: usize) -> usize {
         let host = name(n);
         let tables = self
             .lines
@@ -247,7 +247,7 @@
         self.carry_out();
     }
 
-    pub fn tell_joined(&mut self, n: u16, fresh: bool) {
+    pub(crate) fn tell_joined(&mut self, n: u16, fresh: bool) {
         let site = ["a", "b"][n as usize % 2].to_string();
         self.news(News::Joined {
             proxy: ProxyId(n),
@@ -263,29 +263,29 @@
         self.joined.insert(ProxyId(n), self.now);
     }
 
-    pub fn joins(&mut self, n: u16, fresh: bool) {
+    pub(crate) fn joins(&mut self, n: u16, fresh: bool) {
         self.joins_at_relay(n);
         self.tell_joined(n, fresh);
     }
 
-    pub fn leaves(&mut self, n: u16) {
+    pub(crate) fn leaves(&mut self, n: u16) {
         self.leaves_unseen(n);
         self.news(News::Left(ProxyId(n)));
     }
 
-    pub fn leaves_unseen(&mut self, n: u16) {
+    pub(crate) fn leaves_unseen(&mut self, n: u16) {
         self.bound.remove(&ProxyId(n));
         self.joined.remove(&ProxyId(n));
         self.empty_since.remove(&ProxyId(n));
     }
 
-    pub fn rejoins_unseen(&mut self, n: u16) {
+    pub(crate) fn rejoins_unseen(&mut self, n: u16) {
         self.leaves_unseen(n);
         self.joins_at_relay(n);
     }
 
     /// The connection with news breaks, and a new one lists who stands.
-    pub fn news_breaks(&mut self) {
+    pub(crate) fn news_breaks(&mut self) {
         self.forgive();
         self.core.handle(self.time(), Input::NewsBegan);
         let standing: Vec<ProxyId> = self.joined.keys().copied().collect();
@@ -294,7 +294,7 @@
         }
     }
 
-    pub fn says(&mut self, text: &str) {
+    pub(crate) fn says(&mut self, text: &str) {
         let words: Vec<String> = text.split(' ').map(str::to_string).collect();
         let message = report::read(&words).expect("well framed");
         self.core.handle(self.time(), Input::Said(message));
@@ -303,7 +303,7 @@
 
     // ---- Hosts ----
 
-    pub fn tells_all(&mut self) {
+    pub(crate) fn tells_all(&mut self) {
         for (id, (standing, started)) in &self.listed {
             let told = Listed {
                 id: id.clone(),
@@ -357,20 +357,20 @@
         self.tells(false, vec![entry(&id, standing, started)]);
     }
 
-    pub fn drains(&mut self, n: usize) {
+    pub(crate) fn drains(&mut self, n: usize) {
         self.changes(name(n), Standing::Draining, 0);
     }
 
-    pub fn gone(&mut self, n: usize) {
+    pub(crate) fn gone(&mut self, n: usize) {
         self.changes(name(n), Standing::Gone, 0);
     }
 
-    pub fn restarts(&mut self, n: usize) {
+    pub(crate) fn restarts(&mut self, n: usize) {
         self.changes(name(n), Standing::Open, self.now / 1_000 * 1_000);
     }
 
     /// A release puts a new host, under a new id, in the place of an old one.
-    pub fn replaces(&mut self, release: usize, n: usize) {
+    pub(crate) fn replaces(&mut self, release: usize, n: usize) {
         self.gone((release - 1) * 100 + n);
         self.restarts(release * 100 + n);
     }
@@ -405,7 +405,7 @@
         }
     }
 
-    pub fn check(&self) {
+    pub(crate) fn check(&self) {
         let over = |since: u64| self.now - since.max(self.forgiven) > GRACE.as_micros();
         for (id, since) in &self.empty_since {
             assert!(!over(*since), "{id:?} has had nothing to pick");
@@ -429,7 +429,7 @@
         }
     }
 
-    pub fn check_cap(&self) {
+    pub(crate) fn check_cap(&self) {
         for id in self.joined.keys() {
             let lately = self.messages.get(id).map_or(0, |all| {
                 all.iter()
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `load`: a host's own word of its load.
 //! - `config`: what a steward is told at its start.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(elided_lifetimes_in_paths, missing_docs)]
+
 pub mod config;
 pub mod load;
 pub mod registry;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,6 +9,9 @@
 //! - `probes`: asks hosts for their load.
 //! - `log`: bounded lines a second.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod calls;
 mod clients;
 mod dial;
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -10,6 +10,9 @@
 //! - `holding`: all that the runtime API shows and sets.
 //! - `orders`: who may send orders, and that older ones never go over newer ones.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod admit;
 pub mod avoid;
 pub mod holding;
--- a/crates/proxy-session/src/lib.rs
+++ b/crates/proxy-session/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `sums`: counters of `show stat` turned into what was met since the last look.
 //! - `session`: the course of one connection.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod order;
 pub mod session;
 pub mod sums;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,6 +9,9 @@
 //! - `guard`: refuses heads whose length can be read in two ways.
 //! - `desk`: the runtime API.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod body;
 mod carry;
 mod desk;
--- a/crates/proxy/tests/real/main.rs
+++ b/crates/proxy/tests/real/main.rs
@@ -1,5 +1,8 @@
 //! The proxy over real sockets: each test is one hard case.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 mod stage;
 
 use stage::*;
--- a/crates/proxy/tests/real/stage.rs
+++ b/crates/proxy/tests/real/stage.rs
@@ -13,7 +13,7 @@
 
 /// What a host does with each req.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
+pub(crate) enum Does {
     Answers,
     /// With its load in the head.
     TellsLoad,
@@ -27,7 +27,7 @@
     RefusesUnrun,
 }
 
-pub struct Host {
+pub(crate) struct Host {
     pub addr: SocketAddr,
     pub does: Arc<Mutex<Does>>,
     /// Heads of the reqs that came.
@@ -36,7 +36,7 @@
 }
 
 impl Host {
-    pub async fn start(does: Does) -> Host {
+    pub(crate) async fn start(does: Does) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let does = Arc::new(Mutex::new(does));
@@ -57,7 +57,7 @@
     }
 
     /// The numbers (`x-req`) of the reqs that may have taken effect here.
-    pub fn effects(&self) -> Vec<u64> {
+    pub(crate) fn effects(&self) -> Vec<u64> {
         let heads = self.heads.lock().expect("heads");
         let number = |head: &String| {
             head.lines()
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    pub fn reqs(&self) -> usize {
+    pub(crate) fn reqs(&self) -> usize {
         self.heads.lock().expect("heads").len()
     }
 }
@@ -133,7 +133,7 @@
     }
 }
 
-pub struct Stage {
+pub(crate) struct Stage {
     pub proxy: Running,
     pub folder: tempfile::TempDir,
     steward: UnixStream,
@@ -141,7 +141,7 @@
 }
 
 /// Kinds: `proof` may run again, `release` must not; both may take 1 s.
-pub const SITE: &str = "{
+pub(crate) const SITE: &str = "{
     name: 'front', zone: 'ede', zones: ['ede'], listen: '127.0.0.1:0',
     runtime_api: [{ listen: 'unix:front.sock', level: 'admin' }],
     kinds: [
@@ -153,7 +153,7 @@
 }";
 
 impl Stage {
-    pub async fn start(standing: &[&Host], site: &str) -> Stage {
+    pub(crate) async fn start(standing: &[&Host], site: &str) -> Stage {
         let folder = tempfile::tempdir().expect("a folder");
         let host = |(n, host): (usize, &&Host)| {
             format!("{{ name: 'h{n}', address: '{}', zone: 'ede' }}", host.addr)
@@ -184,12 +184,12 @@
         stream
     }
 
-    pub async fn another_steward(&self) -> UnixStream {
+    pub(crate) async fn another_steward(&self) -> UnixStream {
         Stage::dial(self.folder.path().join("front.sock")).await
     }
 
     /// Orders of the next version; gives the answers.
-    pub async fn order(&mut self, commands: &[String]) -> String {
+    pub(crate) async fn order(&mut self, commands: &[String]) -> String {
         self.number += 1;
         let version = format!("add map pond_state table steward:1/{}", self.number);
         let line = std::iter::once(&version)
@@ -200,12 +200,12 @@
         talk(&mut self.steward, &line, commands.len() + 1).await
     }
 
-    pub async fn say(&mut self, line: &str) -> String {
+    pub(crate) async fn say(&mut self, line: &str) -> String {
         let many = line.split(';').count();
         talk(&mut self.steward, line, many).await
     }
 
-    pub async fn info(&mut self, name: &str) -> String {
+    pub(crate) async fn info(&mut self, name: &str) -> String {
         let text = self.say("show info").await;
         pondarch_runtime_api::info::Info::read(&text)
             .get(name)
@@ -214,7 +214,7 @@
     }
 
     /// Tries done and errored, by host, of a kind.
-    pub async fn sums(&mut self, kind: &str) -> BTreeMap<String, (u64, u64)> {
+    pub(crate) async fn sums(&mut self, kind: &str) -> BTreeMap<String, (u64, u64)> {
         let text = self.say("show stat").await;
         let rows = pondarch_runtime_api::stat::read(text.trim_end()).expect("stat");
         let of = rows
@@ -224,14 +224,14 @@
             .collect()
     }
 
-    pub async fn get(&self, path: &str) -> (u16, String) {
+    pub(crate) async fn get(&self, path: &str) -> (u16, String) {
         let req = format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
         send(self.proxy.addr, req.as_bytes()).await
     }
 }
 
 /// `add server` and ready, for a kind.
-pub fn add(kind: &str, name: &str, host: &Host, weight: u16) -> [String; 2] {
+pub(crate) fn add(kind: &str, name: &str, host: &Host, weight: u16) -> [String; 2] {
     [
         format!("add server {kind}/{name} {} weight {weight}", host.addr),
         format!("set server {kind}/{name} state ready"),
@@ -239,7 +239,7 @@
 }
 
 /// Sends a line and reads as many answers.
-pub async fn talk(stream: &mut UnixStream, line: &str, answers: usize) -> String {
+pub(crate) async fn talk(stream: &mut UnixStream, line: &str, answers: usize) -> String {
     stream
         .write_all(format!("{line}\n").as_bytes())
         .await
@@ -266,7 +266,7 @@
 }
 
 /// Sends bytes, and reads until the proxy closes: status and all of the text.
-pub async fn send(addr: SocketAddr, bytes: &[u8]) -> (u16, String) {
+pub(crate) async fn send(addr: SocketAddr, bytes: &[u8]) -> (u16, String) {
     let mut stream = TcpStream::connect(addr).await.expect("the proxy");
     // It may answer and close before all is written.
     stream.write_all(bytes).await.ok();
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -12,6 +12,9 @@
 //! - `stream`: a recorded stream of reqs in a columnar file.
 //! - `bad_day`, `flood`, `kills`, `storm`, `trial`, `weighing`: the scripts.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod bad_day;
 pub mod by_name;
 pub mod client;
--- a/crates/rehearsal/tests/release_once.rs
+++ b/crates/rehearsal/tests/release_once.rs
@@ -1,5 +1,8 @@
 //! A `release` runs once, whatever hosts do and however often the order of further tries is delivered.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 use pondarch_rehearsal::client::{Client, Kind};
 use pondarch_rehearsal::facts::{Fact, Facts, How, Listed};
 use pondarch_rehearsal::front::Front;
--- a/crates/replay/examples/write_fixture.rs
+++ b/crates/replay/examples/write_fixture.rs
@@ -2,6 +2,9 @@
 //! in memory; `write_fixture encode FILE` adds the recorded bytes, in hexadecimal, to lines that lack them. What is
 //! committed is never written anew: it stands for what older programs wrote.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines)]
+
 #[path = "write_fixture/run.rs"]
 mod run;
 #[path = "write_fixture/site.rs"]
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -57,7 +57,7 @@
 }
 
 /// Records both runs in this folder.
-pub fn write(folder: &Path) -> Result<(), Box<dyn Error>> {
+pub(crate) fn write(folder: &Path) -> Result<(), Box<dyn Error>> {
     let mut first = Run::start(folder, START, START)?;
     first.list(hosts());
     first.run(3_000);
--- a/crates/replay/examples/write_fixture/site.rs
+++ b/crates/replay/examples/write_fixture/site.rs
@@ -4,7 +4,7 @@
 use pondarch_config::hosts::HostState;
 
 /// Settings in which everything that is recorded can happen: solved weights, names, pushed reports, a secondary.
-pub fn settings() -> String {
+pub(crate) fn settings() -> String {
     let kind = |name: &str| {
         format!(
             r#"{{"name": "{name}", "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"}}"#
@@ -26,11 +26,11 @@
     )
 }
 
-pub fn hosts() -> Vec<HostEntry> {
+pub(crate) fn hosts() -> Vec<HostEntry> {
     (0..6).map(host).collect()
 }
 
-pub fn host(n: usize) -> HostEntry {
+pub(crate) fn host(n: usize) -> HostEntry {
     HostEntry {
         name: format!("host-{n}"),
         address: ([127, 0, 0, n as u8 + 1], 8000).into(),
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `scene`, `play`: the troubles of a run without its decisions, played to a steward with other settings or another seed.
 //! - `export`: records as a columnar file.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod export;
 pub mod play;
 pub mod record;
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -7,6 +7,9 @@
 //! - `codec`: framing for a server (lines in, answers out) and for a client (lines out, answers in).
 //! - `stat`, `state`, `info`: the tables that `show stat`, `show servers state`, `show info` and `show map` print.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod codec;
 pub mod command;
 pub mod info;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -6,13 +6,13 @@
 use std::str::FromStr;
 
 /// One line, read part by part.
-pub struct Row<'a> {
+pub(crate) struct Row<'a> {
     name: &'a str,
     rest: Option<&'a str>,
 }
 
 impl<'a> Row<'a> {
-    pub fn new(line: &'a str) -> Row<'a> {
+    pub(crate) fn new(line: &'a str) -> Row<'a> {
         match line.split_once('\t') {
             Some((name, rest)) => Row {
                 name,
@@ -25,7 +25,7 @@
         }
     }
 
-    pub fn name(&self) -> &'a str {
+    pub(crate) fn name(&self) -> &'a str {
         self.name
     }
 
@@ -33,7 +33,7 @@
         format!("{}: {what}: {why}", self.name)
     }
 
-    pub fn text(&mut self, what: &str) -> Result<&'a str, String> {
+    pub(crate) fn text(&mut self, what: &str) -> Result<&'a str, String> {
         let rest = self.rest.ok_or_else(|| self.wrong(what, "missing"))?;
         let (part, rest) = match rest.split_once('\t') {
             Some((part, rest)) => (part, Some(rest)),
@@ -47,12 +47,12 @@
         }
     }
 
-    pub fn rest(&mut self, what: &str) -> Result<&'a str, String> {
+    pub(crate) fn rest(&mut self, what: &str) -> Result<&'a str, String> {
         self.rest.take().ok_or_else(|| self.wrong(what, "missing"))
     }
 
     /// Nothing may follow the last value.
-    pub fn end(&self) -> Result<(), String> {
+    pub(crate) fn end(&self) -> Result<(), String> {
         match self.rest {
             Some(more) => Err(self.wrong("end of line", &format!("more than expected: '{more}'"))),
             None => Ok(()),
@@ -65,15 +65,15 @@
             .map_err(|_| self.wrong(what, &format!("'{part}' is not {kind}")))
     }
 
-    pub fn whole(&mut self, what: &str) -> Result<u64, String> {
+    pub(crate) fn whole(&mut self, what: &str) -> Result<u64, String> {
         self.parse(what, "a whole number")
     }
 
-    pub fn small(&mut self, what: &str) -> Result<u16, String> {
+    pub(crate) fn small(&mut self, what: &str) -> Result<u16, String> {
         self.parse(what, "a whole number below 65536")
     }
 
-    pub fn number(&mut self, what: &str) -> Result<Option<f64>, String> {
+    pub(crate) fn number(&mut self, what: &str) -> Result<Option<f64>, String> {
         let part = self.text(what)?;
         if part == "-" {
             return Ok(None);
@@ -84,11 +84,11 @@
             .ok_or_else(|| self.wrong(what, &format!("'{part}' is not a number")))
     }
 
-    pub fn count(&mut self, what: &str) -> Result<f64, String> {
+    pub(crate) fn count(&mut self, what: &str) -> Result<f64, String> {
         Ok(self.number(what)?.unwrap_or(0.0).max(0.0))
     }
 
-    pub fn flag(&mut self, what: &str) -> Result<bool, String> {
+    pub(crate) fn flag(&mut self, what: &str) -> Result<bool, String> {
         match self.text(what)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -96,19 +96,19 @@
         }
     }
 
-    pub fn time(&mut self, what: &str) -> Result<Time, String> {
+    pub(crate) fn time(&mut self, what: &str) -> Result<Time, String> {
         self.whole(what).map(Time::from_micros)
     }
 
-    pub fn span(&mut self, what: &str) -> Result<Span, String> {
+    pub(crate) fn span(&mut self, what: &str) -> Result<Span, String> {
         Ok(Span::from_micros(self.count(what)? as u64))
     }
 
-    pub fn host(&mut self) -> Result<HostId, String> {
+    pub(crate) fn host(&mut self) -> Result<HostId, String> {
         Ok(HostId(self.text("host")?.into()))
     }
 
-    pub fn met(&mut self, names: &Names) -> Result<Met, String> {
+    pub(crate) fn met(&mut self, names: &Names) -> Result<Met, String> {
         let tries = self.count("many")?;
         let errored = self.count("errors")?;
         let mean_time = self.span("took")?;
@@ -122,7 +122,7 @@
         })
     }
 
-    pub fn load(&mut self, names: &Names) -> Result<Option<Load>, String> {
+    pub(crate) fn load(&mut self, names: &Names) -> Result<Option<Load>, String> {
         let part = self.text("report")?;
         if part == "-" {
             return Ok(None);
@@ -153,17 +153,17 @@
 
 /// The numbered lists of the process, and the one being read.
 #[derive(Default)]
-pub struct Lists {
+pub(crate) struct Lists {
     held: BTreeMap<u64, Vec<Entry>>,
     reading: Option<(u64, u64)>,
 }
 
 impl Lists {
-    pub fn open(&self) -> bool {
+    pub(crate) fn open(&self) -> bool {
         self.reading.is_some()
     }
 
-    pub fn begin(&mut self, mut row: Row) -> Result<(), String> {
+    pub(crate) fn begin(&mut self, mut row: Row) -> Result<(), String> {
         let list = row.whole("list")?;
         let members = row.whole("members")?;
         self.held.insert(list, Vec::new());
@@ -171,7 +171,7 @@
         row.end()
     }
 
-    pub fn entry(&mut self, mut row: Row) -> Result<(), String> {
+    pub(crate) fn entry(&mut self, mut row: Row) -> Result<(), String> {
         if row.name() != "M" {
             return Err(format!("{} where a list entry was due", row.name()));
         }
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    pub fn listings(&self, list: u64, names: &mut Names) -> Result<Vec<Listing>, String> {
+    pub(crate) fn listings(&self, list: u64, names: &mut Names) -> Result<Vec<Listing>, String> {
         let entries = self
             .held
             .get(&list)
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -4,7 +4,7 @@
 use pondarch_deployment::number_of_tries;
 use std::fmt::Write;
 
-pub fn ruling(ruling: &Ruling, out: &mut String) {
+pub(crate) fn ruling(ruling: &Ruling, out: &mut String) {
     let written = match ruling {
         Ruling::Deal {
             table,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,13 @@
 //! Lets the decision module play on the simulator's wire: decodes lines into calls, encodes rulings into lines.
 //! It decides nothing and shares nothing between stewards.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(
+    clippy::too_many_lines,
+    clippy::wildcard_imports,
+    elided_lifetimes_in_paths
+)]
+
 mod decode;
 mod encode;
 
--- a/crates/simulator-adapter/tests/decision_streams/fleet.rs
+++ b/crates/simulator-adapter/tests/decision_streams/fleet.rs
@@ -14,21 +14,21 @@
 const COLD_TIME: u64 = 18_000_000;
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Health {
+pub(crate) enum Health {
     Listed,
     Draining,
     Gone,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     Nothing,
     Fails,
     Slow,
     Hangs,
 }
 
-pub struct Host {
+pub(crate) struct Host {
     pub name: String,
     pub zone: usize,
     pub machine: &'static str,
@@ -43,7 +43,7 @@
     pub queue: u64,
 }
 
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub zone: usize,
     pub joined: bool,
     /// Requests a second, in thousandths.
@@ -52,7 +52,7 @@
 }
 
 /// What the proxies of one zone met at one host within a report period.
-pub struct HostReport {
+pub(crate) struct HostReport {
     pub zone: usize,
     pub host: usize,
     pub tries: u64,
@@ -65,7 +65,7 @@
 }
 
 /// Requests of one class at one proxy within a report period.
-pub struct UsageReport {
+pub(crate) struct UsageReport {
     pub proxy: usize,
     pub class: usize,
     pub count: u64,
@@ -73,13 +73,13 @@
 }
 
 /// What the controller is to hear of an incident.
-pub enum Change {
+pub(crate) enum Change {
     Hosts(Vec<usize>),
     Joined { proxy: usize, fresh: bool },
     Left(usize),
 }
 
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub hosts: Vec<Host>,
     pub proxies: Vec<Proxy>,
     pub random: Random,
@@ -89,7 +89,7 @@
 }
 
 impl Fleet {
-    pub fn new(site: &Site) -> Fleet {
+    pub(crate) fn new(site: &Site) -> Fleet {
         let mut random = Random::new(site.seed);
         let hosts: Vec<Host> = (0..site.hosts)
             .map(|n| new_host(n, site.zones, &mut random))
@@ -116,7 +116,7 @@
     // ---- What the controller orders ---------------------------------------------------------------------
 
     /// Sets a line of a table; a weight of zero thousandths removes it.
-    pub fn set_line(&mut self, table: u16, host: &str, weight: u64) {
+    pub(crate) fn set_line(&mut self, table: u16, host: &str, weight: u64) {
         let host = self
             .hosts
             .iter()
@@ -131,21 +131,21 @@
     }
 
     /// Hands a table to a proxy, for the classes whose bits are set; no bit: for all.
-    pub fn hand_table(&mut self, proxy: usize, table: u16, classes: u64) {
+    pub(crate) fn hand_table(&mut self, proxy: usize, table: u16, classes: u64) {
         for class in (0..CLASSES.len()).filter(|class| classes == 0 || classes >> class & 1 == 1) {
             self.proxies[proxy].tables[class] = Some(table);
         }
     }
 
     /// Sets the share, in thousandths, of the classes whose bits are set.
-    pub fn set_level(&mut self, table: u16, classes: u64, share: u64) {
+    pub(crate) fn set_level(&mut self, table: u16, classes: u64, share: u64) {
         for class in (0..CLASSES.len()).filter(|class| classes >> class & 1 == 1) {
             self.levels.insert((table, class), share);
         }
     }
 
     /// The joined proxies that hold a table.
-    pub fn users(&self, table: u16) -> Vec<usize> {
+    pub(crate) fn users(&self, table: u16) -> Vec<usize> {
         let uses = |proxy: &Proxy| proxy.joined && proxy.tables.contains(&Some(table));
         (0..self.proxies.len())
             .filter(|&n| uses(&self.proxies[n]))
@@ -155,7 +155,11 @@
     // ---- One report period ------------------------------------------------------------------------------
 
     /// Sends the requests of one second and says what the proxies met.
-    pub fn serve(&mut self, now: u64, demand_percent: u64) -> (Vec<HostReport>, Vec<UsageReport>) {
+    pub(crate) fn serve(
+        &mut self,
+        now: u64,
+        demand_percent: u64,
+    ) -> (Vec<HostReport>, Vec<UsageReport>) {
         let mut usage = Vec::new();
         let mut sent: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         for n in 0..self.proxies.len() {
@@ -253,7 +257,7 @@
     // ---- Incidents --------------------------------------------------------------------------------------
 
     /// Something happens to a host or a proxy.
-    pub fn incident(&mut self, now: u64) -> Vec<Change> {
+    pub(crate) fn incident(&mut self, now: u64) -> Vec<Change> {
         let (host, kind) = (self.random.place(self.hosts.len()), self.random.place(12));
         match kind {
             0 => self.hosts[host].trouble = Trouble::Fails,
@@ -330,7 +334,7 @@
     }
 
     /// Some of the proxies that are away join; one in three has forgotten its tables.
-    pub fn proxies_join(&mut self) -> Vec<Change> {
+    pub(crate) fn proxies_join(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         for proxy in 0..self.proxies.len() {
             if self.proxies[proxy].joined || !self.random.percent(70) {
@@ -377,11 +381,11 @@
 }
 
 /// A whole number of thousandths as text with three decimals.
-pub fn decimal(thousandths: u64) -> String {
+pub(crate) fn decimal(thousandths: u64) -> String {
     format!("{}.{:03}", thousandths / 1_000, thousandths % 1_000)
 }
 
 /// A figure of an order, in thousandths.
-pub fn thousandths(figure: f64) -> u64 {
+pub(crate) fn thousandths(figure: f64) -> u64 {
     (figure * 1_000.0).round() as u64
 }
--- a/crates/simulator-adapter/tests/decision_streams/random.rs
+++ b/crates/simulator-adapter/tests/decision_streams/random.rs
@@ -1,10 +1,10 @@
 //! The generator of the simulated fleet: splitmix64, written out here so that no library can change the runs.
 
 /// One stream of numbers.
-pub struct Random(u64);
+pub(crate) struct Random(u64);
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random(seed)
     }
 
@@ -16,15 +16,15 @@
     }
 
     /// A number from `from` up to but not including `to`.
-    pub fn between(&mut self, from: u64, to: u64) -> u64 {
+    pub(crate) fn between(&mut self, from: u64, to: u64) -> u64 {
         from + self.next() % (to - from).max(1)
     }
 
-    pub fn place(&mut self, count: usize) -> usize {
+    pub(crate) fn place(&mut self, count: usize) -> usize {
         self.between(0, count as u64) as usize
     }
 
-    pub fn percent(&mut self, percent: u64) -> bool {
+    pub(crate) fn percent(&mut self, percent: u64) -> bool {
         self.between(0, 100) < percent
     }
 }
--- a/crates/simulator-adapter/tests/decision_streams/session.rs
+++ b/crates/simulator-adapter/tests/decision_streams/session.rs
@@ -15,7 +15,7 @@
 
 /// What the replies held.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub lines: usize,
     pub tables: usize,
     pub levels: usize,
@@ -28,7 +28,7 @@
 }
 
 /// A finished run: the digest of all that the adapter wrote, and what that was.
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub digest: String,
     pub counts: Counts,
 }
@@ -51,7 +51,7 @@
 }
 
 /// Runs the adapter with one controller for each site, until the longest of their runs is over.
-pub fn run(sites: &[Site]) -> Outcome {
+pub(crate) fn run(sites: &[Site]) -> Outcome {
     let mut process = Command::new(env!("CARGO_BIN_EXE_pondarch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/crates/simulator-adapter/tests/decision_streams/site.rs
+++ b/crates/simulator-adapter/tests/decision_streams/site.rs
@@ -4,17 +4,17 @@
 use serde_json::{Value, json};
 
 /// Names of the request classes, in the order of the settings.
-pub const CLASSES: [&str; 3] = ["proof", "order", "release"];
+pub(crate) const CLASSES: [&str; 3] = ["proof", "order", "release"];
 /// Names of the zones; a site uses the first few.
-pub const ZONES: [&str; 4] = ["ede", "arnhem", "utrecht", "amersfoort"];
+pub(crate) const ZONES: [&str; 4] = ["ede", "arnhem", "utrecht", "amersfoort"];
 /// Names of the machine kinds.
-pub const MACHINES: [&str; 2] = ["single-fast", "dual-std"];
+pub(crate) const MACHINES: [&str; 2] = ["single-fast", "dual-std"];
 /// Time between two reports, in microseconds.
-pub const REPORT_PERIOD: u64 = 1_000_000;
+pub(crate) const REPORT_PERIOD: u64 = 1_000_000;
 
 /// One simulated site.
 #[derive(Clone, Copy)]
-pub struct Site {
+pub(crate) struct Site {
     pub seed: u64,
     pub proxies: usize,
     pub hosts: usize,
@@ -42,7 +42,7 @@
 }
 
 /// A small calm site; runs change what they are about.
-pub const SMALL: Site = Site {
+pub(crate) const SMALL: Site = Site {
     seed: 1,
     proxies: 12,
     hosts: 8,
@@ -65,7 +65,7 @@
 
 impl Site {
     /// The settings object, times in microseconds.
-    pub fn settings(&self) -> Value {
+    pub(crate) fn settings(&self) -> Value {
         let class = |place: usize, aim: u64, worth: u64| json!({"name": CLASSES[place], "aim": aim, "worth": worth});
         json!({
             "balancers": 2, "serviceType": "control", "period": 4_000, "weightKind": "nominal",
@@ -85,7 +85,7 @@
     }
 
     /// What messages take longer in this second, in microseconds.
-    pub fn extra_delay(&self, second: u64) -> u64 {
+    pub(crate) fn extra_delay(&self, second: u64) -> u64 {
         let slow = second * 3 >= self.seconds && second * 3 < self.seconds * 2;
         if self.slow_channel && slow {
             2_500_000
@@ -95,7 +95,7 @@
     }
 
     /// Demand in this second, in percent of the usual.
-    pub fn demand_percent(&self, second: u64) -> u64 {
+    pub(crate) fn demand_percent(&self, second: u64) -> u64 {
         let peak = second * 4 >= self.seconds && second * 2 < self.seconds;
         if self.overload && peak { 300 } else { 100 }
     }
--- a/crates/weight-solver/src/lib.rs
+++ b/crates/weight-solver/src/lib.rs
@@ -9,6 +9,9 @@
 //! - `steady`: bounded steps with hysteresis, so that tables do not flap.
 //! - `planner`: when to solve, what to do with an answer, and which weights are in use.
 
+// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 pub mod delay;
 pub mod estimate;
 pub mod guard;
