--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -2,6 +2,7 @@
 
 use crate::failed;
 use pondarch_config::{PlanSite, read_plan};
+use pondarch_controller::DurationExt;
 use pondarch_weight_solver::guard::{Bears, guarded};
 use pondarch_weight_solver::solve::one_more;
 use pondarch_weight_solver::{Fleet, Host, Kind, Plan, SolveError, Solver, Table, solve};
@@ -92,13 +93,13 @@
             connections: of.connections,
             warm: of.warm,
             taken: of.taken,
-            taken_age_s: of.taken_age.0.secs(),
+            taken_age_s: of.taken_age.0.seconds(),
         })
     });
     let kind = |kind: &pondarch_config::plan::PlanKind| Kind {
         name: kind.name.clone(),
-        work_s: kind.work.0.secs(),
-        response_target_s: kind.response_target.0.secs(),
+        work_s: kind.work.0.seconds(),
+        response_target_s: kind.response_target.0.seconds(),
         benefit: kind.benefit,
     };
     let kinds: Vec<Kind> = site.kinds.iter().map(kind).collect();
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -167,8 +167,7 @@
                     .max()
                     .unwrap_or(0)
             });
-            let now =
-                pondarch_controller::types::Time::from_micros(pondarch_event_log::disk::now_us());
+            let now = pondarch_controller::Time::from_micros(pondarch_event_log::disk::now_us());
             let dropped = log::trim(&mut disk, &Keeping::new(keep), now, needed).map_err(io)?;
             println!(
                 "{}: {dropped} of {} segments dropped",
--- a/crates/config/src/fronts.rs
+++ b/crates/config/src/fronts.rs
@@ -1,11 +1,11 @@
 //! Of a steward's settings: its DNS front, and what it records.
 
 use crate::units::Length;
-use pondarch_controller::types::Span;
 use pondarch_dns_core::{Lifetime, LifetimeError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use std::time::Duration;
 
 /// What a steward records of its course, for its next start, for replays, and for who asks what happened.
 #[derive(Clone, Debug, Deserialize)]
@@ -91,7 +91,7 @@
     /// Errors: the grace leaves no lifetime, or not the one wanted.
     pub fn lifetime(&self) -> Result<Lifetime, LifetimeError> {
         let behind = if self.secondaries.is_empty() {
-            Span::ZERO
+            Duration::ZERO
         } else {
             self.behind.0
         };
--- a/crates/config/src/site.rs
+++ b/crates/config/src/site.rs
@@ -5,7 +5,7 @@
 use crate::jsonnet::{self, SettingsError};
 use crate::units::{Endpoint, Length};
 use ipnet::IpNet;
-use pondarch_controller::types::{Admission, JobTicket, KindTicket, Tries};
+use pondarch_controller::{AdmissionMode, DeploymentConfig, RequestClass, RetryPolicy};
 use pondarch_runtime_api::Level;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -239,35 +239,35 @@
 impl Site {
     /// What the decision module is handed. Its lines are counted in hosts of a table; each is written as up to
     /// two commands for each kind, so it plans with that part of the channel.
-    pub fn ticket(&self) -> JobTicket {
+    pub fn ticket(&self) -> DeploymentConfig {
         let commands_per_line = 2.0 * self.kinds.len() as f64;
-        let kind = |kind: &Kind| KindTicket {
-            response_target: kind.response_target.0,
-            benefit: kind.benefit,
-            own_zone: kind.own_zone,
+        let kind = |kind: &Kind| RequestClass {
+            latency_objective: kind.response_target.0,
+            priority_weight: kind.benefit,
+            zone_local: kind.own_zone,
         };
-        JobTicket {
-            kinds: self.kinds.iter().map(kind).collect(),
-            proxies: self.proxies_of_site.unwrap_or(self.proxies.len() as u64),
-            zones: self.zones.len() as u16,
-            base_tries: Some(Tries::Once),
+        DeploymentConfig {
+            request_classes: self.kinds.iter().map(kind).collect(),
+            proxy_count: self.proxies_of_site.unwrap_or(self.proxies.len() as u64),
+            zone_count: self.zones.len() as u16,
+            base_retry_policy: Some(RetryPolicy::Never),
             admission: match self.admission {
-                AdmissionBy::Share => Admission::Share,
-                AdmissionBy::Rate => Admission::Rate,
-                AdmissionBy::Off => Admission::Off,
+                AdmissionBy::Share => AdmissionMode::Share,
+                AdmissionBy::Rate => AdmissionMode::Rate,
+                AdmissionBy::Off => AdmissionMode::Off,
             },
-            channel_rate: self.channel.lines_per_second / commands_per_line,
-            most_waiting: self.channel.most_waiting / commands_per_line,
-            lines_per_message: self.channel.lines_per_message,
-            message_cap: self.channel.message_cap,
+            update_rate: self.channel.lines_per_second / commands_per_line,
+            max_queued_lines: self.channel.most_waiting / commands_per_line,
+            message_overhead_lines: self.channel.lines_per_message,
+            max_messages_per_window: self.channel.message_cap,
             message_window: self.channel.message_window.0,
-            probes: self.probes.is_some(),
-            report_every: self.reports.every.0,
-            start_capacity: self.cold.start_share,
-            cold: self.cold.warm_within.0,
-            gone_is_no_drain: self.dropped_is_no_drain,
-            crossing_price: self.crossing_price,
-            ..JobTicket::default()
+            health_checks: self.probes.is_some(),
+            report_interval: self.reports.every.0,
+            initial_capacity: self.cold.start_share,
+            slow_start_window: self.cold.warm_within.0,
+            removal_is_advisory: self.dropped_is_no_drain,
+            cross_zone_cost: self.crossing_price,
+            ..DeploymentConfig::default()
         }
     }
 
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,27 +1,28 @@
 //! Spans of time with their unit, and endpoints.
 
-use pondarch_controller::types::Span;
+use pondarch_controller::DurationExt;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
+use std::time::Duration;
 
 /// A span as it is written: a number and a unit, `800 ms`, `1.5 s`, `2 min`, `250 us`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Length(pub Span);
+pub struct Length(pub Duration);
 
 /// Longest span that makes sense in settings: a day.
 const LONGEST_US: f64 = 86_400e6;
 
 impl Length {
     pub const fn millis(ms: u64) -> Length {
-        Length(Span::from_millis(ms))
+        Length(Duration::from_millis(ms))
     }
 
     pub fn std(self) -> std::time::Duration {
-        std::time::Duration::from_micros(self.0.as_micros())
+        self.0
     }
 }
 
@@ -50,13 +51,13 @@
         if us > LONGEST_US {
             return Err(format!("'{text}' is longer than a day"));
         }
-        Ok(Length(Span::from_micros(us.round() as u64)))
+        Ok(Length(Duration::from_micros(us.round() as u64)))
     }
 }
 
 impl fmt::Display for Length {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let us = self.0.as_micros();
+        let us = self.0.micros();
         match us {
             us if us.is_multiple_of(1_000_000) => write!(f, "{} s", us / 1_000_000),
             us if us.is_multiple_of(1_000) => write!(f, "{} ms", us / 1_000),
--- a/crates/config/tests/broken_files.rs
+++ b/crates/config/tests/broken_files.rs
@@ -40,7 +40,7 @@
     assert_eq!(site.proxies.len(), 2);
     assert_eq!(site.hosts_file, file.with_file_name("hosts.jsonnet"));
     assert_eq!(site.kinds[0].response_target.to_string(), "1500 ms");
-    assert_eq!(site.ticket().proxies, 2);
+    assert_eq!(site.ticket().proxy_count, 2);
 }
 
 #[test]
--- a/crates/config/tests/every_key.rs
+++ b/crates/config/tests/every_key.rs
@@ -72,7 +72,10 @@
     );
     let sources: Vec<String> = proxy.sources.iter().map(ToString::to_string).collect();
     assert_eq!(sources, ["10.1.0.0/16", "2001:db8::/32"]);
-    assert_eq!((site.proxies_of_site, site.ticket().proxies), (Some(9), 9));
+    assert_eq!(
+        (site.proxies_of_site, site.ticket().proxy_count),
+        (Some(9), 9)
+    );
     assert_eq!(
         site.hosts_file.display().to_string(),
         in_folder("some-hosts.jsonnet")
--- a/crates/controller/src/decide.rs
+++ b/crates/controller/src/decide.rs
@@ -4,7 +4,7 @@
 //! This file keeps what is known and says in which order decisions are taken (`decide`). Each kind of decision has a
 //! module of its own: `health`, `admission`, `placement`, `assignment`, `publishing`, and `channel` for the queue.
 //!
-//! How it is called: `Steward::open` with a `JobTicket`; then input methods (`list_*`, `proxy_*`, `met`,
+//! How it is called: `Controller::open` with a `DeploymentConfig`; then input methods (`list_*`, `proxy_*`, `met`,
 //! `reqs_came`, `probe_answered`, `carried_out`, `woke`) that only note what is known; after each round of
 //! them `next` until it gives `None`. The types of both directions are in `types.rs`; it knows no wire.
 
@@ -16,9 +16,11 @@
 mod placement;
 mod publishing;
 
-use crate::types::*;
+use crate::state::*;
+use crate::*;
 use channel::{Channel, UpdateReason};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
 
 /// Proxies that a table needs (the design's bound).
 const PROXIES_PER_TABLE: u64 = 5;
@@ -27,36 +29,36 @@
 /// Part of its work from which a member of a table needs no stand-in.
 const MIN_STRONG_PART: f64 = 0.5;
 /// Time between two rounds of decisions (a part of a report period).
-const TICK: Span = Span::from_millis(250);
+const TICK: Duration = Duration::from_millis(250);
 /// Time for which differences gather before they are sent (the design's), and when they are expedited.
-const UPDATE_INTERVAL: Span = Span::from_millis(1_000);
-const EXPEDITED_INTERVAL: Span = Span::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
+const EXPEDITED_INTERVAL: Duration = Duration::from_millis(200);
 /// Part of the message cap that ordinary updates may use.
 const ORDINARY_CAP_PART: f64 = 0.75;
 /// What one line of sums says of the delay of all: large fleets get theirs in turns.
 const LAG_WEIGHT: f64 = 0.02;
 /// Time in which tries lose half their say.
-const TRIES_HALF_LIFE: Span = Span::from_millis(2_000);
+const TRIES_HALF_LIFE: Duration = Duration::from_millis(2_000);
 /// Times over which load, requests and response times are averaged: a few of the noisy sums, yet a cut of levels shows
 /// soon.
-const LOAD_WINDOW: Span = Span::from_millis(3_000);
-const RATE_WINDOW: Span = Span::from_millis(5_000);
-const RESPONSE_TIME_WINDOW: Span = Span::from_millis(1_200);
+const LOAD_WINDOW: Duration = Duration::from_millis(3_000);
+const RATE_WINDOW: Duration = Duration::from_millis(5_000);
+const RESPONSE_TIME_WINDOW: Duration = Duration::from_millis(1_200);
 /// Requests a second of each kind taken for certain, so that usual rates can be split by them.
 const MIN_RATE: f64 = 1e-3;
 /// Time after which a host that is gone, and stands in no table, is forgotten: late sums have come by then.
-const FORGET_AFTER: Span = Span::from_millis(30_000);
+const FORGET_AFTER: Duration = Duration::from_millis(30_000);
 /// Part of the time within which a list on request must be asked for anew after a failure.
 const LIST_RETRY_PART: f64 = 0.3;
 /// Time for which a host is kept away from at first (a few sums); one on trial is judged after twice that.
-const EJECTION_TIME: Span = Span::from_millis(1_500);
+const EJECTION_TIME: Duration = Duration::from_millis(1_500);
 /// Requests waiting, over twice the median, that make a probe's good answer count for nothing.
 const MAX_EXTRA_QUEUE: f64 = 4.0;
 /// What a waiting request adds to a load, in parts of all cores busy.
 const QUEUE_WEIGHT: f64 = 0.1;
 
 #[derive(Default)]
-pub struct Steward {
+pub struct Controller {
     ready: Makeready,
     chance: fastrand::Rng,
     now: Time,
@@ -89,52 +91,62 @@
     follow_at: Option<Time>,
     channel: Channel,
     news: bool,
-    out: VecDeque<Ruling>,
+    out: VecDeque<Decision>,
 }
 
-impl Steward {
-    pub fn open(ticket: JobTicket, seed: u64, now: Time) -> Steward {
+impl Controller {
+    pub fn new(ticket: DeploymentConfig, seed: u64, now: Time) -> Controller {
         // Proof that the first try never ran makes a further one safe for every kind. After other failures
         // even replayable kinds gain nothing: the wait for it cuts slow answers short, and it feeds jams.
-        let told = (ticket.base_tries == Some(Tries::AgainIfNeverRun)).then_some(1.0);
-        let (kinds, proxies, must_ask) = (ticket.kinds.len(), ticket.proxies, ticket.must_ask);
-        let ask_within = ticket.ask_within;
+        let told = (ticket.base_retry_policy == Some(RetryPolicy::IfUnprocessed)).then_some(1.0);
+        let (kinds, proxies, must_ask) = (
+            ticket.request_classes.len(),
+            ticket.proxy_count,
+            ticket.poll_endpoints,
+        );
+        let ask_within = ticket.poll_interval;
         let mut chance = fastrand::Rng::with_seed(seed);
         // A steward that starts anew is not to take answers to its former marks for its own.
-        let channel = Channel::new(&ticket, now, MarkId(chance.u16(..)));
+        let channel = Channel::new(&ticket, now, AckId(chance.u16(..)));
         let mut ready = Makeready::from_ticket(ticket);
         ready.shared_tables = (proxies.saturating_sub(1) / PROXIES_PER_TABLE).max(1) as usize;
         ready.gather = UPDATE_INTERVAL.max(
             ready
                 .window
-                .times(1.0 / (ready.cap as f64 * ORDINARY_CAP_PART).max(1.0)),
+                .scaled(1.0 / (ready.cap as f64 * ORDINARY_CAP_PART).max(1.0)),
         );
         ready.report_every = ready.report_every.max(TICK);
-        ready.ask_again = must_ask.then(|| ask_within.times(LIST_RETRY_PART).max(UPDATE_INTERVAL));
+        ready.ask_again = must_ask.then(|| ask_within.scaled(LIST_RETRY_PART).max(UPDATE_INTERVAL));
         let board = Board {
             levels_sent: vec![told; kinds],
             ..Board::default()
         };
-        Steward {
+        Controller {
             chance,
             channel,
             levels: vec![1.0; kinds],
             boards: vec![board; ready.all_tables()],
-            lag: ready.report_every.secs(),
+            lag: ready.report_every.seconds(),
             last_beat: now,
             faded_at: now,
             woken: true,
             news: true,
             follow_at: ready.ask_again.map(|_| now),
             ready,
-            ..Steward::default()
+            ..Controller::default()
         }
     }
 
     // ---- Bookkeeping: inputs only update what is known ------------------------------------------------
 
     /// The list or changes to it. On a complete list, whoever is missing is gone.
-    pub fn list_came(&mut self, now: Time, version: u64, complete: bool, entries: Vec<Listing>) {
+    pub fn apply_endpoint_list(
+        &mut self,
+        now: Time,
+        version: u64,
+        complete: bool,
+        entries: Vec<Endpoint>,
+    ) {
         // Changes older than the list are none. A complete list counts: another source numbers otherwise.
         if !complete && self.version.is_some_and(|held| version < held) {
             return;
@@ -147,7 +159,7 @@
                 .iter_mut()
                 .filter(|host| !on_it.contains(&host.id))
             {
-                host.standing = Standing::Gone;
+                host.standing = EndpointState::Removed;
             }
         }
         for entry in entries {
@@ -160,13 +172,13 @@
                 self.hosts.push(Host {
                     id,
                     luck,
-                    standing: Standing::Gone,
+                    standing: EndpointState::Removed,
                     ..Host::default()
                 });
             }
             let host = &mut self.hosts[place];
             // A new start time is a cold start, even of a host that was never announced as out.
-            if entry.started != host.started || host.standing == Standing::Gone {
+            if entry.started != host.started || host.standing == EndpointState::Removed {
                 let Host {
                     id, luck, places, ..
                 } = std::mem::take(host);
@@ -179,14 +191,15 @@
                     ..Host::default()
                 };
             }
-            (host.zone, host.machine, host.started) = (entry.zone, entry.machine, entry.started);
+            (host.zone, host.machine, host.started) =
+                (entry.zone, entry.machine_type, entry.started);
             host.weight = if entry.weight.is_finite() && entry.weight > 0.0 {
                 entry.weight
             } else {
                 1.0
             };
-            host.standing = entry.standing;
-            host.drained |= entry.standing == Standing::Draining;
+            host.standing = entry.state;
+            host.drained |= entry.state == EndpointState::Draining;
         }
         // What a table holds may now be gone or cold: that waits for no beat. More hosts do.
         let ready = &self.ready;
@@ -200,7 +213,7 @@
     }
 
     /// The list's service failed us: the old list holds, and we ask again.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn endpoint_list_failed(&mut self, now: Time) {
         (self.now, self.news) = (now, true);
         self.follow_at = self.ready.ask_again.map(|again| now + again);
     }
@@ -239,42 +252,42 @@
     }
 
     /// It is joined, but may have been away unseen: what it was bound to may not stand.
-    pub fn proxy_unsure(&mut self, now: Time, proxy: ProxyId) {
+    pub fn proxy_unconfirmed(&mut self, now: Time, proxy: ProxyId) {
         (self.now, self.news) = (now, true);
         self.proxies.entry(proxy).and_modify(|p| p.unsure = true);
     }
 
     /// What became of decisions that were carried out together. What may not stand is decided anew: at once
     /// if some went through, else with the next beat, lest orders that nobody takes run in circles.
-    pub fn carried_out(&mut self, now: Time, orders: &[Ruling], outcome: Outcome) {
+    pub fn on_update_result(&mut self, now: Time, orders: &[Decision], outcome: UpdateResult) {
         self.now = now;
         self.channel.orders_ended(orders.len(), outcome);
-        if outcome == Outcome::NotTaken {
+        if outcome == UpdateResult::Rejected {
             self.uncount_messages(orders);
         }
         let (stood, refused) = match outcome {
-            Outcome::Taken => (orders.len(), None),
-            Outcome::Stopped(stood) => (stood.min(orders.len()), orders.get(stood)),
-            Outcome::NotTaken | Outcome::Unknown => (0, None),
+            UpdateResult::Applied => (orders.len(), None),
+            UpdateResult::StoppedAt(stood) => (stood.min(orders.len()), orders.get(stood)),
+            UpdateResult::Rejected | UpdateResult::Unknown => (0, None),
         };
         let rest = &orders[stood + usize::from(refused.is_some())..];
         let went_on = stood > 0 || refused.is_some();
         self.news |= went_on;
         self.urgent |= !rest.is_empty() && went_on;
         // A proxy that cannot be bound has most likely left, and we shall hear of it.
-        if let Some(Ruling::Bind { proxy, .. }) = refused {
+        if let Some(Decision::BindProxy { proxy, .. }) = refused {
             self.proxies
                 .entry(*proxy)
                 .and_modify(|p| (p.unsure, p.bind_from) = (true, now + EJECTION_TIME));
         }
         for order in rest {
             match order {
-                Ruling::Deal { table, host, .. } => {
+                Decision::SetWeight { table, host, .. } => {
                     let host = self.place_of.get(host).map(|&place| &mut self.hosts[place]);
                     host.into_iter()
                         .for_each(|host| host.place(table.0 as usize).unsure = true);
                 }
-                Ruling::Bind { proxy, .. } => {
+                Decision::BindProxy { proxy, .. } => {
                     let from = if went_on {
                         now
                     } else {
@@ -284,20 +297,25 @@
                         .entry(*proxy)
                         .and_modify(|p| (p.unsure, p.bind_from) = (true, from));
                 }
-                Ruling::Level { table, kind, .. } => {
+                Decision::SetAdmissionRate {
+                    table, class: kind, ..
+                } => {
                     self.boards[table.0 as usize].levels_sent[kind.0 as usize] = None;
                 }
-                Ruling::Mark(_) | Ruling::Probe(_) | Ruling::FollowList | Ruling::WakeIn(_) => {}
+                Decision::RequestAck(_)
+                | Decision::CheckHealth(_)
+                | Decision::WatchEndpoints
+                | Decision::SetTimer(_) => {}
             }
         }
     }
 
     /// Orders that were surely not taken made no messages. They were all of the last round.
-    fn uncount_messages(&mut self, orders: &[Ruling]) {
+    fn uncount_messages(&mut self, orders: &[Decision]) {
         for order in orders {
-            if let Ruling::Deal { table, .. }
-            | Ruling::Bind { table, .. }
-            | Ruling::Level { table, .. } = order
+            if let Decision::SetWeight { table, .. }
+            | Decision::BindProxy { table, .. }
+            | Decision::SetAdmissionRate { table, .. } = order
             {
                 self.boards[table.0 as usize]
                     .messages
@@ -321,52 +339,65 @@
     }
 
     /// What proxies met at a host. It says nothing of hosts it does not name.
-    pub fn met(&mut self, now: Time, host: &HostId, met: Met) {
+    pub fn record_outcomes(&mut self, now: Time, host: &HostId, met: AttemptOutcomes) {
         self.now = now;
         let Some(&place) = self.place_of.get(host) else {
             return;
         };
         let host = &mut self.hosts[place];
-        let fade = (now - host.heard).half_life(TRIES_HALF_LIFE);
+        let fade = (now - host.heard).decay(TRIES_HALF_LIFE);
         let since = (now - host.heard).max(self.ready.report_every);
-        host.tries = host.tries * fade + met.tries;
-        host.errored = host.errored * fade + met.errored.min(met.tries);
-        if met.tries > met.errored && met.mean_time > Span::ZERO {
+        host.tries = host.tries * fade + met.attempts;
+        host.errored = host.errored * fade + met.failures.min(met.attempts);
+        if met.attempts > met.failures && met.mean_latency > Duration::ZERO {
             host.time = mix(
                 host.time,
-                met.mean_time.secs(),
-                since.say_in(RESPONSE_TIME_WINDOW),
+                met.mean_latency.seconds(),
+                since.sample_weight(RESPONSE_TIME_WINDOW),
             );
         }
         host.heard = now;
         self.newest_line = now;
         self.first_line.get_or_insert(now);
-        self.lag += (met.over.max(self.ready.report_every).secs() - self.lag) * LAG_WEIGHT;
-        host.queue = met.load.and_then(|l| l.queue).or(host.queue);
-        if let Some(busy) = met.load.and_then(|l| l.busy) {
+        self.lag += (met.period.max(self.ready.report_every).seconds() - self.lag) * LAG_WEIGHT;
+        host.queue = met.load.and_then(|l| l.queue_length).or(host.queue);
+        if let Some(busy) = met.load.and_then(|l| l.utilization) {
             let load = busy + QUEUE_WEIGHT * host.queue.unwrap_or(0.0);
             host.busy = Some(mix(
                 host.busy.unwrap_or(0.0),
                 load,
-                since.say_in(LOAD_WINDOW),
+                since.sample_weight(LOAD_WINDOW),
             ));
         }
     }
 
-    pub fn reqs_came(&mut self, now: Time, proxy: ProxyId, kind: KindId, many: f64, over: Span) {
+    pub fn record_arrivals(
+        &mut self,
+        now: Time,
+        proxy: ProxyId,
+        kind: RequestClassId,
+        many: f64,
+        over: Duration,
+    ) {
         self.now = now;
         let rate = self
             .proxies
             .get_mut(&proxy)
             .filter(|_| many > 0.0)
             .and_then(|p| p.rate_of(kind));
-        if let Some(rate) = rate.filter(|_| over > Span::ZERO && many.is_finite()) {
-            *rate += many / RATE_WINDOW.secs();
+        if let Some(rate) = rate.filter(|_| over > Duration::ZERO && many.is_finite()) {
+            *rate += many / RATE_WINDOW.seconds();
             self.newest_reqs = now;
         }
     }
 
-    pub fn probe_answered(&mut self, now: Time, host: &HostId, good: bool, load: Option<Load>) {
+    pub fn on_health_check_result(
+        &mut self,
+        now: Time,
+        host: &HostId,
+        good: bool,
+        load: Option<HostLoad>,
+    ) {
         self.now = now;
         let Some(&place) = self.place_of.get(host) else {
             return;
@@ -374,7 +405,7 @@
         // A shallow probe is answered beside the queue: a host that piles up reqs is no better for it.
         let usual = median(self.hosts.iter().filter_map(|h| h.queue)).unwrap_or(0.0);
         let light = load
-            .and_then(|l| l.queue)
+            .and_then(|l| l.queue_length)
             .is_none_or(|q| q <= usual * 2.0 + MAX_EXTRA_QUEUE);
         if good && light && self.hosts[place].out_until.is_some() {
             self.hosts[place].start_trial(now);
@@ -382,24 +413,24 @@
     }
 
     /// A proxy has applied a message that carried this mark.
-    pub fn mark_applied(&mut self, now: Time, mark: MarkId) {
+    pub fn on_ack(&mut self, now: Time, mark: AckId) {
         self.channel.mark_applied(now, mark);
     }
 
     /// The part of all reqs that a plan says the fleet can do in time; none: no plan is in force. While
     /// nothing is strained, what is let in rises fast up to there. It cuts nothing; strain goes before it.
-    pub fn plan_came(&mut self, now: Time, part: Option<f64>) {
+    pub fn apply_capacity_plan(&mut self, now: Time, part: Option<f64>) {
         (self.now, self.planned) = (now, part.filter(|part| (0.0..=1.0).contains(part)));
     }
 
-    pub fn woke(&mut self, now: Time) {
+    pub fn on_timer(&mut self, now: Time) {
         (self.now, self.news, self.woken) = (now, true, true);
     }
 
     // ---- Deciding -------------------------------------------------------------------------------------
 
     /// The next decision, or none until something new is known.
-    pub fn next(&mut self, now: Time) -> Option<Ruling> {
+    pub fn next_decision(&mut self, now: Time) -> Option<Decision> {
         self.now = now;
         if std::mem::take(&mut self.news) && !self.ready.sliced {
             self.decide();
@@ -411,7 +442,7 @@
     fn decide(&mut self) {
         let orders_before = self.out.len();
         if self.follow_at.take_if(|at| self.now >= *at).is_some() {
-            self.out.push_back(Ruling::FollowList);
+            self.out.push_back(Decision::WatchEndpoints);
         }
         let (woken, urgent) = (
             std::mem::take(&mut self.woken),
@@ -419,9 +450,10 @@
         );
         if woken {
             // Stewards that start together do not look, probe and try again in step.
-            self.out
-                .push_back(Ruling::WakeIn(TICK.times(0.9 + 0.2 * self.chance.f64())));
-            let passed = (self.now - self.last_beat).secs();
+            self.out.push_back(Decision::SetTimer(
+                TICK.scaled(0.9 + 0.2 * self.chance.f64()),
+            ));
+            let passed = (self.now - self.last_beat).seconds();
             self.last_beat = self.now;
             self.forget();
             self.fade_rates();
@@ -443,24 +475,29 @@
 
     /// What was ordered since then goes out together.
     fn end_round(&mut self, orders_before: usize) {
-        let is_order = |ruling: &&Ruling| {
+        let is_order = |ruling: &&Decision| {
             matches!(
                 ruling,
-                Ruling::Deal { .. } | Ruling::Bind { .. } | Ruling::Level { .. }
+                Decision::SetWeight { .. }
+                    | Decision::BindProxy { .. }
+                    | Decision::SetAdmissionRate { .. }
             )
         };
         let orders = self.out.iter().skip(orders_before).filter(is_order).count();
         if orders > 0 {
             self.round_at = self.now;
         }
-        self.out
-            .extend(self.channel.end_round(self.now, orders).map(Ruling::Mark));
+        self.out.extend(
+            self.channel
+                .end_round(self.now, orders)
+                .map(Decision::RequestAck),
+        );
     }
 
     /// Reqs that came lose their say. Spans in which none came bring no line: rates by the lines' own spans
     /// told of several times the reqs of a proxy that has few. Where no line comes at all, nothing fades.
     fn fade_rates(&mut self) {
-        let fade = 1.0 - (self.newest_reqs - self.faded_at).say_in(RATE_WINDOW);
+        let fade = 1.0 - (self.newest_reqs - self.faded_at).sample_weight(RATE_WINDOW);
         self.faded_at = self.faded_at.max(self.newest_reqs);
         self.proxies.values_mut().for_each(|p| p.fade(fade));
     }
@@ -468,7 +505,7 @@
     /// Ids of hosts change for good: those long gone, which owe nothing, would be kept for ever.
     fn forget(&mut self) {
         let now = self.now;
-        let old = |h: &Host| h.standing == Standing::Gone && now - h.heard > FORGET_AFTER;
+        let old = |h: &Host| h.standing == EndpointState::Removed && now - h.heard > FORGET_AFTER;
         for host in self.hosts.iter_mut().filter(|h| old(h)) {
             for place in host
                 .places
@@ -478,7 +515,7 @@
                 // Nobody uses the table: this costs no line.
                 (place.sent, place.unsure) = (0.0, false);
                 let (table, host) = (TableId(place.table as u16), host.id.clone());
-                self.out.push_back(Ruling::Deal {
+                self.out.push_back(Decision::SetWeight {
                     table,
                     host,
                     weight: None,
--- a/crates/controller/src/decide/admission.rs
+++ b/crates/controller/src/decide/admission.rs
@@ -1,7 +1,9 @@
-//! Load shedding: under overload the request kinds of least benefit are let in less, down to what the fleet can do.
+//! HostLoad shedding: under overload the request kinds of least benefit are let in less, down to what the fleet can do.
 
-use super::{LOAD_WINDOW, Steward};
-use crate::types::*;
+use super::{Controller, LOAD_WINDOW};
+use crate::state::*;
+use crate::*;
+use std::time::Duration;
 
 /// Report delays for which a host's sums count as evidence of strain.
 const FRESH_LAGS: f64 = 3.0;
@@ -19,7 +21,7 @@
 /// Under strain what is let in is cut to this part of itself, or of the most ever done.
 const CUT_FACTOR: f64 = 0.8;
 /// Time until a cut shows in the sums.
-const CUT_WAIT: Span = Span::from_millis(3_000);
+const CUT_WAIT: Duration = Duration::from_millis(3_000);
 /// Rise of what is let in per second, in parts of the most ever done.
 const RISE_FAST: f64 = 0.06;
 const RISE_SLOW: f64 = 0.02;
@@ -28,7 +30,7 @@
 /// Step in which shares are sent.
 const LEVEL_STEP: f64 = 0.05;
 
-impl Steward {
+impl Controller {
     /// What is let in, and the most ever done, were of the proxies joined then. Held fast while those of a
     /// steward that restarts come over, they would have twice the reqs refused.
     pub(super) fn joined_changed(&mut self, before: f64) {
@@ -68,7 +70,7 @@
         // Old sums are no evidence: hosts unheard of lately say nothing of the strain.
         let usable = || self.hosts.iter().filter(|h| self.ready.usable(h, self.now));
         let known =
-            || usable().filter(|h| (self.newest_line - h.heard).secs() < self.lag * FRESH_LAGS);
+            || usable().filter(|h| (self.newest_line - h.heard).seconds() < self.lag * FRESH_LAGS);
         let time = median(known().map(|h| h.time).filter(|&time| time > 0.0)).unwrap_or(0.0);
         let failing = median(known().filter_map(Host::failing)).unwrap_or(0.0);
         // Answers that take long though nothing waits are no overload: refusing would make none faster.
@@ -76,7 +78,7 @@
             .filter_map(|h| h.queue)
             .fold((0.0, 0.0), |(n, sum), q| (n + 1.0, sum + q));
         let time = if queue >= told * QUEUED { time } else { 0.0 };
-        let (_, done) = self.flow(self.hosts.iter());
+        let done = self.flow(self.hosts.iter()).successes;
         // The most ever done goes by weight, so that it grows and shrinks with the fleet.
         let weight = usable().map(|h| h.weight).sum::<f64>().max(1e-9);
         self.peak_per_weight = self.peak_per_weight.max(done / weight);
@@ -97,7 +99,7 @@
             .map(|h| h.weight * self.ready.ramp(h, self.now))
             .sum::<f64>()
             .max(1e-9);
-        let shown = 1.0 - (-passed / LOAD_WINDOW.secs()).exp();
+        let shown = 1.0 - (-passed / LOAD_WINDOW.seconds()).exp();
         let missing = mix(self.missing, 1.0, shown) * self.able / able;
         (self.missing, self.able) = (missing.clamp(1.0, MAX_MISSING), able);
         let strain =
--- a/crates/controller/src/decide/assignment.rs
+++ b/crates/controller/src/decide/assignment.rs
@@ -1,8 +1,9 @@
 //! Which proxy uses which table. Bindings are sticky: a proxy that comes back finds its table again.
 
 use super::publishing::{DRAIN_MESSAGES, UpdateScope};
-use super::{Steward, UpdateReason, hash};
-use crate::types::*;
+use super::{Controller, UpdateReason, hash};
+use crate::state::*;
+use crate::*;
 use std::collections::BTreeSet;
 
 /// Usage per weight, in parts of the mean, from which a table is clearly the busiest: connections are worth less.
@@ -11,7 +12,7 @@
 /// jam a lot.
 const ZONE_PREFERENCE: f64 = 0.5;
 
-impl Steward {
+impl Controller {
     /// Reqs a second of our proxies on each shared table.
     pub(super) fn usage(&self) -> Vec<f64> {
         let mut usage = vec![0.0; self.ready.shared_tables];
@@ -133,10 +134,10 @@
                 } else {
                     kinds
                 };
-                self.out.push_back(Ruling::Bind {
+                self.out.push_back(Decision::BindProxy {
                     proxy: id,
                     table: TableId(table as u16),
-                    kinds,
+                    classes: kinds,
                 });
             }
         }
--- a/crates/controller/src/decide/channel.rs
+++ b/crates/controller/src/decide/channel.rs
@@ -6,14 +6,17 @@
 //! What is not confirmed counts as waiting, and no update goes out that would take that over the limit. Where proxies
 //! answer no marks, two models of the rate stand in: the stated one, and a slow one for what can wait.
 
-use crate::types::{ChannelReport, JobTicket, LineCounts, MarkId, Outcome, Span, Time};
+use crate::{
+    AckId, DeploymentConfig, DurationExt, LineCounts, Time, UpdateQueueStatus, UpdateResult,
+};
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// Times that a channel in a slow spell is slower than stated, where nothing can be measured.
 const SLOW_CHANNEL: f64 = 8.0;
 /// Time after which a round is marked, and part of the limit that may be sent without a mark: a mark costs one line for
 /// each message of its round, and what is sent after the last mark stays unconfirmed.
-const MARK_INTERVAL: Span = Span::from_millis(500);
+const MARK_INTERVAL: Duration = Duration::from_millis(500);
 const UNMARKED_PART: f64 = 0.05;
 /// Marks that are remembered; older ones without an answer are given up.
 const MAX_OPEN_MARKS: usize = 64;
@@ -31,8 +34,8 @@
 const WINDOW_GROWTH: f64 = 1.25;
 /// Without any answer for this long, one update goes out however full the queue seems, as answers may have been lost with
 /// their proxies or with the news; the wait doubles up to its maximum until an answer comes.
-const PROBE_WAIT: Span = Span::from_millis(1_000);
-const MAX_PROBE_WAIT: Span = Span::from_millis(30_000);
+const PROBE_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_PROBE_WAIT: Duration = Duration::from_millis(30_000);
 
 /// Why an update of a table is sent, the least pressing first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,7 +52,7 @@
 
 /// A round of updates whose messages asked for an answer.
 struct OpenMark {
-    id: MarkId,
+    id: AckId,
     sent_at: Time,
     /// Lines sent before this round, in all, and once it is sent.
     lines_before: f64,
@@ -73,7 +76,7 @@
     stated_rate: f64,
     line_limit: f64,
     message_overhead: f64,
-    drain_grace: Span,
+    drain_grace: Duration,
     /// Whether proxies answer marks.
     can_mark: bool,
     /// Lines that wait if the channel sends as stated, and if it is in a slow spell.
@@ -89,7 +92,7 @@
     /// Lines that may wait while updates that can wait still go out: as many as reach their proxies in time, by what was
     /// measured.
     window: f64,
-    next_mark: MarkId,
+    next_mark: AckId,
     marked_at: Option<Time>,
     /// Lines sent when a round was marked last.
     marked_up_to: f64,
@@ -98,24 +101,24 @@
     undecided_orders: usize,
     /// The last answer, or the last update that went out for want of one.
     quiet_since: Time,
-    probe_wait: Span,
+    probe_wait: Duration,
     answered: u64,
-    last_delay: Span,
+    last_delay: Duration,
 }
 
 impl Channel {
     /// A limit of zero means that none is stated.
-    pub(crate) fn new(ticket: &JobTicket, now: Time, first_mark: MarkId) -> Channel {
+    pub(crate) fn new(ticket: &DeploymentConfig, now: Time, first_mark: AckId) -> Channel {
         let mut channel = Channel {
-            stated_rate: ticket.channel_rate.max(1.0),
-            line_limit: if ticket.most_waiting > 0.0 {
-                ticket.most_waiting
+            stated_rate: ticket.update_rate.max(1.0),
+            line_limit: if ticket.max_queued_lines > 0.0 {
+                ticket.max_queued_lines
             } else {
                 f64::INFINITY
             },
-            message_overhead: ticket.lines_per_message,
-            drain_grace: ticket.drain_grace,
-            can_mark: ticket.marks,
+            message_overhead: ticket.message_overhead_lines,
+            drain_grace: ticket.drain_grace_period,
+            can_mark: ticket.acks_supported,
             next_mark: first_mark,
             quiet_since: now,
             probe_wait: PROBE_WAIT,
@@ -127,7 +130,7 @@
 
     /// Lets the models send what they can until `now`.
     pub(crate) fn advance(&mut self, now: Time) {
-        let passed = (now - self.counted_at).secs();
+        let passed = (now - self.counted_at).seconds();
         self.counted_at = now;
         let send = |waiting: f64, rate: f64| (waiting - passed * rate).max(0.0);
         self.waiting_at_stated_rate = send(self.waiting_at_stated_rate, self.stated_rate);
@@ -147,38 +150,38 @@
     /// Where messages take longer than they should, the time until what is ordered shows: the delay of the last answer, or
     /// for as long as a mark has waited for its first one. Zero where all is in time, nothing waits, or nothing can be
     /// measured.
-    pub(crate) fn lateness(&self, now: Time) -> Span {
+    pub(crate) fn lateness(&self, now: Time) -> Duration {
         if !self.can_mark || self.waiting() < 1.0 {
-            return Span::ZERO;
+            return Duration::ZERO;
         }
         let delay = self.last_delay.max(self.unanswered_for(now));
         if delay > self.max_delay() {
             delay
         } else {
-            Span::ZERO
+            Duration::ZERO
         }
     }
 
     /// How long a mark has waited for its first answer by now.
-    fn unanswered_for(&self, now: Time) -> Span {
+    fn unanswered_for(&self, now: Time) -> Duration {
         let unanswered = self.open_marks.iter().find(|mark| mark.answers == 0.0);
-        unanswered.map_or(Span::ZERO, |mark| now - mark.sent_at)
+        unanswered.map_or(Duration::ZERO, |mark| now - mark.sent_at)
     }
 
     /// The longest delay at which updates that can wait still go out.
-    fn max_delay(&self) -> Span {
-        self.drain_grace.times(DELAY_PART)
+    fn max_delay(&self) -> Duration {
+        self.drain_grace.scaled(DELAY_PART)
     }
 
     /// As many lines as a channel at its stated rate sends in that time: it is never faster.
     fn max_window(&self) -> f64 {
-        self.stated_rate * self.max_delay().secs()
+        self.stated_rate * self.max_delay().seconds()
     }
 
     /// Whether so many lines more would leave a drain that follows them in time.
     fn is_quick(&self, now: Time, lines: f64, times: f64) -> bool {
-        let in_time = self.unanswered_for(now) <= self.max_delay().times(times);
-        self.drain_grace == Span::ZERO
+        let in_time = self.unanswered_for(now) <= self.max_delay().scaled(times);
+        self.drain_grace == Duration::ZERO
             || self.waiting() < 1.0
             || in_time && self.waiting() + lines <= self.window * times
     }
@@ -279,7 +282,7 @@
 
     /// Ends a round of so many orders: all that was sent since the last one. Gives the mark that its messages carry, if
     /// one is due.
-    pub(crate) fn end_round(&mut self, now: Time, orders: usize) -> Option<MarkId> {
+    pub(crate) fn end_round(&mut self, now: Time, orders: usize) -> Option<AckId> {
         let Round { messages, lines } = std::mem::take(&mut self.round);
         self.undecided_orders += orders;
         let late = self.marked_at.is_none_or(|at| now - at >= MARK_INTERVAL);
@@ -290,14 +293,14 @@
         let lines_before = self.sent - lines;
         // One line for each marked message.
         self.count(messages);
-        self.sent_for.marks += messages;
+        self.sent_for.acks += messages;
         self.undecided_orders += 1;
         Some(self.open_mark(now, lines_before, messages))
     }
 
-    fn open_mark(&mut self, sent_at: Time, lines_before: f64, messages: f64) -> MarkId {
+    fn open_mark(&mut self, sent_at: Time, lines_before: f64, messages: f64) -> AckId {
         let id = self.next_mark;
-        self.next_mark = MarkId(id.0.wrapping_add(1));
+        self.next_mark = AckId(id.0.wrapping_add(1));
         self.marked_at = Some(sent_at);
         self.marked_up_to = self.sent;
         if self.open_marks.len() == MAX_OPEN_MARKS {
@@ -319,7 +322,7 @@
     /// A proxy has applied a message with this mark, and so the channel has sent all lines before its round, and as many
     /// of the round's messages as were answered. Which ones these were is not known: each has the lines of the
     /// smallest there can be.
-    pub(crate) fn mark_applied(&mut self, now: Time, id: MarkId) {
+    pub(crate) fn mark_applied(&mut self, now: Time, id: AckId) {
         let Some(place) = self.open_marks.iter().position(|mark| mark.id == id) else {
             return;
         };
@@ -347,12 +350,12 @@
     }
 
     /// So many lines took so long: by Little's law as many more or fewer go through in the longest time that is allowed.
-    fn adapt_window(&mut self, delay: Span, waiting: f64) {
-        if self.drain_grace == Span::ZERO {
+    fn adapt_window(&mut self, delay: Duration, waiting: f64) {
+        if self.drain_grace == Duration::ZERO {
             return;
         }
         if delay > self.max_delay() {
-            let fitting = waiting * (self.max_delay() / delay);
+            let fitting = waiting * self.max_delay().ratio(delay);
             self.window = self
                 .window
                 .min(fitting)
@@ -364,16 +367,16 @@
 
     /// It is known what became of so many orders, in the order in which they were given. What was surely not taken
     /// waits nowhere; what may have been counts until a later mark is answered.
-    pub(crate) fn orders_ended(&mut self, orders: usize, outcome: Outcome) {
+    pub(crate) fn orders_ended(&mut self, orders: usize, outcome: UpdateResult) {
         let part = orders as f64 / self.undecided_orders.max(orders).max(1) as f64;
         let lines = self.undecided_lines * part;
         self.undecided_lines -= lines;
         self.undecided_orders = self.undecided_orders.saturating_sub(orders);
-        if outcome == Outcome::Unknown {
+        if outcome == UpdateResult::Unknown {
             // Perhaps none of it waits: that is to be found out as soon as calls are answered again.
             self.probe_wait = PROBE_WAIT;
         }
-        if outcome != Outcome::NotTaken {
+        if outcome != UpdateResult::Rejected {
             return;
         }
         self.sent = (self.sent - lines).max(self.confirmed);
@@ -384,16 +387,16 @@
         self.open_marks.retain(|mark| mark.lines_after <= sent);
     }
 
-    pub(crate) fn report(&self) -> ChannelReport {
-        ChannelReport {
+    pub(crate) fn report(&self) -> UpdateQueueStatus {
+        UpdateQueueStatus {
             line_limit: self.line_limit,
-            waiting_at_stated_rate: self.waiting_at_stated_rate,
-            waiting_at_slow_rate: self.waiting_at_slow_rate,
+            queued_at_stated_rate: self.waiting_at_stated_rate,
+            queued_at_slow_rate: self.waiting_at_slow_rate,
             unconfirmed: self.can_mark.then_some(self.waiting()),
             sent_for: self.sent_for,
             held_back_for: self.held_back_for,
-            marks_answered: self.answered,
-            last_delay: self.last_delay,
+            acks_received: self.answered,
+            last_ack_delay: self.last_delay,
         }
     }
 }
--- a/crates/controller/src/decide/glance.rs
+++ b/crates/controller/src/decide/glance.rs
@@ -1,37 +1,43 @@
 //! What a steward believes, for logs: read from its records, and no part of any decision.
 
-use super::{MIN_STRONG_PART, Steward};
-use crate::types::{Glance, Host, Span, median};
+use super::{Controller, MIN_STRONG_PART};
+use crate::state::{Host, median};
+use crate::{HostFailures, StatusSnapshot};
+use std::time::Duration;
 
 /// Tallied tries that errored from which a host is named.
 const NAMED_FROM: f64 = 0.3;
 
-impl Steward {
+impl Controller {
     /// What is believed now, for whoever watches.
-    pub fn glance(&self) -> Glance {
+    pub fn status(&self) -> StatusSnapshot {
         let named = |of: &dyn Fn(&&Host) -> bool| {
             self.hosts.iter().filter(of).map(|h| h.id.clone()).collect()
         };
-        Glance {
-            known: self.hosts.len(),
-            open: self
+        StatusSnapshot {
+            known_hosts: self.hosts.len(),
+            ready_hosts: self
                 .hosts
                 .iter()
                 .filter(|h| self.ready.open(h, self.now))
                 .count(),
-            kept_out: named(&|h| h.out_until.is_some()),
-            on_trial: named(&|h| h.trial_since.is_some()),
-            eased: named(&|h| h.eased > 1.0 - MIN_STRONG_PART),
-            errored: (self.hosts.iter().filter(|h| h.errored > NAMED_FROM))
-                .map(|h| (h.id.clone(), h.tries, h.errored / h.tries))
+            ejected: named(&|h| h.out_until.is_some()),
+            on_probation: named(&|h| h.trial_since.is_some()),
+            weight_reduced: named(&|h| h.eased > 1.0 - MIN_STRONG_PART),
+            failing: (self.hosts.iter().filter(|h| h.errored > NAMED_FROM))
+                .map(|h| HostFailures {
+                    host: h.id.clone(),
+                    attempts: h.tries,
+                    failure_ratio: h.errored / h.tries,
+                })
                 .collect(),
-            levels: self.levels.clone(),
-            strain: self.strain,
-            load: median(self.hosts.iter().filter_map(|h| h.busy)).unwrap_or(0.0),
-            lag: Span::from_micros((self.lag * 1e6) as u64),
+            admitted_fractions: self.levels.clone(),
+            overload: self.strain,
+            median_load: median(self.hosts.iter().filter_map(|h| h.busy)).unwrap_or(0.0),
+            report_delay: Duration::from_micros((self.lag * 1e6) as u64),
             demand: self.demand(),
-            flow: self.flow(self.hosts.iter()),
-            channel: self.channel.report(),
+            throughput: self.flow(self.hosts.iter()),
+            update_queue: self.channel.report(),
         }
     }
 }
--- a/crates/controller/src/decide/health.rs
+++ b/crates/controller/src/decide/health.rs
@@ -1,11 +1,12 @@
 //! Outlier detection: keeps away from hosts that fail or are silent where their peers are not, lets them come back, and
 //! takes weight off hosts whose load stands out.
 
-use super::{EJECTION_TIME, Steward, TRIES_HALF_LIFE};
-use crate::types::*;
+use super::{Controller, EJECTION_TIME, TRIES_HALF_LIFE};
+use crate::state::*;
+use crate::*;
 use std::collections::BTreeMap;
 
-/// Tries before a host is judged, lest a stray failure decides.
+/// RetryPolicy before a host is judged, lest a stray failure decides.
 const MIN_TRIES: f64 = 2.0;
 /// Part of the room above the fleet's median share of failures from which a host is kept away from: one that fails less
 /// is eased.
@@ -30,7 +31,7 @@
 const EASE_DOWN: f64 = 0.9;
 const EASE_UP: f64 = 1.05;
 
-impl Steward {
+impl Controller {
     /// Keeps away from hosts that fail or are silent where their peers are not, and lets them come back.
     pub(super) fn judge_hosts(&mut self) {
         let now = self.now;
@@ -44,7 +45,7 @@
         let mut spare = ((open as f64 * MAX_EJECTED_PART) as usize).saturating_sub(out);
         // What was ordered a moment ago may not have reached the proxies.
         let delay = self.channel.lateness(now);
-        // Tries a second that a host should see end, by our own bindings, weights and levels.
+        // RetryPolicy a second that a host should see end, by our own bindings, weights and levels.
         let mut per_weight = vec![0.0; self.boards.len()];
         self.hosts
             .iter()
@@ -80,16 +81,18 @@
             // No line while peers' lines come: hung or vanished, long before its tries time out. Sums that
             // are late for all make nobody silent.
             let quiet = self.newest_line - host.heard.max(host.in_use_since + delay);
-            let silent =
-                expected * quiet.secs() > SILENT_TRIES && quiet.secs() > self.lag * SILENT_LAGS;
-            let bad =
-                (fails || silent) && spare > 0 && *warm_left > 1 && host.standing == Standing::Open;
+            let silent = expected * quiet.seconds() > SILENT_TRIES
+                && quiet.seconds() > self.lag * SILENT_LAGS;
+            let bad = (fails || silent)
+                && spare > 0
+                && *warm_left > 1
+                && host.standing == EndpointState::Ready;
             if let Some(until) = host.out_until {
                 if *warm_left == 0 || now >= until && !self.ready.probes {
                     host.start_trial(now);
-                } else if now >= until && host.standing == Standing::Open {
+                } else if now >= until && host.standing == EndpointState::Ready {
                     host.out_until = Some(now + EJECTION_TIME);
-                    self.out.push_back(Ruling::Probe(host.id.clone()));
+                    self.out.push_back(Decision::CheckHealth(host.id.clone()));
                 }
             } else if bad {
                 *warm_left -= usize::from(self.ready.ramp(host, now) >= 1.0);
@@ -100,12 +103,12 @@
                     1
                 };
                 let wait = EJECTION_TIME
-                    .times((0.8 + 0.4 * self.chance.f64()) * f64::from(1 << (host.outs - 1)));
+                    .scaled((0.8 + 0.4 * self.chance.f64()) * f64::from(1 << (host.outs - 1)));
                 (host.out_until, host.trial_since) = (Some(now + wait), None);
                 spare -= 1;
             } else if host
                 .trial_since
-                .is_some_and(|at| now - at > EJECTION_TIME.times(2.0))
+                .is_some_and(|at| now - at > EJECTION_TIME.scaled(2.0))
             {
                 host.trial_since = None;
             } else if host.trial_since.is_none() && !fails && host.failing().is_some() {
@@ -128,14 +131,14 @@
         };
         let like = |h: &Host| {
             if by_busy {
-                MachineId::default()
+                MachineTypeId::default()
             } else {
                 h.machine
             }
         };
-        let mut loads: BTreeMap<MachineId, Vec<f64>> = BTreeMap::new();
+        let mut loads: BTreeMap<MachineTypeId, Vec<f64>> = BTreeMap::new();
         usable().for_each(|h| loads.entry(like(h)).or_default().extend(load(h)));
-        let usual: BTreeMap<MachineId, Option<f64>> = loads
+        let usual: BTreeMap<MachineTypeId, Option<f64>> = loads
             .into_iter()
             .map(|(machine, loads)| (machine, median(loads.into_iter())))
             .collect();
@@ -152,20 +155,18 @@
         }
     }
 
-    /// Tries and good answers a second at our proxies, of some hosts.
-    pub(super) fn flow<'a>(&self, hosts: impl Iterator<Item = &'a Host>) -> (f64, f64) {
+    /// RetryPolicy and good answers a second at our proxies, of some hosts.
+    pub(super) fn flow<'a>(&self, hosts: impl Iterator<Item = &'a Host>) -> Throughput {
         // Tallies that have only begun hold less than their due.
         let since = self.newest_line - self.first_line.unwrap_or(self.newest_line)
             + self.ready.report_every;
         let per_s = std::f64::consts::LN_2
-            / TRIES_HALF_LIFE.secs()
-            / (1.0 - since.half_life(TRIES_HALF_LIFE));
-        let faded = |h: &Host| (self.newest_line - h.heard).half_life(TRIES_HALF_LIFE) * per_s;
-        hosts.fold((0.0, 0.0), |(tries, done), h| {
-            (
-                tries + h.tries * faded(h),
-                done + (h.tries - h.errored) * faded(h),
-            )
+            / TRIES_HALF_LIFE.seconds()
+            / (1.0 - since.decay(TRIES_HALF_LIFE));
+        let faded = |h: &Host| (self.newest_line - h.heard).decay(TRIES_HALF_LIFE) * per_s;
+        hosts.fold(Throughput::default(), |sum, h| Throughput {
+            attempts: sum.attempts + h.tries * faded(h),
+            successes: sum.successes + (h.tries - h.errored) * faded(h),
         })
     }
 }
@@ -175,9 +176,10 @@
     /// merely dropped counts as open while it answers.
     pub(super) fn open(&self, host: &Host, now: Time) -> bool {
         let answers =
-            now - host.heard < self.report_every.times(ALIVE_LAGS) && host.errored < host.tries;
-        let dropped = host.standing == Standing::Gone && self.gone_is_no_drain && !host.drained;
-        host.standing == Standing::Open || dropped && answers
+            now - host.heard < self.report_every.scaled(ALIVE_LAGS) && host.errored < host.tries;
+        let dropped =
+            host.standing == EndpointState::Removed && self.gone_is_no_drain && !host.drained;
+        host.standing == EndpointState::Ready || dropped && answers
     }
 
     pub(super) fn usable(&self, host: &Host, now: Time) -> bool {
@@ -186,8 +188,8 @@
 
     /// The part of its work that a host can do at least, by the start time that every steward is told.
     pub(super) fn ramp(&self, host: &Host, now: Time) -> f64 {
-        let warmed =
-            self.start_capacity + (1.0 - self.start_capacity) * ((now - host.started) / self.cold);
+        let warmed = self.start_capacity
+            + (1.0 - self.start_capacity) * (now - host.started).ratio(self.cold);
         if host.started.is_unset() {
             1.0
         } else {
--- a/crates/controller/src/decide/placement.rs
+++ b/crates/controller/src/decide/placement.rs
@@ -1,8 +1,9 @@
 //! Shuffle shards: which hosts stand in which table, and with what weight. Tables are few, evenly dealt, and any two of
 //! them share a bounded number of hosts.
 
-use super::{MIN_STRONG_PART, MIN_TABLE_HOSTS, Steward, hash};
-use crate::types::*;
+use super::{Controller, MIN_STRONG_PART, MIN_TABLE_HOSTS, hash};
+use crate::state::*;
+use crate::*;
 
 /// Hosts that two tables share at most (the design's bound).
 const MAX_SHARED_HOSTS: usize = 2;
@@ -20,7 +21,7 @@
 const SETTLE_ROUNDS: usize = 12;
 /// Least part of its weight that a host keeps in each of its tables, which keeps connections warm.
 const MIN_SHARED_PART: f64 = 0.05;
-/// Load per working part that a cold host may get, in parts of the most ever done per weight: it falls over at twice its
+/// HostLoad per working part that a cold host may get, in parts of the most ever done per weight: it falls over at twice its
 /// capacity or more.
 const MAX_COLD_LOAD: f64 = 1.5;
 /// Share of a table's tries that work, under which a cold host waits.
@@ -65,7 +66,7 @@
     }
 }
 
-impl Steward {
+impl Controller {
     /// The draw, the stand-ins and the weights: what every table should hold now.
     pub(super) fn place_hosts(&mut self) {
         self.renew_draw();
@@ -85,7 +86,8 @@
 
     /// Deals all hosts anew if the list has changed.
     fn renew_draw(&mut self) {
-        let on_list = |h: &Host| h.standing == Standing::Draining || self.ready.open(h, self.now);
+        let on_list =
+            |h: &Host| h.standing == EndpointState::Draining || self.ready.open(h, self.now);
         let listed: Vec<usize> = (0..self.hosts.len())
             .filter(|&h| on_list(&self.hosts[h]))
             .collect();
@@ -231,7 +233,10 @@
 
     fn cold_hosts_wait(&self, table: &Table, is_warm: impl Fn(usize) -> bool) -> bool {
         let warm = table.iter().filter(|(h, _)| is_warm(*h)).count() as f64;
-        let (tries, done) = self.flow(table.iter().map(|(h, _)| &self.hosts[*h]));
+        let Throughput {
+            attempts: tries,
+            successes: done,
+        } = self.flow(table.iter().map(|(h, _)| &self.hosts[*h]));
         warm >= (table.len() as f64 * MIN_WARM_PART).max(1.0) && done < tries * MIN_COLD_SUCCESS
     }
 
--- a/crates/controller/src/decide/publishing.rs
+++ b/crates/controller/src/decide/publishing.rs
@@ -1,7 +1,9 @@
 //! When differences between what tables should hold and what was sent go out to the proxies, and which of them.
 
-use super::{EXPEDITED_INTERVAL, MIN_TABLE_HOSTS, ORDINARY_CAP_PART, Steward, UpdateReason};
-use crate::types::*;
+use super::{Controller, EXPEDITED_INTERVAL, MIN_TABLE_HOSTS, ORDINARY_CAP_PART, UpdateReason};
+use crate::state::*;
+use crate::*;
+use std::time::Duration;
 
 /// Part of the message cap that expedited updates may use.
 const EXPEDITED_CAP_PART: f64 = 0.8;
@@ -21,7 +23,7 @@
     serving: usize,
 }
 
-impl Steward {
+impl Controller {
     /// Sends differences: lost hosts first, then hazards, expedited and ordinary updates, within one budget.
     pub(super) fn publish_updates(&mut self) {
         self.channel.advance(self.now);
@@ -124,7 +126,7 @@
     /// Whether differences have gathered for long enough, and the message cap has room.
     fn is_due(&self, t: usize, reason: UpdateReason) -> bool {
         let board = &self.boards[t];
-        let gathered = |least: Span| {
+        let gathered = |least: Duration| {
             board
                 .differs_since
                 .is_some_and(|since| self.now - since >= least)
@@ -176,7 +178,7 @@
             {
                 (place.sent, place.unsure) = (place.want, false);
                 let weight = (place.want > 0.0).then_some(place.want);
-                self.out.push_back(Ruling::Deal {
+                self.out.push_back(Decision::SetWeight {
                     table,
                     host: host.id.clone(),
                     weight,
@@ -205,18 +207,18 @@
                 f64::from(u32::MAX)
             };
             let (kind, quota) = (
-                KindId(k as u8),
+                RequestClassId(k as u8),
                 if self.ready.by_rate {
                     share * measure
                 } else {
                     share
                 },
             );
-            self.out.push_back(Ruling::Level {
+            self.out.push_back(Decision::SetAdmissionRate {
                 table,
-                kind,
+                class: kind,
                 quota,
-                tries: Tries::AgainIfNeverRun,
+                retry_policy: RetryPolicy::IfUnprocessed,
             });
         }
         board.differs_since = None;
--- /dev/null
+++ b/crates/controller/src/status.rs
@@ -0,0 +1,93 @@
+//! What a controller believes, for logs and operators.
+
+use crate::ids::HostId;
+use std::time::Duration;
+
+/// What a controller believes at one moment.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct StatusSnapshot {
+    /// Hosts that are known.
+    pub known_hosts: usize,
+    /// Hosts that the endpoint list lets proxies send to.
+    pub ready_hosts: usize,
+    /// Hosts that are ejected as outliers.
+    pub ejected: Vec<HostId>,
+    /// Hosts that are back from an ejection on a small weight.
+    pub on_probation: Vec<HostId>,
+    /// Hosts that have lost half of their weight or more to their load.
+    pub weight_reduced: Vec<HostId>,
+    /// Hosts at which attempts failed lately.
+    pub failing: Vec<HostFailures>,
+    /// Part of the requests of each class that is admitted.
+    pub admitted_fractions: Vec<f64>,
+    /// How overloaded the fleet is; from 1 on, load is shed.
+    pub overload: f64,
+    /// Load of the median host, in parts of all its cores, with what waits.
+    pub median_load: f64,
+    /// Delay of the reports.
+    pub report_delay: Duration,
+    /// Requests a second that reach the proxies.
+    pub demand: f64,
+    /// What the hosts make of them.
+    pub throughput: Throughput,
+    /// The queue of updates to the proxies.
+    pub update_queue: UpdateQueueStatus,
+}
+
+/// Attempts that failed at one host lately; older ones count less.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HostFailures {
+    /// The host.
+    pub host: HostId,
+    /// Attempts that ended.
+    pub attempts: f64,
+    /// The part of them that failed.
+    pub failure_ratio: f64,
+}
+
+/// Attempts at some hosts, per second.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Throughput {
+    /// Attempts that ended.
+    pub attempts: f64,
+    /// Those that succeeded.
+    pub successes: f64,
+}
+
+/// Lines, or updates, by why they were sent.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LineCounts {
+    /// To bind a proxy to a table.
+    pub bindings: f64,
+    /// For hosts that drain or were removed, and tables that ran empty.
+    pub drains: f64,
+    /// For hosts that fail or warm up and have too much weight.
+    pub hazards: f64,
+    /// For weights that are far too high, and updates that may not have been applied.
+    pub expedited: f64,
+    /// For all else.
+    pub ordinary: f64,
+    /// To ask for acknowledgements.
+    pub acks: f64,
+}
+
+/// The queue of updates to the proxies. Figures are in lines unless said otherwise.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct UpdateQueueStatus {
+    /// Lines that may wait.
+    pub line_limit: f64,
+    /// Lines that wait if the channel sends at the stated rate.
+    pub queued_at_stated_rate: f64,
+    /// Lines that wait if the channel sends many times slower.
+    pub queued_at_slow_rate: f64,
+    /// Lines sent and not yet known to have left the channel; none: proxies acknowledge nothing.
+    pub unconfirmed: Option<f64>,
+    /// Lines sent since the start, with all overhead, by reason.
+    pub sent_for: LineCounts,
+    /// Updates that were due but for the queue, counted each time that they were looked at, by reason.
+    pub held_back_for: LineCounts,
+    /// Acknowledgements that came.
+    pub acks_received: u64,
+    /// Time from sending the last message that was acknowledged until its acknowledgement came.
+    pub last_ack_delay: Duration,
+}
--- a/crates/controller/tests/decisions/channel.rs
+++ b/crates/controller/tests/decisions/channel.rs
@@ -1,22 +1,27 @@
 //! The queue of lines to the proxies stays within its limit, however the channel behaves, and goes on once it can.
 
 use crate::common::*;
-use pondarch_controller::Steward;
-use pondarch_controller::types::*;
+use pondarch_controller::Controller;
+use pondarch_controller::DurationExt;
+use pondarch_controller::{
+    AckId, Decision, DeploymentConfig, EndpointState, ProxyId, RequestClassId, Time, UpdateResult,
+    ZoneId,
+};
 use proptest::prelude::*;
+use std::time::Duration;
 
 const PROXIES: u16 = 200;
 const HOSTS: usize = 160;
-const DRAIN_GRACE: Span = Span::from_millis(2_300);
+const DRAIN_GRACE: Duration = Duration::from_millis(2_300);
 
 /// A limit of twice what all proxies take at their start.
 fn site() -> Shop {
     let mut shop = Shop::open(
-        JobTicket {
-            channel_rate: 2_000.0,
-            most_waiting: 4_800.0,
-            report_every: ms(500),
-            drain_grace: DRAIN_GRACE,
+        DeploymentConfig {
+            update_rate: 2_000.0,
+            max_queued_lines: 4_800.0,
+            report_interval: ms(500),
+            drain_grace_period: DRAIN_GRACE,
             ..ticket(PROXIES.into())
         },
         HOSTS,
@@ -45,7 +50,7 @@
             2.0
         };
         shop.steward
-            .reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
+            .record_arrivals(shop.time(), ProxyId(n), RequestClassId(0), many, ms(1_000));
     }
 }
 
@@ -73,7 +78,7 @@
         Fault::LoseMarks(lost) => shop.lose_marks(lost),
         Fault::Restarted(from) => {
             let hosts = (from..HOSTS).take(20);
-            let cold = hosts.map(|n| listing(n, Standing::Open, shop.time()));
+            let cold = hosts.map(|n| listing(n, EndpointState::Ready, shop.time()));
             shop.list(false, cold.collect());
         }
         Fault::Rejoin(from) => (from..PROXIES).take(40).for_each(|n| {
@@ -143,31 +148,32 @@
 #[test]
 fn refused_orders_take_no_room() {
     // Room for one round: all updates and bindings come to some 5,000 lines.
-    let ticket = JobTicket {
-        channel_rate: 2_000.0,
-        most_waiting: 6_000.0,
+    let ticket = DeploymentConfig {
+        update_rate: 2_000.0,
+        max_queued_lines: 6_000.0,
         ..ticket(PROXIES.into())
     };
     let now = |millis: u64| Time::from_micros(100 * SECOND + millis * 1_000);
-    let mut steward = Steward::open(ticket, 7, now(0));
+    let mut steward = Controller::new(ticket, 7, now(0));
     let hosts = (0..HOSTS)
-        .map(|n| listing(n, Standing::Open, Time::default()))
+        .map(|n| listing(n, EndpointState::Ready, Time::default()))
         .collect();
-    steward.list_came(now(0), 1, true, hosts);
+    steward.apply_endpoint_list(now(0), 1, true, hosts);
     (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
     let mut bound = 0;
     for millis in (0..30_000).step_by(250) {
-        steward.woke(now(millis));
-        let orders: Vec<Ruling> = std::iter::from_fn(|| steward.next(now(millis))).collect();
+        steward.on_timer(now(millis));
+        let orders: Vec<Decision> =
+            std::iter::from_fn(|| steward.next_decision(now(millis))).collect();
         bound = orders
             .iter()
-            .filter(|order| matches!(order, Ruling::Bind { .. }))
+            .filter(|order| matches!(order, Decision::BindProxy { .. }))
             .count();
-        let orders: Vec<Ruling> = orders
+        let orders: Vec<Decision> = orders
             .into_iter()
-            .filter(|order| !matches!(order, Ruling::WakeIn(_)))
+            .filter(|order| !matches!(order, Decision::SetTimer(_)))
             .collect();
-        steward.carried_out(now(millis), &orders, Outcome::NotTaken);
+        steward.on_update_result(now(millis), &orders, UpdateResult::Rejected);
     }
     assert_eq!(
         bound,
@@ -178,9 +184,9 @@
 
 /// Whether what the steward takes to have sent is at least what the channel was given.
 fn counts_all_lines(shop: &Shop) -> bool {
-    let sent = shop.steward.glance().channel.sent_for;
+    let sent = shop.steward.status().update_queue.sent_for;
     let counted =
-        sent.bindings + sent.drains + sent.hazards + sent.expedited + sent.ordinary + sent.marks;
+        sent.bindings + sent.drains + sent.hazards + sent.expedited + sent.ordinary + sent.acks;
     counted + 1e-6 >= shop.lines_ordered()
 }
 
@@ -194,12 +200,12 @@
 /// A proxy with kinds confined to its zone is bound to two tables, and the zone's own is the longer one by far.
 #[test]
 fn bindings_to_the_table_of_a_zone_are_counted() {
-    let mut ticket = JobTicket {
-        channel_rate: 2_000.0,
-        most_waiting: 100_000.0,
+    let mut ticket = DeploymentConfig {
+        update_rate: 2_000.0,
+        max_queued_lines: 100_000.0,
         ..ticket(PROXIES.into())
     };
-    ticket.kinds[1].own_zone = true;
+    ticket.request_classes[1].zone_local = true;
     let mut shop = Shop::open(ticket, HOSTS);
     (0..PROXIES).for_each(|n| shop.join(n, true, 2.0));
     shop.run(10_000, changing_sums);
@@ -219,7 +225,7 @@
             shop.run(500, changing_sums);
             let wait = shop.queue_seconds();
             assert!(
-                wait <= DRAIN_GRACE.secs(),
+                wait <= DRAIN_GRACE.seconds(),
                 "a drain would wait for {wait:.1} s at {part} of the rate"
             );
         }
@@ -230,11 +236,11 @@
 /// nothing is heard of the others says nothing of them, while what was ordered is still on its way.
 #[test]
 fn hosts_are_not_silent_before_their_tables_have_arrived() {
-    let ticket = JobTicket {
-        channel_rate: 2_000.0,
-        most_waiting: 4_800.0,
-        report_every: ms(500),
-        drain_grace: DRAIN_GRACE,
+    let ticket = DeploymentConfig {
+        update_rate: 2_000.0,
+        max_queued_lines: 4_800.0,
+        report_interval: ms(500),
+        drain_grace_period: DRAIN_GRACE,
         ..ticket(PROXIES.into())
     };
     let mut shop = Shop::open(ticket, HOSTS);
@@ -246,7 +252,7 @@
             .for_each(|n| shop.met(n, 10.0, 0.0, 40))
     });
     assert!(shop.queue_seconds() > 1.0, "the tables have arrived");
-    let kept_out = shop.steward.glance().kept_out.len();
+    let kept_out = shop.steward.status().ejected.len();
     assert_eq!(kept_out, 0, "{kept_out} hosts are taken for silent");
 }
 
@@ -261,12 +267,13 @@
     shop.run(20_000, |shop| {
         (0..HOSTS).for_each(|n| shop.met(n, 12.0, 6.0, 40))
     });
-    let glance = shop.steward.glance();
-    let served = glance.levels.iter().sum::<f64>() / glance.levels.len() as f64;
+    let glance = shop.steward.status();
+    let served =
+        glance.admitted_fractions.iter().sum::<f64>() / glance.admitted_fractions.len() as f64;
     assert!(
         served > 0.6,
         "levels of {:?} for strain that no order has reached",
-        glance.levels
+        glance.admitted_fractions
     );
 }
 
@@ -274,43 +281,43 @@
 /// clear that nothing of all that waits.
 #[test]
 fn a_drain_goes_out_soon_after_calls_without_an_answer() {
-    let ticket = JobTicket {
-        channel_rate: 2_000.0,
-        most_waiting: 4_800.0,
+    let ticket = DeploymentConfig {
+        update_rate: 2_000.0,
+        max_queued_lines: 4_800.0,
         ..ticket(PROXIES.into())
     };
     let now = |millis: u64| Time::from_micros(100 * SECOND + millis * 1_000);
-    let mut steward = Steward::open(ticket, 7, now(0));
+    let mut steward = Controller::new(ticket, 7, now(0));
     let hosts = (0..HOSTS)
-        .map(|n| listing(n, Standing::Open, Time::default()))
+        .map(|n| listing(n, EndpointState::Ready, Time::default()))
         .collect();
-    steward.list_came(now(0), 1, true, hosts);
+    steward.apply_endpoint_list(now(0), 1, true, hosts);
     (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
-    let mut marks: Vec<(u64, MarkId)> = Vec::new();
+    let mut marks: Vec<(u64, AckId)> = Vec::new();
     let mut drained = Vec::new();
     for millis in (0..24_000).step_by(250) {
-        steward.woke(now(millis));
+        steward.on_timer(now(millis));
         let answers = millis >= 20_000;
         if millis == 20_500 {
-            steward.list_came(
+            steward.apply_endpoint_list(
                 now(millis),
                 2,
                 false,
-                vec![listing(7, Standing::Draining, Time::default())],
+                vec![listing(7, EndpointState::Draining, Time::default())],
             );
         }
         marks
             .iter()
             .filter(|(at, _)| *at + 250 == millis)
-            .for_each(|(_, m)| steward.mark_applied(now(millis), *m));
-        let all = std::iter::from_fn(|| steward.next(now(millis)));
-        let orders: Vec<Ruling> = all
-            .filter(|order| !matches!(order, Ruling::WakeIn(_)))
+            .for_each(|(_, m)| steward.on_ack(now(millis), *m));
+        let all = std::iter::from_fn(|| steward.next_decision(now(millis)));
+        let orders: Vec<Decision> = all
+            .filter(|order| !matches!(order, Decision::SetTimer(_)))
             .collect();
         for order in orders.iter().filter(|_| answers) {
             match order {
-                Ruling::Mark(mark) => marks.push((millis, *mark)),
-                Ruling::Deal {
+                Decision::RequestAck(mark) => marks.push((millis, *mark)),
+                Decision::SetWeight {
                     host: out,
                     weight: None,
                     ..
@@ -318,13 +325,13 @@
                 _ => {}
             }
         }
-        steward.carried_out(
+        steward.on_update_result(
             now(millis),
             &orders,
             if answers {
-                Outcome::Taken
+                UpdateResult::Applied
             } else {
-                Outcome::Unknown
+                UpdateResult::Unknown
             },
         );
     }
@@ -343,14 +350,14 @@
             let cold = (0..HOSTS).skip(wave * 7 % HOSTS).take(10);
             shop.list(
                 false,
-                cold.map(|n| listing(n, Standing::Open, shop.time()))
+                cold.map(|n| listing(n, EndpointState::Ready, shop.time()))
                     .collect(),
             );
             shop.run(500, changing_sums);
             let wait = shop.queue_seconds();
             let noticed = wave >= 10;
             assert!(
-                !noticed || wait <= DRAIN_GRACE.secs(),
+                !noticed || wait <= DRAIN_GRACE.seconds(),
                 "a drain would wait for {wait:.1} s at {part} of the rate"
             );
         }
--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -1,77 +1,82 @@
 //! A stand-in for the surroundings of one steward: feeds it, carries out its rulings, and knows what would break a
 //! rule.
 
-use pondarch_controller::Steward;
-use pondarch_controller::types::*;
+use pondarch_controller::{
+    AckId, AdmissionMode, AttemptOutcomes, CellId, Decision, DeploymentConfig, Endpoint,
+    EndpointState, HostId, MachineTypeId, ProxyId, RequestClass, RequestClassId, RetryPolicy,
+    TableId, Time, ZoneId,
+};
+use pondarch_controller::{Controller, DurationExt};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
 
 pub(crate) const SECOND: u64 = 1_000_000;
 /// Less than the shortest grace of any site less the longest way of a message.
 pub(crate) const GRACE: u64 = SECOND;
 
-pub(crate) fn ms(count: u64) -> Span {
-    Span::from_millis(count)
+pub(crate) fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
 pub(crate) fn host(n: usize) -> HostId {
     HostId(format!("host_{n}").into())
 }
 
-pub(crate) fn listing(n: usize, standing: Standing, started: Time) -> Listing {
-    Listing {
+pub(crate) fn listing(n: usize, standing: EndpointState, started: Time) -> Endpoint {
+    Endpoint {
         host: host(n),
         zone: ZoneId((n % 4) as u16),
-        machine: MachineId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId((n / 4) as u64),
         weight: 1.0 + (n % 2) as f64,
         started,
-        standing,
+        state: standing,
     }
 }
 
-pub(crate) fn ticket(proxies: u64) -> JobTicket {
-    let kind = |target, benefit| KindTicket {
-        response_target: ms(target),
-        benefit,
-        own_zone: false,
+pub(crate) fn ticket(proxies: u64) -> DeploymentConfig {
+    let kind = |target, benefit| RequestClass {
+        latency_objective: ms(target),
+        priority_weight: benefit,
+        zone_local: false,
     };
-    JobTicket {
-        kinds: vec![kind(1_000, 1.0), kind(800, 5.0), kind(600, 3.0)],
-        proxies,
-        zones: 4,
-        base_tries: Some(Tries::Once),
-        admission: Admission::Share,
-        channel_rate: 8_000.0,
-        most_waiting: 8_000.0,
-        lines_per_message: 3.0,
-        message_cap: 12,
+    DeploymentConfig {
+        request_classes: vec![kind(1_000, 1.0), kind(800, 5.0), kind(600, 3.0)],
+        proxy_count: proxies,
+        zone_count: 4,
+        base_retry_policy: Some(RetryPolicy::Never),
+        admission: AdmissionMode::Share,
+        update_rate: 8_000.0,
+        max_queued_lines: 8_000.0,
+        message_overhead_lines: 3.0,
+        max_messages_per_window: 12,
         message_window: ms(10_000),
-        ask_within: ms(10_000),
-        report_every: ms(1_000),
-        start_capacity: 0.2,
-        cold: ms(18_000),
-        crossing_price: 0.06,
-        marks: true,
-        ..JobTicket::default()
+        poll_interval: ms(10_000),
+        report_interval: ms(1_000),
+        initial_capacity: 0.2,
+        slow_start_window: ms(18_000),
+        cross_zone_cost: 0.06,
+        acks_supported: true,
+        ..DeploymentConfig::default()
     }
 }
 
 #[derive(Default)]
 pub(crate) struct Joined {
-    pub tables: BTreeMap<Vec<KindId>, TableId>,
+    pub tables: BTreeMap<Vec<RequestClassId>, TableId>,
     pub messages: Vec<u64>,
 }
 
 /// The world as the steward's rulings make it.
 pub(crate) struct Shop {
-    pub steward: Steward,
+    pub steward: Controller,
     pub now: u64,
     pub wake: Option<u64>,
     pub cap: usize,
-    pub listed: BTreeMap<HostId, Listing>,
+    pub listed: BTreeMap<HostId, Endpoint>,
     pub told_at: BTreeMap<HostId, u64>,
     pub lines: BTreeMap<(TableId, HostId), f64>,
-    pub levels: BTreeMap<(TableId, KindId), (f64, Tries)>,
+    pub levels: BTreeMap<(TableId, RequestClassId), (f64, RetryPolicy)>,
     pub proxies: BTreeMap<ProxyId, Joined>,
     pub probes: Vec<HostId>,
     pub asked: usize,
@@ -92,11 +97,11 @@
     most_seen: f64,
     sent: f64,
     /// Marked messages, each with the lines that are sent once it is.
-    marked: VecDeque<(f64, MarkId)>,
+    marked: VecDeque<(f64, AckId)>,
 }
 
 impl Channel {
-    fn send(&mut self, lines: f64, mark: Option<MarkId>) {
+    fn send(&mut self, lines: f64, mark: Option<AckId>) {
         self.waiting += lines;
         self.marked
             .extend(mark.map(|mark| (self.sent + self.waiting, mark)));
@@ -104,7 +109,7 @@
     }
 
     /// Goes on for so long; gives the marks of the messages that went out.
-    fn run(&mut self, seconds: f64) -> Vec<MarkId> {
+    fn run(&mut self, seconds: f64) -> Vec<AckId> {
         let sent = (self.rate * seconds).min(self.waiting);
         self.waiting -= sent;
         self.sent += sent;
@@ -123,23 +128,23 @@
 }
 
 impl Shop {
-    pub(crate) fn open(ticket: JobTicket, hosts: usize) -> Shop {
+    pub(crate) fn open(ticket: DeploymentConfig, hosts: usize) -> Shop {
         let now = 100 * SECOND;
-        let cap = if ticket.message_cap == 0 {
+        let cap = if ticket.max_messages_per_window == 0 {
             usize::MAX
         } else {
-            ticket.message_cap as usize
+            ticket.max_messages_per_window as usize
         };
-        let kinds = ticket.kinds.len();
+        let kinds = ticket.request_classes.len();
         let channel = Channel {
-            stated_rate: ticket.channel_rate,
-            rate: ticket.channel_rate,
-            head: ticket.lines_per_message,
-            most: ticket.most_waiting,
+            stated_rate: ticket.update_rate,
+            rate: ticket.update_rate,
+            head: ticket.message_overhead_lines,
+            most: ticket.max_queued_lines,
             ..Channel::default()
         };
         let mut shop = Shop {
-            steward: Steward::open(ticket, 7, Time::from_micros(now)),
+            steward: Controller::new(ticket, 7, Time::from_micros(now)),
             now,
             wake: None,
             cap,
@@ -157,7 +162,7 @@
         shop.list(
             true,
             (0..hosts)
-                .map(|n| listing(n, Standing::Open, Time::default()))
+                .map(|n| listing(n, EndpointState::Ready, Time::default()))
                 .collect(),
         );
         shop
@@ -167,7 +172,7 @@
         Time::from_micros(self.now)
     }
 
-    pub(crate) fn list(&mut self, complete: bool, entries: Vec<Listing>) {
+    pub(crate) fn list(&mut self, complete: bool, entries: Vec<Endpoint>) {
         let before = self.listed.clone();
         if complete {
             self.listed.clear();
@@ -177,9 +182,8 @@
                 .iter()
                 .map(|entry| (entry.host.clone(), entry.clone())),
         );
-        let state = |of: &BTreeMap<HostId, Listing>, id: &HostId| {
-            of.get(id).map(|h| (h.standing, h.started))
-        };
+        let state =
+            |of: &BTreeMap<HostId, Endpoint>, id: &HostId| of.get(id).map(|h| (h.state, h.started));
         for id in before.keys().chain(self.listed.keys()) {
             if state(&before, id) != state(&self.listed, id) {
                 self.told_at.insert(id.clone(), self.now);
@@ -187,7 +191,7 @@
         }
         self.version += 1;
         self.steward
-            .list_came(self.time(), self.version, complete, entries);
+            .apply_endpoint_list(self.time(), self.version, complete, entries);
         self.pull();
     }
 
@@ -205,14 +209,14 @@
     }
 
     pub(crate) fn met(&mut self, n: usize, tries: f64, errored: f64, mean: u64) {
-        let met = Met {
-            tries,
-            errored,
-            mean_time: ms(mean),
-            over: ms(1_000),
+        let met = AttemptOutcomes {
+            attempts: tries,
+            failures: errored,
+            mean_latency: ms(mean),
+            period: ms(1_000),
             load: None,
         };
-        self.steward.met(self.time(), &host(n), met);
+        self.steward.record_outcomes(self.time(), &host(n), met);
     }
 
     /// Time goes on, with the wakes that the steward asked for and, every second, sums as `sums` tells them.
@@ -221,14 +225,14 @@
         while self.now < end {
             self.now += 50_000;
             for mark in self.channel.run(0.05) {
-                self.steward.mark_applied(self.time(), mark);
+                self.steward.on_ack(self.time(), mark);
             }
             if self.now.is_multiple_of(SECOND) {
                 sums(self);
             }
             if self.wake.is_some_and(|at| at <= self.now) {
                 self.wake = None;
-                self.steward.woke(self.time());
+                self.steward.on_timer(self.time());
             }
             self.pull();
         }
@@ -242,7 +246,7 @@
                 .into_iter()
                 .for_each(|id| *told.entry(id).or_default() += 1)
         };
-        while let Some(ruling) = self.steward.next(self.time()) {
+        while let Some(ruling) = self.steward.next_decision(self.time()) {
             let of_table = |proxies: &BTreeMap<ProxyId, Joined>, table: TableId| -> Vec<ProxyId> {
                 let on_it = |p: &Joined| p.tables.values().any(|t| *t == table);
                 proxies
@@ -252,7 +256,7 @@
                     .collect()
             };
             match ruling {
-                Ruling::Deal {
+                Decision::SetWeight {
                     table,
                     host,
                     weight,
@@ -268,10 +272,10 @@
                         }
                     }
                 }
-                Ruling::Bind {
+                Decision::BindProxy {
                     proxy,
                     table,
-                    kinds,
+                    classes: kinds,
                 } => {
                     let lines = self.lines.keys().filter(|(t, _)| *t == table).count() + self.kinds;
                     line(vec![proxy; lines + 1]);
@@ -281,20 +285,20 @@
                         .expect("only joined proxies are bound");
                     joined.tables.insert(kinds, table);
                 }
-                Ruling::Level {
+                Decision::SetAdmissionRate {
                     table,
-                    kind,
+                    class: kind,
                     quota,
-                    tries,
+                    retry_policy: tries,
                 } => {
                     line(of_table(&self.proxies, table));
                     assert!(quota.is_finite() && quota >= 0.0, "a level of {quota}");
                     self.levels.insert((table, kind), (quota, tries));
                 }
-                Ruling::Mark(mark) => round_mark = Some(mark),
-                Ruling::Probe(host) => self.probes.push(host),
-                Ruling::FollowList => self.asked += 1,
-                Ruling::WakeIn(span) => self.wake = Some(self.now + span.as_micros()),
+                Decision::RequestAck(mark) => round_mark = Some(mark),
+                Decision::CheckHealth(host) => self.probes.push(host),
+                Decision::WatchEndpoints => self.asked += 1,
+                Decision::SetTimer(span) => self.wake = Some(self.now + span.micros()),
             }
         }
         for (proxy, lines) in told {
@@ -359,8 +363,8 @@
             .unwrap_or(0)
     }
 
-    fn warm(&self, host: &Listing) -> bool {
-        host.standing == Standing::Open
+    fn warm(&self, host: &Endpoint) -> bool {
+        host.state == EndpointState::Ready
             && (host.started.is_unset() || self.time() - host.started >= ms(18_000))
     }
 
@@ -386,9 +390,12 @@
                     "{id:?} has nothing to pick on {table:?}"
                 );
                 for host in &hosts {
-                    let standing = self.listed.get(host).map_or(Standing::Gone, |h| h.standing);
+                    let standing = self
+                        .listed
+                        .get(host)
+                        .map_or(EndpointState::Removed, |h| h.state);
                     assert!(
-                        standing == Standing::Open || !self.due(host),
+                        standing == EndpointState::Ready || !self.due(host),
                         "{host:?} is still used"
                     );
                 }
@@ -413,7 +420,7 @@
                 if !self.due(host) {
                     continue;
                 }
-                let age = (self.time() - listed.started) / ms(18_000);
+                let age = (self.time() - listed.started).ratio(ms(18_000));
                 // What a cold host may get: its part of its listed weight, with the slack of one line step.
                 let most = listed.weight * (0.2 + 0.8 * age.min(1.0)) * 1.5 + 0.01;
                 assert!(
@@ -424,7 +431,7 @@
         }
         for (quota, tries) in self.levels.values() {
             assert!(
-                *quota >= 0.0 && *tries <= Tries::AgainIfNeverRun,
+                *quota >= 0.0 && *tries <= RetryPolicy::IfUnprocessed,
                 "a try that may have run is repeated"
             );
         }
--- a/crates/controller/tests/decisions/main.rs
+++ b/crates/controller/tests/decisions/main.rs
@@ -7,10 +7,14 @@
 mod common;
 
 use common::{SECOND, Shop, host, listing, ms, ticket};
-use pondarch_controller::Steward;
-use pondarch_controller::types::*;
+use pondarch_controller::Controller;
+use pondarch_controller::{
+    AdmissionMode, AttemptOutcomes, Decision, DeploymentConfig, Endpoint, EndpointState, HostId,
+    HostLoad, ProxyId, RequestClassId, TableId, Time, ZoneId,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -45,15 +49,21 @@
     match *step {
         Step::Join(n, fresh, usual) => shop.join(n, fresh, usual),
         Step::Leave(n) => shop.leave(n),
-        Step::Drain(n) => shop.list(false, vec![listing(n, Standing::Draining, Time::default())]),
-        Step::Gone(n) => shop.list(false, vec![listing(n, Standing::Gone, Time::default())]),
-        Step::Restart(n) => shop.list(false, vec![listing(n, Standing::Open, shop.time())]),
+        Step::Drain(n) => shop.list(
+            false,
+            vec![listing(n, EndpointState::Draining, Time::default())],
+        ),
+        Step::Gone(n) => shop.list(
+            false,
+            vec![listing(n, EndpointState::Removed, Time::default())],
+        ),
+        Step::Restart(n) => shop.list(false, vec![listing(n, EndpointState::Ready, shop.time())]),
         Step::Emptied => shop.list(true, Vec::new()),
         Step::Refilled(n) => {
             shop.list(
                 true,
                 (0..n)
-                    .map(|n| listing(n, Standing::Open, Time::default()))
+                    .map(|n| listing(n, EndpointState::Ready, Time::default()))
                     .collect(),
             );
         }
@@ -81,7 +91,7 @@
         gone_is_no_drain in Just(false),
         steps in prop::collection::vec(step(), 1..40),
     ) {
-        let ticket = JobTicket { probes, gone_is_no_drain, message_cap: 0, ..ticket(proxies) };
+        let ticket = DeploymentConfig { health_checks: probes, removal_is_advisory: gone_is_no_drain, max_messages_per_window: 0, ..ticket(proxies) };
         let mut shop = Shop::open(ticket, hosts);
         let mut bad = BTreeMap::new();
         for step in &steps {
@@ -96,8 +106,8 @@
         (0..16).for_each(|n| shop.join(n, true, 5.0));
         for (n, share, change) in steps {
             match change {
-                0 => shop.list(false, vec![listing(n, Standing::Draining, Time::default())]),
-                1 => shop.list(false, vec![listing(n, Standing::Open, shop.time())]),
+                0 => shop.list(false, vec![listing(n, EndpointState::Draining, Time::default())]),
+                1 => shop.list(false, vec![listing(n, EndpointState::Ready, shop.time())]),
                 _ => {}
             }
             shop.run(2_500, |shop| (0..24).for_each(|m| shop.met(m, 9.0, if m == n { 9.0 * share } else { 0.0 }, 300)));
@@ -110,8 +120,8 @@
     fn draw_is_shared_even_and_bounded(hosts in 8..40usize, proxies in 6..40u64, seeds: (u64, u64)) {
         let draw = |seed| {
             let mut shop = Shop::open(ticket(proxies), 0);
-            shop.steward = Steward::open(ticket(proxies), seed, shop.time());
-            shop.list(true, (0..hosts).map(|n| listing(n, Standing::Open, Time::default())).collect());
+            shop.steward = Controller::new(ticket(proxies), seed, shop.time());
+            shop.list(true, (0..hosts).map(|n| listing(n, EndpointState::Ready, Time::default())).collect());
             (0..proxies as u16).for_each(|n| shop.join(n, true, 5.0));
             let tables: BTreeSet<TableId> = shop.lines.keys().map(|(table, _)| *table).collect();
             tables.into_iter().map(|table| shop.hosts_of(table)).collect::<Vec<_>>()
@@ -131,7 +141,7 @@
     }
 }
 
-fn shop_of(ticket: JobTicket) -> Shop {
+fn shop_of(ticket: DeploymentConfig) -> Shop {
     let mut shop = Shop::open(ticket, 12);
     (0..8).for_each(|n| shop.join(n, true, 6.0));
     shop
@@ -147,8 +157,13 @@
         .for_each(|n| shop.met(n, 8.0, 0.0, 200));
     for n in 0..8 {
         for (kind, many) in [6.0, 5.0, 1.0].into_iter().enumerate() {
-            shop.steward
-                .reqs_came(shop.time(), ProxyId(n), KindId(kind as u8), many, ms(1_000));
+            shop.steward.record_arrivals(
+                shop.time(),
+                ProxyId(n),
+                RequestClassId(kind as u8),
+                many,
+                ms(1_000),
+            );
         }
     }
 }
@@ -174,9 +189,9 @@
 #[test]
 fn full_size_keeps_the_rules_and_its_lines() {
     let mut shop = Shop::open(
-        JobTicket {
-            channel_rate: 20_000.0,
-            most_waiting: 40_000.0,
+        DeploymentConfig {
+            update_rate: 20_000.0,
+            max_queued_lines: 40_000.0,
             ..ticket(1_000)
         },
         300,
@@ -188,7 +203,7 @@
     };
     shop.run(5_000, sums);
     let before = shop.lines.keys().cloned().collect::<BTreeSet<_>>();
-    let fresh = (300..600).map(|n| listing(n, Standing::Open, shop.time()));
+    let fresh = (300..600).map(|n| listing(n, EndpointState::Ready, shop.time()));
     shop.list(false, fresh.collect());
     shop.run(3_000, sums);
     let kept = before
@@ -203,14 +218,14 @@
     shop.list(
         false,
         (0..75)
-            .map(|n| listing(n * 4, Standing::Draining, Time::default()))
+            .map(|n| listing(n * 4, EndpointState::Draining, Time::default()))
             .collect(),
     );
     shop.run(4_000, sums);
     shop.list(
         false,
         (0..75)
-            .map(|n| listing(n * 4, Standing::Open, shop.time()))
+            .map(|n| listing(n * 4, EndpointState::Ready, shop.time()))
             .collect(),
     );
     shop.run(4_000, sums);
@@ -221,9 +236,9 @@
 #[test]
 fn all_proxies_of_a_platform_at_one_steward_leave_room_in_its_queue() {
     let mut shop = Shop::open(
-        JobTicket {
-            channel_rate: 9_000.0,
-            most_waiting: 56_000.0,
+        DeploymentConfig {
+            update_rate: 9_000.0,
+            max_queued_lines: 56_000.0,
             ..ticket(2_400)
         },
         200,
@@ -244,13 +259,13 @@
         let joins = (470..2_400).filter(|n| (1..4).contains(&wave) && n % 3 == wave - 1);
         joins.for_each(|n| shop.join(n, false, 0.3));
         let fresh = (200 + wave * 30..230 + wave * 30)
-            .map(|n| listing(n as usize, Standing::Open, shop.time()));
+            .map(|n| listing(n as usize, EndpointState::Ready, shop.time()));
         shop.list(false, fresh.collect());
         let drained = wave * 30..30 + wave * 30;
         shop.list(
             false,
             drained
-                .map(|n| listing(n as usize, Standing::Draining, Time::default()))
+                .map(|n| listing(n as usize, EndpointState::Draining, Time::default()))
                 .collect(),
         );
         shop.run(2_000, sums);
@@ -279,7 +294,7 @@
     shop.list(
         false,
         (0..180)
-            .map(|n| listing(n, Standing::Gone, Time::default()))
+            .map(|n| listing(n, EndpointState::Removed, Time::default()))
             .collect(),
     );
     shop.run(5_000, |_| {});
@@ -322,8 +337,13 @@
         for n in 0..12 {
             let heavy = shop.proxies[&ProxyId(n)].tables[&Vec::new()] == table;
             let many = if heavy { 30.0 } else { 5.0 };
-            shop.steward
-                .reqs_came(shop.time(), ProxyId(n), KindId(0), many, ms(1_000));
+            shop.steward.record_arrivals(
+                shop.time(),
+                ProxyId(n),
+                RequestClassId(0),
+                many,
+                ms(1_000),
+            );
         }
     });
     assert!(
@@ -343,7 +363,7 @@
         .expect("a member");
     shop.list(
         false,
-        vec![listing(gone, Standing::Draining, Time::default())],
+        vec![listing(gone, EndpointState::Draining, Time::default())],
     );
     assert!(shop.is_out(gone));
     assert_eq!(
@@ -356,12 +376,15 @@
         true,
         (0..18)
             .filter(|n| *n != gone)
-            .map(|n| listing(n, Standing::Open, Time::default()))
+            .map(|n| listing(n, EndpointState::Ready, Time::default()))
             .collect(),
     );
     shop.run(3_000, |_| {});
     shop.check();
-    shop.list(false, vec![listing(gone, Standing::Open, shop.time())]);
+    shop.list(
+        false,
+        vec![listing(gone, EndpointState::Ready, shop.time())],
+    );
     shop.run(25_000, |_| {});
     assert!(!shop.is_out(gone) && shop.lines.keys().any(|(_, h)| *h == host(gone)));
 }
@@ -383,28 +406,28 @@
 
 #[test]
 fn probed_host_comes_back_only_without_a_pile_of_reqs() {
-    let mut shop = shop_of(JobTicket {
-        probes: true,
+    let mut shop = shop_of(DeploymentConfig {
+        health_checks: true,
         ..ticket(8)
     });
     shop.run(4_000, all_well);
     shop.run(9_000, |shop| sums_but(shop, &[5]));
     assert!(shop.is_out(5), "a silent host is in use");
     assert!(shop.probes.contains(&host(5)));
-    let piled = Load {
-        queue: Some(17.0),
-        ..Load::default()
+    let piled = HostLoad {
+        queue_length: Some(17.0),
+        ..HostLoad::default()
     };
     shop.steward
-        .probe_answered(shop.time(), &host(5), true, Some(piled));
+        .on_health_check_result(shop.time(), &host(5), true, Some(piled));
     shop.run(2_000, |shop| sums_but(shop, &[5]));
     assert!(shop.is_out(5), "a hung host answers shallow probes");
-    shop.steward.probe_answered(
+    shop.steward.on_health_check_result(
         shop.time(),
         &host(5),
         true,
-        Some(Load {
-            queue: Some(0.0),
+        Some(HostLoad {
+            queue_length: Some(0.0),
             ..piled
         }),
     );
@@ -437,7 +460,7 @@
     let mut shop = shop_of(ticket(8));
     shop.run(4_000, all_well);
     let before = shop.lines[&(TableId(0), host(2))];
-    shop.list(false, vec![listing(2, Standing::Open, shop.time())]);
+    shop.list(false, vec![listing(2, EndpointState::Ready, shop.time())]);
     let after = shop.lines[&(TableId(0), host(2))];
     assert!(
         after < before * 0.3,
@@ -454,7 +477,7 @@
     shop.run(6_000, |shop| {
         (0..12).for_each(|n| shop.met(n, 40.0, 20.0, 900))
     });
-    shop.list(false, vec![listing(2, Standing::Open, shop.time())]);
+    shop.list(false, vec![listing(2, EndpointState::Ready, shop.time())]);
     assert!(
         !shop.hosts_of(TableId(0)).contains(&host(2)),
         "a cold host joins a jam"
@@ -476,8 +499,8 @@
 
 #[test]
 fn last_open_host_is_used_even_if_it_failed() {
-    let mut shop = shop_of(JobTicket {
-        probes: true,
+    let mut shop = shop_of(DeploymentConfig {
+        health_checks: true,
         ..ticket(8)
     });
     shop.run(4_000, all_well);
@@ -486,7 +509,10 @@
         shop.met(3, 8.0, 8.0, 0);
     });
     assert!(shop.is_out(3));
-    shop.list(true, vec![listing(3, Standing::Open, Time::default())]);
+    shop.list(
+        true,
+        vec![listing(3, EndpointState::Ready, Time::default())],
+    );
     shop.run(1_000, |_| {});
     shop.check();
 }
@@ -499,18 +525,18 @@
         shop.run(5_000, all_well);
         shop.run(8_000, |shop| {
             sums_but(shop, &(0..12).collect::<Vec<_>>());
-            let load = Some(Load {
-                queue: Some(queue),
-                ..Load::default()
+            let load = Some(HostLoad {
+                queue_length: Some(queue),
+                ..HostLoad::default()
             });
-            let met = Met {
-                tries: 8.0,
-                errored: 0.0,
-                mean_time: ms(700),
-                over: ms(1_000),
+            let met = AttemptOutcomes {
+                attempts: 8.0,
+                failures: 0.0,
+                mean_latency: ms(700),
+                period: ms(1_000),
                 load,
             };
-            (0..12).for_each(|n| shop.steward.met(shop.time(), &host(n), met));
+            (0..12).for_each(|n| shop.steward.record_outcomes(shop.time(), &host(n), met));
         });
         assert_eq!(shop.levels.values().any(|(quota, _)| *quota < 1.0), cut);
     }
@@ -527,7 +553,7 @@
     shop.run(8_000, jam);
     let level = |shop: &Shop, kind| {
         shop.levels
-            .get(&(TableId(0), KindId(kind)))
+            .get(&(TableId(0), RequestClassId(kind)))
             .map_or(1.0, |l| l.0)
     };
     assert!(level(&shop, 0) < 0.9 && level(&shop, 0) < level(&shop, 2) && level(&shop, 1) >= 1.0);
@@ -548,11 +574,11 @@
             (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
         });
         if grown {
-            let more = (12..36).map(|n| listing(n, Standing::Open, Time::default()));
+            let more = (12..36).map(|n| listing(n, EndpointState::Ready, Time::default()));
             shop.list(false, more.collect());
         }
         shop.run(9_000, all_well);
-        shop.levels[&(TableId(0), KindId(0))].0
+        shop.levels[&(TableId(0), RequestClassId(0))].0
     };
     assert!(after_jam(true) > after_jam(false));
 }
@@ -566,15 +592,15 @@
         shop.run(7_000, |shop| {
             (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
         });
-        shop.steward.plan_came(shop.time(), planned);
+        shop.steward.apply_capacity_plan(shop.time(), planned);
         shop.run(9_000, all_well);
-        shop.levels[&(TableId(0), KindId(0))].0
+        shop.levels[&(TableId(0), RequestClassId(0))].0
     };
     assert!(after_jam(Some(1.0)) > after_jam(None));
     assert_eq!(after_jam(Some(0.0)), after_jam(None));
     assert_eq!(after_jam(Some(f64::NAN)), after_jam(None));
     let mut shop = shop_of(ticket(8));
-    shop.steward.plan_came(shop.time(), Some(0.3));
+    shop.steward.apply_capacity_plan(shop.time(), Some(0.3));
     shop.run(20_000, all_well);
     assert!(shop.levels.values().all(|(quota, _)| *quota >= 1.0));
 }
@@ -597,8 +623,8 @@
 
 #[test]
 fn levels_in_reqs_a_second_go_by_the_busiest_proxy() {
-    let mut shop = shop_of(JobTicket {
-        admission: Admission::Rate,
+    let mut shop = shop_of(DeploymentConfig {
+        admission: AdmissionMode::Rate,
         ..ticket(8)
     });
     shop.run(5_000, all_well);
@@ -606,7 +632,7 @@
     shop.run(6_000, |shop| {
         (0..12).for_each(|n| shop.met(n, 8.0, 1.0, 1_500))
     });
-    let quota = shop.levels[&(TableId(0), KindId(0))].0;
+    let quota = shop.levels[&(TableId(0), RequestClassId(0))].0;
     assert!(
         quota < 6.0,
         "the least kind still has {quota} reqs a second"
@@ -616,10 +642,10 @@
 #[test]
 fn confined_kinds_are_bound_to_their_zone() {
     let mut ticket = ticket(8);
-    ticket.kinds[1].own_zone = true;
+    ticket.request_classes[1].zone_local = true;
     let shop = shop_of(ticket);
     let tables = &shop.proxies[&ProxyId(2)].tables;
-    let own = tables[&vec![KindId(1)]];
+    let own = tables[&vec![RequestClassId(1)]];
     assert_eq!(tables.len(), 2);
     assert!(
         shop.hosts_of(own)
@@ -633,11 +659,11 @@
 #[test]
 fn a_zone_that_no_settings_name_has_no_table_of_its_own() {
     let mut ticket = ticket(8);
-    ticket.kinds[1].own_zone = true;
+    ticket.request_classes[1].zone_local = true;
     let mut shop = shop_of(ticket);
-    let far = |n| Listing {
+    let far = |n| Endpoint {
         zone: ZoneId(9),
-        ..listing(n, Standing::Open, Time::default())
+        ..listing(n, EndpointState::Ready, Time::default())
     };
     shop.list(false, (20..24).map(far).collect());
     shop.proxies.insert(ProxyId(7), common::Joined::default());
@@ -647,8 +673,8 @@
     shop.check();
     let tables = &shop.proxies[&ProxyId(7)].tables;
     assert_eq!(
-        tables[&vec![KindId(1)]],
-        tables[&vec![KindId(0), KindId(2)]]
+        tables[&vec![RequestClassId(1)]],
+        tables[&vec![RequestClassId(0), RequestClassId(2)]]
     );
     assert!(
         (20..24).any(|n| !shop.is_out(n)),
@@ -658,15 +684,15 @@
 
 #[test]
 fn merely_dropped_host_stays_while_it_answers() {
-    let mut shop = shop_of(JobTicket {
-        gone_is_no_drain: true,
+    let mut shop = shop_of(DeploymentConfig {
+        removal_is_advisory: true,
         ..ticket(8)
     });
     shop.run(4_000, all_well);
     shop.list(
         true,
         (1..12)
-            .map(|n| listing(n, Standing::Open, Time::default()))
+            .map(|n| listing(n, EndpointState::Ready, Time::default()))
             .collect(),
     );
     shop.run(4_000, all_well);
@@ -678,42 +704,45 @@
 #[test]
 fn list_on_request_is_followed_and_asked_for_again() {
     let mut shop = Shop::open(
-        JobTicket {
-            must_ask: true,
+        DeploymentConfig {
+            poll_endpoints: true,
             ..ticket(8)
         },
         12,
     );
     assert_eq!(shop.asked, 1, "it follows the list from its start");
-    shop.steward.list_failed(shop.time());
+    shop.steward.endpoint_list_failed(shop.time());
     shop.run(9_000, |_| {});
     assert_eq!(shop.asked, 2);
 }
 
 #[test]
 fn odd_figures_leave_it_deciding() {
-    let mut shop = Shop::open(JobTicket::default(), 1);
+    let mut shop = Shop::open(DeploymentConfig::default(), 1);
     shop.join(1, true, f64::NAN);
     shop.join(1, true, -3.0);
-    let odd = Listing {
+    let odd = Endpoint {
         weight: f64::NAN,
-        ..listing(0, Standing::Open, Time::from_micros(u64::MAX))
+        ..listing(0, EndpointState::Ready, Time::from_micros(u64::MAX))
     };
     shop.list(false, vec![odd]);
     shop.met(77, 3.0, 9.0, 0);
-    shop.steward.reqs_came(
+    shop.steward.record_arrivals(
         shop.time(),
         ProxyId(9),
-        KindId(200),
+        RequestClassId(200),
         f64::INFINITY,
-        Span::ZERO,
+        Duration::ZERO,
     );
-    shop.list(false, vec![listing(0, Standing::Open, Time::default())]);
-    shop.steward.list_came(
+    shop.list(
+        false,
+        vec![listing(0, EndpointState::Ready, Time::default())],
+    );
+    shop.steward.apply_endpoint_list(
         shop.time(),
         0,
         false,
-        vec![listing(0, Standing::Gone, Time::default())],
+        vec![listing(0, EndpointState::Removed, Time::default())],
     );
     shop.run(3 * SECOND / 1_000, |shop| shop.met(0, 5.0, 50.0, 100));
     assert_eq!(shop.hosts_of(TableId(0)).len(), 1);
@@ -730,17 +759,17 @@
         let now = shop.time();
         (0..8).filter(|&n| came(n)).for_each(|n| {
             shop.steward
-                .reqs_came(now, ProxyId(n), KindId(0), 1.0, ms(1_000))
+                .record_arrivals(now, ProxyId(n), RequestClassId(0), 1.0, ms(1_000))
         });
     });
-    let believed = shop.steward.glance().demand;
+    let believed = shop.steward.status().demand;
     assert!(
         (believed - 1.6).abs() < 0.3,
         "8 proxies with 0.2 reqs a second are taken for {believed}"
     );
     // Where no line comes at all, that is no word of any req.
     shop.run(30_000, |_| {});
-    assert!(shop.steward.glance().demand > 1.3);
+    assert!(shop.steward.status().demand > 1.3);
 }
 
 /// Held fast while the proxies of a steward that restarts came over, what was let in had half of all reqs refused.
@@ -752,7 +781,7 @@
         let now = shop.time();
         of.for_each(|n| {
             shop.steward
-                .reqs_came(now, ProxyId(n), KindId(0), 3.0, ms(1_000))
+                .record_arrivals(now, ProxyId(n), RequestClassId(0), 3.0, ms(1_000))
         });
     };
     shop.run(20_000, |shop| {
@@ -763,11 +792,11 @@
         (0..12).for_each(|n| shop.met(n, 2.0, 0.0, 900));
         reqs(shop, 0..8);
     });
-    let level = shop.steward.glance().levels[0];
+    let level = shop.steward.status().admitted_fractions[0];
     assert!(level < 0.95, "the strain was seen: {level}");
     (8..16).for_each(|n| shop.join(n, false, 3.0));
     shop.run(1_000, |shop| reqs(shop, 0..16));
-    let after = shop.steward.glance().levels[0];
+    let after = shop.steward.status().admitted_fractions[0];
     // One more cut may have come; twice the proxies with no more let in would be half of it.
     assert!(after > level * 0.75, "{level} was let in, then {after}");
 }
@@ -775,14 +804,15 @@
 /// A host that answers looks but fails its reqs was tried again every few seconds, at full weight.
 #[test]
 fn who_fails_again_is_kept_out_for_longer() {
-    let mut shop = shop_of(JobTicket {
-        probes: true,
+    let mut shop = shop_of(DeploymentConfig {
+        health_checks: true,
         ..ticket(8)
     });
     let (mut used, mut seconds) = (0, 0);
     shop.run(60_000, |shop| {
         for asked in std::mem::take(&mut shop.probes) {
-            shop.steward.probe_answered(shop.time(), &asked, true, None);
+            shop.steward
+                .on_health_check_result(shop.time(), &asked, true, None);
         }
         let out = shop.is_out(0);
         (used, seconds) = (used + u32::from(!out), seconds + 1);
@@ -806,11 +836,11 @@
     shop.run(2_500, |shop| {
         (0..12).for_each(|n| shop.met(n, 0.3, 0.0, 1_500))
     });
-    assert_eq!(shop.steward.glance().levels[0], 1.0);
+    assert_eq!(shop.steward.status().admitted_fractions[0], 1.0);
     shop.run(6_000, |shop| {
         (0..12).for_each(|n| shop.met(n, 6.0, 0.0, 1_500))
     });
-    let levels = shop.steward.glance().levels;
+    let levels = shop.steward.status().admitted_fractions;
     assert!(
         levels[0] < 1.0 && levels[1] > 0.8,
         "a strain that stays is answered, in measure: {levels:?}"
@@ -825,15 +855,15 @@
         shop.run(8_000, |shop| {
             (0..12).for_each(|n| shop.met(n, 8.0, 0.0, 220))
         });
-        assert_eq!(shop.steward.glance().levels[0], 1.0);
+        assert_eq!(shop.steward.status().admitted_fractions[0], 1.0);
         shop.list(
             false,
             (0..gone)
-                .map(|n| listing(n, Standing::Draining, Time::default()))
+                .map(|n| listing(n, EndpointState::Draining, Time::default()))
                 .collect(),
         );
         shop.run(900, |_| {});
-        shop.steward.glance().levels[0]
+        shop.steward.status().admitted_fractions[0]
     };
     assert_eq!(after(1), 1.0);
     assert!(after(6) < 1.0, "half of the fleet went and all is let in");
@@ -852,34 +882,34 @@
 /// A list that has not come yet is no empty list: nobody is bound to a table without a host.
 #[test]
 fn before_the_first_list_nobody_is_bound() {
-    let mut steward = Steward::open(ticket(8), 1, Time::from_micros(SECOND));
+    let mut steward = Controller::new(ticket(8), 1, Time::from_micros(SECOND));
     steward.proxy_joined(Time::from_micros(SECOND), ProxyId(3), false, 5.0, ZoneId(0));
     let mut decided = Vec::new();
     for n in 0..20 {
         let now = Time::from_micros(SECOND + n * SECOND / 4);
-        steward.woke(now);
-        decided.extend(std::iter::from_fn(|| steward.next(now)));
+        steward.on_timer(now);
+        decided.extend(std::iter::from_fn(|| steward.next_decision(now)));
     }
     assert!(
         decided
             .iter()
-            .all(|ruling| matches!(ruling, Ruling::WakeIn(_))),
+            .all(|ruling| matches!(ruling, Decision::SetTimer(_))),
         "{decided:?}"
     );
     let now = Time::from_micros(7 * SECOND);
-    steward.list_came(
+    steward.apply_endpoint_list(
         now,
         1,
         true,
         (0..8)
-            .map(|n| listing(n, Standing::Open, Time::default()))
+            .map(|n| listing(n, EndpointState::Ready, Time::default()))
             .collect(),
     );
-    let decided: Vec<Ruling> = std::iter::from_fn(|| steward.next(now)).collect();
+    let decided: Vec<Decision> = std::iter::from_fn(|| steward.next_decision(now)).collect();
     assert!(
         decided
             .iter()
-            .any(|ruling| matches!(ruling, Ruling::Bind { .. })),
+            .any(|ruling| matches!(ruling, Decision::BindProxy { .. })),
         "{decided:?}"
     );
 }
--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/asking.rs
@@ -5,7 +5,8 @@
 use crate::names::SERVED_EVERY;
 use crate::peer::Link;
 use crate::wire::{Event, Output, micros};
-use pondarch_controller::types::{HostId, Met, Standing, TableId};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
 use pondarch_dns_core::{Asked, Heard, Named};
 use pondarch_dns_server::{Line, STANDING, View};
 use std::collections::{BTreeMap, BTreeSet};
@@ -100,7 +101,7 @@
 
     /// DNS brings no sums: of hosts that only proxies without a runtime API meet, what they say of themselves is all
     /// there is, and stands for a look at them. One that says nothing was not seen.
-    pub(crate) fn told_of_themselves(&mut self) -> BTreeMap<HostId, Met> {
+    pub(crate) fn told_of_themselves(&mut self) -> BTreeMap<HostId, AttemptOutcomes> {
         let now = self.now;
         let Some(names) = &mut self.names else {
             return BTreeMap::new();
@@ -120,7 +121,7 @@
         };
         let looked_at: BTreeSet<&HostId> = tables.iter().flat_map(of).collect();
         // Each word counts once, for the time since the last ones were taken.
-        let over = (now - last).min(self.report_every.times(2.0));
+        let over = (now - last).min(self.report_every.scaled(2.0));
         let told = self
             .loads
             .iter()
@@ -164,7 +165,7 @@
             self.mark_table(table);
         }
         for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
-            let (host, for_s) = (host.0.to_string(), (*until - now).secs());
+            let (host, for_s) = (host.0.to_string(), (*until - now).seconds());
             self.tell(Event::KeptOut { host, for_s });
         }
         self.touch_names();
@@ -200,7 +201,7 @@
         let listed = list
             .known
             .iter()
-            .filter(|(host, k)| k.standing == Standing::Open && !list.is_cold(host, now));
+            .filter(|(host, k)| k.standing == EndpointState::Ready && !list.is_cold(host, now));
         let listed: BTreeMap<HostId, f64> = listed
             .map(|(host, k)| (host.clone(), k.entry.weight))
             .collect();
--- a/crates/daemon-core/src/books.rs
+++ b/crates/daemon-core/src/books.rs
@@ -1,7 +1,7 @@
 //! The tables as the module deals them, and as proxies are to hold them.
 
 use crate::list::HostList;
-use pondarch_controller::types::{HostId, KindId, TableId, Time, Tries};
+use pondarch_controller::{HostId, RequestClassId, RetryPolicy, TableId, Time};
 use pondarch_proxy_session::units::{Share, units};
 use pondarch_proxy_session::{Lines, WantedLine, table};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Book {
     pub(crate) dealt: BTreeMap<HostId, f64>,
-    pub(crate) levels: BTreeMap<KindId, (f64, Tries)>,
+    pub(crate) levels: BTreeMap<RequestClassId, (f64, RetryPolicy)>,
     /// As proxies are to hold it; none: to be made anew.
     lines: Option<Arc<Lines>>,
     held_back: Vec<HostId>,
@@ -34,7 +34,13 @@
         book.lines = None;
     }
 
-    pub(crate) fn level(&mut self, table: TableId, kind: KindId, quota: f64, tries: Tries) {
+    pub(crate) fn level(
+        &mut self,
+        table: TableId,
+        kind: RequestClassId,
+        quota: f64,
+        tries: RetryPolicy,
+    ) {
         self.books
             .entry(table)
             .or_default()
@@ -162,7 +168,7 @@
     pub(crate) fn levels(
         &self,
         table: TableId,
-        kind: KindId,
+        kind: RequestClassId,
         by_rate: bool,
     ) -> Option<(String, &'static str)> {
         let (quota, tries) = self.books.get(&table)?.levels.get(&kind)?;
--- a/crates/daemon-core/src/channel.rs
+++ b/crates/daemon-core/src/channel.rs
@@ -1,17 +1,19 @@
 //! How much may be sent, and when: the budgets that the queue rule states, kept whatever the module or the
 //! proxies do. The module plans well within them; this is what holds when proxies refuse, stall or come in crowds.
 
-use pondarch_controller::types::{Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::Time;
 use pondarch_proxy_session::Urgency;
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// Messages of the cap that are kept for drains.
 const DRAIN_RESERVE: usize = 2;
 /// Parts of the lines that may wait which ordinary orders and joins may fill: room is left for drains.
 const ORDINARY_PART: f64 = 0.5;
 const JOIN_PART: f64 = 0.75;
-/// Span whose lines may be sent at one time after a pause.
-const BURST: Span = Span::from_millis(100);
+/// Duration whose lines may be sent at one time after a pause.
+const BURST: Duration = Duration::from_millis(100);
 
 /// The channel of one steward; figures in commands ("lines"), as the proxies count them.
 #[derive(Debug)]
@@ -20,7 +22,7 @@
     head: f64,
     most_waiting: f64,
     cap: usize,
-    window: Span,
+    window: Duration,
     /// Lines that may go now; under 0 after a large message.
     credit: f64,
     credit_at: Time,
@@ -48,7 +50,7 @@
         head: f64,
         most_waiting: f64,
         cap: u64,
-        window: Span,
+        window: Duration,
         now: Time,
     ) -> Channel {
         let cap = if cap == 0 { usize::MAX } else { cap as usize };
@@ -92,7 +94,10 @@
         };
         if mail.0.len() >= cap {
             let frees = mail.0[mail.0.len() - cap];
-            return Room::At(frees + self.window + Span::from_millis(1), "message cap");
+            return Room::At(
+                frees + self.window + Duration::from_millis(1),
+                "message cap",
+            );
         }
         let part = match urgency {
             Urgency::Ordinary => ORDINARY_PART,
@@ -103,11 +108,11 @@
         if all > self.most_waiting * part && self.in_flight > 0.0 {
             return Room::AfterAnswers;
         }
-        self.credit =
-            (self.credit + (now - self.credit_at).secs() * self.rate).min(self.rate * BURST.secs());
+        self.credit = (self.credit + (now - self.credit_at).seconds() * self.rate)
+            .min(self.rate * BURST.seconds());
         self.credit_at = now;
         if self.credit < 0.0 {
-            let wait = Span::from_micros((-self.credit / self.rate * 1e6) as u64 + 1);
+            let wait = Duration::from_micros((-self.credit / self.rate * 1e6) as u64 + 1);
             return Room::At(now + wait, "pace");
         }
         Room::Now
@@ -140,7 +145,7 @@
         /// Whatever comes, neither budget is passed, and a drain finds room once answers are in.
         #[test]
         fn budgets_hold(steps in prop::collection::vec((0..400u64, 0..3usize, 1..60usize, 0..3u8, any::<bool>()), 1..300)) {
-            let mut channel = Channel::new(500.0, 3.0, 300.0, 12, Span::from_millis(10_000), at(0));
+            let mut channel = Channel::new(500.0, 3.0, 300.0, 12, Duration::from_millis(10_000), at(0));
             let mut mails = [Mail::default(), Mail::default(), Mail::default()];
             let mut written: Vec<Vec<u64>> = vec![Vec::new(); 3];
             let mut open: Vec<f64> = Vec::new();
@@ -168,7 +173,7 @@
 
     #[test]
     fn drains_keep_their_reserve() {
-        let mut channel = Channel::new(1e6, 3.0, 1e6, 6, Span::from_millis(10_000), at(0));
+        let mut channel = Channel::new(1e6, 3.0, 1e6, 6, Duration::from_millis(10_000), at(0));
         let mut mail = Mail::default();
         for n in 0..4 {
             assert_eq!(
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -6,7 +6,7 @@
 use crate::remembered::Remembered;
 use crate::wire::{Input, Output};
 use pondarch_config::Site;
-use pondarch_controller::types::Time;
+use pondarch_controller::Time;
 use pondarch_dns_server::View;
 use std::sync::Arc;
 
--- a/crates/daemon-core/src/course.rs
+++ b/crates/daemon-core/src/course.rs
@@ -13,12 +13,14 @@
 use crate::zones::Zones;
 use pondarch_config::Site;
 use pondarch_config::site::{Links, Weights};
-use pondarch_controller::Steward;
-use pondarch_controller::types::{Admission, HostId, Listing, Met, Span, Time};
+use pondarch_controller::Controller;
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
 use pondarch_load_ingestion::{Account, Choice, Purpose};
 use pondarch_proxy_session::{Front, FrontKind, Told};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// Events that are kept for `show events`, the newest; and errors for `show errors`.
 const KEPT_MOST: usize = 256;
@@ -31,13 +33,13 @@
     pub(crate) name: String,
     pub(crate) kinds: Vec<String>,
     pub(crate) links: Links,
-    pub(crate) load_every: Option<Span>,
-    pub(crate) report_every: Span,
+    pub(crate) load_every: Option<Duration>,
+    pub(crate) report_every: Duration,
     pub(crate) by_rate: bool,
     pub(crate) process: u32,
     pub(crate) started: Time,
     pub(crate) now: Time,
-    pub(crate) steward: Steward,
+    pub(crate) steward: Controller,
     pub(crate) list: HostList,
     pub(crate) zones: Zones,
     /// None: listed weights are used as they are.
@@ -51,7 +53,7 @@
     pub(crate) chance: fastrand::Rng,
     pub(crate) woken_at: Option<Time>,
     pub(crate) loads: BTreeMap<HostId, (Time, LoadTold)>,
-    pub(crate) met: BTreeMap<HostId, Met>,
+    pub(crate) met: BTreeMap<HostId, AttemptOutcomes>,
     pub(crate) load_at: Option<Time>,
     /// When a host's line went to the module last.
     pub(crate) told_at: BTreeMap<HostId, Time>,
@@ -101,11 +103,11 @@
             links: site.links.clone(),
             load_every,
             report_every: site.reports.every.0,
-            by_rate: ticket.admission == Admission::Rate,
+            by_rate: ticket.admission == AdmissionMode::Rate,
             process,
             started: now,
             now,
-            list: HostList::new(site.zones.clone(), ticket.cold),
+            list: HostList::new(site.zones.clone(), ticket.slow_start_window),
             zones: Zones::default(),
             weigher: (site.weights == Weights::Solved).then(|| Weigher::new(site, now)),
             names: Names::new(site),
@@ -120,7 +122,7 @@
             channel,
             rounds: Rounds::new(site.reports.every.0, now),
             chance: fastrand::Rng::with_seed(seed),
-            steward: Steward::open(ticket, seed, now),
+            steward: Controller::new(ticket, seed, now),
             woken_at: None,
             loads: BTreeMap::new(),
             met: BTreeMap::new(),
@@ -283,7 +285,7 @@
         }
     }
 
-    pub(crate) fn list_changed(&mut self, mut listings: Vec<Listing>) {
+    pub(crate) fn list_changed(&mut self, mut listings: Vec<Endpoint>) {
         self.weigh_list();
         for listing in &mut listings {
             listing.weight = self
@@ -300,8 +302,8 @@
                 .filter(|k| k.standing == wanted)
                 .count()
         };
-        use pondarch_controller::types::Standing::{Draining, Gone, Open};
-        let (open, draining, gone) = (count(Open), count(Draining), count(Gone));
+        use pondarch_controller::EndpointState::{Draining, Ready, Removed};
+        let (open, draining, gone) = (count(Ready), count(Draining), count(Removed));
         let version = self.list.version;
         self.tell(Event::ListTaken {
             version,
@@ -309,7 +311,8 @@
             draining,
             gone,
         });
-        self.steward.list_came(self.now, version, true, listings);
+        self.steward
+            .apply_endpoint_list(self.now, version, true, listings);
         self.touch_names();
         self.find_echoes();
         for table in self.books.readdress(&self.list) {
@@ -376,7 +379,7 @@
         }
     }
 
-    fn applied(&mut self, proxy: u16, took: Span, refused: Vec<String>) {
+    fn applied(&mut self, proxy: u16, took: Duration, refused: Vec<String>) {
         let (now, cause) = (self.now, self.cause.clone());
         let peer = &mut self.peers[proxy as usize];
         self.channel.cleared(std::mem::take(&mut peer.in_flight));
@@ -395,7 +398,7 @@
         }
         self.tell(Event::Applied {
             proxy: name,
-            took_us: took.as_micros(),
+            took_us: took.micros(),
         });
     }
 
@@ -435,8 +438,12 @@
             self.loads.insert(host.clone(), (self.now, load));
         }
         if !for_load {
-            self.steward
-                .probe_answered(self.now, &host, good, load.map(|told| told.load()));
+            self.steward.on_health_check_result(
+                self.now,
+                &host,
+                good,
+                load.map(|told| told.load()),
+            );
         }
     }
 
@@ -445,7 +452,7 @@
     fn timers(&mut self) {
         let now = self.now;
         if self.woken_at.take_if(|at| *at <= now).is_some() {
-            self.steward.woke(now);
+            self.steward.on_timer(now);
         }
         if self.rounds.due(now) {
             let speak: Vec<bool> = self.peers.iter().map(|peer| self.speaks(peer.id)).collect();
@@ -472,7 +479,7 @@
         {
             self.load_at = Some(now + every);
             for (host, known) in &self.list.known {
-                if known.standing == pondarch_controller::types::Standing::Open {
+                if known.standing == pondarch_controller::EndpointState::Ready {
                     let (host, addr) = (host.0.to_string(), known.entry.address);
                     self.out.push_back(Output::Probe {
                         host,
--- a/crates/daemon-core/src/follow.rs
+++ b/crates/daemon-core/src/follow.rs
@@ -4,7 +4,7 @@
 use crate::course::Course;
 use crate::peer::{Link, Peer};
 use crate::wire::{Event, Output};
-use pondarch_controller::types::{KindId, Ruling, TableId};
+use pondarch_controller::{Decision, RequestClassId, TableId};
 use pondarch_proxy_session::{Urgency, Wanted, table};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,10 +72,10 @@
     fn pull(&mut self) {
         let mut lines: BTreeMap<TableId, Vec<(String, f64)>> = BTreeMap::new();
         let mut touched: BTreeSet<TableId> = BTreeSet::new();
-        while let Some(ruling) = self.steward.next(self.now) {
+        while let Some(ruling) = self.steward.next_decision(self.now) {
             self.touch_names();
             match ruling {
-                Ruling::Deal {
+                Decision::SetWeight {
                     table,
                     host,
                     weight,
@@ -87,16 +87,16 @@
                     self.books.deal(table, host, weight);
                     touched.insert(table);
                 }
-                Ruling::Bind {
+                Decision::BindProxy {
                     proxy,
                     table,
-                    kinds,
+                    classes: kinds,
                 } => self.bind(proxy.0, table, &kinds),
-                Ruling::Level {
+                Decision::SetAdmissionRate {
                     table,
-                    kind,
+                    class: kind,
                     quota,
-                    tries,
+                    retry_policy: tries,
                 } => {
                     self.books.level(table, kind, quota, tries);
                     touched.insert(table);
@@ -113,7 +113,7 @@
                         cause,
                     });
                 }
-                Ruling::Probe(host) => {
+                Decision::CheckHealth(host) => {
                     if let Some(addr) = self.list.address(&host) {
                         let host = host.0.to_string();
                         self.out.push_back(Output::Probe {
@@ -124,8 +124,8 @@
                     }
                 }
                 // The list is followed by the edge at all times; a session knows by itself what its proxy has applied.
-                Ruling::FollowList | Ruling::Mark(_) => {}
-                Ruling::WakeIn(span) => self.woken_at = Some(self.now + span),
+                Decision::WatchEndpoints | Decision::RequestAck(_) => {}
+                Decision::SetTimer(span) => self.woken_at = Some(self.now + span),
             }
         }
         for (table, lines) in lines {
@@ -148,9 +148,11 @@
         }
     }
 
-    fn bind(&mut self, proxy: u16, table: TableId, kinds: &[KindId]) {
+    fn bind(&mut self, proxy: u16, table: TableId, kinds: &[RequestClassId]) {
         let (now, cause) = (self.now, self.cause.clone());
-        let all: Vec<KindId> = (0..self.kinds.len()).map(|k| KindId(k as u8)).collect();
+        let all: Vec<RequestClassId> = (0..self.kinds.len())
+            .map(|k| RequestClassId(k as u8))
+            .collect();
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
         };
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -3,13 +3,14 @@
 use crate::course::Course;
 use crate::names::Names;
 use crate::weigher::Weigher;
-use pondarch_controller::types::Standing;
+use pondarch_controller::DurationExt;
+use pondarch_controller::EndpointState;
 use pondarch_runtime_api::info::Info;
 
 pub(crate) fn info(core: &Course) -> Info {
     let mut info = Info::default();
     let (now, list) = (core.now, &core.list);
-    let open = |s: Standing| list.known.values().filter(|k| k.standing == s).count();
+    let open = |s: EndpointState| list.known.values().filter(|k| k.standing == s).count();
     let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
     let cold = list
         .known
@@ -24,7 +25,7 @@
     info.put("Name", "pondarch");
     info.put("Version", env!("CARGO_PKG_VERSION"));
     info.put("Pid", core.process);
-    info.put("Uptime_sec", (now - core.started).as_micros() / 1_000_000);
+    info.put("Uptime_sec", (now - core.started).micros() / 1_000_000);
     info.put(
         "Start_time_sec",
         crate::wire::micros(core.started) / 1_000_000,
@@ -32,9 +33,9 @@
     info.put("Node", &core.name);
     info.put("ListVersion", list.version);
     info.put("ListRefused", list.refused.as_deref().unwrap_or("-"));
-    info.put("HostsReady", open(Standing::Open));
-    info.put("HostsDraining", open(Standing::Draining));
-    info.put("HostsGone", open(Standing::Gone));
+    info.put("HostsReady", open(EndpointState::Ready));
+    info.put("HostsDraining", open(EndpointState::Draining));
+    info.put("HostsGone", open(EndpointState::Removed));
     info.put("HostsCold", cold);
     let strangers = core.names.as_ref().map_or(0, Names::strangers);
     info.put("Proxies", core.peers.len() - strangers);
--- a/crates/daemon-core/src/list.rs
+++ b/crates/daemon-core/src/list.rs
@@ -4,18 +4,18 @@
 use crate::wire::micros;
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
-use pondarch_controller::types::{
-    CellId, HostId, Listing, MachineId, Span, Standing, Time, ZoneId,
-};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{CellId, Endpoint, EndpointState, HostId, MachineTypeId, Time, ZoneId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// One host, file and operators taken together.
 #[derive(Clone, Debug)]
 pub(crate) struct Known {
     pub(crate) entry: HostEntry,
     pub(crate) started: Time,
-    pub(crate) standing: Standing,
+    pub(crate) standing: EndpointState,
     /// Since when it is to be left alone.
     pub(crate) told_away: Option<Time>,
 }
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct HostList {
     zones: Vec<String>,
-    cold: Span,
+    cold: Duration,
     file: Vec<HostEntry>,
     file_version: Option<u64>,
     added: BTreeMap<HostId, HostEntry>,
@@ -39,7 +39,7 @@
 }
 
 impl HostList {
-    pub(crate) fn new(zones: Vec<String>, cold: Span) -> HostList {
+    pub(crate) fn new(zones: Vec<String>, cold: Duration) -> HostList {
         HostList {
             zones,
             cold,
@@ -53,7 +53,7 @@
         now: Time,
         version: Option<u64>,
         hosts: Vec<HostEntry>,
-    ) -> Result<Vec<Listing>, String> {
+    ) -> Result<Vec<Endpoint>, String> {
         if let (Some(held), Some(new)) = (self.file_version, version)
             && new < held
         {
@@ -76,18 +76,18 @@
         now: Time,
         host: &HostId,
         change: impl FnOnce(&mut Edit),
-    ) -> Vec<Listing> {
+    ) -> Vec<Endpoint> {
         change(self.edits.entry(host.clone()).or_default());
         self.listings(now)
     }
 
-    pub(crate) fn add(&mut self, now: Time, entry: HostEntry) -> Vec<Listing> {
+    pub(crate) fn add(&mut self, now: Time, entry: HostEntry) -> Vec<Endpoint> {
         self.added.insert(HostId(entry.name.as_str().into()), entry);
         self.listings(now)
     }
 
     /// A host that only an operator listed is forgotten; one of the file is gone until that is taken back.
-    pub(crate) fn remove(&mut self, now: Time, host: &HostId) -> Vec<Listing> {
+    pub(crate) fn remove(&mut self, now: Time, host: &HostId) -> Vec<Endpoint> {
         if self.added.remove(host).is_some() {
             self.edits.remove(host);
         } else {
@@ -97,7 +97,7 @@
     }
 
     /// The file and the operators taken together; everything that changed is remembered.
-    fn listings(&mut self, now: Time) -> Vec<Listing> {
+    fn listings(&mut self, now: Time) -> Vec<Endpoint> {
         let first = self.known.is_empty();
         let mut known = BTreeMap::new();
         for entry in self.file.iter().chain(self.added.values()) {
@@ -109,12 +109,12 @@
             entry.state = edit.state.unwrap_or(entry.state);
             let before = self.known.get(&id);
             let standing = match entry.state {
-                HostState::Ready => Standing::Open,
-                HostState::Drain => Standing::Draining,
-                HostState::Gone => Standing::Gone,
+                HostState::Ready => EndpointState::Ready,
+                HostState::Drain => EndpointState::Draining,
+                HostState::Gone => EndpointState::Removed,
             };
             let told_away = match standing {
-                Standing::Open => None,
+                EndpointState::Ready => None,
                 _ => before.and_then(|known| known.told_away).or(Some(now)),
             };
             let started = started(now, first, &entry, before);
@@ -132,15 +132,15 @@
         for (id, old) in std::mem::take(&mut self.known) {
             let told_away = old.told_away.or(Some(now));
             known.entry(id).or_insert(Known {
-                standing: Standing::Gone,
+                standing: EndpointState::Removed,
                 told_away,
                 ..old
             });
         }
         // But not for ever: past the warming time, what has not come back would be new anyway.
-        let kept = self.cold + Span::from_millis(600_000);
+        let kept = self.cold + Duration::from_millis(600_000);
         known.retain(|_, k| {
-            k.standing != Standing::Gone || k.told_away.is_none_or(|at| now - at < kept)
+            k.standing != EndpointState::Removed || k.told_away.is_none_or(|at| now - at < kept)
         });
         self.known = known;
         self.complete()
@@ -152,9 +152,9 @@
             entry: k.entry.clone(),
             started_us: micros(k.started),
             standing: match k.standing {
-                Standing::Open => HostState::Ready,
-                Standing::Draining => HostState::Drain,
-                Standing::Gone => HostState::Gone,
+                EndpointState::Ready => HostState::Ready,
+                EndpointState::Draining => HostState::Drain,
+                EndpointState::Removed => HostState::Gone,
             },
             told_away_us: k.told_away.map(micros),
         };
@@ -174,7 +174,7 @@
     /// Takes up what was known; gives the complete list for the module. Hosts in zones that the settings no longer have
     /// are left behind: the file says where they are now. None: no host was known, which is no list. Taken for one, it had
     /// proxies joined to tables without a host.
-    pub(crate) fn recover(&mut self, old: RememberedList) -> Option<Vec<Listing>> {
+    pub(crate) fn recover(&mut self, old: RememberedList) -> Option<Vec<Endpoint>> {
         let id = |name: &str| HostId(name.into());
         let zones = self.zones.clone();
         let fits = |entry: &HostEntry| zones.contains(&entry.zone);
@@ -193,9 +193,9 @@
             .collect();
         let known = |host: RememberedHost| {
             let standing = match host.standing {
-                HostState::Ready => Standing::Open,
-                HostState::Drain => Standing::Draining,
-                HostState::Gone => Standing::Gone,
+                HostState::Ready => EndpointState::Ready,
+                HostState::Drain => EndpointState::Draining,
+                HostState::Gone => EndpointState::Removed,
             };
             let (started, told_away) = (
                 Time::from_micros(host.started_us),
@@ -221,30 +221,30 @@
     }
 
     /// The same hosts with other weights for the module.
-    pub(crate) fn reweigh(&mut self, handed: BTreeMap<HostId, f64>) -> Vec<Listing> {
+    pub(crate) fn reweigh(&mut self, handed: BTreeMap<HostId, f64>) -> Vec<Endpoint> {
         self.handed = handed;
         self.complete()
     }
 
     /// The complete list for the module.
-    fn complete(&mut self) -> Vec<Listing> {
+    fn complete(&mut self) -> Vec<Endpoint> {
         self.version += 1;
         let handed = &self.handed;
         let listed = self
             .known
             .iter()
-            .filter(|(_, k)| k.standing != Standing::Gone);
+            .filter(|(_, k)| k.standing != EndpointState::Removed);
         let zone = |name: &str| self.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
         let (machines, racks) = (&mut self.machines, &mut self.racks);
         listed
-            .map(|(id, k)| Listing {
+            .map(|(id, k)| Endpoint {
                 host: id.clone(),
                 zone: ZoneId(zone(&k.entry.zone)),
-                machine: MachineId(number_of(machines, &k.entry.machine) as u16),
+                machine_type: MachineTypeId(number_of(machines, &k.entry.machine) as u16),
                 cell: CellId(number_of(racks, &k.entry.rack) as u64),
                 weight: handed.get(id).copied().unwrap_or(k.entry.weight),
                 started: k.started,
-                standing: k.standing,
+                state: k.standing,
             })
             .collect()
     }
@@ -257,7 +257,7 @@
     pub(crate) fn must_go(&self, host: &HostId) -> bool {
         self.known
             .get(host)
-            .is_none_or(|k| k.standing != Standing::Open)
+            .is_none_or(|k| k.standing != EndpointState::Ready)
     }
 
     pub(crate) fn address(&self, host: &HostId) -> Option<SocketAddr> {
@@ -272,10 +272,10 @@
     /// The part of its work that a host can do by now, at least.
     pub(crate) fn warm(&self, host: &HostId, now: Time, start_share: f64) -> f64 {
         let started = self.known.get(host).map_or(Time::default(), |k| k.started);
-        if started.is_unset() || self.cold == Span::ZERO {
+        if started.is_unset() || self.cold == Duration::ZERO {
             return 1.0;
         }
-        (start_share + (1.0 - start_share) * ((now - started) / self.cold)).min(1.0)
+        (start_share + (1.0 - start_share) * (now - started).ratio(self.cold)).min(1.0)
     }
 
     pub(crate) fn zone_of(&self, known: &Known) -> ZoneId {
@@ -301,7 +301,9 @@
     }
     match before {
         None if first => Time::default(),
-        Some(k) if k.standing != Standing::Gone && k.entry.address == entry.address => k.started,
+        Some(k) if k.standing != EndpointState::Removed && k.entry.address == entry.address => {
+            k.started
+        }
         _ => now,
     }
 }
--- a/crates/daemon-core/src/names.rs
+++ b/crates/daemon-core/src/names.rs
@@ -4,16 +4,18 @@
 use crate::list::{HostList, Known};
 use crate::remembered::RememberedHost;
 use pondarch_config::Site;
-use pondarch_controller::types::{HostId, ProxyId, Span, Standing, TableId, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{EndpointState, HostId, ProxyId, TableId, Time};
 use pondarch_dns_core::{Held, Lifetime, Members, Named, Secondaries};
 use pondarch_dns_server::{Line, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// Proxies that are tracked at most: those of the settings.
 const MEMBERS_MOST: usize = 60_000;
 /// How late the edge may tell of an answer: it tells of each table and proxy once in this time.
-pub const TOLD_WITHIN: Span = Span::from_millis(200);
+pub const TOLD_WITHIN: Duration = Duration::from_millis(200);
 /// Whoever is not known is one of so many strangers. Each is bound like a proxy, so that no table is given away that the
 /// module keeps no longer, and strangers do not all meet the same few hosts.
 const STRANGERS: usize = 4;
@@ -23,17 +25,17 @@
 /// Stands for all that an earlier run gave away.
 const BEFORE: TableId = TableId(u16::MAX - 2);
 /// How often it is noted that copies of the zone are being answered from.
-pub(crate) const SERVED_EVERY: Span = Span::from_millis(100);
+pub(crate) const SERVED_EVERY: Duration = Duration::from_millis(100);
 
 pub(crate) struct Names {
     pub(crate) members: Members,
     pub(crate) held: Held,
-    pub(crate) holds: Span,
+    pub(crate) holds: Duration,
     pub(crate) view: Arc<View>,
     /// Tables, bindings or the list may have changed since the view was made.
     pub(crate) stale: bool,
     /// After its hosts were told away, a table's last answer may be given for so long.
-    pub(crate) last_answer_for: Span,
+    pub(crate) last_answer_for: Duration,
     /// When the first such answer must end.
     pub(crate) last_until: Option<Time>,
     /// Hosts that started anew and are still met by answers from before, with until when.
@@ -71,16 +73,16 @@
         let spare = dns
             .grace
             .0
-            .as_micros()
-            .saturating_sub(dns.learns_within.0.as_micros());
+            .micros()
+            .saturating_sub(dns.learns_within.0.micros());
         Some(Names {
             members: Members::new(holds, MEMBERS_MOST),
             held: Held::default(),
             holds,
             view: Arc::default(),
             stale: true,
-            last_answer_for: Lifetime::last_answer_for(Span::from_micros(spare))
-                .unwrap_or(Span::ZERO),
+            last_answer_for: Lifetime::last_answer_for(Duration::from_micros(spare))
+                .unwrap_or(Duration::ZERO),
             last_until: None,
             echoes: BTreeMap::new(),
             secondaries: Secondaries::new(dns.secondaries.len(), dns.behind.0, dns.expires.0),
@@ -160,7 +162,7 @@
                 format!("holds {serial}")
             });
             match behind {
-                Some(since) => format!("{holds}, behind for {:.1} s", (now - since).secs()),
+                Some(since) => format!("{holds}, behind for {:.1} s", (now - since).seconds()),
                 None => holds,
             }
         };
@@ -223,7 +225,7 @@
     /// Hosts of the list that started anew and are still met by answers from before.
     pub(crate) fn found_echoes(&self, now: Time, list: &HostList) -> BTreeMap<HostId, Time> {
         let cold = |(host, known): &(&HostId, &Known)| {
-            known.standing == Standing::Open && list.is_cold(host, now)
+            known.standing == EndpointState::Ready && list.is_cold(host, now)
         };
         let echo = |(host, known): (&HostId, &Known)| {
             Some((
--- a/crates/daemon-core/src/operator.rs
+++ b/crates/daemon-core/src/operator.rs
@@ -7,7 +7,8 @@
 use crate::peer::Link;
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::{HostState, bad_name};
-use pondarch_controller::types::{HostId, Standing, TableId, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{EndpointState, HostId, TableId, Time};
 use pondarch_runtime_api::codec::framed_answer;
 use pondarch_runtime_api::command::{self, GivenWeight};
 use pondarch_runtime_api::info::write_map;
@@ -210,7 +211,7 @@
         } => add_host(core, &server, addr, weight),
         Command::DelServer(server) => match host(core, &server) {
             Err(wrong) => wrong,
-            Ok((_, known)) if known.standing != Standing::Gone => {
+            Ok((_, known)) if known.standing != EndpointState::Removed => {
                 "Only servers in maintenance mode can be deleted.\n".into()
             }
             Ok((id, _)) => {
@@ -223,7 +224,7 @@
 }
 
 fn since(core: &Course, at: Time) -> f64 {
-    (at - core.started).secs()
+    (at - core.started).seconds()
 }
 
 fn unknown_map() -> String {
@@ -244,7 +245,7 @@
 }
 
 fn map(core: &Course, name: &str) -> Option<BTreeMap<String, String>> {
-    let by_kind = |value: fn(&(f64, pondarch_controller::types::Tries)) -> String| {
+    let by_kind = |value: fn(&(f64, pondarch_controller::RetryPolicy)) -> String| {
         let of = |(table, book): (&TableId, &crate::books::Book)| {
             let key = |kind: usize| format!("table-{}/{}", table.0, core.kinds[kind]);
             let entries = book
@@ -285,8 +286,9 @@
             let lingering = names
                 .map(|names| names.lingering(core.now))
                 .unwrap_or_default();
-            let left =
-                |(host, until): (String, Time)| (host, format!("{:.1}", (until - core.now).secs()));
+            let left = |(host, until): (String, Time)| {
+                (host, format!("{:.1}", (until - core.now).seconds()))
+            };
             Some(lingering.into_iter().map(left).collect())
         }
         "owed" => Some(core.owed()),
@@ -330,13 +332,14 @@
             of: RowType::Server,
             status: status(known.standing).into(),
             weight: known.entry.weight.round() as u64,
-            mean: Duration::from_micros(met.mean_time.as_micros()),
+            mean: met.mean_latency,
             addr: known.entry.address.to_string(),
             sums: Some(Sums {
-                done: (met.tries - met.errored).max(0.0) as u64,
-                errored: met.errored as u64,
+                done: (met.attempts - met.failures).max(0.0) as u64,
+                errored: met.failures as u64,
                 done_time: Duration::from_micros(
-                    (met.mean_time.as_micros() as f64 * (met.tries - met.errored).max(0.0)) as u64,
+                    (met.mean_latency.micros() as f64 * (met.attempts - met.failures).max(0.0))
+                        as u64,
                 ),
             }),
             ..StatRow::default()
@@ -348,7 +351,7 @@
                 .list
                 .known
                 .get(id)
-                .map_or(Standing::Gone, |known| known.standing);
+                .map_or(EndpointState::Removed, |known| known.standing);
             rows.push(StatRow {
                 backend: format!("table-{}", table.0),
                 server: id.0.to_string(),
@@ -363,11 +366,11 @@
     rows
 }
 
-fn status(standing: Standing) -> &'static str {
+fn status(standing: EndpointState) -> &'static str {
     match standing {
-        Standing::Open => "UP",
-        Standing::Draining => "DRAIN",
-        Standing::Gone => "MAINT",
+        EndpointState::Ready => "UP",
+        EndpointState::Draining => "DRAIN",
+        EndpointState::Removed => "MAINT",
     }
 }
 
@@ -380,13 +383,13 @@
                 server: id.0.to_string(),
                 addr: known.entry.address,
                 state: match known.standing {
-                    Standing::Open => AdminState::Ready,
-                    Standing::Draining => AdminState::Drain,
-                    Standing::Gone => AdminState::Maint,
+                    EndpointState::Ready => AdminState::Ready,
+                    EndpointState::Draining => AdminState::Drain,
+                    EndpointState::Removed => AdminState::Maint,
                 },
                 weight: known.entry.weight.round().clamp(0.0, 256.0) as u16,
                 used: 0,
-                changed_s: (core.now - known.started).as_micros() / 1_000_000,
+                changed_s: (core.now - known.started).micros() / 1_000_000,
             });
         }
     }
@@ -491,7 +494,7 @@
         .list
         .known
         .get(&id)
-        .is_some_and(|known| known.standing != Standing::Gone)
+        .is_some_and(|known| known.standing != EndpointState::Removed)
     {
         return "Already exists a server with the same name in the backend.\n".into();
     }
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -2,7 +2,8 @@
 
 use crate::channel::Mail;
 use pondarch_config::site::Links;
-use pondarch_controller::types::{KindId, ProxyId, TableId, Time, ZoneId};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{ProxyId, RequestClassId, TableId, Time, ZoneId};
 use pondarch_proxy_session::{Front, Session};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -35,7 +36,7 @@
     pub(crate) link: Link,
     pub(crate) conn: u64,
     pub(crate) session: Session,
-    pub(crate) bound: BTreeMap<KindId, TableId>,
+    pub(crate) bound: BTreeMap<RequestClassId, TableId>,
     pub(crate) mail: Mail,
     /// What its message under way cost in the channel.
     pub(crate) in_flight: f64,
@@ -106,10 +107,10 @@
     pub(crate) fn lost(&mut self, now: Time, links: &Links, chance: &mut fastrand::Rng) {
         let (least, most) = (links.redial_least.0, links.redial_most.0);
         let doubled = least
-            .times(f64::from(1u32 << self.failures.min(16)))
+            .scaled(f64::from(1u32 << self.failures.min(16)))
             .min(most);
         self.failures = self.failures.saturating_add(1);
-        self.link = Link::Down(now + doubled.times(0.5 + chance.f64()));
+        self.link = Link::Down(now + doubled.scaled(0.5 + chance.f64()));
         self.bound.clear();
         (self.dirty, self.blocked_until, self.silent_since) = (None, None, None);
     }
--- a/crates/daemon-core/src/pushes.rs
+++ b/crates/daemon-core/src/pushes.rs
@@ -1,7 +1,7 @@
 //! Reports that proxies and hosts push: who sends them, what of them counts, and how old it is. A proxy's pushed counters are
 //! the same that `show stat` tells: whichever comes, each count is taken once, and where pushes fall silent it is read again.
 
-use pondarch_controller::types::Time;
+use pondarch_controller::Time;
 use pondarch_load_ingestion::{Clocks, Order, Silence};
 use pondarch_load_report_protocol::{Body, Counted, SenderIs};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
--- a/crates/daemon-core/src/recovering.rs
+++ b/crates/daemon-core/src/recovering.rs
@@ -3,7 +3,8 @@
 use crate::course::Course;
 use crate::remembered::Remembered;
 use crate::wire::{Event, micros};
-use pondarch_controller::types::{Standing, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{EndpointState, Time};
 use std::collections::BTreeMap;
 
 impl Course {
@@ -32,9 +33,9 @@
                 .count()
         };
         let (ready, draining, gone) = (
-            count(Standing::Open),
-            count(Standing::Draining),
-            count(Standing::Gone),
+            count(EndpointState::Ready),
+            count(EndpointState::Draining),
+            count(EndpointState::Removed),
         );
         self.tell(Event::Recovered {
             ready,
@@ -53,7 +54,7 @@
             .list
             .known
             .iter()
-            .filter(|(_, known)| known.standing != Standing::Open)
+            .filter(|(_, known)| known.standing != EndpointState::Ready)
         {
             let (mut holding, mut unknown) = (Vec::new(), 0);
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
@@ -66,7 +67,7 @@
             if holding.is_empty() && unknown == 0 {
                 continue;
             }
-            let since = (self.now - known.told_away.unwrap_or(Time::default())).secs();
+            let since = (self.now - known.told_away.unwrap_or(Time::default())).seconds();
             let not_seen = if unknown > 0 {
                 format!(" and {unknown} not looked at")
             } else {
--- a/crates/daemon-core/src/reporting.rs
+++ b/crates/daemon-core/src/reporting.rs
@@ -4,12 +4,14 @@
 use crate::pushes::{CREDIT, Sender, odd, row};
 use crate::round::Gathered;
 use crate::wire::{Event, LoadTold, Output, micros};
-use pondarch_controller::types::{HostId, Met, ProxyId, Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::{Candidate, Purpose, Verdict, age};
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 impl Course {
     pub(crate) fn sender_came(&mut self, conn: u64, name: String, is: SenderIs, run: u64) {
@@ -94,7 +96,7 @@
         let word = (report.word_us > 0).then(|| {
             (
                 Time::from_micros(report.word_us),
-                Span::from_micros(report.had_us.min(86_400_000_000)),
+                Duration::from_micros(report.had_us.min(86_400_000_000)),
             )
         });
         let mapped = known.clocks.came(now, report.sent_us, word);
@@ -103,9 +105,9 @@
         }
         let sent = mapped.sent();
         let over = sent
-            .map_or(Span::ZERO, |sent| sent - known.last_at)
-            .max(Span::from_millis(100));
-        if let Some(odd) = odd(&report.body, known, over.secs()) {
+            .map_or(Duration::ZERO, |sent| sent - known.last_at)
+            .max(Duration::from_millis(100));
+        if let Some(odd) = odd(&report.body, known, over.seconds()) {
             counts.odd += 1;
             counts.last_odd = Some(format!("{name}: {odd}"));
             return;
@@ -158,7 +160,7 @@
     pub(crate) fn looked(&mut self, id: ProxyId, look: Look, at: Time) {
         let now = self.now;
         for &(kind, many) in &look.reqs {
-            self.steward.reqs_came(now, id, kind, many, look.over);
+            self.steward.record_arrivals(now, id, kind, many, look.over);
             self.reqs_asked(id.0, kind, many, look.over);
         }
         if let Some(weigher) = &mut self.weigher {
@@ -179,7 +181,7 @@
     }
 
     /// Hosts that are told of as not heard of through no fault of their own, with a line that says nothing.
-    pub(crate) fn excused(&self) -> BTreeMap<HostId, Met> {
+    pub(crate) fn excused(&self) -> BTreeMap<HostId, AttemptOutcomes> {
         if !self.pushes.on
             || self
                 .pushes
@@ -210,9 +212,9 @@
             .pushes
             .silence
             .excused(self.now, self.report_every, &meets);
-        let nothing = Met {
-            over: self.report_every,
-            ..Met::default()
+        let nothing = AttemptOutcomes {
+            period: self.report_every,
+            ..AttemptOutcomes::default()
         };
         excused.into_iter().map(|host| (host, nothing)).collect()
     }
@@ -236,9 +238,9 @@
             .into_iter()
             .filter(|(_, of)| now - of.at < age::STALE)
             .collect();
-        let budget = self
-            .lines_per_second
-            .map_or(usize::MAX, |lines| (lines * every.secs()).max(1.0) as usize);
+        let budget = self.lines_per_second.map_or(usize::MAX, |lines| {
+            (lines * every.seconds()).max(1.0) as usize
+        });
         let mut kept = 0;
         if gathered.len() > budget {
             let candidates: Vec<Candidate> = gathered
@@ -255,13 +257,13 @@
             kept = rest.len();
             let fades = age::faded(every);
             for (host, of) in rest {
-                let met = Met {
-                    tries: of.met.tries * fades,
-                    errored: of.met.errored * fades,
+                let met = AttemptOutcomes {
+                    attempts: of.met.attempts * fades,
+                    failures: of.met.failures * fades,
                     ..of.met
                 };
-                let met = Met {
-                    over: met.over + every,
+                let met = AttemptOutcomes {
+                    period: met.period + every,
                     ..met
                 };
                 self.rounds.keep(host, Gathered { met, ..of });
@@ -271,8 +273,8 @@
             .iter()
             .map(|(_, of)| now - of.at)
             .max()
-            .unwrap_or(Span::ZERO);
-        let mut lines: BTreeMap<HostId, Met> = gathered
+            .unwrap_or(Duration::ZERO);
+        let mut lines: BTreeMap<HostId, AttemptOutcomes> = gathered
             .into_iter()
             .map(|(host, of)| (host, of.met))
             .collect();
@@ -280,7 +282,7 @@
             lines.entry(host).or_insert(met);
         }
         if !lines.is_empty() || kept > 0 {
-            let (hosts, oldest_us) = (lines.len(), oldest.as_micros());
+            let (hosts, oldest_us) = (lines.len(), oldest.micros());
             self.out.push_back(Output::Looked {
                 hosts,
                 kept,
@@ -290,14 +292,14 @@
         }
         let fresh = self
             .load_every
-            .unwrap_or(Span::ZERO)
+            .unwrap_or(Duration::ZERO)
             .max(every)
-            .times(LOAD_PERIODS);
+            .scaled(LOAD_PERIODS);
         for (host, met) in lines {
             let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
             let load = load.map(|(_, told)| told.load());
-            let met = Met { load, ..met };
-            self.steward.met(now, &host, met);
+            let met = AttemptOutcomes { load, ..met };
+            self.steward.record_outcomes(now, &host, met);
             self.told_at.insert(host.clone(), now);
             self.met.insert(host, met);
         }
@@ -329,8 +331,8 @@
         Candidate {
             host: host.clone(),
             told: self.told_at.get(host).copied().unwrap_or_default(),
-            tries: of.met.tries,
-            errored: of.met.errored,
+            tries: of.met.attempts,
+            errored: of.met.failures,
             changing: self.list.is_cold(host, self.now) || self.list.must_go(host),
         }
     }
--- a/crates/daemon-core/src/round.rs
+++ b/crates/daemon-core/src/round.rs
@@ -1,15 +1,17 @@
 //! Sums of all proxies gathered into one look at each host, as the module weighs each line it is told.
 
-use pondarch_controller::types::{HostId, Met, Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AttemptOutcomes, HostId, Time};
 use pondarch_proxy_session::sums::Look;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// Part of the report period that a round waits for slow proxies; what comes later counts in the next one.
 const WAIT_PART: f64 = 0.4;
 
 #[derive(Debug)]
 pub(crate) struct Rounds {
-    every: Span,
+    every: Duration,
     next_at: Time,
     closes_at: Option<Time>,
     awaited: BTreeSet<u16>,
@@ -19,12 +21,12 @@
 /// What was met at a host, and since when the oldest of it is known.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gathered {
-    pub(crate) met: Met,
+    pub(crate) met: AttemptOutcomes,
     pub(crate) at: Time,
 }
 
 impl Rounds {
-    pub(crate) fn new(every: Span, now: Time) -> Rounds {
+    pub(crate) fn new(every: Duration, now: Time) -> Rounds {
         Rounds {
             every,
             next_at: now + every,
@@ -46,7 +48,7 @@
             // A stop of the machine is not made up for by many rounds at once.
             let next = self.next_at + self.every;
             self.next_at = if next > now { next } else { now + self.every };
-            self.closes_at = Some(now + self.every.times(WAIT_PART));
+            self.closes_at = Some(now + self.every.scaled(WAIT_PART));
             self.awaited.clear();
         }
         due
@@ -68,26 +70,26 @@
             return;
         }
         for (host, met) in &look.met {
-            let met = Met {
-                tries: met.tries * counts,
-                errored: met.errored * counts,
+            let met = AttemptOutcomes {
+                attempts: met.attempts * counts,
+                failures: met.failures * counts,
                 ..*met
             };
             let all = self.gathered.entry(host.clone()).or_insert(Gathered {
-                met: Met::default(),
+                met: AttemptOutcomes::default(),
                 at,
             });
             all.at = all.at.min(at);
             let all = &mut all.met;
-            let (done, more) = (all.tries - all.errored, met.tries - met.errored);
+            let (done, more) = (all.attempts - all.failures, met.attempts - met.failures);
             if more > 0.0 {
-                let sum = all.mean_time.as_micros() as f64 * done
-                    + met.mean_time.as_micros() as f64 * more;
-                all.mean_time = Span::from_micros((sum / (done + more)) as u64);
+                let sum = all.mean_latency.micros() as f64 * done
+                    + met.mean_latency.micros() as f64 * more;
+                all.mean_latency = Duration::from_micros((sum / (done + more)) as u64);
             }
-            all.tries += met.tries;
-            all.errored += met.errored;
-            all.over = all.over.max(met.over);
+            all.attempts += met.attempts;
+            all.failures += met.failures;
+            all.period = all.period.max(met.period);
         }
     }
 
--- a/crates/daemon-core/src/weigher.rs
+++ b/crates/daemon-core/src/weigher.rs
@@ -3,7 +3,7 @@
 
 use crate::list::HostList;
 use pondarch_config::Site;
-use pondarch_controller::types::{HostId, Standing, Time};
+use pondarch_controller::{EndpointState, HostId, Time};
 use pondarch_proxy_session::sums::Look;
 use pondarch_weight_solver::planner::KindFacts;
 use pondarch_weight_solver::{Estimates, Listed, Planner, Seen, Source};
@@ -93,7 +93,7 @@
         let known = list
             .known
             .iter()
-            .filter(|(_, k)| k.standing != Standing::Gone);
+            .filter(|(_, k)| k.standing != EndpointState::Removed);
         known
             .map(|(host, k)| Listed {
                 host: host.clone(),
@@ -101,7 +101,7 @@
                 cores: k.entry.cores,
                 weight: k.entry.weight,
                 warm: list.warm(host, now, self.start_share),
-                open: k.standing == Standing::Open,
+                open: k.standing == EndpointState::Ready,
             })
             .collect()
     }
--- a/crates/daemon-core/src/weighing.rs
+++ b/crates/daemon-core/src/weighing.rs
@@ -2,8 +2,9 @@
 
 use crate::course::Course;
 use crate::wire::{Event, Output};
-use pondarch_controller::types::{HostId, KindId, Span};
+use pondarch_controller::{HostId, RequestClassId};
 use pondarch_weight_solver::{Plan, Problem};
+use std::time::Duration;
 
 impl Course {
     /// Weights for a list that has just come; the listed ones where nobody solves.
@@ -24,7 +25,7 @@
         list.handed = weigher.planner.handed(now, &listed);
     }
 
-    pub(crate) fn round_closed(&mut self, fresh: Span) {
+    pub(crate) fn round_closed(&mut self, fresh: Duration) {
         let now = self.now;
         let Some(weigher) = &mut self.weigher else {
             return;
@@ -82,7 +83,7 @@
         let stepped = weigher.planner.step(now, &listed);
         let (source, let_in) = (weigher.planner.source(), weigher.planner.let_in());
         let news = std::mem::replace(&mut weigher.told, source) != source;
-        self.steward.plan_came(now, let_in);
+        self.steward.apply_capacity_plan(now, let_in);
         if news {
             self.tell(Event::WeightsFrom {
                 source: source.word().into(),
@@ -99,10 +100,16 @@
         self.tell(Event::Weighed { moved, cause });
         let listings = self.list.reweigh(handed);
         self.steward
-            .list_came(now, self.list.version, true, listings);
+            .apply_endpoint_list(now, self.list.version, true, listings);
     }
 
-    pub(crate) fn reqs_asked(&mut self, proxy: u16, kind: KindId, many: f64, over: Span) {
+    pub(crate) fn reqs_asked(
+        &mut self,
+        proxy: u16,
+        kind: RequestClassId,
+        many: f64,
+        over: Duration,
+    ) {
         let peer = &self.peers[proxy as usize];
         let (id, zone) = (peer.id, peer.zone);
         if let Some(weigher) = &mut self.weigher {
--- a/crates/daemon-core/src/wire.rs
+++ b/crates/daemon-core/src/wire.rs
@@ -2,13 +2,15 @@
 
 use crate::remembered::Remembered;
 use pondarch_config::HostEntry;
-use pondarch_controller::types::{Load, Met, Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AttemptOutcomes, HostLoad, Time};
 use pondarch_dns_core::Heard;
 use pondarch_load_report_protocol::{Report, SenderIs};
 use pondarch_weight_solver::{Fleet, Plan};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Something that happened. `conn` tells one connection to a proxy from the next.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -296,41 +298,41 @@
 }
 
 impl LoadTold {
-    pub(crate) fn of(load: &Load) -> LoadTold {
-        let service_ms = load.service.map(|span| span.secs() * 1e3);
+    pub(crate) fn of(load: &HostLoad) -> LoadTold {
+        let service_ms = load.service_time.map(|span| span.seconds() * 1e3);
         LoadTold {
-            busy: load.busy,
-            queue: load.queue,
+            busy: load.utilization,
+            queue: load.queue_length,
             service_ms,
             ..LoadTold::default()
         }
     }
 
     /// What the host says as if proxies had met it for so long.
-    pub(crate) fn met(&self, over: Span) -> Met {
-        let many = |rate: Option<f64>| rate.unwrap_or(0.0).clamp(0.0, 1e6) * over.secs();
+    pub(crate) fn met(&self, over: Duration) -> AttemptOutcomes {
+        let many = |rate: Option<f64>| rate.unwrap_or(0.0).clamp(0.0, 1e6) * over.seconds();
         let (tries, errored) = (many(self.rate), many(self.errored_rate));
-        let mean_time = self.load().service.unwrap_or(Span::ZERO);
-        Met {
-            tries,
-            errored: errored.min(tries),
-            mean_time,
-            over,
+        let mean_time = self.load().service_time.unwrap_or(Duration::ZERO);
+        AttemptOutcomes {
+            attempts: tries,
+            failures: errored.min(tries),
+            mean_latency: mean_time,
+            period: over,
             load: None,
         }
     }
 
-    pub(crate) fn load(&self) -> Load {
-        let ms = |ms: f64| Span::from_micros((ms.clamp(0.0, 3_600e3) * 1e3) as u64);
-        Load {
-            busy: self.busy,
-            queue: self.queue,
-            service: self.service_ms.map(ms),
+    pub(crate) fn load(&self) -> HostLoad {
+        let ms = |ms: f64| Duration::from_micros((ms.clamp(0.0, 3_600e3) * 1e3) as u64);
+        HostLoad {
+            utilization: self.busy,
+            queue_length: self.queue,
+            service_time: self.service_ms.map(ms),
         }
     }
 }
 
 /// Microseconds of a point in time, for records.
 pub fn micros(at: Time) -> u64 {
-    (at - Time::default()).as_micros()
+    (at - Time::default()).micros()
 }
--- a/crates/daemon-core/tests/in_memory/hard_cases.rs
+++ b/crates/daemon-core/tests/in_memory/hard_cases.rs
@@ -367,11 +367,11 @@
         7,
         1,
         START,
-        pondarch_controller::types::Time::from_micros(START),
+        pondarch_controller::Time::from_micros(START),
     );
     for n in 1..40u64 {
         core.handle(
-            pondarch_controller::types::Time::from_micros(START + n * 250_000),
+            pondarch_controller::Time::from_micros(START + n * 250_000),
             Input::Tick,
         );
     }
--- a/crates/daemon-core/tests/in_memory/names.rs
+++ b/crates/daemon-core/tests/in_memory/names.rs
@@ -4,7 +4,7 @@
 use pondarch_config::Length;
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::{Dns, Secondary};
-use pondarch_controller::types::{ProxyId, TableId};
+use pondarch_controller::{ProxyId, TableId};
 use pondarch_daemon_core::{Event, Input, LoadTold, Output};
 use pondarch_dns_core::Heard;
 use pondarch_dns_server::STANDING;
@@ -45,7 +45,7 @@
     let table = view
         .table_of(
             Some(ProxyId(proxy)),
-            pondarch_controller::types::KindId(0),
+            pondarch_controller::RequestClassId(0),
             1,
         )
         .map(|table| table.0);
@@ -60,7 +60,7 @@
     town.core
         .view()
         .bound
-        .get(&(ProxyId(proxy), pondarch_controller::types::KindId(0)))
+        .get(&(ProxyId(proxy), pondarch_controller::RequestClassId(0)))
         .copied()
 }
 
@@ -96,7 +96,7 @@
     let mut town = town();
     let first = town.core.view();
     let standing = first
-        .table_of(None, pondarch_controller::types::KindId(0), 77)
+        .table_of(None, pondarch_controller::RequestClassId(0), 77)
         .expect("the list itself");
     assert!(standing == STANDING && first.lines(standing).len() == 12);
     for mark in 0..40 {
@@ -124,7 +124,7 @@
             view.bound.values().copied().chain([STANDING]).collect();
         assert!(view.tables.keys().all(|table| used.contains(table)));
         assert!(
-            view.table_of(None, pondarch_controller::types::KindId(0), 77)
+            view.table_of(None, pondarch_controller::RequestClassId(0), 77)
                 .is_some()
         );
         town.run(2_000);
@@ -312,7 +312,7 @@
                 let view = town.core.view();
                 let table = view.table_of(
                     Some(ProxyId(proxy)),
-                    pondarch_controller::types::KindId(0),
+                    pondarch_controller::RequestClassId(0),
                     1,
                 );
                 let lines = table
--- a/crates/daemon-core/tests/in_memory/pushes.rs
+++ b/crates/daemon-core/tests/in_memory/pushes.rs
@@ -574,14 +574,11 @@
             7,
             1,
             START,
-            pondarch_controller::types::Time::from_micros(START),
+            pondarch_controller::Time::from_micros(START),
         );
         let mut outputs = Vec::new();
         for (at, input) in &inputs {
-            core.handle(
-                pondarch_controller::types::Time::from_micros(*at),
-                input.clone(),
-            );
+            core.handle(pondarch_controller::Time::from_micros(*at), input.clone());
             outputs.extend(std::iter::from_fn(|| core.next_output()));
         }
         serde_json::to_string(&outputs).expect("written")
--- a/crates/daemon-core/tests/in_memory/replay.rs
+++ b/crates/daemon-core/tests/in_memory/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::town::*;
 use pondarch_config::hosts::HostState;
-use pondarch_controller::types::Time;
+use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output};
 use proptest::prelude::*;
 
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/town.rs
@@ -3,7 +3,8 @@
 
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::{Length, Site, site};
-use pondarch_controller::types::Time;
+use pondarch_controller::DurationExt;
+use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
 use pondarch_proxy_core::holding::{Holding, Server};
 use pondarch_runtime_api::{AdminState, Command, command};
@@ -318,7 +319,7 @@
         self.deliver();
         loop {
             let wake = (self.core.wake_at() - Time::default())
-                .as_micros()
+                .micros()
                 .max(self.now + 1);
             if wake > end {
                 break;
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -3,7 +3,7 @@
 use crate::town::*;
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::Weights;
-use pondarch_controller::types::Time;
+use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use pondarch_config::site::Records;
 use pondarch_config::{HostEntry, Site, site_from_text};
-use pondarch_controller::types::Time;
+use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
 use pondarch_daemon_core::{Core, Input, Output, wire::micros};
 use pondarch_event_log::disk::Trouble;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -8,7 +8,6 @@
 use crate::recorder::{self, Recorder};
 use crate::{dns, hosts_file, log};
 use pondarch_config::Site;
-use pondarch_controller::types::Span;
 use pondarch_daemon_core::{Core, Input, Output, wire};
 use pondarch_io_util::Clock;
 use pondarch_load_report_protocol::ToSender;
@@ -29,7 +28,7 @@
 /// from and operators answered later, and nothing is lost.
 const INPUTS_MOST: usize = 4096;
 /// How often the edge's memory is counted, and the part by which it must have changed to be told.
-const COUNTED_EVERY: Span = Span::from_millis(1_000);
+const COUNTED_EVERY: Duration = Duration::from_millis(1_000);
 const COUNTED_PART: f64 = 0.125;
 /// What a connection takes, with its task and buffers, in bytes, roughly.
 const CONNECTION_BYTES: u64 = 8 * 1024;
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -4,7 +4,8 @@
 use futures_util::{SinkExt, StreamExt};
 use pondarch_config::site::{Dns, Secondary};
 use pondarch_config::{Endpoint, Site};
-use pondarch_controller::types::{ProxyId, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{ProxyId, Time};
 use pondarch_daemon_core::Input;
 use pondarch_daemon_core::names::TOLD_WITHIN;
 use pondarch_dns_core::Limits;
@@ -80,7 +81,7 @@
         sources,
     )
     .map_err(|e| wrong(e.to_string()))?;
-    zone.expire_s = u32::try_from(dns.expires.0.as_micros() / 1_000_000).unwrap_or(u32::MAX);
+    zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
     let copies = Copies::new(keys(dns)?);
     let limits = Limits::new(dns.answers_per_second, SOURCES_MOST, clock.now());
     let listen = |wrong| DaemonError::Listen {
@@ -181,7 +182,7 @@
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
             let last = told.get(&(reply.asked, table)).copied();
             // Told again well within the time that the core reckons with, and at once of another serial.
-            if last.is_some_and(|(at, of)| of == serial && now - at < TOLD_WITHIN.times(0.5)) {
+            if last.is_some_and(|(at, of)| of == serial && now - at < TOLD_WITHIN.scaled(0.5)) {
                 return;
             }
             told.insert((reply.asked, table), (now, serial));
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -4,7 +4,7 @@
 use crate::error::DaemonError;
 use pondarch_config::Site;
 use pondarch_config::site::Records;
-use pondarch_controller::types::{Span, Time};
+use pondarch_controller::Time;
 use pondarch_daemon_core::{Input, Output, RecordsState, Remembered, wire::micros};
 use pondarch_event_log::disk::LockError;
 use pondarch_event_log::keeping::State;
@@ -130,7 +130,7 @@
     queued: bool,
     /// Inputs that found no room and were not said to be missing yet.
     gap: Option<(u64, u64)>,
-    every: Span,
+    every: Duration,
     snapshot_at: Time,
     epoch: u64,
 }
@@ -150,7 +150,7 @@
         let keep = Keep {
             segment_bytes: records.segment_bytes,
             all_bytes: records.all_bytes,
-            age: Span::from_micros((records.kept_days * 86_400e6) as u64),
+            age: Duration::from_micros((records.kept_days * 86_400e6) as u64),
             sure_within: records.sure_within.0,
         };
         let (epoch, at, every) = (
@@ -313,9 +313,7 @@
         loop {
             let now = self.clock.now();
             let due = self.log.as_ref().and_then(|log| log.keeping().sure_at());
-            let wait = due.map_or(Duration::from_millis(500), |at| {
-                Duration::from_micros((at - now).as_micros())
-            });
+            let wait = due.map_or(Duration::from_millis(500), |at| at - now);
             let mut words = match self.queue.recv_timeout(wait.max(Duration::from_millis(1))) {
                 Ok(word) => vec![word],
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -2,10 +2,13 @@
 //! names that it gives numbers to. Times there are in microseconds.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
+#![allow(clippy::too_many_lines, missing_docs)]
 
-use pondarch_controller::types::*;
+use pondarch_controller::{
+    AdmissionMode, DeploymentConfig, HostLoad, MachineTypeId, RequestClass, RetryPolicy, ZoneId,
+};
 use serde_json::Value;
+use std::time::Duration;
 use thiserror::Error;
 
 /// The settings are no object.
@@ -14,14 +17,14 @@
 pub struct NoObject;
 
 /// When proxies try again, by the numbers that settings and orders give them.
-const TRIES: [Tries; 4] = [
-    Tries::Once,
-    Tries::AgainIfNeverRun,
-    Tries::AgainOnFailure,
-    Tries::TwiceOnFailure,
+const TRIES: [RetryPolicy; 4] = [
+    RetryPolicy::Never,
+    RetryPolicy::IfUnprocessed,
+    RetryPolicy::OnceOnFailure,
+    RetryPolicy::TwiceOnFailure,
 ];
 
-pub fn number_of_tries(tries: Tries) -> usize {
+pub fn number_of_tries(tries: RetryPolicy) -> usize {
     TRIES
         .iter()
         .position(|known| *known == tries)
@@ -42,8 +45,8 @@
         ZoneId(number_of(&mut self.zones, name))
     }
 
-    pub fn machine(&mut self, name: &str) -> MachineId {
-        MachineId(number_of(&mut self.machines, name))
+    pub fn machine(&mut self, name: &str) -> MachineTypeId {
+        MachineTypeId(number_of(&mut self.machines, name))
     }
 
     /// The number of a zone that the settings or a list named; none for any other.
@@ -89,19 +92,19 @@
 }
 
 /// Notes one value of a load report. The bench and the platform each have their own names for the same values.
-pub fn note_load(load: &mut Load, name: &str, value: f64) {
+pub fn note_load(load: &mut HostLoad, name: &str, value: f64) {
     match name {
-        "busy" | "util" => load.busy = Some(value),
-        "q" | "queue" => load.queue = Some(value),
+        "busy" | "util" => load.utilization = Some(value),
+        "q" | "queue" => load.queue_length = Some(value),
         "lat_ms" | "latency_ms" => {
-            load.service = Some(Span::from_micros((value.max(0.0) * 1e3) as u64))
+            load.service_time = Some(Duration::from_micros((value.max(0.0) * 1e3) as u64))
         }
         _ => {}
     }
 }
 
 /// Reads the settings. Unknown keys and values are passed over.
-pub fn read(all: &Value) -> Result<(JobTicket, Names), NoObject> {
+pub fn read(all: &Value) -> Result<(DeploymentConfig, Names), NoObject> {
     if !all.is_object() {
         return Err(NoObject);
     }
@@ -134,49 +137,49 @@
         .map(Vec::as_slice)
         .unwrap_or_default();
     let own_zone = |k: usize| family["classOwnZone"][k].as_bool().unwrap_or(false);
-    let ticket = JobTicket {
-        kinds: kinds
+    let ticket = DeploymentConfig {
+        request_classes: kinds
             .iter()
             .enumerate()
             .map(|(k, kind)| kind_ticket(kind, own_zone(k)))
             .collect(),
-        proxies: number(&family["proxies"]) as u64,
-        sliced: number(&family["partitionsN"]) > 0.0,
-        zones: names.zones.len() as u16,
-        base_tries: family["baseMode"]
+        proxy_count: number(&family["proxies"]) as u64,
+        partitioned: number(&family["partitionsN"]) > 0.0,
+        zone_count: names.zones.len() as u16,
+        base_retry_policy: family["baseMode"]
             .as_u64()
             .and_then(|number| TRIES.get(number as usize))
             .copied(),
         admission: match family["admission"].as_str() {
-            Some("share") => Admission::Share,
-            Some("rate") => Admission::Rate,
-            _ => Admission::Off,
+            Some("share") => AdmissionMode::Share,
+            Some("rate") => AdmissionMode::Rate,
+            _ => AdmissionMode::Off,
         },
-        channel_rate: number(&family["channelRate"]),
-        most_waiting: number(&family["mostWaiting"]),
-        lines_per_message: number(&family["perMessage"]),
-        message_cap: number(&family["updateCap"]) as u64,
+        update_rate: number(&family["channelRate"]),
+        max_queued_lines: number(&family["mostWaiting"]),
+        message_overhead_lines: number(&family["perMessage"]),
+        max_messages_per_window: number(&family["updateCap"]) as u64,
         message_window: span(&family["updateWindow"]),
-        must_ask: all["discovery"] == "on_request",
-        ask_within: span(&rules["askWithin"]),
-        orders_together: 0,
-        marks: true,
-        probes: limits["probes"].as_bool().unwrap_or(false),
-        report_every: span(&family["reportEvery"]),
-        start_capacity: number(&rules["startCapacity"]),
-        cold: span(&rules["cold"]),
-        crossing_price: number(&all["prices"]["crossZone"]),
-        drain_grace: span(&rules["stopSendingWithin"]),
-        gone_is_no_drain: rules["removalNotBinding"].as_bool().unwrap_or(false),
+        poll_endpoints: all["discovery"] == "on_request",
+        poll_interval: span(&rules["askWithin"]),
+        max_batch_size: 0,
+        acks_supported: true,
+        health_checks: limits["probes"].as_bool().unwrap_or(false),
+        report_interval: span(&family["reportEvery"]),
+        initial_capacity: number(&rules["startCapacity"]),
+        slow_start_window: span(&rules["cold"]),
+        cross_zone_cost: number(&all["prices"]["crossZone"]),
+        drain_grace_period: span(&rules["stopSendingWithin"]),
+        removal_is_advisory: rules["removalNotBinding"].as_bool().unwrap_or(false),
     };
     Ok((ticket, names))
 }
 
-fn kind_ticket(kind: &Value, own_zone: bool) -> KindTicket {
-    KindTicket {
-        response_target: span(&kind["aim"]),
-        benefit: number(&kind["worth"]),
-        own_zone,
+fn kind_ticket(kind: &Value, own_zone: bool) -> RequestClass {
+    RequestClass {
+        latency_objective: span(&kind["aim"]),
+        priority_weight: number(&kind["worth"]),
+        zone_local: own_zone,
     }
 }
 
@@ -196,6 +199,6 @@
         .unwrap_or(0.0)
 }
 
-fn span(value: &Value) -> Span {
-    Span::from_micros(number(value) as u64)
+fn span(value: &Value) -> Duration {
+    Duration::from_micros(number(value) as u64)
 }
--- a/crates/dns-core/src/held.rs
+++ b/crates/dns-core/src/held.rs
@@ -1,15 +1,16 @@
 //! What caches may still hold of what was answered: for each table, which of its versions, until when. It says how long
 //! a host may still be met after it left, and whether one that starts anew is still sent reqs by answers from before.
 
-use pondarch_controller::types::{HostId, Span, TableId, Time};
+use pondarch_controller::{HostId, TableId, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Versions of a table that are remembered. Answers last seconds and tables change by the second at most, so there are
 /// a few; beyond that the two oldest count as one, by the greater part of each host.
 const VERSIONS_MOST: usize = 16;
 /// How long a version that was replaced is kept though nobody is known to hold it: word of its last answer may be late.
-const WORD_WITHIN: Span = Span::from_millis(1_000);
+const WORD_WITHIN: Duration = Duration::from_millis(1_000);
 
 /// A host as it was answered: its part of the table's reqs, and which process was meant.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -73,7 +74,7 @@
     }
 
     /// The table as it was at this serial was given to somebody who may hold it for so long.
-    pub fn answered(&mut self, now: Time, serial: u32, table: TableId, held: Span) {
+    pub fn answered(&mut self, now: Time, serial: u32, table: TableId, held: Duration) {
         let Some(versions) = self.tables.get_mut(&table) else {
             return;
         };
@@ -85,7 +86,7 @@
 
     /// Somebody serves the whole zone to others, as it is at this serial or later ones: every table's version of then,
     /// and all later ones, may be answered now and held for so long.
-    pub fn served(&mut self, now: Time, serial: u32, held: Span) {
+    pub fn served(&mut self, now: Time, serial: u32, held: Duration) {
         for versions in self.tables.values_mut() {
             let from = in_force(versions, serial);
             for version in versions.iter_mut().skip(from) {
@@ -213,7 +214,7 @@
     }
 
     const TABLE: TableId = TableId(0);
-    const HELD: Span = Span::from_millis(3_000);
+    const HELD: Duration = Duration::from_millis(3_000);
 
     #[test]
     fn a_drain_just_after_an_answer_lingers_for_its_whole_life_and_no_longer() {
--- a/crates/dns-core/src/lifetime.rs
+++ b/crates/dns-core/src/lifetime.rs
@@ -4,11 +4,12 @@
 //! So: time to learn of a drain, plus the lifetime, plus what a cache adds by counting whole seconds, is within the
 //! grace. Lifetimes are whole seconds (RFC 1035, section 3.2.1; the top bit is never set, RFC 2181, section 8).
 
-use pondarch_controller::types::Span;
+use pondarch_controller::DurationExt;
+use std::time::Duration;
 use thiserror::Error;
 
 /// A cache may count a part of a second as none: an answer of 1 s is held for up to 2.
-const COUNTED: Span = Span::from_millis(1_000);
+const COUNTED: Duration = Duration::from_millis(1_000);
 /// Longest lifetime that is ever given, in seconds: a mistake in a table must not last.
 const LONGEST_S: u32 = 300;
 
@@ -42,15 +43,19 @@
     /// first answer without the host.
     ///
     /// Errors: no whole second is left, or less than is wanted.
-    pub fn of(grace: Span, learn: Span, wanted_s: Option<u32>) -> Result<Lifetime, LifetimeError> {
+    pub fn of(
+        grace: Duration,
+        learn: Duration,
+        wanted_s: Option<u32>,
+    ) -> Result<Lifetime, LifetimeError> {
         let off = learn + COUNTED;
-        let left_us = grace.as_micros().saturating_sub(off.as_micros());
+        let left_us = grace.micros().saturating_sub(off.micros());
         let most_s = u32::try_from(left_us / 1_000_000)
             .unwrap_or(LONGEST_S)
             .min(LONGEST_S);
         if most_s == 0 {
-            let ms = |span: Span| span.as_micros() / 1_000;
-            let least = off + Span::from_millis(1_000);
+            let ms = |span: Duration| span.micros() / 1_000;
+            let least = off + Duration::from_millis(1_000);
             return Err(LifetimeError::TooShort {
                 grace_ms: ms(grace),
                 learn_ms: ms(learn),
@@ -71,16 +76,16 @@
 
     /// How long after its hosts were told away a table's last answer may still be given with a lifetime of 1 s, when
     /// the table has nothing else: it has run out before the grace ends. None: no time at all.
-    pub fn last_answer_for(grace: Span) -> Option<Span> {
+    pub fn last_answer_for(grace: Duration) -> Option<Duration> {
         let left = grace
-            .as_micros()
-            .checked_sub((Span::from_millis(1_000) + COUNTED).as_micros())?;
-        Some(Span::from_micros(left)).filter(|left| *left > Span::ZERO)
+            .micros()
+            .checked_sub((Duration::from_millis(1_000) + COUNTED).micros())?;
+        Some(Duration::from_micros(left)).filter(|left| *left > Duration::ZERO)
     }
 
     /// How long a cache may hold an answer at most.
-    pub fn held(&self) -> Span {
-        Span::from_millis(u64::from(self.hosts_s) * 1_000) + COUNTED
+    pub fn held(&self) -> Duration {
+        Duration::from_millis(u64::from(self.hosts_s) * 1_000) + COUNTED
     }
 }
 
@@ -88,13 +93,16 @@
 mod tests {
     use super::*;
 
-    const S: fn(u64) -> Span = |s| Span::from_millis(s * 1_000);
+    const S: fn(u64) -> Duration = |s| Duration::from_millis(s * 1_000);
 
     #[test]
     fn a_lifetime_fits_in_the_grace_or_is_refused() {
         for grace_ms in (0..20_000).step_by(130) {
             for learn_ms in [0, 100, 350, 2_000] {
-                let (grace, learn) = (Span::from_millis(grace_ms), Span::from_millis(learn_ms));
+                let (grace, learn) = (
+                    Duration::from_millis(grace_ms),
+                    Duration::from_millis(learn_ms),
+                );
                 match Lifetime::of(grace, learn, None) {
                     Ok(life) => assert!(
                         learn + life.held() <= grace,
@@ -102,7 +110,7 @@
                     ),
                     Err(LifetimeError::TooShort { least_ms, .. }) => {
                         assert!(least_ms > grace_ms);
-                        assert!(Lifetime::of(Span::from_millis(least_ms), learn, None).is_ok());
+                        assert!(Lifetime::of(Duration::from_millis(least_ms), learn, None).is_ok());
                     }
                     Err(other) => panic!("{other}"),
                 }
@@ -130,7 +138,7 @@
         assert_eq!(Lifetime::last_answer_for(S(6)), Some(S(4)));
         assert_eq!(Lifetime::last_answer_for(S(2)), None);
         let text =
-            Lifetime::of(S(2), Span::from_millis(350), None).map_err(|wrong| wrong.to_string());
+            Lifetime::of(S(2), Duration::from_millis(350), None).map_err(|wrong| wrong.to_string());
         assert!(text.is_err_and(|text| text.contains("with 2350 ms it would")));
     }
 }
--- a/crates/dns-core/src/limits.rs
+++ b/crates/dns-core/src/limits.rs
@@ -1,9 +1,11 @@
 //! How often a source is answered over UDP, where sources can be forged: so many answers a second for each small net,
 //! and of what is over that each few a truncated one, so that a real asker behind a forged flood comes by TCP.
 
-use pondarch_controller::types::{Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::Time;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
+use std::time::Duration;
 
 /// Seconds of answers that a source may save up: a resolver asks for all kinds at once.
 const SAVED_S: f64 = 2.0;
@@ -95,7 +97,7 @@
             return;
         };
         let idle = self.sources.get(&oldest).is_none_or(|source| {
-            source.saved + (now - source.at).secs() * self.per_s >= self.per_s * SAVED_S
+            source.saved + (now - source.at).seconds() * self.per_s >= self.per_s * SAVED_S
         });
         if idle {
             self.sources.remove(&oldest);
@@ -115,8 +117,8 @@
 
 impl Source {
     fn spend(&mut self, now: Time, per_s: f64) -> Verdict {
-        let passed: Span = now - self.at;
-        self.saved = (self.saved + passed.secs() * per_s).min(per_s * SAVED_S);
+        let passed: Duration = now - self.at;
+        self.saved = (self.saved + passed.seconds() * per_s).min(per_s * SAVED_S);
         self.at = self.at.max(now);
         if self.saved >= 1.0 {
             self.saved -= 1.0;
--- a/crates/dns-core/src/members.rs
+++ b/crates/dns-core/src/members.rs
@@ -1,8 +1,10 @@
 //! Membership without a stream. A proxy that asks is joined; one that has not asked for some lifetimes has left. Nothing
 //! else is known: a restart is not seen, and a proxy that holds answers longer than it may looks like one that is away.
 
-use pondarch_controller::types::{ProxyId, Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::{ProxyId, Time};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Lifetimes without an ask after which a proxy has left: caches refresh late, and some only when a req comes.
 const LEAVES_AFTER: f64 = 4.0;
@@ -29,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     /// How long an answer may be held.
-    held: Span,
+    held: Duration,
     most: usize,
     members: BTreeMap<ProxyId, Member>,
     untracked: u64,
@@ -37,7 +39,7 @@
 
 impl Members {
     /// `held`: how long an answer may be held at most; `most`: members at one time.
-    pub fn new(held: Span, most: usize) -> Members {
+    pub fn new(held: Duration, most: usize) -> Members {
         Members {
             held,
             most,
@@ -79,7 +81,7 @@
 
     /// Those who have left by now; each is named once.
     pub fn left(&mut self, now: Time) -> Vec<ProxyId> {
-        let limit = self.held.times(LEAVES_AFTER);
+        let limit = self.held.scaled(LEAVES_AFTER);
         let gone = |member: &Member| now - member.asked >= limit;
         let left: Vec<ProxyId> = self
             .members
@@ -95,7 +97,7 @@
     pub fn wake_at(&self) -> Option<Time> {
         self.members
             .values()
-            .map(|member| member.asked + self.held.times(LEAVES_AFTER))
+            .map(|member| member.asked + self.held.scaled(LEAVES_AFTER))
             .min()
     }
 
@@ -136,7 +138,7 @@
 
     #[test]
     fn asking_joins_and_not_asking_leaves_once() {
-        let mut members = Members::new(Span::from_millis(5_000), 10);
+        let mut members = Members::new(Duration::from_millis(5_000), 10);
         assert_eq!(members.asked(at(0), ProxyId(1)), Asked::Joined);
         assert_eq!(members.asked(at(4), ProxyId(1)), Asked::Known);
         assert_eq!(members.wake_at(), Some(at(24)));
@@ -148,7 +150,7 @@
 
     #[test]
     fn beyond_the_cap_nobody_is_pushed_out() {
-        let mut members = Members::new(Span::from_millis(5_000), 2);
+        let mut members = Members::new(Duration::from_millis(5_000), 2);
         assert_eq!(members.asked(at(0), ProxyId(1)), Asked::Joined);
         assert_eq!(members.asked(at(0), ProxyId(2)), Asked::Joined);
         (3..1_000).for_each(|n| assert_eq!(members.asked(at(1), ProxyId(n)), Asked::Full));
@@ -158,7 +160,7 @@
 
     #[test]
     fn who_asks_late_again_and_again_holds_too_long() {
-        let mut members = Members::new(Span::from_millis(5_000), 10);
+        let mut members = Members::new(Duration::from_millis(5_000), 10);
         for n in 0..4 {
             members.asked(at(n * 15), ProxyId(1));
             members.asked(at(n * 5), ProxyId(2));
--- a/crates/dns-core/src/secondaries.rs
+++ b/crates/dns-core/src/secondaries.rs
@@ -5,16 +5,18 @@
 //! comes off the lifetime of answers, and one that is behind for longer is told to operators.
 
 use crate::held::newer;
-use pondarch_controller::types::{Span, Time};
+use pondarch_controller::DurationExt;
+use pondarch_controller::Time;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 
 /// Wait before a word that was not answered is said again; it doubles up to the most.
-const AGAIN_LEAST: Span = Span::from_millis(200);
-const AGAIN_MOST: Span = Span::from_millis(5_000);
+const AGAIN_LEAST: Duration = Duration::from_millis(200);
+const AGAIN_MOST: Duration = Duration::from_millis(5_000);
 /// A secondary that answered the word and did not fetch within this time is told again.
-const FETCHES_WITHIN: Span = Span::from_millis(1_000);
+const FETCHES_WITHIN: Duration = Duration::from_millis(1_000);
 /// Words to one secondary are at least this far apart: changes that come close together are fetched at once.
-const GATHERED: Span = Span::from_millis(100);
+const GATHERED: Duration = Duration::from_millis(100);
 
 /// What is heard of a secondary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,13 +45,13 @@
 pub struct Secondaries {
     of: Vec<Secondary>,
     serial: Option<u32>,
-    behind_most: Span,
+    behind_most: Duration,
     /// One that was not heard of for this long serves no more (the SOA's EXPIRE, RFC 1035, section 3.3.13).
-    expires: Span,
+    expires: Duration,
 }
 
 impl Secondaries {
-    pub fn new(count: usize, behind_most: Span, expires: Span) -> Secondaries {
+    pub fn new(count: usize, behind_most: Duration, expires: Duration) -> Secondaries {
         Secondaries {
             of: vec![Secondary::default(); count],
             serial: None,
@@ -101,7 +103,7 @@
         let mut said = Vec::new();
         for (n, one) in self.of.iter_mut().enumerate().filter(|(_, one)| due(one)) {
             let wait = AGAIN_LEAST
-                .times(f64::from(1u32 << one.tries.min(16)))
+                .scaled(f64::from(1u32 << one.tries.min(16)))
                 .min(AGAIN_MOST);
             one.tries += 1;
             (one.said, one.say_at) = (Some(now), Some(now + wait));
@@ -135,7 +137,7 @@
         let late = |one: &Secondary| {
             one.behind_since
                 .filter(|_| !one.told_late)
-                .map(|since| since + self.behind_most + Span::from_micros(1))
+                .map(|since| since + self.behind_most + Duration::from_micros(1))
         };
         self.of
             .iter()
@@ -160,7 +162,11 @@
     }
 
     fn two() -> Secondaries {
-        Secondaries::new(2, Span::from_millis(1_000), Span::from_millis(60_000))
+        Secondaries::new(
+            2,
+            Duration::from_millis(1_000),
+            Duration::from_millis(60_000),
+        )
     }
 
     #[test]
--- a/crates/dns-core/src/srv.rs
+++ b/crates/dns-core/src/srv.rs
@@ -1,7 +1,7 @@
 //! Tables as SRV records: weights of 16 bits (RFC 2782), none of them 0 for a host that is wanted, and a sample that is
 //! true to the weights where an answer has no room for all.
 
-use pondarch_controller::types::HostId;
+use pondarch_controller::HostId;
 
 /// The heaviest line's weight. Rounding moves a line by half of one: 1 in 2,000 of the heaviest at most.
 const HEAVIEST: f64 = 1_000.0;
