--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -47,6 +47,19 @@
     SetTimer(Duration),
 }
 
+impl Decision {
+    /// Whether it goes to the proxies, and so counts as an update.
+    #[must_use]
+    pub fn is_update(&self) -> bool {
+        matches!(
+            self,
+            Decision::SetWeight { .. }
+                | Decision::BindProxy { .. }
+                | Decision::SetAdmissionRate { .. }
+        )
+    }
+}
+
 /// What became of updates that were to be carried out together, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -33,3 +33,14 @@
     /// Whether it may be sent requests.
     pub state: EndpointState,
 }
+
+/// The endpoint list, or changes to it.
+#[derive(Clone, Debug, Default)]
+pub struct EndpointList {
+    /// Its number; changes of a lower one than the list's are outdated.
+    pub generation: u64,
+    /// Whether it names all hosts: those that it does not name are removed then.
+    pub complete: bool,
+    /// The hosts.
+    pub endpoints: Vec<Endpoint>,
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,24 +4,42 @@
 //! [`Decision`]s one by one. It does no I/O and reads no clock: each call is given the time, and all randomness comes
 //! from the seed, so that the same inputs always give the same decisions.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)]
-
+mod admission_control;
+mod assignment;
+mod attempt_stats;
 mod config;
-mod decide;
+mod controller;
 mod decision;
 mod endpoint;
+mod endpoint_poll;
+mod host;
+mod host_policy;
 mod ids;
+mod load_reports;
+mod memberships;
+mod outlier_detection;
+mod pending_acks;
+mod placement;
+mod proxy;
+mod publishing;
+mod rate_model;
 mod report;
-mod state;
+mod shards;
+mod slow_start;
+mod statistics;
 mod status;
+mod tables;
 mod time;
+mod update_queue;
+mod weight_reduction;
 
 pub use config::{AdmissionMode, DeploymentConfig, RequestClass, RetryPolicy};
-pub use decide::Controller;
+pub use controller::Controller;
 pub use decision::{Decision, UpdateResult};
-pub use endpoint::{Endpoint, EndpointState};
+pub use endpoint::{Endpoint, EndpointList, EndpointState};
 pub use ids::{AckId, CellId, HostId, MachineTypeId, ProxyId, RequestClassId, TableId, ZoneId};
+pub use outlier_detection::HealthCheckResult;
+pub use proxy::JoiningProxy;
 pub use report::{AttemptOutcomes, HostLoad};
 pub use status::{HostFailures, LineCounts, StatusSnapshot, Throughput, UpdateQueueStatus};
 pub use time::{DurationExt, Time};
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -1,8 +1,20 @@
 //! What a controller believes, for logs and operators.
 
+use crate::admission_control::AdmissionController;
+use crate::host::{Host, HostRegistry};
+use crate::host_policy::HostPolicy;
 use crate::ids::HostId;
+use crate::load_reports::LoadReports;
+use crate::placement::MIN_STRONG_PART;
+use crate::proxy::ProxyRegistry;
+use crate::statistics::median;
+use crate::time::Time;
+use crate::update_queue::UpdateQueue;
 use std::time::Duration;
 
+/// Failed attempts from which a host is named.
+const NAMED_FROM_FAILURES: f64 = 0.3;
+
 /// What a controller believes at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatusSnapshot {
@@ -91,3 +103,57 @@
     /// Time from sending the last message that was acknowledged until its acknowledgement came.
     pub last_ack_delay: Duration,
 }
+
+/// What a snapshot is made of.
+pub(crate) struct Sources<'a> {
+    pub(crate) now: Time,
+    pub(crate) hosts: &'a HostRegistry,
+    pub(crate) policy: &'a HostPolicy,
+    pub(crate) reports: &'a LoadReports,
+    pub(crate) admission: &'a AdmissionController,
+    pub(crate) proxies: &'a ProxyRegistry,
+    pub(crate) queue: &'a UpdateQueue,
+}
+
+impl Sources<'_> {
+    fn hosts_where(&self, is_named: impl Fn(&Host) -> bool) -> Vec<HostId> {
+        let named = self.hosts.iter().filter(|host| is_named(host));
+        named.map(|host| host.id().clone()).collect()
+    }
+
+    fn failing_hosts(&self) -> Vec<HostFailures> {
+        let failing = self
+            .hosts
+            .iter()
+            .filter(|host| host.stats.failures() > NAMED_FROM_FAILURES);
+        failing
+            .map(|host| HostFailures {
+                host: host.id().clone(),
+                attempts: host.stats.attempts(),
+                failure_ratio: host.stats.failures() / host.stats.attempts(),
+            })
+            .collect()
+    }
+}
+
+/// What is believed now: read from the decisions' state, and no part of any decision.
+pub(crate) fn snapshot(sources: &Sources<'_>) -> StatusSnapshot {
+    let is_ready = |host: &&Host| sources.policy.is_ready(host, sources.now);
+    let loads = sources.hosts.iter().filter_map(|host| host.stats.load());
+    StatusSnapshot {
+        known_hosts: sources.hosts.len(),
+        ready_hosts: sources.hosts.iter().filter(is_ready).count(),
+        ejected: sources.hosts_where(|host| host.ejection.is_ejected()),
+        on_probation: sources.hosts_where(|host| host.ejection.is_on_probation()),
+        weight_reduced: sources
+            .hosts_where(|host| host.weight_reduction.lost() > 1.0 - MIN_STRONG_PART),
+        failing: sources.failing_hosts(),
+        admitted_fractions: sources.admission.fractions().to_vec(),
+        overload: sources.admission.overload(),
+        median_load: median(loads).unwrap_or(0.0),
+        report_delay: Duration::from_micros((sources.reports.delay_s() * 1e6) as u64),
+        demand: sources.proxies.demand(),
+        throughput: sources.reports.throughput(sources.hosts.iter()),
+        update_queue: sources.queue.status(),
+    }
+}
--- /dev/null
+++ b/crates/controller/src/tables.rs
@@ -0,0 +1,220 @@
+//! The routing tables: how many there are and of which kind, and what is known of each one's proxies.
+
+use crate::config::{DeploymentConfig, RetryPolicy};
+use crate::ids::{RequestClassId, ZoneId};
+use crate::time::Time;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// Proxies that a table needs (the design's bound).
+const PROXIES_PER_TABLE: u64 = 5;
+
+/// Which tables there are: the shared ones first, then one for each zone if classes are confined to zones.
+pub(crate) struct TableLayout {
+    shared_tables: usize,
+    zone_tables: usize,
+    shared_classes: Vec<RequestClassId>,
+    zone_local_classes: Vec<RequestClassId>,
+}
+
+impl TableLayout {
+    pub(crate) fn new(config: &DeploymentConfig) -> TableLayout {
+        let classes = || config.request_classes.iter().enumerate();
+        let of_kind = |zone_local: bool| -> Vec<RequestClassId> {
+            classes()
+                .filter(|(_, class)| class.zone_local == zone_local)
+                .map(|(index, _)| RequestClassId(index as u8))
+                .collect()
+        };
+        let zone_local_classes = of_kind(true);
+        let zone_tables = if zone_local_classes.is_empty() {
+            0
+        } else {
+            config.zone_count as usize
+        };
+        let shared_tables = config.proxy_count.saturating_sub(1) / PROXIES_PER_TABLE;
+        TableLayout {
+            shared_tables: shared_tables.max(1) as usize,
+            zone_tables,
+            shared_classes: of_kind(false),
+            zone_local_classes,
+        }
+    }
+
+    pub(crate) fn shared_tables(&self) -> usize {
+        self.shared_tables
+    }
+
+    pub(crate) fn has_zone_tables(&self) -> bool {
+        self.zone_tables > 0
+    }
+
+    fn len(&self) -> usize {
+        self.shared_tables + self.zone_tables
+    }
+
+    /// The table of a zone for the classes confined to it; none for a zone that only a list or a proxy names: the
+    /// deployment has no table for it.
+    pub(crate) fn zone_table(&self, zone: ZoneId) -> Option<usize> {
+        let table = self.shared_tables + zone.0 as usize;
+        (table < self.len()).then_some(table)
+    }
+
+    /// All tables of a proxy of this zone that is bound to this shared one.
+    pub(crate) fn tables_of(
+        &self,
+        shared_table: usize,
+        zone: ZoneId,
+    ) -> impl Iterator<Item = usize> + use<> {
+        std::iter::once(shared_table).chain(self.zone_table(zone))
+    }
+
+    /// What a proxy of this zone is bound to: tables, each with the classes that it is used for.
+    pub(crate) fn bindings(
+        &self,
+        shared_table: usize,
+        zone: ZoneId,
+    ) -> Vec<(usize, Vec<RequestClassId>)> {
+        let zone_table = self.zone_table(zone).unwrap_or(shared_table);
+        let bindings = [
+            (shared_table, self.shared_classes.clone()),
+            (zone_table, self.zone_local_classes.clone()),
+        ];
+        let mut bindings = Vec::from(bindings);
+        bindings.retain(|(_, classes)| !classes.is_empty());
+        if !self.has_zone_tables() {
+            // No classes stand for all of them.
+            for (_, classes) in &mut bindings {
+                classes.clear();
+            }
+        }
+        bindings
+    }
+}
+
+/// The messages that a proxy may be sent.
+pub(crate) struct MessageCap {
+    max_messages: usize,
+    window: Duration,
+}
+
+impl MessageCap {
+    pub(crate) fn new(config: &DeploymentConfig) -> MessageCap {
+        let max_messages = match config.max_messages_per_window {
+            0 => usize::MAX,
+            max_messages => max_messages as usize,
+        };
+        MessageCap {
+            max_messages,
+            window: config.message_window,
+        }
+    }
+
+    pub(crate) fn max_messages(&self) -> usize {
+        self.max_messages
+    }
+
+    pub(crate) fn window(&self) -> Duration {
+        self.window
+    }
+}
+
+/// What is known of the proxies of one table.
+#[derive(Clone, Default)]
+pub(crate) struct TableState {
+    bound_proxies: usize,
+    messages_sent_at: VecDeque<Time>,
+    pending_since: Option<Time>,
+    sent_fractions: Vec<Option<f64>>,
+}
+
+impl TableState {
+    /// A proxy is bound to it.
+    pub(crate) fn add_proxy(&mut self) {
+        self.bound_proxies += 1;
+    }
+
+    /// A proxy that was bound to it has left.
+    pub(crate) fn remove_proxy(&mut self) {
+        self.bound_proxies -= 1;
+    }
+
+    /// Proxies that are bound to it.
+    pub(crate) fn bound_proxies(&self) -> usize {
+        self.bound_proxies
+    }
+
+    /// Whether any proxy uses it.
+    pub(crate) fn is_used(&self) -> bool {
+        self.bound_proxies > 0
+    }
+
+    /// A message is sent to its proxies.
+    pub(crate) fn count_message(&mut self, now: Time) {
+        self.messages_sent_at.push_back(now);
+    }
+
+    /// Messages sent at this time were surely not applied.
+    pub(crate) fn uncount_messages(&mut self, sent_at: Time) {
+        self.messages_sent_at.retain(|&at| at != sent_at);
+    }
+
+    /// Its proxies are all new: they have been sent nothing.
+    pub(crate) fn clear_messages(&mut self) {
+        self.messages_sent_at.clear();
+    }
+
+    pub(crate) fn drop_old_messages(&mut self, now: Time, cap: &MessageCap) {
+        self.messages_sent_at.retain(|&at| now - at <= cap.window);
+    }
+
+    /// Messages to one of its proxies that count against the cap, its binding among them.
+    pub(crate) fn messages_used(&self, now: Time, cap: &MessageCap) -> usize {
+        let sent = self.messages_sent_at.iter();
+        1 + sent.filter(|&&at| now - at <= cap.window).count()
+    }
+
+    /// Since when it differs from what was sent; none: it does not.
+    pub(crate) fn pending_since(&self) -> Option<Time> {
+        self.pending_since
+    }
+
+    /// Notes whether it differs from what was sent.
+    pub(crate) fn note_pending(&mut self, now: Time, is_pending: bool) {
+        self.pending_since = self.pending_since.or(Some(now)).filter(|_| is_pending);
+    }
+
+    /// Notes that its differences are sent.
+    pub(crate) fn clear_pending(&mut self) {
+        self.pending_since = None;
+    }
+
+    /// Classes whose admitted fraction is not the one that was sent.
+    pub(crate) fn changed_fractions(&self, fractions: &[f64]) -> usize {
+        let sent = self.sent_fractions.iter().zip(fractions);
+        sent.filter(|(sent, fraction)| **sent != Some(**fraction))
+            .count()
+    }
+
+    /// Notes that a class's admitted fraction is sent; gives whether it differs from the last one.
+    pub(crate) fn mark_fraction_sent(&mut self, class: usize, fraction: f64) -> bool {
+        self.sent_fractions[class].replace(fraction) != Some(fraction)
+    }
+
+    /// What was sent for a class may not have been applied.
+    pub(crate) fn mark_fraction_unconfirmed(&mut self, class: usize) {
+        self.sent_fractions[class] = None;
+    }
+}
+
+/// All tables of a layout.
+pub(crate) fn new_tables(layout: &TableLayout, config: &DeploymentConfig) -> Vec<TableState> {
+    // Proof that the first attempt was not processed makes a retry safe for every class. After other failures even
+    // idempotent classes gain nothing: the wait for it cuts slow answers short, and it feeds jams.
+    let is_default = config.base_retry_policy == Some(RetryPolicy::IfUnprocessed);
+    let table = TableState {
+        sent_fractions: vec![is_default.then_some(1.0); config.request_classes.len()],
+        ..TableState::default()
+    };
+    vec![table; layout.len()]
+}
--- a/crates/controller/tests/decisions/channel.rs
+++ b/crates/controller/tests/decisions/channel.rs
@@ -3,6 +3,8 @@
 use crate::common::*;
 use pondarch_controller::Controller;
 use pondarch_controller::DurationExt;
+use pondarch_controller::EndpointList;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{
     AckId, Decision, DeploymentConfig, EndpointState, ProxyId, RequestClassId, Time, UpdateResult,
     ZoneId,
@@ -158,8 +160,25 @@
     let hosts = (0..HOSTS)
         .map(|n| listing(n, EndpointState::Ready, Time::default()))
         .collect();
-    steward.apply_endpoint_list(now(0), 1, true, hosts);
-    (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
+    steward.apply_endpoint_list(
+        now(0),
+        EndpointList {
+            generation: 1,
+            complete: true,
+            endpoints: hosts,
+        },
+    );
+    (0..PROXIES).for_each(|n| {
+        steward.proxy_joined(
+            now(0),
+            JoiningProxy {
+                id: ProxyId(n),
+                zone: ZoneId(n % 4),
+                newly_started: true,
+                usual_rate: 2.0,
+            },
+        )
+    });
     let mut bound = 0;
     for millis in (0..30_000).step_by(250) {
         steward.on_timer(now(millis));
@@ -291,8 +310,25 @@
     let hosts = (0..HOSTS)
         .map(|n| listing(n, EndpointState::Ready, Time::default()))
         .collect();
-    steward.apply_endpoint_list(now(0), 1, true, hosts);
-    (0..PROXIES).for_each(|n| steward.proxy_joined(now(0), ProxyId(n), true, 2.0, ZoneId(n % 4)));
+    steward.apply_endpoint_list(
+        now(0),
+        EndpointList {
+            generation: 1,
+            complete: true,
+            endpoints: hosts,
+        },
+    );
+    (0..PROXIES).for_each(|n| {
+        steward.proxy_joined(
+            now(0),
+            JoiningProxy {
+                id: ProxyId(n),
+                zone: ZoneId(n % 4),
+                newly_started: true,
+                usual_rate: 2.0,
+            },
+        )
+    });
     let mut marks: Vec<(u64, AckId)> = Vec::new();
     let mut drained = Vec::new();
     for millis in (0..24_000).step_by(250) {
@@ -301,9 +337,11 @@
         if millis == 20_500 {
             steward.apply_endpoint_list(
                 now(millis),
-                2,
-                false,
-                vec![listing(7, EndpointState::Draining, Time::default())],
+                EndpointList {
+                    generation: 2,
+                    complete: false,
+                    endpoints: vec![listing(7, EndpointState::Draining, Time::default())],
+                },
             );
         }
         marks
--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -1,6 +1,8 @@
 //! A stand-in for the surroundings of one steward: feeds it, carries out its rulings, and knows what would break a
 //! rule.
 
+use pondarch_controller::EndpointList;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{
     AckId, AdmissionMode, AttemptOutcomes, CellId, Decision, DeploymentConfig, Endpoint,
     EndpointState, HostId, MachineTypeId, ProxyId, RequestClass, RequestClassId, RetryPolicy,
@@ -190,15 +192,28 @@
             }
         }
         self.version += 1;
-        self.steward
-            .apply_endpoint_list(self.time(), self.version, complete, entries);
+        self.steward.apply_endpoint_list(
+            self.time(),
+            EndpointList {
+                generation: self.version,
+                complete,
+                endpoints: entries,
+            },
+        );
         self.pull();
     }
 
     pub(crate) fn join(&mut self, n: u16, fresh: bool, usual: f64) {
         self.proxies.insert(ProxyId(n), Joined::default());
-        self.steward
-            .proxy_joined(self.time(), ProxyId(n), fresh, usual, ZoneId(n % 4));
+        self.steward.proxy_joined(
+            self.time(),
+            JoiningProxy {
+                id: ProxyId(n),
+                zone: ZoneId(n % 4),
+                newly_started: fresh,
+                usual_rate: usual,
+            },
+        );
         self.pull();
     }
 
--- a/crates/controller/tests/decisions/main.rs
+++ b/crates/controller/tests/decisions/main.rs
@@ -8,6 +8,9 @@
 
 use common::{SECOND, Shop, host, listing, ms, ticket};
 use pondarch_controller::Controller;
+use pondarch_controller::EndpointList;
+use pondarch_controller::HealthCheckResult;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{
     AdmissionMode, AttemptOutcomes, Decision, DeploymentConfig, Endpoint, EndpointState, HostId,
     HostLoad, ProxyId, RequestClassId, TableId, Time, ZoneId,
@@ -418,18 +421,26 @@
         queue_length: Some(17.0),
         ..HostLoad::default()
     };
-    shop.steward
-        .on_health_check_result(shop.time(), &host(5), true, Some(piled));
+    shop.steward.on_health_check(
+        shop.time(),
+        &host(5),
+        HealthCheckResult {
+            healthy: true,
+            load: Some(piled),
+        },
+    );
     shop.run(2_000, |shop| sums_but(shop, &[5]));
     assert!(shop.is_out(5), "a hung host answers shallow probes");
-    shop.steward.on_health_check_result(
+    shop.steward.on_health_check(
         shop.time(),
         &host(5),
-        true,
-        Some(HostLoad {
-            queue_length: Some(0.0),
-            ..piled
-        }),
+        HealthCheckResult {
+            healthy: true,
+            load: Some(HostLoad {
+                queue_length: Some(0.0),
+                ..piled
+            }),
+        },
     );
     shop.run(3_000, all_well);
     assert!(!shop.is_out(5));
@@ -667,8 +678,15 @@
     };
     shop.list(false, (20..24).map(far).collect());
     shop.proxies.insert(ProxyId(7), common::Joined::default());
-    shop.steward
-        .proxy_joined(shop.time(), ProxyId(7), true, 2.0, ZoneId(9));
+    shop.steward.proxy_joined(
+        shop.time(),
+        JoiningProxy {
+            id: ProxyId(7),
+            zone: ZoneId(9),
+            newly_started: true,
+            usual_rate: 2.0,
+        },
+    );
     shop.run(3_000, all_well);
     shop.check();
     let tables = &shop.proxies[&ProxyId(7)].tables;
@@ -740,9 +758,11 @@
     );
     shop.steward.apply_endpoint_list(
         shop.time(),
-        0,
-        false,
-        vec![listing(0, EndpointState::Removed, Time::default())],
+        EndpointList {
+            generation: 0,
+            complete: false,
+            endpoints: vec![listing(0, EndpointState::Removed, Time::default())],
+        },
     );
     shop.run(3 * SECOND / 1_000, |shop| shop.met(0, 5.0, 50.0, 100));
     assert_eq!(shop.hosts_of(TableId(0)).len(), 1);
@@ -811,8 +831,14 @@
     let (mut used, mut seconds) = (0, 0);
     shop.run(60_000, |shop| {
         for asked in std::mem::take(&mut shop.probes) {
-            shop.steward
-                .on_health_check_result(shop.time(), &asked, true, None);
+            shop.steward.on_health_check(
+                shop.time(),
+                &asked,
+                HealthCheckResult {
+                    healthy: true,
+                    load: None,
+                },
+            );
         }
         let out = shop.is_out(0);
         (used, seconds) = (used + u32::from(!out), seconds + 1);
@@ -883,7 +909,15 @@
 #[test]
 fn before_the_first_list_nobody_is_bound() {
     let mut steward = Controller::new(ticket(8), 1, Time::from_micros(SECOND));
-    steward.proxy_joined(Time::from_micros(SECOND), ProxyId(3), false, 5.0, ZoneId(0));
+    steward.proxy_joined(
+        Time::from_micros(SECOND),
+        JoiningProxy {
+            id: ProxyId(3),
+            zone: ZoneId(0),
+            newly_started: false,
+            usual_rate: 5.0,
+        },
+    );
     let mut decided = Vec::new();
     for n in 0..20 {
         let now = Time::from_micros(SECOND + n * SECOND / 4);
@@ -899,11 +933,13 @@
     let now = Time::from_micros(7 * SECOND);
     steward.apply_endpoint_list(
         now,
-        1,
-        true,
-        (0..8)
-            .map(|n| listing(n, EndpointState::Ready, Time::default()))
-            .collect(),
+        EndpointList {
+            generation: 1,
+            complete: true,
+            endpoints: (0..8)
+                .map(|n| listing(n, EndpointState::Ready, Time::default()))
+                .collect(),
+        },
     );
     let decided: Vec<Decision> = std::iter::from_fn(|| steward.next_decision(now)).collect();
     assert!(
--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/asking.rs
@@ -6,6 +6,7 @@
 use crate::peer::Link;
 use crate::wire::{Event, Output, micros};
 use pondarch_controller::DurationExt;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
 use pondarch_dns_core::{Asked, Heard, Named};
 use pondarch_dns_server::{Line, STANDING, View};
@@ -44,7 +45,15 @@
             peer.link = Link::ByName { joined: true };
             let (id, usual, zone, proxy) = (peer.id, peer.usual, peer.zone, peer.name.clone());
             // Nobody can tell a restart: it counts as one that was there before.
-            self.steward.proxy_joined(now, id, false, usual, zone);
+            self.steward.proxy_joined(
+                now,
+                JoiningProxy {
+                    id,
+                    zone,
+                    newly_started: false,
+                    usual_rate: usual,
+                },
+            );
             self.tell(Event::Joined {
                 proxy,
                 fresh: false,
--- a/crates/daemon-core/src/course.rs
+++ b/crates/daemon-core/src/course.rs
@@ -15,6 +15,8 @@
 use pondarch_config::site::{Links, Weights};
 use pondarch_controller::Controller;
 use pondarch_controller::DurationExt;
+use pondarch_controller::EndpointList;
+use pondarch_controller::HealthCheckResult;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
 use pondarch_load_ingestion::{Account, Choice, Purpose};
 use pondarch_proxy_session::{Front, FrontKind, Told};
@@ -311,8 +313,14 @@
             draining,
             gone,
         });
-        self.steward
-            .apply_endpoint_list(self.now, version, true, listings);
+        self.steward.apply_endpoint_list(
+            self.now,
+            EndpointList {
+                generation: version,
+                complete: true,
+                endpoints: listings,
+            },
+        );
         self.touch_names();
         self.find_echoes();
         for table in self.books.readdress(&self.list) {
@@ -438,11 +446,13 @@
             self.loads.insert(host.clone(), (self.now, load));
         }
         if !for_load {
-            self.steward.on_health_check_result(
+            self.steward.on_health_check(
                 self.now,
                 &host,
-                good,
-                load.map(|told| told.load()),
+                HealthCheckResult {
+                    healthy: good,
+                    load: load.map(|told| told.load()),
+                },
             );
         }
     }
--- a/crates/daemon-core/src/follow.rs
+++ b/crates/daemon-core/src/follow.rs
@@ -4,6 +4,7 @@
 use crate::course::Course;
 use crate::peer::{Link, Peer};
 use crate::wire::{Event, Output};
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{Decision, RequestClassId, TableId};
 use pondarch_proxy_session::{Urgency, Wanted, table};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,8 +59,15 @@
             let peer = &mut self.peers[n];
             peer.link = Link::Joined;
             peer.mark_dirty(now, &cause);
-            self.steward
-                .proxy_joined(now, peer.id, fresh, peer.usual, peer.zone);
+            self.steward.proxy_joined(
+                now,
+                JoiningProxy {
+                    id: peer.id,
+                    zone: peer.zone,
+                    newly_started: fresh,
+                    usual_rate: peer.usual,
+                },
+            );
             let proxy = peer.name.clone();
             self.tell(Event::Joined {
                 proxy,
--- a/crates/daemon-core/src/weighing.rs
+++ b/crates/daemon-core/src/weighing.rs
@@ -2,6 +2,7 @@
 
 use crate::course::Course;
 use crate::wire::{Event, Output};
+use pondarch_controller::EndpointList;
 use pondarch_controller::{HostId, RequestClassId};
 use pondarch_weight_solver::{Plan, Problem};
 use std::time::Duration;
@@ -99,8 +100,14 @@
         let cause = self.cause.clone();
         self.tell(Event::Weighed { moved, cause });
         let listings = self.list.reweigh(handed);
-        self.steward
-            .apply_endpoint_list(now, self.list.version, true, listings);
+        self.steward.apply_endpoint_list(
+            now,
+            EndpointList {
+                generation: self.list.version,
+                complete: true,
+                endpoints: listings,
+            },
+        );
     }
 
     pub(crate) fn reqs_asked(
--- a/crates/platform-core/src/core.rs
+++ b/crates/platform-core/src/core.rs
@@ -3,6 +3,9 @@
 use crate::members::{Came, Members};
 use crate::tally::Tally;
 use pondarch_controller::Controller;
+use pondarch_controller::EndpointList;
+use pondarch_controller::HealthCheckResult;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{
     Decision, EndpointState, HostId, HostLoad, RequestClassId, StatusSnapshot, Time, UpdateResult,
     ZoneId,
@@ -130,7 +133,14 @@
             Input::Spoilt(why) => self.tally.spoilt(why),
             Input::Probed { host, good, load } => {
                 self.tally.probes_good += u64::from(good);
-                self.steward.on_health_check_result(now, &host, good, load);
+                self.steward.on_health_check(
+                    now,
+                    &host,
+                    HealthCheckResult {
+                        healthy: good,
+                        load,
+                    },
+                );
             }
         }
     }
@@ -184,8 +194,14 @@
             .iter()
             .map(|found| found.listing(&mut self.names))
             .collect();
-        self.steward
-            .apply_endpoint_list(now, listed.generation, listed.whole, listings);
+        self.steward.apply_endpoint_list(
+            now,
+            EndpointList {
+                generation: listed.generation,
+                complete: listed.whole,
+                endpoints: listings,
+            },
+        );
     }
 
     fn news(&mut self, now: Time, news: News) {
@@ -203,7 +219,15 @@
                 match self.members.came(proxy, zone) {
                     Came::Anew => {
                         self.tally.joined += 1;
-                        self.steward.proxy_joined(now, proxy, fresh, usual, zone);
+                        self.steward.proxy_joined(
+                            now,
+                            JoiningProxy {
+                                id: proxy,
+                                zone,
+                                newly_started: fresh,
+                                usual_rate: usual,
+                            },
+                        );
                     }
                     Came::PerhapsAnew => {
                         self.tally.unsure += 1;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -13,6 +13,9 @@
 
 use decode::{Lists, Row};
 use pondarch_controller::Controller;
+use pondarch_controller::EndpointList;
+use pondarch_controller::HealthCheckResult;
+use pondarch_controller::JoiningProxy;
 use pondarch_controller::{AckId, ProxyId, RequestClassId, Time};
 use pondarch_deployment::Names;
 use std::collections::{BTreeMap, BTreeSet};
@@ -203,10 +206,22 @@
                 let version = row.whole("rev")?;
                 let entries = lists.listings(row.whole("list")?, &mut self.names)?;
                 match how {
-                    "patch" => steward.apply_endpoint_list(now, version, false, entries),
-                    "whole" | "stale_copy" => {
-                        steward.apply_endpoint_list(now, version, true, entries)
-                    }
+                    "patch" => steward.apply_endpoint_list(
+                        now,
+                        EndpointList {
+                            generation: version,
+                            complete: false,
+                            endpoints: entries,
+                        },
+                    ),
+                    "whole" | "stale_copy" => steward.apply_endpoint_list(
+                        now,
+                        EndpointList {
+                            generation: version,
+                            complete: true,
+                            endpoints: entries,
+                        },
+                    ),
                     other => return Err(format!("how: unknown value '{other}'")),
                 }
             }
@@ -218,14 +233,29 @@
                 let good = row.text("result")? == "GOOD";
                 let host = row.host()?;
                 row.span("took")?;
-                steward.on_health_check_result(now, &host, good, row.load(&self.names)?);
+                steward.on_health_check(
+                    now,
+                    &host,
+                    HealthCheckResult {
+                        healthy: good,
+                        load: row.load(&self.names)?,
+                    },
+                );
             }
             "JOINED" => {
                 let proxy = ProxyId(row.small("sidecar")?);
                 let fresh = row.flag("on")?;
                 let usual = row.number("weight")?.unwrap_or(0.0);
                 let zone = self.names.zone(row.text("dc")?);
-                steward.proxy_joined(now, proxy, fresh, usual, zone);
+                steward.proxy_joined(
+                    now,
+                    JoiningProxy {
+                        id: proxy,
+                        zone,
+                        newly_started: fresh,
+                        usual_rate: usual,
+                    },
+                );
             }
             "LOST_STREAM" => steward.proxy_left(now, ProxyId(row.small("sidecar")?)),
             "ROUNDUP" => {
