--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -1,15 +1,15 @@
-//! A stand-in for the surroundings of one steward: feeds it, carries out its rulings, and knows what would break a
-//! rule.
+//! A simulated fleet in memory: feeds one controller and carries out its decisions.
 
+use crate::channel::SimulatedChannel;
 use pondarch_controller::EndpointList;
 use pondarch_controller::JoiningProxy;
 use pondarch_controller::{
-    AckId, AdmissionMode, AttemptOutcomes, CellId, Decision, DeploymentConfig, Endpoint,
-    EndpointState, HostId, MachineTypeId, ProxyId, RequestClass, RequestClassId, RetryPolicy,
-    TableId, Time, ZoneId,
+    AdmissionMode, AttemptOutcomes, CellId, Decision, DeploymentConfig, Endpoint, EndpointState,
+    HostId, MachineTypeId, ProxyId, RequestClass, RequestClassId, RetryPolicy, TableId, Time,
+    ZoneId,
 };
 use pondarch_controller::{Controller, DurationExt};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 pub(crate) const SECOND: u64 = 1_000_000;
@@ -24,7 +24,7 @@
     HostId(format!("host_{n}").into())
 }
 
-pub(crate) fn listing(n: usize, standing: EndpointState, started: Time) -> Endpoint {
+pub(crate) fn endpoint(n: usize, state: EndpointState, started: Time) -> Endpoint {
     Endpoint {
         host: host(n),
         zone: ZoneId((n % 4) as u16),
@@ -32,18 +32,18 @@
         cell: CellId((n / 4) as u64),
         weight: 1.0 + (n % 2) as f64,
         started,
-        state: standing,
+        state,
     }
 }
 
-pub(crate) fn ticket(proxies: u64) -> DeploymentConfig {
-    let kind = |target, benefit| RequestClass {
+pub(crate) fn deployment(proxies: u64) -> DeploymentConfig {
+    let class = |target, priority_weight| RequestClass {
         latency_objective: ms(target),
-        priority_weight: benefit,
+        priority_weight,
         zone_local: false,
     };
     DeploymentConfig {
-        request_classes: vec![kind(1_000, 1.0), kind(800, 5.0), kind(600, 3.0)],
+        request_classes: vec![class(1_000, 1.0), class(800, 5.0), class(600, 3.0)],
         proxy_count: proxies,
         zone_count: 4,
         base_retry_policy: Some(RetryPolicy::Never),
@@ -64,110 +64,68 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Joined {
+pub(crate) struct JoinedProxy {
     pub tables: BTreeMap<Vec<RequestClassId>, TableId>,
     pub messages: Vec<u64>,
 }
 
-/// The world as the steward's rulings make it.
-pub(crate) struct Shop {
-    pub steward: Controller,
+/// The world as the controller's decisions make it.
+pub(crate) struct SimulatedFleet {
+    pub controller: Controller,
     pub now: u64,
     pub wake: Option<u64>,
     pub cap: usize,
     pub listed: BTreeMap<HostId, Endpoint>,
-    pub told_at: BTreeMap<HostId, u64>,
+    pub listed_at: BTreeMap<HostId, u64>,
     pub lines: BTreeMap<(TableId, HostId), f64>,
-    pub levels: BTreeMap<(TableId, RequestClassId), (f64, RetryPolicy)>,
-    pub proxies: BTreeMap<ProxyId, Joined>,
-    pub probes: Vec<HostId>,
-    pub asked: usize,
+    pub admission: BTreeMap<(TableId, RequestClassId), (f64, RetryPolicy)>,
+    pub proxies: BTreeMap<ProxyId, JoinedProxy>,
+    pub health_checks: Vec<HostId>,
+    pub polls: usize,
     pub version: u64,
-    channel: Channel,
-    kinds: usize,
+    channel: SimulatedChannel,
+    class_count: usize,
 }
 
-/// Lines on their way to proxies, by the ticket's figures.
-#[derive(Default)]
-struct Channel {
-    stated_rate: f64,
-    rate: f64,
-    loses_marks: bool,
-    head: f64,
-    most: f64,
-    waiting: f64,
-    most_seen: f64,
-    sent: f64,
-    /// Marked messages, each with the lines that are sent once it is.
-    marked: VecDeque<(f64, AckId)>,
-}
-
-impl Channel {
-    fn send(&mut self, lines: f64, mark: Option<AckId>) {
-        self.waiting += lines;
-        self.marked
-            .extend(mark.map(|mark| (self.sent + self.waiting, mark)));
-        self.most_seen = self.most_seen.max(self.waiting);
-    }
-
-    /// Goes on for so long; gives the marks of the messages that went out.
-    fn run(&mut self, seconds: f64) -> Vec<AckId> {
-        let sent = (self.rate * seconds).min(self.waiting);
-        self.waiting -= sent;
-        self.sent += sent;
-        let out = self
-            .marked
-            .iter()
-            .take_while(|(lines, _)| *lines <= self.sent + 1e-6)
-            .count();
-        let marks = self.marked.drain(..out).map(|(_, mark)| mark);
-        if self.loses_marks {
-            Vec::new()
-        } else {
-            marks.collect()
-        }
-    }
-}
-
-impl Shop {
-    pub(crate) fn open(ticket: DeploymentConfig, hosts: usize) -> Shop {
+impl SimulatedFleet {
+    pub(crate) fn new(deployment: DeploymentConfig, hosts: usize) -> SimulatedFleet {
         let now = 100 * SECOND;
-        let cap = if ticket.max_messages_per_window == 0 {
+        let cap = if deployment.max_messages_per_window == 0 {
             usize::MAX
         } else {
-            ticket.max_messages_per_window as usize
+            deployment.max_messages_per_window as usize
         };
-        let kinds = ticket.request_classes.len();
-        let channel = Channel {
-            stated_rate: ticket.update_rate,
-            rate: ticket.update_rate,
-            head: ticket.message_overhead_lines,
-            most: ticket.max_queued_lines,
-            ..Channel::default()
+        let class_count = deployment.request_classes.len();
+        let channel = SimulatedChannel {
+            stated_rate: deployment.update_rate,
+            rate: deployment.update_rate,
+            head: deployment.message_overhead_lines,
+            most: deployment.max_queued_lines,
+            ..SimulatedChannel::default()
         };
-        let mut shop = Shop {
-            steward: Controller::new(ticket, 7, Time::from_micros(now)),
+        let mut fleet = SimulatedFleet {
+            controller: Controller::new(deployment, 7, Time::from_micros(now)),
             now,
             wake: None,
             cap,
             listed: BTreeMap::new(),
-            told_at: BTreeMap::new(),
+            listed_at: BTreeMap::new(),
             lines: BTreeMap::new(),
-            levels: BTreeMap::new(),
+            admission: BTreeMap::new(),
             proxies: BTreeMap::new(),
-            probes: Vec::new(),
-            asked: 0,
+            health_checks: Vec::new(),
+            polls: 0,
             version: 0,
             channel,
-            kinds,
+            class_count,
         };
-        shop.list(
+        fleet.list(
             true,
             (0..hosts)
-                .map(|n| listing(n, EndpointState::Ready, Time::default()))
+                .map(|n| endpoint(n, EndpointState::Ready, Time::default()))
                 .collect(),
         );
-        shop
+        fleet
     }
 
     pub(crate) fn time(&self) -> Time {
@@ -188,11 +146,11 @@
             |of: &BTreeMap<HostId, Endpoint>, id: &HostId| of.get(id).map(|h| (h.state, h.started));
         for id in before.keys().chain(self.listed.keys()) {
             if state(&before, id) != state(&self.listed, id) {
-                self.told_at.insert(id.clone(), self.now);
+                self.listed_at.insert(id.clone(), self.now);
             }
         }
         self.version += 1;
-        self.steward.apply_endpoint_list(
+        self.controller.apply_endpoint_list(
             self.time(),
             EndpointList {
                 generation: self.version,
@@ -200,12 +158,12 @@
                 endpoints: entries,
             },
         );
-        self.pull();
+        self.carry_out_decisions();
     }
 
     pub(crate) fn join(&mut self, n: u16, fresh: bool, usual: f64) {
-        self.proxies.insert(ProxyId(n), Joined::default());
-        self.steward.proxy_joined(
+        self.proxies.insert(ProxyId(n), JoinedProxy::default());
+        self.controller.proxy_joined(
             self.time(),
             JoiningProxy {
                 id: ProxyId(n),
@@ -214,128 +172,130 @@
                 usual_rate: usual,
             },
         );
-        self.pull();
+        self.carry_out_decisions();
     }
 
     pub(crate) fn leave(&mut self, n: u16) {
         self.proxies.remove(&ProxyId(n));
-        self.steward.proxy_left(self.time(), ProxyId(n));
-        self.pull();
+        self.controller.proxy_left(self.time(), ProxyId(n));
+        self.carry_out_decisions();
     }
 
-    pub(crate) fn met(&mut self, n: usize, tries: f64, errored: f64, mean: u64) {
-        let met = AttemptOutcomes {
-            attempts: tries,
-            failures: errored,
+    pub(crate) fn report_outcomes(&mut self, n: usize, attempts: f64, failures: f64, mean: u64) {
+        let report_outcomes = AttemptOutcomes {
+            attempts,
+            failures,
             mean_latency: ms(mean),
             period: ms(1_000),
             load: None,
         };
-        self.steward.record_outcomes(self.time(), &host(n), met);
+        self.controller
+            .record_outcomes(self.time(), &host(n), report_outcomes);
     }
 
-    /// Time goes on, with the wakes that the steward asked for and, every second, sums as `sums` tells them.
-    pub(crate) fn run(&mut self, millis: u64, mut sums: impl FnMut(&mut Shop)) {
+    /// Time goes on, with the wakes that the controller polls for and, every second, reports as `reports` tells them.
+    pub(crate) fn run(&mut self, millis: u64, mut reports: impl FnMut(&mut SimulatedFleet)) {
         let end = self.now + millis * 1_000;
         while self.now < end {
             self.now += 50_000;
-            for mark in self.channel.run(0.05) {
-                self.steward.on_ack(self.time(), mark);
+            for ack in self.channel.run(0.05) {
+                self.controller.on_ack(self.time(), ack);
             }
             if self.now.is_multiple_of(SECOND) {
-                sums(self);
+                reports(self);
             }
             if self.wake.is_some_and(|at| at <= self.now) {
                 self.wake = None;
-                self.steward.on_timer(self.time());
+                self.controller.on_timer(self.time());
             }
-            self.pull();
+            self.carry_out_decisions();
         }
     }
 
-    fn pull(&mut self) {
-        let mut told: BTreeMap<ProxyId, usize> = BTreeMap::new();
-        let mut round_mark = None;
-        let mut line = |proxies: Vec<ProxyId>| {
-            proxies
-                .into_iter()
-                .for_each(|id| *told.entry(id).or_default() += 1)
-        };
-        while let Some(ruling) = self.steward.next_decision(self.time()) {
-            let of_table = |proxies: &BTreeMap<ProxyId, Joined>, table: TableId| -> Vec<ProxyId> {
-                let on_it = |p: &Joined| p.tables.values().any(|t| *t == table);
-                proxies
-                    .iter()
-                    .filter(|(_, p)| on_it(p))
-                    .map(|(id, _)| *id)
-                    .collect()
-            };
-            match ruling {
+    /// Carries out all that the controller decides now; each proxy that it concerns is sent one message.
+    fn carry_out_decisions(&mut self) {
+        let mut lines: BTreeMap<ProxyId, usize> = BTreeMap::new();
+        let mut requested_ack = None;
+        while let Some(decision) = self.controller.next_decision(self.time()) {
+            match decision {
                 Decision::SetWeight {
                     table,
                     host,
                     weight,
                 } => {
-                    line(of_table(&self.proxies, table));
-                    match weight {
-                        Some(weight) => {
-                            assert!(weight.is_finite() && weight > 0.0, "a weight of {weight}");
-                            self.lines.insert((table, host), weight);
-                        }
-                        None => {
-                            self.lines.remove(&(table, host));
-                        }
-                    }
+                    self.count_lines(&mut lines, table);
+                    self.set_weight(table, host, weight);
                 }
                 Decision::BindProxy {
                     proxy,
                     table,
-                    classes: kinds,
+                    classes,
                 } => {
-                    let lines = self.lines.keys().filter(|(t, _)| *t == table).count() + self.kinds;
-                    line(vec![proxy; lines + 1]);
-                    let joined = self
-                        .proxies
-                        .get_mut(&proxy)
-                        .expect("only joined proxies are bound");
-                    joined.tables.insert(kinds, table);
+                    *lines.entry(proxy).or_default() += self.bind(proxy, table, classes);
                 }
                 Decision::SetAdmissionRate {
                     table,
-                    class: kind,
+                    class,
                     quota,
-                    retry_policy: tries,
+                    retry_policy,
                 } => {
-                    line(of_table(&self.proxies, table));
-                    assert!(quota.is_finite() && quota >= 0.0, "a level of {quota}");
-                    self.levels.insert((table, kind), (quota, tries));
+                    self.count_lines(&mut lines, table);
+                    assert!(quota.is_finite() && quota >= 0.0, "a quota of {quota}");
+                    self.admission.insert((table, class), (quota, retry_policy));
                 }
-                Decision::RequestAck(mark) => round_mark = Some(mark),
-                Decision::CheckHealth(host) => self.probes.push(host),
-                Decision::WatchEndpoints => self.asked += 1,
-                Decision::SetTimer(span) => self.wake = Some(self.now + span.micros()),
+                Decision::RequestAck(ack) => requested_ack = Some(ack),
+                Decision::CheckHealth(host) => self.health_checks.push(host),
+                Decision::WatchEndpoints => self.polls += 1,
+                Decision::SetTimer(delay) => self.wake = Some(self.now + delay.micros()),
             }
         }
-        for (proxy, lines) in told {
-            self.proxies
-                .get_mut(&proxy)
-                .expect("joined")
-                .messages
-                .push(self.now);
-            let marks = f64::from(u8::from(round_mark.is_some()));
-            self.channel
-                .send(lines as f64 + marks + self.channel.head, round_mark);
+        for (proxy, lines) in lines {
+            let joined = self.proxies.get_mut(&proxy).expect("joined");
+            joined.messages.push(self.now);
+            let acks = f64::from(u8::from(requested_ack.is_some()));
+            let lines = lines as f64 + acks + self.channel.head;
+            self.channel.send(lines, requested_ack);
+        }
+    }
+
+    /// One line more for each proxy of a table.
+    fn count_lines(&self, lines: &mut BTreeMap<ProxyId, usize>, table: TableId) {
+        for (&id, proxy) in &self.proxies {
+            if proxy.tables.values().any(|used| *used == table) {
+                *lines.entry(id).or_default() += 1;
+            }
+        }
+    }
+
+    fn set_weight(&mut self, table: TableId, host: HostId, weight: Option<f64>) {
+        match weight {
+            Some(weight) => {
+                assert!(weight.is_finite() && weight > 0.0, "a weight of {weight}");
+                self.lines.insert((table, host), weight);
+            }
+            None => {
+                self.lines.remove(&(table, host));
+            }
         }
     }
 
+    /// Binds a proxy; gives the lines that this costs.
+    fn bind(&mut self, proxy: ProxyId, table: TableId, classes: Vec<RequestClassId>) -> usize {
+        let members = self.lines.keys().filter(|(t, _)| *t == table).count();
+        let joined = self.proxies.get_mut(&proxy);
+        let joined = joined.expect("only joined proxies are bound");
+        joined.tables.insert(classes, table);
+        members + self.class_count + 1
+    }
+
     /// From now on the channel sends at this part of its stated rate.
     pub(crate) fn slow_channel_to(&mut self, part: f64) {
         self.channel.rate = self.channel.stated_rate * part;
     }
 
-    /// Whether answers to marks are lost from now on.
-    pub(crate) fn lose_marks(&mut self, lost: bool) {
-        self.channel.loses_marks = lost;
+    /// Whether answers to acks are lost from now on.
+    pub(crate) fn lose_acks(&mut self, lost: bool) {
+        self.channel.loses_acks = lost;
     }
 
     /// How long a message that is sent now takes to leave the channel.
@@ -348,7 +308,7 @@
         self.channel.sent + self.channel.waiting
     }
 
-    fn used(&self) -> BTreeSet<TableId> {
+    pub(crate) fn used(&self) -> BTreeSet<TableId> {
         self.proxies
             .values()
             .flat_map(|p| p.tables.values())
@@ -357,7 +317,7 @@
     }
 
     /// Whether no table in use names a host.
-    pub(crate) fn is_out(&self, n: usize) -> bool {
+    pub(crate) fn is_unused(&self, n: usize) -> bool {
         !self
             .used()
             .iter()
@@ -378,76 +338,44 @@
             .unwrap_or(0)
     }
 
-    fn warm(&self, host: &Endpoint) -> bool {
+    pub(crate) fn is_warm(&self, host: &Endpoint) -> bool {
         host.state == EndpointState::Ready
             && (host.started.is_unset() || self.time() - host.started >= ms(18_000))
     }
 
     /// Whether what the list says of a host is old enough that its proxies must go by it.
-    fn due(&self, host: &HostId) -> bool {
-        self.now - self.told_at.get(host).copied().unwrap_or(0) > GRACE
+    pub(crate) fn is_due(&self, host: &HostId) -> bool {
+        self.now - self.listed_at.get(host).copied().unwrap_or(0) > GRACE
     }
 
     /// The most lines that ever waited, in parts of how many may.
-    pub(crate) fn most_waiting(&self) -> f64 {
-        self.channel.most_seen / self.channel.most
+    pub(crate) fn max_queue_use(&self) -> f64 {
+        self.channel.max_waiting / self.channel.most
     }
+}
 
-    /// Rules that must hold whenever the steward has no more to say.
-    pub(crate) fn check(&self) {
-        let open_warm = self.listed.values().any(|h| self.warm(h));
-        for (id, proxy) in &self.proxies {
-            assert!(!proxy.tables.is_empty(), "{id:?} was not answered");
-            for table in proxy.tables.values() {
-                let hosts = self.hosts_of(*table);
-                assert!(
-                    !open_warm || !hosts.is_empty(),
-                    "{id:?} has nothing to pick on {table:?}"
-                );
-                for host in &hosts {
-                    let standing = self
-                        .listed
-                        .get(host)
-                        .map_or(EndpointState::Removed, |h| h.state);
-                    assert!(
-                        standing == EndpointState::Ready || !self.due(host),
-                        "{host:?} is still used"
-                    );
-                }
-            }
-            let since = self.now.saturating_sub(10 * SECOND);
-            let lately = proxy.messages.iter().filter(|at| **at > since).count();
-            assert!(
-                lately <= self.cap,
-                "{lately} messages to {id:?} within the window"
-            );
-        }
-        for table in self.used() {
-            for (host, weight) in self
-                .lines
-                .iter()
-                .filter(|((t, _), _)| *t == table)
-                .map(|((_, h), w)| (h, w))
-            {
-                let Some(listed) = self.listed.get(host).filter(|h| !h.started.is_unset()) else {
-                    continue;
-                };
-                if !self.due(host) {
-                    continue;
-                }
-                let age = (self.time() - listed.started).ratio(ms(18_000));
-                // What a cold host may get: its part of its listed weight, with the slack of one line step.
-                let most = listed.weight * (0.2 + 0.8 * age.min(1.0)) * 1.5 + 0.01;
-                assert!(
-                    *weight <= most,
-                    "{host:?} has {weight} at {age} of its warming"
-                );
-            }
-        }
-        for (quota, tries) in self.levels.values() {
-            assert!(
-                *quota >= 0.0 && *tries <= RetryPolicy::IfUnprocessed,
-                "a try that may have run is repeated"
+pub(crate) fn fleet_with(deployment: DeploymentConfig) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(deployment, 12);
+    (0..8).for_each(|n| fleet.join(n, true, 6.0));
+    fleet
+}
+
+pub(crate) fn all_healthy(fleet: &mut SimulatedFleet) {
+    reports_but(fleet, &[]);
+}
+
+pub(crate) fn reports_but(fleet: &mut SimulatedFleet, missing: &[usize]) {
+    (0..12)
+        .filter(|n| !missing.contains(n))
+        .for_each(|n| fleet.report_outcomes(n, 8.0, 0.0, 200));
+    for n in 0..8 {
+        for (class, requests) in [6.0, 5.0, 1.0].into_iter().enumerate() {
+            fleet.controller.record_arrivals(
+                fleet.time(),
+                ProxyId(n),
+                RequestClassId(class as u8),
+                requests,
+                ms(1_000),
             );
         }
     }
