--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,5 +1,6 @@
 //! From a deployment's settings object, as the simulator and the platform both hand it over, to the controller's
-//! [`DeploymentConfig`] and to the names that the settings number. Times in the object are in microseconds.
+//! [`DeploymentConfig`](pondarch_controller::DeploymentConfig) and to the names that the settings number. Times in the
+//! object are in microseconds.
 //!
 //! - `names`: the names of zones, machine types, request classes and load values, and their numbers.
 //! - `settings`: the settings object, read section by section.
--- a/crates/platform-core/tests/decision_streams/main.rs
+++ b/crates/platform-core/tests/decision_streams/main.rs
@@ -14,7 +14,7 @@
 use session::{Counts, run};
 use site::{SMALL, Site};
 
-/// Checks the digest of a run, and that the run orders something worth guarding.
+/// Checks the digest of a run, and that the run decides enough to be worth guarding.
 fn guard(site: &Site, digest: &str, worth: impl Fn(&Counts) -> bool) {
     let outcome = run(site);
     assert!(
@@ -40,7 +40,7 @@
     guard(
         &site,
         "cc19e28b9f938ca2c55b96dc04e0bddd7e98b2cdfaa18873e815598edd668af4",
-        |counts| counts.lines >= 150 && counts.tables >= 90 && counts.seals >= 40,
+        |counts| counts.lines >= 150 && counts.tables >= 90 && counts.ack_requests >= 40,
     );
 }
 
@@ -89,7 +89,7 @@
                 && counts.lines >= 6_000
                 && counts.tables >= 3_000
                 && counts.lowered >= 700
-                && counts.seals >= 50
+                && counts.ack_requests >= 50
         },
     );
 }
@@ -122,7 +122,7 @@
                 && counts.tables >= 180
                 && counts.lowered >= 20
                 && counts.raised >= 10
-                && counts.probes >= 40
+                && counts.health_checks >= 40
         },
     );
 }
--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -23,8 +23,8 @@
     pub lowered: usize,
     /// Levels of 1 that came after one below.
     pub raised: usize,
-    pub seals: usize,
-    pub probes: usize,
+    pub ack_requests: usize,
+    pub health_checks: usize,
     pub refused: usize,
     pub stopped: usize,
     pub unanswered: usize,
@@ -140,14 +140,14 @@
     fn list(&mut self, delay: u64, hosts: Option<&[usize]>) {
         self.generation += 1;
         let all: Vec<usize> = (0..self.fleet.hosts.len())
-            .filter(|&host| self.fleet.hosts[host].health != Health::Gone)
+            .filter(|&host| self.fleet.hosts[host].health != Health::Removed)
             .collect();
         let entry = |&n: &usize| {
             let host = &self.fleet.hosts[n];
             let state = match host.health {
                 Health::Listed => "Ready",
                 Health::Draining => "Terminating",
-                Health::Gone => "Gone",
+                Health::Removed => "Gone",
             };
             let address = if n % 13 == 7 {
                 String::new()
@@ -277,14 +277,14 @@
                 0
             };
         let HostReport {
-            tries,
+            attempts,
             errors,
             mean_time,
             queue,
             ..
         } = report;
         let (zone, host) = (ZONES[report.zone], &self.fleet.hosts[report.host].name);
-        let mut text = format!("heard site {zone} target {host} count {tries} fail {errors}");
+        let mut text = format!("heard site {zone} target {host} count {attempts} fail {errors}");
         text += &format!(" mean {} over 1000.0", decimal(*mean_time));
         if self.site.report_source == "inline" {
             text += &format!(
--- a/crates/platform-core/tests/decision_streams/session/relay.rs
+++ b/crates/platform-core/tests/decision_streams/session/relay.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, START, Session};
 use crate::controller::Action;
-use crate::fleet::{Health, Trouble, thousandths};
+use crate::fleet::{Fault, Health, thousandths};
 use crate::site::{CLASSES, REPORT_PERIOD};
 use serde_json::Value;
 
@@ -115,7 +115,7 @@
 
     /// Each proxy reached acknowledges: soon, late or never.
     fn request_acks(&mut self, ack: u64, reached: &mut Vec<usize>) {
-        self.counts.seals += 1;
+        self.counts.ack_requests += 1;
         reached.sort_unstable();
         reached.dedup();
         let slow = self.site.extra_delay((self.now - START) / REPORT_PERIOD);
@@ -135,17 +135,17 @@
     }
 
     fn check_health(&mut self, name: &str) {
-        self.counts.probes += 1;
+        self.counts.health_checks += 1;
         let host = self
             .fleet
             .hosts
             .iter()
             .find(|host| host.name == name)
             .expect("a host that was listed");
-        let (health, trouble, queue) = (host.health, host.trouble, host.queue / 1_000);
+        let (health, fault, queue) = (host.health, host.fault, host.queue / 1_000);
         let random = &mut self.fleet.random;
-        let up = health == Health::Listed && trouble != Trouble::Hangs;
-        let good = up && (trouble != Trouble::Fails || random.percent(50));
+        let up = health == Health::Listed && fault != Fault::Hangs;
+        let good = up && (fault != Fault::Fails || random.percent(50));
         if random.percent(10) {
             return;
         }
--- a/crates/simulator-adapter/tests/decision_streams/fleet.rs
+++ b/crates/simulator-adapter/tests/decision_streams/fleet.rs
@@ -17,11 +17,11 @@
 pub(crate) enum Health {
     Listed,
     Draining,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     Nothing,
     Fails,
     Slow,
@@ -38,7 +38,7 @@
     /// When it last started, in microseconds; 0: long ago.
     pub started: u64,
     pub health: Health,
-    pub trouble: Trouble,
+    pub fault: Fault,
     /// Requests waiting, in thousandths.
     pub queue: u64,
 }
@@ -51,11 +51,11 @@
     tables: [Option<u16>; CLASSES.len()],
 }
 
-/// What the proxies of one zone met at one host within a report period.
+/// What the attempts of one zone's proxies at one host gave within a report period.
 pub(crate) struct HostReport {
     pub zone: usize,
     pub host: usize,
-    pub tries: u64,
+    pub attempts: u64,
     pub errors: u64,
     /// In microseconds.
     pub mean_time: u64,
@@ -113,7 +113,7 @@
         }
     }
 
-    // ---- What the controller orders ---------------------------------------------------------------------
+    // ---- What the controller decides ---------------------------------------------------------------------
 
     /// Sets a line of a table; a weight of zero thousandths removes it.
     pub(crate) fn set_line(&mut self, table: u16, host: &str, weight: u64) {
@@ -154,7 +154,7 @@
 
     // ---- One report period ------------------------------------------------------------------------------
 
-    /// Sends the requests of one second and says what the proxies met.
+    /// Sends the requests of one second and gives the proxies' reports.
     pub(crate) fn serve(
         &mut self,
         now: u64,
@@ -226,26 +226,26 @@
         }
         let mut reports = Vec::new();
         for (&(zone, host), &count) in sent {
-            let tries = (count + self.random.between(0, 1_000)) / 1_000;
+            let attempts = (count + self.random.between(0, 1_000)) / 1_000;
             let found = &self.hosts[host];
-            if tries == 0 || found.trouble == Trouble::Hangs || found.health == Health::Gone {
+            if attempts == 0 || found.fault == Fault::Hangs || found.health == Health::Removed {
                 continue;
             }
-            let slow = if found.trouble == Trouble::Slow { 8 } else { 1 };
+            let slow = if found.fault == Fault::Slow { 8 } else { 1 };
             let noise = self.random.between(900, 1_100);
             let mean_time = (BASE_TIME + QUEUE_TIME * found.queue / 1_000) * slow * noise / 1_000;
-            let failing = if found.trouble == Trouble::Fails {
+            let failing = if found.fault == Fault::Fails {
                 90
             } else {
                 u64::from(mean_time > 1_500_000) * 40
             };
-            let errors = (tries * failing + self.random.between(0, 100)) / 100;
+            let errors = (attempts * failing + self.random.between(0, 100)) / 100;
             let queue = found.queue / 1_000;
             reports.push(HostReport {
                 zone,
                 host,
-                tries,
-                errors: errors.min(tries),
+                attempts,
+                errors: errors.min(attempts),
                 mean_time,
                 busy: busy[host],
                 queue,
@@ -258,22 +258,23 @@
 
     /// Something happens to a host or a proxy.
     pub(crate) fn incident(&mut self, now: u64) -> Vec<Change> {
-        let (host, kind) = (self.random.place(self.hosts.len()), self.random.place(12));
-        match kind {
-            0 => self.hosts[host].trouble = Trouble::Fails,
-            1 => self.hosts[host].trouble = Trouble::Slow,
-            2 => self.hosts[host].trouble = Trouble::Hangs,
+        let host = self.random.place(self.hosts.len());
+        let incident = self.random.place(12);
+        match incident {
+            0 => self.hosts[host].fault = Fault::Fails,
+            1 => self.hosts[host].fault = Fault::Slow,
+            2 => self.hosts[host].fault = Fault::Hangs,
             3 => self
                 .hosts
                 .iter_mut()
-                .for_each(|host| host.trouble = Trouble::Nothing),
+                .for_each(|host| host.fault = Fault::Nothing),
             4 | 5 => {
                 return self.retire(
                     host,
-                    if kind == 4 {
+                    if incident == 4 {
                         Health::Draining
                     } else {
-                        Health::Gone
+                        Health::Removed
                     },
                 );
             }
@@ -297,14 +298,14 @@
             .iter()
             .filter(|host| host.health == Health::Listed)
             .count();
-        if listed * 3 < self.hosts.len() * 2 || self.hosts[host].health == Health::Gone {
+        if listed * 3 < self.hosts.len() * 2 || self.hosts[host].health == Health::Removed {
             return Vec::new();
         }
         self.hosts[host].health = health;
         vec![Change::Hosts(vec![host])]
     }
 
-    /// A host, and everyone that drains or is gone beside it in its cell, comes back cold.
+    /// A host, and every other one of its cell that drains or is removed, starts again.
     fn restart(&mut self, host: usize, now: u64) -> Vec<Change> {
         let cell = self.hosts[host].cell;
         let away =
@@ -315,8 +316,8 @@
         }
         for &n in &back {
             let host = &mut self.hosts[n];
-            (host.health, host.trouble, host.started, host.queue) =
-                (Health::Listed, Trouble::Nothing, now, 0);
+            (host.health, host.fault, host.started, host.queue) =
+                (Health::Listed, Fault::Nothing, now, 0);
         }
         vec![Change::Hosts(back)]
     }
@@ -375,7 +376,7 @@
         size,
         started: 0,
         health: Health::Listed,
-        trouble: Trouble::Nothing,
+        fault: Fault::Nothing,
         queue: 0,
     }
 }
@@ -385,7 +386,7 @@
     format!("{}.{:03}", thousandths / 1_000, thousandths % 1_000)
 }
 
-/// A figure of an order, in thousandths.
+/// A number of an update, in thousandths.
 pub(crate) fn thousandths(figure: f64) -> u64 {
     (figure * 1_000.0).round() as u64
 }
--- a/crates/simulator-adapter/tests/decision_streams/main.rs
+++ b/crates/simulator-adapter/tests/decision_streams/main.rs
@@ -10,7 +10,7 @@
 use session::{Counts, run};
 use site::{SMALL, Site};
 
-/// Checks the digest of a run, and that the run orders something worth guarding.
+/// Checks the digest of a run, and that the run decides enough to be worth guarding.
 fn guard(sites: &[Site], digest: &str, worth: impl Fn(&Counts) -> bool) {
     let outcome = run(sites);
     assert!(
@@ -30,7 +30,7 @@
     guard(
         &[SMALL],
         "604333b50e61ff304db3c6e86704be5a3560bb07dbe73cf3453e21c324fdee3a",
-        |counts| counts.lines >= 200 && counts.tables >= 12 && counts.seals >= 40,
+        |counts| counts.lines >= 200 && counts.tables >= 12 && counts.ack_requests >= 40,
     );
 }
 
@@ -52,12 +52,12 @@
             counts.lines >= 1_000
                 && counts.lowered >= 350
                 && counts.raised >= 45
-                && counts.seals >= 200
+                && counts.ack_requests >= 200
         },
     );
 }
 
-/// Levels are requests a second at each proxy, and nobody probes.
+/// Levels are requests a second at each proxy, and there are no health checks.
 #[test]
 fn overload_by_rate() {
     let site = Site {
@@ -65,7 +65,7 @@
         proxies: 40,
         hosts: 16,
         admission: "rate",
-        probes: false,
+        health_checks: false,
         overload: true,
         seconds: 160,
         report_source: "off",
@@ -75,7 +75,10 @@
         &[site],
         "5c65fbf278f01729a63a014d92c92ac3bc886c85ae67724d0d8bc4da6e37f291",
         |counts| {
-            counts.lines >= 800 && counts.levels >= 150 && counts.tables >= 40 && counts.seals >= 70
+            counts.lines >= 800
+                && counts.levels >= 150
+                && counts.tables >= 40
+                && counts.ack_requests >= 70
         },
     );
 }
@@ -101,7 +104,7 @@
                 && counts.tables >= 900
                 && counts.lowered >= 800
                 && counts.raised >= 300
-                && counts.seals >= 50
+                && counts.ack_requests >= 50
         },
     );
 }
@@ -128,7 +131,7 @@
                 && counts.tables >= 200
                 && counts.lowered >= 40
                 && counts.raised >= 40
-                && counts.seals >= 30
+                && counts.ack_requests >= 30
         },
     );
 }
@@ -154,8 +157,8 @@
         |counts| {
             counts.lines >= 4_000
                 && counts.tables >= 240
-                && counts.seals >= 350
-                && counts.probes >= 240
+                && counts.ack_requests >= 350
+                && counts.health_checks >= 240
         },
     );
 }
@@ -181,7 +184,7 @@
             counts.lines >= 600
                 && counts.tables >= 35
                 && counts.list_requests >= 5
-                && counts.seals >= 60
+                && counts.ack_requests >= 60
         },
     );
 }
@@ -218,9 +221,9 @@
         |counts| {
             counts.lines >= 1_000
                 && counts.tables >= 100
-                && counts.probes >= 60
+                && counts.health_checks >= 60
                 && counts.lowered >= 80
-                && counts.seals >= 130
+                && counts.ack_requests >= 130
         },
     );
 }
--- a/crates/simulator-adapter/tests/decision_streams/session.rs
+++ b/crates/simulator-adapter/tests/decision_streams/session.rs
@@ -1,7 +1,7 @@
 //! One adapter process and the fleets of its controllers: batches of event lines go in, replies come back, and every
 //! byte of the replies is hashed.
 
-use crate::fleet::{Change, Fleet, Health, HostReport, Trouble, decimal, thousandths};
+use crate::fleet::{Change, Fault, Fleet, Health, HostReport, decimal, thousandths};
 use crate::site::{CLASSES, REPORT_PERIOD, Site, ZONES};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
     pub lowered: usize,
     /// Levels of 1 that came after one below.
     pub raised: usize,
-    pub seals: usize,
-    pub probes: usize,
+    pub ack_requests: usize,
+    pub health_checks: usize,
     pub list_requests: usize,
 }
 
@@ -152,12 +152,12 @@
             .insert((self.now + delay, self.made), (controller, text));
     }
 
-    /// Queues a list: of these hosts, or of all that are not gone.
+    /// Queues a list: of these hosts, or of all that are not removed.
     fn list(&mut self, n: usize, delay: u64, how: &str, hosts: Option<&[usize]>) {
         let Controller { fleet, version, .. } = &mut self.controllers[n];
         *version += 1;
         let all: Vec<usize> = (0..fleet.hosts.len())
-            .filter(|&host| fleet.hosts[host].health != Health::Gone)
+            .filter(|&host| fleet.hosts[host].health != Health::Removed)
             .collect();
         let hosts = hosts.unwrap_or(&all);
         let mut text = format!("DEFINE_LIST\t{}\t{}\n", n % 16, hosts.len());
@@ -165,7 +165,7 @@
             let health = match host.health {
                 Health::Listed => "IN",
                 Health::Draining => "LAME",
-                Health::Gone => "OUT",
+                Health::Removed => "OUT",
             };
             let started = if host.started == 0 {
                 "-".to_string()
@@ -250,11 +250,11 @@
         let second = (self.now - START) / REPORT_PERIOD;
         let Controller { site, fleet, .. } = &mut self.controllers[n];
         let (site, now) = (*site, self.now);
-        let (met, usage) = fleet.serve(now, site.demand_percent(second));
-        for report in met {
+        let (host_reports, usage_reports) = fleet.serve(now, site.demand_percent(second));
+        for report in host_reports {
             self.report(n, &report);
         }
-        for report in usage {
+        for report in usage_reports {
             let (late, class) = (
                 self.controllers[n].fleet.random.between(0, 500_000),
                 CLASSES[report.class],
@@ -308,14 +308,14 @@
             "-".into()
         };
         let HostReport {
-            tries,
+            attempts,
             errors,
             mean_time,
             ..
         } = report;
         let (zone, host) = (ZONES[report.zone], &fleet.hosts[report.host].name);
         let text = format!(
-            "ROUNDUP\t{zone}\t{host}\t{tries}\t{errors}\t{mean_time}\t{REPORT_PERIOD}\t{load}"
+            "ROUNDUP\t{zone}\t{host}\t{attempts}\t{errors}\t{mean_time}\t{REPORT_PERIOD}\t{load}"
         );
         self.later(n, late, text);
     }
@@ -337,7 +337,7 @@
         }
     }
 
-    // ---- What the controllers order ---------------------------------------------------------------------
+    // ---- What the controllers decide ---------------------------------------------------------------------
 
     fn take_reply(&mut self, reply: &str) {
         let (mut n, mut reached) = (0, Vec::new());
@@ -374,24 +374,24 @@
                 fleet.set_level(whole(table) as u16, whole(classes), share);
                 reached.extend(fleet.users(whole(table) as u16));
             }
-            ["SEAL", mark, "0"] => self.seal(n, mark, reached),
-            ["INSPECT", host] => self.probe(n, host),
+            ["SEAL", ack, "0"] => self.request_acks(n, ack, reached),
+            ["INSPECT", host] => self.check_health(n, host),
             ["TRACK", "1"] => self.subscribe(n),
-            ["WAKE_AT", delay, mark] => {
+            ["WAKE_AT", delay, name] => {
                 let late = if fleet.random.percent(4) {
                     fleet.random.between(0, 2_000_000)
                 } else {
                     0
                 };
-                self.later(n, whole(delay) + late, format!("DEADLINE_HIT\t{mark}"));
+                self.later(n, whole(delay) + late, format!("DEADLINE_HIT\t{name}"));
             }
-            other => panic!("an order that is unknown: {other:?}"),
+            other => panic!("a decision that is unknown: {other:?}"),
         }
     }
 
-    /// Each proxy reached answers the mark: soon, late or never.
-    fn seal(&mut self, n: usize, mark: &str, reached: &mut Vec<usize>) {
-        self.counts.seals += 1;
+    /// Each proxy reached acknowledges: soon, late or never.
+    fn request_acks(&mut self, n: usize, ack: &str, reached: &mut Vec<usize>) {
+        self.counts.ack_requests += 1;
         reached.sort_unstable();
         reached.dedup();
         let slow = self.controllers[n]
@@ -404,23 +404,23 @@
             }
             let took =
                 random.between(150_000, 900_000) + if random.percent(5) { 5_000_000 } else { slow };
-            self.later(n, took, format!("APPLIED\t{proxy}\t{mark}\t{took}"));
+            self.later(n, took, format!("APPLIED\t{proxy}\t{ack}\t{took}"));
         }
     }
 
-    fn probe(&mut self, n: usize, name: &str) {
-        self.counts.probes += 1;
+    fn check_health(&mut self, n: usize, name: &str) {
+        self.counts.health_checks += 1;
         let fleet = &mut self.controllers[n].fleet;
         let host = fleet
             .hosts
             .iter()
             .find(|host| host.name == name)
             .expect("a host that was listed");
-        let (result, queue) = match (host.health, host.trouble) {
-            (Health::Gone, _) => ("NOCONN", 0),
+        let (result, queue) = match (host.health, host.fault) {
+            (Health::Removed, _) => ("NOCONN", 0),
             (Health::Draining, _) => ("FULL", 0),
-            (_, Trouble::Hangs) => ("LATE", 0),
-            (_, Trouble::Fails) => (
+            (_, Fault::Hangs) => ("LATE", 0),
+            (_, Fault::Fails) => (
                 if fleet.random.percent(50) {
                     "BAD"
                 } else {
--- a/crates/simulator-adapter/tests/decision_streams/site.rs
+++ b/crates/simulator-adapter/tests/decision_streams/site.rs
@@ -7,7 +7,7 @@
 pub(crate) const CLASSES: [&str; 3] = ["proof", "order", "release"];
 /// Names of the zones; a site uses the first few.
 pub(crate) const ZONES: [&str; 4] = ["ede", "arnhem", "utrecht", "amersfoort"];
-/// Names of the machine kinds.
+/// Names of the machine types.
 pub(crate) const MACHINES: [&str; 2] = ["single-fast", "dual-std"];
 /// Time between two reports, in microseconds.
 pub(crate) const REPORT_PERIOD: u64 = 1_000_000;
@@ -28,7 +28,7 @@
     pub most_waiting: u64,
     pub channel_rate: u64,
     pub list_on_request: bool,
-    pub probes: bool,
+    pub health_checks: bool,
     pub report_source: &'static str,
     pub crossing_price: bool,
     pub removal_not_binding: bool,
@@ -53,7 +53,7 @@
     most_waiting: 9_800,
     channel_rate: 9_800,
     list_on_request: false,
-    probes: true,
+    health_checks: true,
     report_source: "inline",
     crossing_price: false,
     removal_not_binding: false,
@@ -72,7 +72,7 @@
             "classes": [class(0, 1_500_000, 1), class(1, 1_000_000, 5), class(2, 800_000, 3)],
             "localities": &ZONES[..self.zones], "locality": ZONES[0], "machineTypes": MACHINES,
             "discovery": if self.list_on_request { "on_request" } else { "pushed" },
-            "limits": {"probes": self.probes, "peers": false},
+            "limits": {"probes": self.health_checks, "peers": false},
             "prices": {"crossZone": if self.crossing_price { 0.0625 } else { 0.0 }},
             "report": {"fields": ["busy", "q", "lat_ms"], "source": self.report_source},
             "obligations": {"askWithin": 10_000_000, "cold": 18_000_000, "startCapacity": 0.25,
