--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -160,7 +160,7 @@
     front.mirror().backends["proof"]
         .servers
         .get(host)
-        .is_some_and(|server| server.serves())
+        .is_some_and(|server| server.is_serving())
 }
 
 /// Ten kills, each a moment after a drain was told; at some the list changes while nobody looks.
@@ -190,7 +190,7 @@
             front.mirror().backends["proof"]
                 .servers
                 .values()
-                .any(|s| s.serves())
+                .any(|s| s.is_serving())
         }));
         let stat = site.ctl("show stat");
         let drained = stat
@@ -199,7 +199,7 @@
         assert!(drained, "round {round}: {stat}");
         let mark = fronts[0]
             .mirror()
-            .entry("pond_state", "steward")
+            .map_entry("pond_state", "steward")
             .unwrap_or_default()
             .to_string();
         let epoch: u64 = mark
--- a/crates/daemon-core/tests/in_memory/hard_cases.rs
+++ b/crates/daemon-core/tests/in_memory/hard_cases.rs
@@ -38,7 +38,7 @@
         holds_its_table(&mut town, n);
         for kind in KINDS {
             assert_eq!(
-                town.fronts[n].tables.entry("pond_tries", kind),
+                town.fronts[n].tables.map_entry("pond_tries", kind),
                 Some("unsent")
             );
         }
@@ -57,7 +57,7 @@
     assert_eq!(town.fronts[0].fault, Fault::None, "no orders came");
     holds_its_table(&mut town, 0);
     assert_eq!(
-        town.fronts[0].tables.entry("pond_tries", "release"),
+        town.fronts[0].tables.map_entry("pond_tries", "release"),
         Some("unsent")
     );
     assert!(
@@ -193,7 +193,7 @@
     let mut town = settled(1, 8);
     town.traffic(0, 40, 2, 100);
     town.run(2_000);
-    let fresh = pondarch_proxy_core::holding::Holding::new("front-0", 999, &KINDS);
+    let fresh = pondarch_proxy_core::proxy_state::ProxyState::new("front-0", 999, &KINDS);
     town.fronts[0].tables = fresh;
     town.drop_link(0);
     town.run(1_000);
@@ -245,7 +245,7 @@
     let mut town = Town::open(&site(6), 40);
     for backend in town.fronts[0].tables.backends.values_mut() {
         backend.servers.clear();
-        let server = pondarch_proxy_core::holding::Server::new(
+        let server = pondarch_proxy_core::proxy_state::Server::new(
             addr(99),
             50,
             pondarch_runtime_api::AdminState::Ready,
--- a/crates/daemon-core/tests/in_memory/pushes.rs
+++ b/crates/daemon-core/tests/in_memory/pushes.rs
@@ -5,7 +5,7 @@
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::{Event, Input, Output};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
-use pondarch_proxy_core::holding::Holding;
+use pondarch_proxy_core::proxy_state::ProxyState;
 use pondarch_runtime_api::stat::RowType;
 use std::collections::BTreeMap;
 
@@ -35,8 +35,8 @@
     town
 }
 
-fn body(tables: &Holding) -> Body {
-    let counted = tables.rows().into_iter().map(|row| {
+fn body(tables: &ProxyState) -> Body {
+    let counted = tables.stat_rows().into_iter().map(|row| {
         let sums = row.sums.unwrap_or_default();
         Counted {
             backend: row.backend,
@@ -305,7 +305,7 @@
         fresh
             .backends
             .values_mut()
-            .for_each(|backend| backend.reqs = 0);
+            .for_each(|backend| backend.requests = 0);
         fresh
     };
     pusher.come(&mut town);
@@ -528,10 +528,10 @@
                     if let Some(server) = backend
                         .servers
                         .get_mut(&bad)
-                        .filter(|server| server.serves())
+                        .filter(|server| server.is_serving())
                     {
-                        server.sums.done -= 6;
-                        server.sums.errored += 6;
+                        server.results.done -= 6;
+                        server.results.errored += 6;
                     }
                 }
                 pusher.push(&mut town, n);
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/town.rs
@@ -6,7 +6,7 @@
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
-use pondarch_proxy_core::holding::{Holding, Server};
+use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_runtime_api::{AdminState, Command, command};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,7 +30,7 @@
 }
 
 pub(crate) struct Front {
-    pub tables: Holding,
+    pub tables: ProxyState,
     pub up: bool,
     pub conn: Option<u64>,
     pub fault: Fault,
@@ -148,7 +148,7 @@
 impl Town {
     pub(crate) fn open(site: &Site, hosts: usize) -> Town {
         let front = |(n, proxy): (usize, &site::Proxy)| {
-            let mut tables = Holding::new(&proxy.name, 100 + n as u64, &KINDS);
+            let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &KINDS);
             // Standing tables: two hosts each.
             for backend in tables.backends.values_mut() {
                 for h in [n % hosts.max(1), (n + 1) % hosts.max(1)] {
@@ -264,7 +264,7 @@
             }
             let proxy = n as u16;
             let commands: Vec<Command> = command::parse_line(&line).into_iter().flatten().collect();
-            let orders = commands.iter().any(Holding::is_order);
+            let orders = commands.iter().any(ProxyState::is_update);
             if orders {
                 front
                     .orders
@@ -282,13 +282,13 @@
                     Fault::RefuseAdds if matches!(command, Command::AddServer { .. }) => {
                         answers.push("Out of memory.\n".into());
                     }
-                    _ => answers.push(front.tables.command(command.clone())),
+                    _ => answers.push(front.tables.execute(command.clone())),
                 }
             }
             if fault == Fault::Twice {
                 commands
                     .iter()
-                    .for_each(|command| drop(front.tables.command(command.clone())));
+                    .for_each(|command| drop(front.tables.execute(command.clone())));
             }
             if matches!(fault, Fault::CutAfter(cut) if cut < commands.len()) {
                 // The answers are lost with the connection.
@@ -345,16 +345,16 @@
     /// Counts reqs at a proxy's servers, as if traffic had gone there.
     pub(crate) fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
         for backend in self.fronts[n].tables.backends.values_mut() {
-            backend.reqs += done + errored;
+            backend.requests += done + errored;
             for server in backend
                 .servers
                 .values_mut()
-                .filter(|server| server.serves())
+                .filter(|server| server.is_serving())
             {
-                server.total += done + errored;
-                server.sums.done += done;
-                server.sums.errored += errored;
-                server.sums.done_time += std::time::Duration::from_millis(mean_ms * done);
+                server.attempts += done + errored;
+                server.results.done += done;
+                server.results.errored += errored;
+                server.results.done_time += std::time::Duration::from_millis(mean_ms * done);
             }
         }
     }
@@ -365,9 +365,9 @@
         kind: &str,
     ) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
         let servers = &self.fronts[n].tables.backends[kind].servers;
-        let serving = servers.iter().filter(|(_, server)| server.serves());
+        let serving = servers.iter().filter(|(_, server)| server.is_serving());
         serving
-            .map(|(name, server)| (name.clone(), (server.addr, server.weight)))
+            .map(|(name, server)| (name.clone(), (server.address, server.weight)))
             .collect()
     }
 
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -25,19 +25,20 @@
             let all: u64 = backend
                 .servers
                 .values()
-                .filter(|s| s.serves())
+                .filter(|s| s.is_serving())
                 .map(|s| u64::from(s.weight))
                 .sum();
             for (name, server) in backend
                 .servers
                 .iter_mut()
-                .filter(|(_, server)| server.serves())
+                .filter(|(_, server)| server.is_serving())
             {
                 let reqs = 40 * u64::from(server.weight) / all.max(1);
                 let ms = if name == slow { 60 } else { 20 };
-                (server.total, server.sums.done) = (server.total + reqs, server.sums.done + reqs);
-                server.sums.done_time += Duration::from_millis(ms * reqs);
-                backend.reqs += reqs;
+                (server.attempts, server.results.done) =
+                    (server.attempts + reqs, server.results.done + reqs);
+                server.results.done_time += Duration::from_millis(ms * reqs);
+                backend.requests += reqs;
             }
         }
     }
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -12,7 +12,7 @@
 use pondarch_daemon_core::{Core, Input, Output, wire::micros};
 use pondarch_event_log::disk::Trouble;
 use pondarch_event_log::{Disk, Folder, Keep, Log, frame, keeping};
-use pondarch_proxy_core::holding::Holding;
+use pondarch_proxy_core::proxy_state::ProxyState;
 use pondarch_replay::replay::{Span, replay};
 use pondarch_replay::{Decision, Record, Start, recover};
 use std::collections::VecDeque;
@@ -63,7 +63,7 @@
 /// A core with proxies that answer at once; time is its own.
 struct Town {
     core: Core,
-    fronts: Vec<Holding>,
+    fronts: Vec<ProxyState>,
     waits: VecDeque<Input>,
     now: u64,
 }
@@ -71,7 +71,7 @@
 impl Town {
     fn new(site: &Site, at_us: u64) -> Town {
         let front = |n: usize| {
-            Holding::new(
+            ProxyState::new(
                 &format!("front-{n}"),
                 n as u64 + 1,
                 &["proof", "order", "release"],
@@ -117,15 +117,15 @@
             Output::Write { proxy, conn, lines } => {
                 let front = &mut self.fronts[usize::from(proxy)];
                 for backend in front.backends.values_mut() {
-                    backend.reqs += 3;
+                    backend.requests += 3;
                     backend.servers.values_mut().for_each(|server| {
-                        server.total += 1;
-                        server.sums.done += 1;
+                        server.attempts += 1;
+                        server.results.done += 1;
                     });
                 }
                 let texts = lines
                     .iter()
-                    .flat_map(|line| front.line(line))
+                    .flat_map(|line| front.execute_line(line))
                     .collect::<Vec<_>>();
                 self.waits
                     .extend(
--- a/crates/proxy-core/benches/tables.rs
+++ b/crates/proxy-core/benches/tables.rs
@@ -1,65 +1,62 @@
-//! What a change of a table and a pick cost, by the table's lines: `cargo bench -p pondarch-proxy-core`.
+//! What a change of a table and a pick cost, by the memberships of the table: `cargo bench -p pondarch-proxy-core`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use pondarch_controller::Time;
-use pondarch_proxy_core::avoid::Habit;
-use pondarch_proxy_core::obey::{Habits, Kind, Obey};
-use pondarch_proxy_core::table::PickBy;
-use pondarch_proxy_core::tries::Repeats;
+use pondarch_proxy_core::ejection::EjectionPolicy;
+use pondarch_proxy_core::policy::{ProxyCoreOptions, RequestClass, RoutingPolicy, StaticHost};
+use pondarch_proxy_core::proxy_core::ProxyCore;
+use pondarch_proxy_core::retry::Idempotency;
+use pondarch_proxy_core::routing_table::PickPolicy;
 use pondarch_runtime_api::Level;
 use std::time::Duration;
 
-fn obey(lines: usize, pick: PickBy) -> Obey {
-    let kind = Kind {
+fn proxy_core(host_count: usize, pick: PickPolicy) -> ProxyCore {
+    let class = RequestClass {
         name: "proof".into(),
-        repeats: Repeats::Replayable,
+        idempotency: Idempotency::Idempotent,
         client_timeout: Duration::from_millis(4_000),
-        benefit: 1.0,
+        priority_weight: 1.0,
     };
-    let avoid = Habit {
-        after: 3,
-        least: Duration::from_millis(2_000),
-        most: Duration::from_millis(5_000),
-        part: 0.5,
-        remembered: Duration::from_millis(60_000),
+    let ejection = EjectionPolicy {
+        consecutive_failures: 3,
+        min_duration: Duration::from_millis(2_000),
+        max_duration: Duration::from_millis(5_000),
+        max_ejected_fraction: 0.5,
+        forget_after: Duration::from_millis(60_000),
     };
-    let habits = Habits {
+    let policy = RoutingPolicy {
         pick,
-        avoid,
-        further_tries: 0.2,
-        host_limit: 128,
-        line_most: 512,
+        ejection,
+        retry_ratio: 0.2,
+        max_in_flight_per_host: 128,
+        max_waiting: 512,
         last_ready_for: Duration::from_millis(3_000),
     };
-    let standing: Vec<_> = (0..lines)
-        .map(|n| {
-            (
-                format!("host-{n}"),
-                ([127, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
-            )
-        })
-        .collect();
-    Obey::new(
-        "front",
-        1,
-        vec![kind],
-        habits,
-        &standing,
-        5,
-        Time::from_micros(1_000_000),
-    )
+    let static_host = |n: usize| StaticHost {
+        name: format!("host-{n}"),
+        address: ([127, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
+    };
+    let options = ProxyCoreOptions {
+        name: "front".into(),
+        process_id: 1,
+        classes: vec![class],
+        policy,
+        static_hosts: (0..host_count).map(static_host).collect(),
+        seed: 5,
+    };
+    ProxyCore::new(options, Time::from_micros(1_000_000))
 }
 
-fn tables(c: &mut Criterion) {
+fn tables(criterion: &mut Criterion) {
     let now = Time::from_micros(2_000_000);
-    let mut swaps = c.benchmark_group("one weight changed");
-    for lines in [8, 64, 700] {
-        let mut obey = obey(lines, PickBy::Weighted);
+    let mut changes = criterion.benchmark_group("one weight changed");
+    for host_count in [8, 64, 700] {
+        let mut core = proxy_core(host_count, PickPolicy::WeightedRandom);
         let mut weight = 1;
-        swaps.bench_function(BenchmarkId::from_parameter(lines), |b| {
-            b.iter(|| {
+        changes.bench_function(BenchmarkId::from_parameter(host_count), |bencher| {
+            bencher.iter(|| {
                 weight = weight % 200 + 1;
-                obey.line(
+                core.execute_line(
                     now,
                     1,
                     Level::Admin,
@@ -68,19 +65,19 @@
             });
         });
     }
-    swaps.finish();
-    for (name, by) in [
-        ("weighted", PickBy::Weighted),
-        ("round", PickBy::Round),
-        ("two", PickBy::Two),
+    changes.finish();
+    for (name, policy) in [
+        ("weighted", PickPolicy::WeightedRandom),
+        ("round", PickPolicy::RoundRobin),
+        ("two", PickPolicy::TwoChoices),
     ] {
-        let mut picks = c.benchmark_group(format!("arrive and pick, {name}"));
-        for lines in [8, 64, 700] {
-            let mut obey = obey(lines, by);
-            picks.bench_function(BenchmarkId::from_parameter(lines), |b| {
-                b.iter(|| {
-                    obey.arrive(now, 0)
-                        .map(|arrival| obey.pick(now, &arrival, &[], None))
+        let mut picks = criterion.benchmark_group(format!("arrive and pick, {name}"));
+        for host_count in [8, 64, 700] {
+            let mut core = proxy_core(host_count, policy);
+            picks.bench_function(BenchmarkId::from_parameter(host_count), |bencher| {
+                bencher.iter(|| {
+                    core.admit(now, 0)
+                        .map(|request| core.pick(now, &request, &[], None))
                 });
             });
         }
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,24 +1,25 @@
-//! What the obeying proxy decides. No I/O and no clock.
+//! What the proxy decides: which host gets a request, who is admitted, what is retried. No I/O and no clock.
 //!
-//! - `version`: which table is newer, and who may send one.
-//! - `table`: an immutable table of a kind, and how a line is picked.
-//! - `last_ready`: a table without a ready host does not leave a kind with nobody.
-//! - `avoid`: keeping away from hosts after failed tries of one's own.
-//! - `tries`: whether another try may follow, and the budget of those.
-//! - `admit`: levels by share or rate; the waiting line, and whom it turns away.
-//! - `obey`: all of these together, as the data path asks for them.
-//! - `holding`: all that the runtime API shows and sets.
-//! - `orders`: who may send orders, and that older ones never go over newer ones.
+//! - [`version`]: which update is newer, and which controller may send one.
+//! - [`routing_table`]: an immutable table of a request class, and how a host is picked from it.
+//! - [`last_ready`]: a table without a ready host does not leave a request class without hosts.
+//! - [`ejection`]: ejecting hosts after failed attempts of this proxy.
+//! - [`retry`]: whether another attempt may follow, and the retry budget.
+//! - [`admission`]: limits by fraction or rate, and why a request is rejected.
+//! - [`wait_queue`]: requests that wait for a host with capacity.
+//! - [`policy`]: request classes and the proxy's settings.
+//! - [`proxy_state`]: all that the runtime API shows and sets.
+//! - [`updates`]: who may send updates, and that older ones never replace newer ones.
+//! - [`proxy_core`]: all of these together, as the data path calls them.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, missing_docs)]
-
-pub mod admit;
-pub mod avoid;
-pub mod holding;
+pub mod admission;
+pub mod ejection;
 pub mod last_ready;
-pub mod obey;
-pub mod orders;
-pub mod table;
-pub mod tries;
+pub mod policy;
+pub mod proxy_core;
+pub mod proxy_state;
+pub mod retry;
+pub mod routing_table;
+pub mod updates;
 pub mod version;
+pub mod wait_queue;
--- /dev/null
+++ b/crates/proxy-core/src/proxy_core/waiting.rs
@@ -0,0 +1,29 @@
+//! Requests that wait for a host with capacity.
+
+use super::{AdmittedRequest, ProxyCore};
+use crate::wait_queue::{QueueOffer, QueueRelease};
+use pondarch_controller::Time;
+
+impl ProxyCore {
+    /// Offers a request that found all hosts at their limit to the wait queue. Gives its number there.
+    pub fn offer_to_queue(&mut self, now: Time, request: &AdmittedRequest) -> (u64, QueueOffer) {
+        self.last_queue_number += 1;
+        let number = self.last_queue_number;
+        let priority_weight = self.classes[request.class].priority_weight;
+        let deadline = request.progress.deadline;
+        let offer = self
+            .wait_queue
+            .offer(now, number, priority_weight, deadline);
+        (number, offer)
+    }
+
+    /// A host may have capacity: which request picks again, and which are rejected.
+    pub fn release_from_queue(&mut self, now: Time) -> QueueRelease {
+        self.wait_queue.release_next(now)
+    }
+
+    /// Removes a request that waits no longer.
+    pub fn remove_from_queue(&mut self, number: u64) {
+        self.wait_queue.remove(number);
+    }
+}
--- /dev/null
+++ b/crates/proxy-core/tests/retry.rs
@@ -0,0 +1,109 @@
+//! Which attempts may follow, and the retry budget.
+
+use pondarch_controller::Time;
+use pondarch_proxy_core::retry::{
+    AttemptOutcome, Idempotency, RequestProgress, RetryBudget, RetryDecision, RetryMode,
+};
+use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
+use std::time::Duration;
+
+fn progress(
+    retry_mode: RetryMode,
+    idempotency: Idempotency,
+    attempts: usize,
+    in_doubt: bool,
+) -> RequestProgress {
+    RequestProgress {
+        retry_mode,
+        idempotency,
+        first_sent_at: Time::from_micros(1_000_000),
+        deadline: Time::from_micros(3_000_000),
+        attempts,
+        in_doubt,
+        group: Some("rack-1".into()),
+        body_buffered: true,
+    }
+}
+
+proptest! {
+    /// A request that is not idempotent and may have been processed is never sent again, and one with an idempotency key
+    /// only where it is dropped.
+    #[test]
+    fn nothing_takes_effect_twice(mode in 0..4usize, class in 0..3usize, attempts in 1..5usize, in_doubt: bool, proof: bool, after in 0..3_000_000u64) {
+        let mode = [RetryMode::Never, RetryMode::Unprocessed, RetryMode::Failure, RetryMode::FailureTwice][mode];
+        let memory = Duration::from_millis(750);
+        let idempotency = [Idempotency::Idempotent, Idempotency::ByKey(memory), Idempotency::NotIdempotent][class];
+        let outcome = if proof { AttemptOutcome::Unprocessed } else { AttemptOutcome::InDoubt };
+        let now = Time::from_micros(1_000_000 + after);
+        let decision = progress(mode, idempotency, attempts, in_doubt).retry_after(outcome, now);
+        if in_doubt || !proof {
+            match idempotency {
+                Idempotency::NotIdempotent => prop_assert_eq!(&decision, &RetryDecision::Stop),
+                Idempotency::ByKey(_) => {
+                    let dropped = decision == RetryDecision::WithinGroup("rack-1".into()) && after < 750_000;
+                    prop_assert!(decision == RetryDecision::Stop || dropped);
+                }
+                Idempotency::Idempotent => {}
+            }
+        }
+        prop_assert!(decision == RetryDecision::Stop || (attempts < 3 && mode != RetryMode::Never && after < 2_000_000));
+    }
+}
+
+#[test]
+fn retries_follow_the_mode() {
+    let now = Time::from_micros(1_100_000);
+    let decide = |mode, attempts, outcome| {
+        progress(mode, Idempotency::Idempotent, attempts, false).retry_after(outcome, now)
+    };
+    assert_eq!(
+        decide(RetryMode::Never, 1, AttemptOutcome::Unprocessed),
+        RetryDecision::Stop
+    );
+    assert_eq!(
+        decide(RetryMode::Unprocessed, 1, AttemptOutcome::Unprocessed),
+        RetryDecision::AnyHost
+    );
+    assert_eq!(
+        decide(RetryMode::Unprocessed, 1, AttemptOutcome::InDoubt),
+        RetryDecision::Stop
+    );
+    assert_eq!(
+        decide(RetryMode::Failure, 1, AttemptOutcome::InDoubt),
+        RetryDecision::AnyHost
+    );
+    assert_eq!(
+        decide(RetryMode::Failure, 2, AttemptOutcome::InDoubt),
+        RetryDecision::Stop
+    );
+    assert_eq!(
+        decide(RetryMode::FailureTwice, 2, AttemptOutcome::InDoubt),
+        RetryDecision::AnyHost
+    );
+    assert_eq!(
+        decide(RetryMode::FailureTwice, 1, AttemptOutcome::Success),
+        RetryDecision::Stop
+    );
+    let unbuffered = RequestProgress {
+        body_buffered: false,
+        ..progress(RetryMode::Failure, Idempotency::Idempotent, 1, false)
+    };
+    assert_eq!(
+        unbuffered.retry_after(AttemptOutcome::Unprocessed, now),
+        RetryDecision::Stop
+    );
+}
+
+#[test]
+fn the_budget_is_a_part_of_first_attempts() {
+    let mut budget = RetryBudget::new(0.2);
+    let at_once = (0..100).filter(|_| budget.take()).count();
+    assert_eq!(at_once, 10);
+    let retries = (0..1_000)
+        .filter(|_| {
+            budget.record_first_attempt();
+            budget.take()
+        })
+        .count();
+    assert!((195..=205).contains(&retries), "{retries}");
+}
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -4,7 +4,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
-use pondarch_proxy_core::tries::Outcome;
+use pondarch_proxy_core::retry::AttemptOutcome;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::Duration;
@@ -105,7 +105,7 @@
         }
     }
 
-    fn end(&mut self, outcome: Outcome) {
+    fn end(&mut self, outcome: AttemptOutcome) {
         if let Some(out) = self.out.take() {
             out.over(outcome);
         }
@@ -123,23 +123,23 @@
         let this = self.get_mut();
         match Pin::new(&mut this.body).poll_frame(cx) {
             Poll::Ready(None) => {
-                this.end(Outcome::Done);
+                this.end(AttemptOutcome::Success);
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Err(wrong))) => {
-                this.end(Outcome::MayHaveRun);
+                this.end(AttemptOutcome::InDoubt);
                 Poll::Ready(Some(Err(wrong.into())))
             }
             Poll::Ready(Some(Ok(frame))) => {
                 if this.body.is_end_stream() {
-                    this.end(Outcome::Done);
+                    this.end(AttemptOutcome::Success);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             // A head and never a body: the time limit is the whole req's.
             Poll::Pending => match this.late.as_mut().poll(cx) {
                 Poll::Ready(()) => {
-                    this.end(Outcome::MayHaveRun);
+                    this.end(AttemptOutcome::InDoubt);
                     Poll::Ready(Some(Err("the host's answer did not end in time".into())))
                 }
                 Poll::Pending => Poll::Pending,
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/carry.rs
@@ -11,10 +11,10 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use pondarch_controller::DurationExt;
-use pondarch_proxy_core::admit::Denied;
-use pondarch_proxy_core::obey::{Arrival, Pick};
-use pondarch_proxy_core::table::Line;
-use pondarch_proxy_core::tries::{Next, Outcome};
+use pondarch_proxy_core::admission::Rejected;
+use pondarch_proxy_core::proxy_core::{AdmittedRequest, Pick};
+use pondarch_proxy_core::retry::{AttemptOutcome, RetryDecision};
+use pondarch_proxy_core::routing_table::TableMembership;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
@@ -67,7 +67,7 @@
         let Some(kind) = self.shared.kinds.iter().position(|kind| fits(kind, &req)) else {
             return said(StatusCode::NOT_FOUND, "no request kind fits\n");
         };
-        let arrived = self.shared.obey().arrive(self.shared.now(), kind);
+        let arrived = self.shared.obey().admit(self.shared.now(), kind);
         let answer = match arrived {
             Ok(arrival) => self.carry(req, arrival).await,
             Err(denied) => refusal(denied),
@@ -79,7 +79,11 @@
         }
     }
 
-    async fn carry(&self, req: Request<Incoming>, mut arrival: Arrival) -> Response<AnyBody> {
+    async fn carry(
+        &self,
+        req: Request<Incoming>,
+        mut arrival: AdmittedRequest,
+    ) -> Response<AnyBody> {
         let limits = self.shared.limits();
         let (head, body) = req.into_parts();
         let left = self.left(&arrival);
@@ -95,14 +99,14 @@
                 ));
             }
         };
-        arrival.course.body_kept = body.is_kept();
+        arrival.progress.body_buffered = body.is_kept();
         let mut tried: Vec<String> = Vec::new();
         let mut within: Option<String> = None;
         let mut last = StatusCode::SERVICE_UNAVAILABLE;
         loop {
             let Some(line) = self.host(&arrival, &tried, within.as_deref()).await else {
                 return if tried.is_empty() {
-                    refusal(Denied::Full)
+                    refusal(Rejected::QueueFull)
                 } else {
                     said(last, "no further host\n")
                 };
@@ -110,19 +114,19 @@
             let left = self.left(&arrival);
             let out = self.sent(&mut arrival, line.clone());
             let Some(built) = self.built(&head, &line, &arrival, body.next()) else {
-                out.over(Outcome::NeverRan);
+                out.over(AttemptOutcome::Unprocessed);
                 return said(StatusCode::BAD_REQUEST, "the req cannot be passed on\n");
             };
             let head_within = limits.response.map_or(left, |limit| limit.std().min(left));
             let (outcome, answer) = match timeout(head_within, self.client.request(built)).await {
-                Err(_) => (Outcome::MayHaveRun, Err(StatusCode::GATEWAY_TIMEOUT)),
+                Err(_) => (AttemptOutcome::InDoubt, Err(StatusCode::GATEWAY_TIMEOUT)),
                 Ok(Err(wrong)) => {
                     let unsent = wrong.is_connect() || is_unsent(&wrong);
                     debug!(host = line.host, %wrong, unsent, "try failed");
                     let outcome = if unsent {
-                        Outcome::NeverRan
+                        AttemptOutcome::Unprocessed
                     } else {
-                        Outcome::MayHaveRun
+                        AttemptOutcome::InDoubt
                     };
                     (outcome, Err(StatusCode::BAD_GATEWAY))
                 }
@@ -130,14 +134,14 @@
                     let never = answer.headers().contains_key(NEVER_RAN);
                     (
                         if never {
-                            Outcome::NeverRan
+                            AttemptOutcome::Unprocessed
                         } else {
-                            Outcome::MayHaveRun
+                            AttemptOutcome::InDoubt
                         },
                         Ok(answer),
                     )
                 }
-                Ok(Ok(answer)) => (Outcome::Done, Ok(answer)),
+                Ok(Ok(answer)) => (AttemptOutcome::Success, Ok(answer)),
             };
             if let Ok(answer) = &answer
                 && let Some(told) = answer.headers().get(pondarch_load_report::HEADER)
@@ -145,15 +149,15 @@
                 let report = pondarch_load_report::Report::read(told.to_str().unwrap_or(""));
                 self.shared
                     .obey()
-                    .load_told(&line.host, report.busy, report.queue);
+                    .record_load_report(&line.host, report.busy, report.queue);
             }
-            if outcome == Outcome::Done
+            if outcome == AttemptOutcome::Success
                 && let Ok(answer) = answer
             {
                 return passed_on(answer, out, self.left(&arrival));
             }
             match out.failed(&mut arrival, outcome) {
-                Next::Stop => {
+                RetryDecision::Stop => {
                     return match answer {
                         // The host's own words; its body is not counted any more.
                         Ok(answer) => {
@@ -162,8 +166,8 @@
                         Err(status) => said(status, "the host gave no answer\n"),
                     };
                 }
-                Next::Elsewhere => within = None,
-                Next::Within(group) => within = Some(group),
+                RetryDecision::AnyHost => within = None,
+                RetryDecision::WithinGroup(group) => within = Some(group),
             }
             last = answer.map_or_else(|status| status, |answer| answer.status());
             tried.push(line.host);
@@ -173,28 +177,28 @@
     /// The next host, after waiting for room if need be.
     async fn host(
         &self,
-        arrival: &Arrival,
+        arrival: &AdmittedRequest,
         tried: &[String],
         within: Option<&str>,
-    ) -> Option<Line> {
+    ) -> Option<TableMembership> {
         loop {
             let now = self.shared.now();
-            if now >= arrival.course.gives_up {
+            if now >= arrival.progress.deadline {
                 return None;
             }
             let picked = self.shared.obey().pick(now, arrival, tried, within);
             match picked {
                 Pick::Host(line) => return Some(line),
-                Pick::Nobody => return None,
+                Pick::NoHost => return None,
                 Pick::Wait => {}
             }
             let (place, waits) = {
                 // Offered and entered under one lock: a host may get room at any moment.
                 let mut obey = self.shared.obey();
-                let (number, offered) = obey.wait(now, arrival);
-                let waits = offered.waits.then(|| self.shared.wait(number));
+                let (number, offered) = obey.offer_to_queue(now, arrival);
+                let waits = offered.queued.then(|| self.shared.wait(number));
                 drop(obey);
-                self.shared.wake(None, &offered.turned_away);
+                self.shared.wake(None, &offered.rejected);
                 (
                     Place {
                         shared: &self.shared,
@@ -211,27 +215,27 @@
         }
     }
 
-    fn sent(&self, arrival: &mut Arrival, line: Line) -> Out {
+    fn sent(&self, arrival: &mut AdmittedRequest, line: TableMembership) -> Out {
         let now = self.shared.now();
-        self.shared.obey().sent(now, arrival, &line);
+        self.shared.obey().attempt_sent(now, arrival, &line);
         Out::new(self.shared.clone(), arrival.clone(), line, now)
     }
 
-    fn left(&self, arrival: &Arrival) -> Duration {
-        arrival.course.gives_up - self.shared.now()
+    fn left(&self, arrival: &AdmittedRequest) -> Duration {
+        arrival.progress.deadline - self.shared.now()
     }
 
     fn built(
         &self,
         head: &hyper::http::request::Parts,
-        line: &Line,
-        arrival: &Arrival,
+        line: &TableMembership,
+        arrival: &AdmittedRequest,
         body: AnyBody,
     ) -> Option<Request<AnyBody>> {
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = Uri::builder()
             .scheme("http")
-            .authority(line.addr.to_string())
+            .authority(line.address.to_string())
             .path_and_query(path)
             .build()
             .ok()?;
@@ -243,7 +247,7 @@
         without_hop(headers);
         // The client's own word for the host is kept; the library would write the address.
         if !headers.contains_key(HOST) {
-            headers.insert(HOST, HeaderValue::from_str(&line.addr.to_string()).ok()?);
+            headers.insert(HOST, HeaderValue::from_str(&line.address.to_string()).ok()?);
         }
         headers.insert(HeaderName::from_static(PROXY), self.name.clone());
         let version = arrival.version.as_deref().unwrap_or("standing");
@@ -291,7 +295,7 @@
 fn passed_on(answer: Response<Incoming>, out: Out, left: Duration) -> Response<AnyBody> {
     let (head, body) = answer.into_parts();
     let body = if body.is_end_stream() {
-        out.over(Outcome::Done);
+        out.over(AttemptOutcome::Success);
         full("")
     } else {
         Answer::new(body, out, left).boxed_unsync()
@@ -323,24 +327,24 @@
 }
 
 /// Refused at once, with when to come again.
-fn refusal(denied: Denied) -> Response<AnyBody> {
+fn refusal(denied: Rejected) -> Response<AnyBody> {
     let (status, after, text) = match denied {
-        Denied::Share => (
+        Rejected::Fraction => (
             StatusCode::SERVICE_UNAVAILABLE,
             Duration::from_millis(1_000),
             "not let in: too much is asked\n",
         ),
-        Denied::Rate(after) => (
+        Rejected::Rate { retry_after: after } => (
             StatusCode::TOO_MANY_REQUESTS,
             after,
             "not let in: too many a second\n",
         ),
-        Denied::Full => (
+        Rejected::QueueFull => (
             StatusCode::SERVICE_UNAVAILABLE,
             Duration::from_millis(1_000),
             "too many wait\n",
         ),
-        Denied::NoHost => (
+        Rejected::NoHost => (
             StatusCode::SERVICE_UNAVAILABLE,
             Duration::from_millis(1_000),
             "no host is ready\n",
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -1,6 +1,7 @@
 //! The runtime API of the proxy.
 
 use crate::shared::Together;
+use pondarch_proxy_core::proxy_core::TableStatus;
 use pondarch_runtime_api::Level;
 use pondarch_runtime_api::codec::framed_answer;
 use pondarch_transport::Desk;
@@ -20,18 +21,22 @@
     }
 
     fn closed(&self, connection: u64) {
-        self.shared.obey().closed(connection);
+        self.shared.obey().connection_closed(connection);
     }
 
     async fn answer(&self, connection: u64, level: Level, line: String) -> Option<String> {
         let (answers, news) = {
             let (now, mut obey) = (self.shared.now(), self.shared.obey());
-            (obey.line(now, connection, level, &line), obey.news(now))
+            (
+                obey.execute_line(now, connection, level, &line),
+                obey.take_status_changes(now),
+            )
         };
-        for (kind, state) in news {
-            match state {
-                "as set" => info!(kind, "its table has ready hosts again"),
-                state => warn!(kind, state, "its table lists no ready host"),
+        for change in news {
+            let kind = change.class;
+            match change.status {
+                TableStatus::Current => info!(kind, "its table has ready hosts again"),
+                state => warn!(kind, %state, "its table lists no ready host"),
             }
         }
         Some(answers.iter().map(|answer| framed_answer(answer)).collect())
--- a/crates/proxy/src/out.rs
+++ b/crates/proxy/src/out.rs
@@ -2,21 +2,26 @@
 
 use crate::shared::Together;
 use pondarch_controller::Time;
-use pondarch_proxy_core::obey::Arrival;
-use pondarch_proxy_core::table::Line;
-use pondarch_proxy_core::tries::{Next, Outcome};
+use pondarch_proxy_core::proxy_core::AdmittedRequest;
+use pondarch_proxy_core::retry::{AttemptOutcome, RetryDecision};
+use pondarch_proxy_core::routing_table::TableMembership;
 
 /// A try that is out. However it ends, the host's place is given back and the rules are told.
 pub(crate) struct Out {
     shared: Together,
-    arrival: Arrival,
-    line: Line,
+    arrival: AdmittedRequest,
+    line: TableMembership,
     sent: Time,
     told: bool,
 }
 
 impl Out {
-    pub(crate) fn new(shared: Together, arrival: Arrival, line: Line, sent: Time) -> Out {
+    pub(crate) fn new(
+        shared: Together,
+        arrival: AdmittedRequest,
+        line: TableMembership,
+        sent: Time,
+    ) -> Out {
         Out {
             shared,
             arrival,
@@ -27,23 +32,31 @@
     }
 
     /// The try ended, and nothing is to follow.
-    pub(crate) fn over(mut self, outcome: Outcome) {
+    pub(crate) fn over(mut self, outcome: AttemptOutcome) {
         self.told = true;
         let now = self.shared.now();
-        self.shared
-            .obey()
-            .left(now, &self.arrival, &self.line, outcome, now - self.sent);
+        self.shared.obey().final_attempt_ended(
+            now,
+            &self.arrival,
+            &self.line,
+            outcome,
+            now - self.sent,
+        );
         self.shared.room();
     }
 
     /// The try ended without an answer; gives what may follow.
-    pub(crate) fn failed(mut self, arrival: &mut Arrival, outcome: Outcome) -> Next {
+    pub(crate) fn failed(
+        mut self,
+        arrival: &mut AdmittedRequest,
+        outcome: AttemptOutcome,
+    ) -> RetryDecision {
         self.told = true;
         let now = self.shared.now();
-        let next = self
-            .shared
-            .obey()
-            .ended(now, arrival, &self.line, outcome, now - self.sent);
+        let next =
+            self.shared
+                .obey()
+                .attempt_ended(now, arrival, &self.line, outcome, now - self.sent);
         self.shared.room();
         next
     }
@@ -53,7 +66,9 @@
     fn drop(&mut self) {
         if !self.told {
             // The client went away: that says nothing of the host.
-            self.shared.obey().abandoned(&self.arrival, &self.line);
+            self.shared
+                .obey()
+                .attempt_abandoned(&self.arrival, &self.line);
             self.shared.room();
         }
     }
--- a/crates/proxy/src/push.rs
+++ b/crates/proxy/src/push.rs
@@ -82,7 +82,7 @@
 }
 
 fn body(shared: &Together) -> Body {
-    let rows = shared.obey().holding.rows();
+    let rows = shared.obey().state().stat_rows();
     Body {
         counted: rows.into_iter().map(counted).collect(),
         own: None,
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -11,6 +11,7 @@
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use pondarch_config::hosts::HostState;
 use pondarch_config::{Endpoint, HostEntry, ProxySite, SettingsError, read_hosts, read_proxy};
+use pondarch_proxy_core::policy::StaticHost;
 use pondarch_transport::{Listener, serve};
 use std::convert::Infallible;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -114,7 +115,7 @@
 
 /// The hosts to use until a steward says more: some of the ready ones of the own zone, if three are there, drawn by
 /// seed.
-fn standing(site: &ProxySite, hosts: &[HostEntry], seed: u64) -> Vec<(String, SocketAddr)> {
+fn standing(site: &ProxySite, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
     let ready = || hosts.iter().filter(|host| host.state == HostState::Ready);
     let mut near: Vec<&HostEntry> = ready().filter(|host| host.zone == site.zone).collect();
     if near.len() < 3 {
@@ -127,7 +128,10 @@
     fastrand::Rng::with_seed(hash.finish()).shuffle(&mut near);
     near.into_iter()
         .take(site.standing_most)
-        .map(|host| (host.name.clone(), host.address))
+        .map(|host| StaticHost {
+            name: host.name.clone(),
+            address: host.address,
+        })
         .collect()
 }
 
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -3,10 +3,11 @@
 use pondarch_config::proxy::{Limits, Pick, ProxyKind};
 use pondarch_config::{ProxySite, site};
 use pondarch_controller::Time;
-use pondarch_proxy_core::avoid::Habit;
-use pondarch_proxy_core::obey::{Habits, Kind, Obey};
-use pondarch_proxy_core::table::PickBy;
-use pondarch_proxy_core::tries::Repeats;
+use pondarch_proxy_core::ejection::EjectionPolicy;
+use pondarch_proxy_core::policy::{ProxyCoreOptions, RequestClass, RoutingPolicy, StaticHost};
+use pondarch_proxy_core::proxy_core::ProxyCore;
+use pondarch_proxy_core::retry::Idempotency;
+use pondarch_proxy_core::routing_table::PickPolicy;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,7 +16,7 @@
 
 /// The rules, the clock, and reqs that wait. The lock is held for decisions alone, never while anything is awaited.
 pub(crate) struct Shared {
-    obey: Mutex<Obey>,
+    obey: Mutex<ProxyCore>,
     waiting: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     limits: Mutex<Limits>,
     pub(crate) kinds: Vec<ProxyKind>,
@@ -24,25 +25,23 @@
 }
 
 impl Shared {
-    pub(crate) fn new(
-        site: &ProxySite,
-        standing: &[(String, std::net::SocketAddr)],
-        seed: u64,
-    ) -> Shared {
+    pub(crate) fn new(site: &ProxySite, standing: &[StaticHost], seed: u64) -> Shared {
         let at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        let kinds: Vec<Kind> = site.kinds.iter().map(kind).collect();
+        let kinds: Vec<RequestClass> = site.kinds.iter().map(kind).collect();
         let now = Time::from_micros(at_start);
         let process = u64::from(std::process::id());
-        let obey = Obey::new(
-            &site.name,
-            process,
-            kinds,
-            habits(site),
-            standing,
-            seed,
+        let obey = ProxyCore::new(
+            ProxyCoreOptions {
+                name: site.name.clone(),
+                process_id: process,
+                classes: kinds,
+                policy: habits(site),
+                static_hosts: standing.to_vec(),
+                seed,
+            },
             now,
         );
         Shared {
@@ -60,7 +59,7 @@
         Time::from_micros(self.at_start + self.start.elapsed().as_micros() as u64)
     }
 
-    pub(crate) fn obey(&self) -> MutexGuard<'_, Obey> {
+    pub(crate) fn obey(&self) -> MutexGuard<'_, ProxyCore> {
         self.obey.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -70,7 +69,7 @@
 
     /// New habits and limits; reqs under way go on.
     pub(crate) fn reload(&self, site: &ProxySite) {
-        self.obey().set_habits(habits(site));
+        self.obey().set_policy(habits(site));
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = site.limits;
     }
 
@@ -107,49 +106,49 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&number);
-        self.obey().leave_line(number);
+        self.obey().remove_from_queue(number);
     }
 
     /// A host has room again.
     pub(crate) fn room(&self) {
-        let (next, turned_away) = self.obey().room(self.now());
-        self.wake(next, &turned_away);
+        let release = self.obey().release_from_queue(self.now());
+        self.wake(release.next, &release.rejected);
     }
 }
 
-fn kind(kind: &ProxyKind) -> Kind {
-    Kind {
+fn kind(kind: &ProxyKind) -> RequestClass {
+    RequestClass {
         name: kind.name.clone(),
-        repeats: match kind.repeats {
-            site::Repeats::Replayable => Repeats::Replayable,
+        idempotency: match kind.repeats {
+            site::Repeats::Replayable => Idempotency::Idempotent,
             site::Repeats::Uniqued => {
-                Repeats::Uniqued(kind.memory.map_or(Duration::ZERO, |memory| memory.0))
+                Idempotency::ByKey(kind.memory.map_or(Duration::ZERO, |memory| memory.0))
             }
-            site::Repeats::NonReplayable => Repeats::NonReplayable,
+            site::Repeats::NonReplayable => Idempotency::NotIdempotent,
         },
         client_timeout: kind.client_timeout.0,
-        benefit: kind.benefit,
+        priority_weight: kind.benefit,
     }
 }
 
-fn habits(site: &ProxySite) -> Habits {
+fn habits(site: &ProxySite) -> RoutingPolicy {
     let avoid = site.avoid;
-    Habits {
+    RoutingPolicy {
         pick: match site.pick {
-            Pick::Weighted => PickBy::Weighted,
-            Pick::Round => PickBy::Round,
-            Pick::Two => PickBy::Two,
+            Pick::Weighted => PickPolicy::WeightedRandom,
+            Pick::Round => PickPolicy::RoundRobin,
+            Pick::Two => PickPolicy::TwoChoices,
         },
-        avoid: Habit {
-            after: avoid.after,
-            least: avoid.least.0,
-            most: avoid.most.0,
-            part: avoid.part,
-            remembered: avoid.remembered.0,
+        ejection: EjectionPolicy {
+            consecutive_failures: avoid.after,
+            min_duration: avoid.least.0,
+            max_duration: avoid.most.0,
+            max_ejected_fraction: avoid.part,
+            forget_after: avoid.remembered.0,
         },
-        further_tries: site.further_tries,
-        host_limit: site.limits.at_host,
-        line_most: site.limits.waiting,
+        retry_ratio: site.further_tries,
+        max_in_flight_per_host: site.limits.at_host,
+        max_waiting: site.limits.waiting,
         last_ready_for: site.limits.last_ready_for.0,
     }
 }
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/flood.rs
@@ -248,7 +248,7 @@
                 .flat_map(|backend| &backend.servers);
             hosts.extend(
                 servers
-                    .filter(|(name, s)| s.serves() && hangs(name))
+                    .filter(|(name, s)| s.is_serving() && hangs(name))
                     .map(|(name, _)| name.clone()),
             );
         }
@@ -383,7 +383,7 @@
         let serving: Vec<&String> = backend
             .servers
             .iter()
-            .filter(|(_, s)| s.serves())
+            .filter(|(_, s)| s.is_serving())
             .map(|(name, _)| name)
             .collect();
         for server in &serving {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -8,7 +8,7 @@
 use pondarch_config::site::{Listener, ListenerLevel, Repeats};
 use pondarch_config::{Endpoint, Length, ProxySite};
 use pondarch_proxy::{ProxyError, Running, start};
-use pondarch_proxy_core::holding::{Holding, Server};
+use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_runtime_api::codec::framed_answer;
 use pondarch_runtime_api::command::parse_line;
 use pondarch_runtime_api::{ClientCodec, Command, ServerCodec, ServerFrame, state};
@@ -44,7 +44,7 @@
     name: String,
     own: PathBuf,
     faults: Faults,
-    mirror: Mutex<Holding>,
+    mirror: Mutex<ProxyState>,
     facts: Facts,
 }
 
@@ -73,7 +73,7 @@
         let site = site(name, zone, zones, kinds, hosts_file, own.clone(), seed);
         let running = start(&site).await?;
         let names: Vec<&str> = kinds.iter().map(|kind| kind.name).collect();
-        let mut mirror = Holding::new(name, 0, &names);
+        let mut mirror = ProxyState::new(name, 0, &names);
         let listen = |at: PathBuf| {
             move |wrong| ProxyError::Listen {
                 at: Endpoint::Unix(at),
@@ -121,7 +121,7 @@
     }
 
     /// What the proxy holds, as what crossed its socket made it.
-    pub fn mirror(&self) -> MutexGuard<'_, Holding> {
+    pub fn mirror(&self) -> MutexGuard<'_, ProxyState> {
         self.relay.mirror()
     }
 }
@@ -247,7 +247,7 @@
 }
 
 impl Relay {
-    fn mirror(&self) -> MutexGuard<'_, Holding> {
+    fn mirror(&self) -> MutexGuard<'_, ProxyState> {
         self.mirror.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -255,7 +255,7 @@
     fn lines(&self, line: String, due: &mut VecDeque<Due>) -> Vec<String> {
         let commands: Vec<Option<Command>> =
             parse_line(&line).into_iter().map(Result::ok).collect();
-        let orders = commands.iter().flatten().any(Holding::is_order);
+        let orders = commands.iter().flatten().any(ProxyState::is_update);
         let asked = |command: &Option<Command>, passed_on| Due {
             command: command.clone(),
             passed_on,
@@ -306,7 +306,7 @@
         let Some(command) = asked
             .command
             .as_ref()
-            .filter(|command| Holding::is_order(command))
+            .filter(|command| ProxyState::is_update(command))
         else {
             return;
         };
@@ -319,8 +319,8 @@
         if !text.is_empty() && !fine.iter().any(|start| text.starts_with(start)) {
             return;
         }
-        self.mirror().command(command.clone());
-        let changed = self.mirror().take_changed();
+        self.mirror().execute(command.clone());
+        let changed = self.mirror().take_changed_backends();
         changed.iter().for_each(|kind| self.note_lines(kind));
     }
 
@@ -329,7 +329,10 @@
         let Some(backend) = mirror.backends.get(kind) else {
             return;
         };
-        let serving = backend.servers.iter().filter(|(_, server)| server.serves());
+        let serving = backend
+            .servers
+            .iter()
+            .filter(|(_, server)| server.is_serving());
         let lines = serving
             .map(|(name, server)| (name.clone(), server.weight))
             .collect();
--- a/crates/rehearsal/src/storm.rs
+++ b/crates/rehearsal/src/storm.rs
@@ -113,7 +113,7 @@
                 .into_iter()
                 .flat_map(|b| b.servers.iter());
             serving
-                .filter(|(_, server)| server.serves())
+                .filter(|(_, server)| server.is_serving())
                 .map(|(name, _)| name.clone())
                 .nth(drain % 3)
         }) else {
@@ -289,10 +289,11 @@
 
 fn holds(proxy: &Front, host: &str) -> bool {
     let tables = proxy.mirror();
-    tables
-        .backends
-        .values()
-        .any(|b| b.servers.get(host).is_some_and(|server| server.serves()))
+    tables.backends.values().any(|b| {
+        b.servers
+            .get(host)
+            .is_some_and(|server| server.is_serving())
+    })
 }
 
 fn ms(span: Duration) -> f64 {
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -8,7 +8,7 @@
 use pondarch_daemon_core::{Core, Input, LoadTold, Output, RecordsState};
 use pondarch_event_log::{Folder, Keep, Log, frame};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
-use pondarch_proxy_core::holding::{Holding, Server};
+use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_replay::{Boot, Decision, Record, Snapshot, Start, recover};
 use pondarch_runtime_api::{AdminState, command};
 use std::collections::VecDeque;
@@ -41,7 +41,7 @@
 ];
 
 struct Front {
-    holding: Holding,
+    holding: ProxyState,
     conn: Option<u64>,
     lines: VecDeque<(u64, String)>,
 }
@@ -121,7 +121,7 @@
         let log = Log::new(Folder::lock(folder)?, keep, epoch)?;
         let front = |n: usize| {
             let mut holding =
-                Holding::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
+                ProxyState::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
             for backend in holding.backends.values_mut() {
                 let server = Server::new(host(n).address, 100, AdminState::Ready);
                 backend.servers.insert(format!("host-{n}"), server);
@@ -234,12 +234,12 @@
             }
             let mut answers = Vec::new();
             for command in command::parse_line(&line).into_iter().flatten() {
-                let refused = self.refuses && Holding::is_order(&command);
+                let refused = self.refuses && ProxyState::is_update(&command);
                 self.refuses &= !refused;
                 answers.push(if refused {
                     "Not now.\n".into()
                 } else {
-                    front.holding.command(command)
+                    front.holding.execute(command)
                 });
             }
             let proxy = n as u16;
@@ -324,13 +324,13 @@
                     for (name, server) in backend
                         .servers
                         .iter_mut()
-                        .filter(|(_, server)| server.serves())
+                        .filter(|(_, server)| server.is_serving())
                     {
                         let ms = if name == "host-3" { 60 } else { 20 };
-                        (server.total, server.sums.done) =
-                            (server.total + 10, server.sums.done + 10);
-                        server.sums.done_time += Duration::from_millis(10 * ms);
-                        backend.reqs += 10;
+                        (server.attempts, server.results.done) =
+                            (server.attempts + 10, server.results.done + 10);
+                        server.results.done_time += Duration::from_millis(10 * ms);
+                        backend.requests += 10;
                     }
                 }
             }
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -8,7 +8,7 @@
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
-use pondarch_proxy_core::holding::{Holding, Server};
+use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_runtime_api::{AdminState, command};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -35,7 +35,7 @@
 }
 
 struct Front {
-    holding: Holding,
+    holding: ProxyState,
     up: bool,
     conn: Option<u64>,
     lines: VecDeque<(u64, String)>,
@@ -94,7 +94,7 @@
             .collect();
         let backends: Vec<&str> = backends.iter().map(String::as_str).collect();
         let front = |(n, proxy): (usize, &pondarch_config::site::Proxy)| Front {
-            holding: Holding::new(&proxy.name, n as u64 + 1, &backends),
+            holding: ProxyState::new(&proxy.name, n as u64 + 1, &backends),
             up: false,
             conn: None,
             lines: VecDeque::new(),
@@ -308,14 +308,14 @@
         let orders = command::parse_line(&line)
             .iter()
             .flatten()
-            .any(Holding::is_order);
+            .any(ProxyState::is_update);
         if orders {
             let window = self.site.channel.message_window.0.micros();
             front.messages.push_back(self.now);
             front.messages.retain(|at| self.now - at <= window);
             self.played.messages_most = self.played.messages_most.max(front.messages.len() as u64);
         }
-        for text in front.holding.line(&line) {
+        for text in front.holding.execute_line(&line) {
             self.events.push_back(Input::Answer {
                 proxy: n as u16,
                 conn,
@@ -353,8 +353,8 @@
     fn look(&mut self) {
         for front in &mut self.fronts {
             let joined = front.conn.is_some() && !front.messages.is_empty();
-            let serves = |backend: &pondarch_proxy_core::holding::Backend| {
-                backend.servers.values().any(Server::serves)
+            let serves = |backend: &pondarch_proxy_core::proxy_state::Backend| {
+                backend.servers.values().any(Server::is_serving)
             };
             let bare =
                 joined && !self.ready.is_empty() && !front.holding.backends.values().all(serves);
@@ -372,7 +372,12 @@
             }
             let backends = front.holding.backends.values();
             let serving: BTreeSet<&String> = backends
-                .flat_map(|backend| backend.servers.iter().filter(|(_, server)| server.serves()))
+                .flat_map(|backend| {
+                    backend
+                        .servers
+                        .iter()
+                        .filter(|(_, server)| server.is_serving())
+                })
                 .map(|(name, _)| name)
                 .collect();
             for (_, since) in self.away.iter().filter(|(name, _)| serving.contains(name)) {
@@ -387,7 +392,7 @@
     fn traffic(&mut self, reqs: &[(String, u64)], met: &[Met]) {
         for (name, many) in reqs {
             if let Some(backend) = self.holding.backends.get_mut(name) {
-                backend.reqs += many;
+                backend.requests += many;
             }
         }
         for met in met {
@@ -396,10 +401,10 @@
             else {
                 continue;
             };
-            server.total += met.done + met.errored;
-            server.sums.done += met.done;
-            server.sums.errored += met.errored;
-            server.sums.done_time += Duration::from_millis(met.done_ms);
+            server.attempts += met.done + met.errored;
+            server.results.done += met.done;
+            server.results.errored += met.errored;
+            server.results.done_time += Duration::from_millis(met.done_ms);
         }
     }
 }
