--- a/crates/proxy-core/src/proxy_core/status.rs
+++ b/crates/proxy-core/src/proxy_core/status.rs
@@ -36,13 +36,21 @@
     }
 }
 
-impl fmt::Display for TableStatus {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+impl TableStatus {
+    /// The text in `show info` and in log lines.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
             TableStatus::Current => "as set",
             TableStatus::LastReady => "last ready",
             TableStatus::NoHost => "no host",
-        })
+        }
+    }
+}
+
+impl fmt::Display for TableStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
     }
 }
 
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -36,7 +36,11 @@
             let kind = change.class;
             match change.status {
                 TableStatus::Current => info!(kind, "its table has ready hosts again"),
-                state => warn!(kind, %state, "its table lists no ready host"),
+                status => warn!(
+                    kind,
+                    state = status.as_str(),
+                    "its table lists no ready host"
+                ),
             }
         }
         Some(answers.iter().map(|answer| framed_answer(answer)).collect())
