--- a/crates/controller/src/controller/decide.rs
+++ b/crates/controller/src/controller/decide.rs
@@ -21,6 +21,14 @@
 /// Stands in for a weight of zero as a divisor.
 const EPSILON: f64 = 1e-9;
 
+/// What the proxies send, for one round of decisions.
+struct Traffic {
+    /// Requests a second of the proxies of each shared table.
+    usage: Vec<f64>,
+    /// Part of all requests that is admitted.
+    admitted_part: f64,
+}
+
 impl Controller {
     /// The next decision, or none until something new is known.
     pub fn next_decision(&mut self, now: Time) -> Option<Decision> {
@@ -47,8 +55,9 @@
             return;
         }
         if timer_fired || expedite {
-            self.judge_hosts();
-            self.place_hosts();
+            let traffic = self.traffic();
+            self.judge_hosts(&traffic);
+            self.place_hosts(&traffic);
             if self.update_round().publish_updates() == Published::BatchFull {
                 self.expedite = true;
             }
@@ -98,13 +107,20 @@
         self.hosts.forget_unused(self.now);
     }
 
-    fn judge_hosts(&mut self) {
+    fn traffic(&self) -> Traffic {
+        Traffic {
+            usage: usage_by_table(self.proxies.iter(), &self.layout),
+            admitted_part: self.admission.admitted_part(&self.proxies),
+        }
+    }
+
+    fn judge_hosts(&mut self, traffic: &Traffic) {
         let view = FleetView {
             now: self.now,
             policy: &self.host_policy,
             reports: &self.reports,
             update_delay: self.queue.lateness(self.now),
-            attempts_per_weight: self.attempts_per_weight(),
+            attempts_per_weight: self.attempts_per_weight(traffic),
         };
         let to_check = self
             .outlier_detector
@@ -115,29 +131,27 @@
 
     /// Attempts a second per unit of weight that should end in each table, by our own bindings and admission. Those of zone
     /// tables are not known: they count as none.
-    fn attempts_per_weight(&self) -> Vec<f64> {
+    fn attempts_per_weight(&self, traffic: &Traffic) -> Vec<f64> {
         let mut weights = vec![0.0; self.tables.len()];
         let hosts = self.hosts.iter();
         for membership in hosts.flat_map(|host| host.memberships.iter()) {
             weights[membership.table()] += membership.sent_weight();
         }
-        let admitted_part = self.admission.admitted_part(&self.proxies);
         let mut attempts = vec![0.0; self.tables.len()];
-        let usage = usage_by_table(self.proxies.iter(), &self.layout);
-        for (table, usage) in usage.into_iter().enumerate() {
-            attempts[table] = usage * admitted_part / weights[table].max(EPSILON);
+        for (table, usage) in traffic.usage.iter().enumerate() {
+            attempts[table] = usage * traffic.admitted_part / weights[table].max(EPSILON);
         }
         attempts
     }
 
-    fn place_hosts(&mut self) {
+    fn place_hosts(&mut self, traffic: &Traffic) {
         let view = PlacementView {
             now: self.now,
             policy: &self.host_policy,
             layout: &self.layout,
             reports: &self.reports,
-            usage: usage_by_table(self.proxies.iter(), &self.layout),
-            admitted_part: self.admission.admitted_part(&self.proxies),
+            usage: &traffic.usage,
+            admitted_part: traffic.admitted_part,
             peak_per_weight: self.admission.peak_per_weight(),
         };
         self.placement.place_hosts(&mut self.hosts, &view);
--- a/crates/controller/src/host.rs
+++ b/crates/controller/src/host.rs
@@ -55,6 +55,11 @@
         &self.id
     }
 
+    /// Who it is, and the tables that it is in, to change.
+    pub(crate) fn id_and_memberships_mut(&mut self) -> (&HostId, &mut Memberships) {
+        (&self.id, &mut self.memberships)
+    }
+
     /// A number that orders hosts that are alike in all else, the same at every controller.
     pub(crate) fn tie_breaker(&self) -> u64 {
         self.tie_breaker
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -36,7 +36,7 @@
     pub(crate) layout: &'a TableLayout,
     pub(crate) reports: &'a LoadReports,
     /// Requests a second of the proxies of each shared table.
-    pub(crate) usage: Vec<f64>,
+    pub(crate) usage: &'a [f64],
     /// Part of the requests that is admitted.
     pub(crate) admitted_part: f64,
     /// The most successes a second ever seen, per weight; zero before the first.
--- a/crates/controller/src/publishing.rs
+++ b/crates/controller/src/publishing.rs
@@ -269,8 +269,8 @@
 
     fn send_weights(&mut self, table: usize, scope: UpdateScope) {
         for host in self.hosts.iter_mut() {
-            let id = host.id().clone();
-            for membership in host.memberships.iter_mut() {
+            let (id, memberships) = host.id_and_memberships_mut();
+            for membership in memberships.iter_mut() {
                 if membership.table() != table || !scope.includes(membership) {
                     continue;
                 }
