--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/asking.rs
@@ -2,9 +2,11 @@
 //! caches may still hold.
 
 use crate::course::Course;
+use crate::event::Event;
 use crate::names::SERVED_EVERY;
+use crate::output::Output;
 use crate::peer::Link;
-use crate::wire::{Event, Output, micros};
+use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
 use pondarch_dns_core::{Asked, Heard, Named};
@@ -45,7 +47,7 @@
             let (id, usual, zone, proxy) = (peer.id, peer.usual, peer.zone, peer.name.clone());
             // Nobody can tell a restart: it counts as one that was there before.
             self.steward.proxy_joined(now, id, false, usual, zone);
-            self.tell(Event::Joined {
+            self.tell(Event::ProxyJoined {
                 proxy,
                 fresh: false,
                 cause,
@@ -79,19 +81,19 @@
         let left = names.members.left(now);
         let ended = names.echoes.values().any(|until| *until <= now);
         for secondary in names.secondaries.say(now) {
-            self.out.push_back(Output::SayChanged { secondary });
+            self.out.push_back(Output::NotifySecondary { secondary });
         }
         late.into_iter()
-            .for_each(|secondary| self.tell(Event::SecondaryLate { secondary }));
+            .for_each(|secondary| self.tell(Event::SecondaryBehind { secondary }));
         for id in left {
             let peer = &mut self.peers[id.0 as usize];
             peer.link = Link::ByName { joined: false };
             peer.bound.clear();
             let proxy = peer.name.clone();
             self.steward.proxy_left(now, id);
-            self.tell(Event::Left {
+            self.tell(Event::ProxyLeft {
                 proxy,
-                why: "has not asked for its hosts".into(),
+                reason: "has not asked for its hosts".into(),
             });
         }
         if ended {
@@ -126,7 +128,7 @@
             .loads
             .iter()
             .filter(|(host, (at, _))| !looked_at.contains(host) && *at > last);
-        told.map(|(host, (_, told))| (host.clone(), told.met(over)))
+        told.map(|(host, (_, told))| (host.clone(), told.attempt_outcomes(over)))
             .collect()
     }
 
@@ -166,7 +168,10 @@
         }
         for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
             let (host, for_s) = (host.0.to_string(), (*until - now).seconds());
-            self.tell(Event::KeptOut { host, for_s });
+            self.tell(Event::HostExcluded {
+                host,
+                duration_s: for_s,
+            });
         }
         self.touch_names();
     }
@@ -275,11 +280,11 @@
             names.held.changed(now, serial, *table, BTreeMap::new());
         }
         names.view = Arc::new(View { serial, ..view });
-        self.out.push_back(Output::ViewChanged { serial });
+        self.out.push_back(Output::DnsViewChanged { serial });
         // After the view, so that what they fetch is it.
         names.secondaries.changed(now, serial);
         for secondary in names.secondaries.say(now) {
-            self.out.push_back(Output::SayChanged { secondary });
+            self.out.push_back(Output::NotifySecondary { secondary });
         }
     }
 }
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -1,17 +1,18 @@
 //! The core as its surroundings see it.
 
 use crate::course::Course;
+use crate::input::Input;
 use crate::names::Names;
 use crate::operator;
-use crate::remembered::Remembered;
-use crate::wire::{Input, Output};
+use crate::output::Output;
+use crate::recovered_state::RecoveredState;
 use pondarch_config::Site;
 use pondarch_controller::Time;
 use pondarch_dns_server::View;
 use std::sync::Arc;
 
 /// A steward without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
-/// `Input::Tick` is given at `wake_at`.
+/// `Input::TimerExpired` is given at `wake_at`.
 pub struct Core {
     course: Course,
 }
@@ -27,7 +28,7 @@
     }
 
     /// What a steward that starts again must still know, for `Input::Recovered`.
-    pub fn remembered(&self) -> Remembered {
+    pub fn state_to_recover(&self) -> RecoveredState {
         self.course.remembered()
     }
 
@@ -39,7 +40,7 @@
         self.course.next_output()
     }
 
-    /// What the DNS front is to answer from, after `Output::ViewChanged`.
+    /// What the DNS front is to answer from, after `Output::DnsViewChanged`.
     pub fn view(&self) -> Arc<View> {
         self.course
             .names
@@ -48,7 +49,7 @@
             .unwrap_or_default()
     }
 
-    /// When the next `Input::Tick` is due. What is overdue already waits for some other input, and is looked at
+    /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
     /// with each.
     pub fn wake_at(&self) -> Time {
         self.course.wake_at()
--- a/crates/daemon-core/src/course.rs
+++ b/crates/daemon-core/src/course.rs
@@ -3,13 +3,16 @@
 
 use crate::books::Books;
 use crate::channel::Channel;
+use crate::event::Event;
+use crate::input::{EventLogState, Input};
 use crate::list::HostList;
 use crate::names::{self, Names};
+use crate::output::Output;
 use crate::peer::{Link, Peer};
 use crate::pushes::Pushes;
+use crate::reported_load::ReportedLoad;
 use crate::round::Rounds;
 use crate::weigher::Weigher;
-use crate::wire::{Event, Input, LoadTold, Output, RecordsState};
 use crate::zones::Zones;
 use pondarch_config::Site;
 use pondarch_config::site::{Links, Weights};
@@ -52,7 +55,7 @@
     pub(crate) rounds: Rounds,
     pub(crate) chance: fastrand::Rng,
     pub(crate) woken_at: Option<Time>,
-    pub(crate) loads: BTreeMap<HostId, (Time, LoadTold)>,
+    pub(crate) loads: BTreeMap<HostId, (Time, ReportedLoad)>,
     pub(crate) met: BTreeMap<HostId, AttemptOutcomes>,
     pub(crate) load_at: Option<Time>,
     /// When a host's line went to the module last.
@@ -63,7 +66,7 @@
     pub(crate) pushes: Pushes,
     pub(crate) account: Account,
     /// None: nothing is recorded.
-    pub(crate) records: Option<RecordsState>,
+    pub(crate) records: Option<EventLogState>,
     pub(crate) inputs: u64,
     pub(crate) cause: String,
     pub(crate) events: VecDeque<(Time, Event)>,
@@ -145,7 +148,7 @@
         self.out.pop_front()
     }
 
-    /// When the next `Input::Tick` is due. What is overdue already waits for some other input, and is looked at
+    /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
     /// with each: it must not make the clock run in circles.
     pub(crate) fn wake_at(&self) -> Time {
         let mut at = self.rounds.wake_at();
@@ -188,53 +191,79 @@
         self.inputs += 1;
         self.cause = format!("#{} {}", self.inputs, self.named(&input));
         match input {
-            Input::Tick => {}
+            Input::TimerExpired => {}
             Input::Recovered(known) => self.recovered(*known),
-            Input::Records(state) => {
-                let RecordsState { stopped, lost } = state.clone();
+            Input::EventLog(state) => {
+                let EventLogState {
+                    stopped_reason: stopped,
+                    lost_inputs: lost,
+                } = state.clone();
                 self.records = Some(state);
-                self.tell(Event::Records { stopped, lost });
+                self.tell(Event::EventLogChanged {
+                    stopped_reason: stopped,
+                    lost_inputs: lost,
+                });
             }
-            Input::List { version, hosts } => match self.list.file_came(self.now, version, hosts) {
+            Input::EndpointList {
+                generation: version,
+                hosts,
+            } => match self.list.file_came(self.now, version, hosts) {
                 Ok(listings) => self.list_changed(listings),
                 Err(wrong) => self.list_refused(wrong),
             },
-            Input::ListRefused { wrong } => {
+            Input::EndpointListRejected { error: wrong } => {
                 self.list.refused = Some(wrong.clone());
                 self.list_refused(wrong);
             }
-            Input::Connected { proxy, conn } => self.connected(proxy, conn),
-            Input::Answer { proxy, conn, text } => self.answered(proxy, conn, &text),
-            Input::Lost { proxy, conn, why } => {
+            Input::Connected {
+                proxy,
+                connection: conn,
+            } => self.connected(proxy, conn),
+            Input::Answer {
+                proxy,
+                connection: conn,
+                text,
+            } => self.answered(proxy, conn, &text),
+            Input::Disconnected {
+                proxy,
+                connection: conn,
+                reason: why,
+            } => {
                 if self.peer(proxy, conn).is_some() {
                     self.lost(proxy, &why);
                 }
             }
-            Input::Probed {
+            Input::HealthCheckCompleted {
                 host,
                 for_load,
-                good,
+                healthy: good,
                 load,
             } => self.probed(&host, for_load, good, load),
-            Input::AskedByName {
+            Input::DnsQueried {
                 proxy,
                 table,
                 serial,
             } => self.asked_by_name(proxy, table, serial),
-            Input::Secondary { n, heard } => self.secondary_heard(n, heard),
-            Input::SenderCame {
-                conn,
+            Input::SecondaryObserved {
+                index: n,
+                observation: heard,
+            } => self.secondary_heard(n, heard),
+            Input::SenderConnected {
+                connection: conn,
                 name,
-                is,
-                run,
+                role: is,
+                incarnation: run,
             } => self.sender_came(conn, name, is, run),
-            Input::Pushed { conn, report } => self.pushed(conn, *report),
-            Input::SenderLeft { conn } => self.sender_left(conn),
-            Input::Memory {
-                waiting,
-                records,
-                connections,
-                capped,
+            Input::ReportReceived {
+                connection: conn,
+                report,
+            } => self.pushed(conn, *report),
+            Input::SenderDisconnected { connection: conn } => self.sender_left(conn),
+            Input::MemoryUsage {
+                queued_bytes: waiting,
+                event_log_bytes: records,
+                connection_bytes: connections,
+                rejected_connections: capped,
             } => {
                 self.account.takes(Purpose::Waiting, waiting);
                 self.account.takes(Purpose::Records, records);
@@ -262,22 +291,25 @@
                 .map_or("?", |peer| peer.name.as_str())
         };
         match input {
-            Input::Tick => "beat".into(),
+            Input::TimerExpired => "beat".into(),
             Input::Recovered(_) => "recovered".into(),
-            Input::Records(_) => "records".into(),
-            Input::List { version, .. } => {
+            Input::EventLog(_) => "records".into(),
+            Input::EndpointList {
+                generation: version,
+                ..
+            } => {
                 format!("list {}", version.map_or("-".into(), |v| v.to_string()))
             }
-            Input::ListRefused { .. } => "list refused".into(),
+            Input::EndpointListRejected { .. } => "list refused".into(),
             Input::Connected { proxy: n, .. } => format!("{} connected", proxy(*n)),
             Input::Answer { proxy: n, .. } => format!("answer of {}", proxy(*n)),
-            Input::Lost { proxy: n, .. } => format!("{} lost", proxy(*n)),
-            Input::Probed { host, .. } => format!("probe of {host}"),
-            Input::AskedByName { proxy: n, .. } => format!("{} asked", n.map_or("somebody", proxy)),
-            Input::Secondary { n, .. } => format!("secondary {n}"),
-            Input::SenderCame { name, .. } => format!("{name} pushes"),
-            Input::Pushed { .. } | Input::SenderLeft { .. } => "a report".into(),
-            Input::Memory { .. } => "memory".into(),
+            Input::Disconnected { proxy: n, .. } => format!("{} lost", proxy(*n)),
+            Input::HealthCheckCompleted { host, .. } => format!("probe of {host}"),
+            Input::DnsQueried { proxy: n, .. } => format!("{} asked", n.map_or("somebody", proxy)),
+            Input::SecondaryObserved { index: n, .. } => format!("secondary {n}"),
+            Input::SenderConnected { name, .. } => format!("{name} pushes"),
+            Input::ReportReceived { .. } | Input::SenderDisconnected { .. } => "a report".into(),
+            Input::MemoryUsage { .. } => "memory".into(),
             Input::Solved { number, .. } => format!("plan {number}"),
             Input::Command { line, .. } => {
                 format!("operator: {}", line.chars().take(80).collect::<String>())
@@ -305,11 +337,11 @@
         use pondarch_controller::EndpointState::{Draining, Ready, Removed};
         let (open, draining, gone) = (count(Ready), count(Draining), count(Removed));
         let version = self.list.version;
-        self.tell(Event::ListTaken {
-            version,
-            open,
+        self.tell(Event::EndpointListApplied {
+            generation: version,
+            ready: open,
             draining,
-            gone,
+            removed: gone,
         });
         self.steward
             .apply_endpoint_list(self.now, version, true, listings);
@@ -328,7 +360,7 @@
 
     fn list_refused(&mut self, wrong: String) {
         self.error(format!("hosts: {wrong}"));
-        self.tell(Event::ListRefused { wrong });
+        self.tell(Event::EndpointListRejected { error: wrong });
     }
 
     /// The peer, if this is still its connection: what comes late for an older one says nothing any more.
@@ -343,7 +375,11 @@
             peer.link = Link::Looking;
             peer.silent_since = Some(now);
             let lines = peer.session.begin();
-            self.out.push_back(Output::Write { proxy, conn, lines });
+            self.out.push_back(Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            });
         }
     }
 
@@ -358,7 +394,11 @@
         };
         peer.silent_since = (!peer.session.is_quiet() || !lines.is_empty()).then_some(now);
         if !lines.is_empty() {
-            self.out.push_back(Output::Write { proxy, conn, lines });
+            self.out.push_back(Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            });
         }
         match told {
             None => {}
@@ -391,12 +431,12 @@
         let name = peer.name.clone();
         for wrong in refused {
             self.error(format!("{name}: refused: {wrong}"));
-            self.tell(Event::Refused {
+            self.tell(Event::UpdateRejected {
                 proxy: name.clone(),
-                wrong,
+                error: wrong,
             });
         }
-        self.tell(Event::Applied {
+        self.tell(Event::UpdateAcknowledged {
             proxy: name,
             took_us: took.micros(),
         });
@@ -404,7 +444,10 @@
 
     fn hang_up(&mut self, proxy: u16, why: &str) {
         let conn = self.peers[proxy as usize].conn;
-        self.out.push_back(Output::Hangup { proxy, conn });
+        self.out.push_back(Output::HangUp {
+            proxy,
+            connection: conn,
+        });
         self.lost(proxy, why);
     }
 
@@ -425,14 +468,14 @@
         // A proxy that is simply not there is told of once, not at every dial.
         if dialled || !again {
             self.error(format!("{name}: {why}"));
-            self.tell(Event::Left {
+            self.tell(Event::ProxyLeft {
                 proxy: name,
-                why: why.to_string(),
+                reason: why.to_string(),
             });
         }
     }
 
-    fn probed(&mut self, host: &str, for_load: bool, good: bool, load: Option<LoadTold>) {
+    fn probed(&mut self, host: &str, for_load: bool, good: bool, load: Option<ReportedLoad>) {
         let host = HostId(host.into());
         if let Some(load) = load {
             self.loads.insert(host.clone(), (self.now, load));
@@ -442,7 +485,7 @@
                 self.now,
                 &host,
                 good,
-                load.map(|told| told.load()),
+                load.map(|told| told.host_load()),
             );
         }
     }
@@ -466,7 +509,7 @@
                 let (proxy, conn) = (peer.id.0, peer.conn);
                 self.out.push_back(Output::Write {
                     proxy,
-                    conn,
+                    connection: conn,
                     lines: vec![line],
                 });
             }
@@ -481,9 +524,9 @@
             for (host, known) in &self.list.known {
                 if known.standing == pondarch_controller::EndpointState::Ready {
                     let (host, addr) = (host.0.to_string(), known.entry.address);
-                    self.out.push_back(Output::Probe {
+                    self.out.push_back(Output::CheckHealth {
                         host,
-                        addr,
+                        address: addr,
                         for_load: true,
                     });
                 }
@@ -514,7 +557,7 @@
                 peer.link = Link::Dialling;
                 self.out.push_back(Output::Dial {
                     proxy: peer.id.0,
-                    conn: peer.conn,
+                    connection: peer.conn,
                 });
             }
         }
--- a/crates/daemon-core/src/follow.rs
+++ b/crates/daemon-core/src/follow.rs
@@ -2,8 +2,9 @@
 
 use crate::channel::Room;
 use crate::course::Course;
+use crate::event::Event;
+use crate::output::Output;
 use crate::peer::{Link, Peer};
-use crate::wire::{Event, Output};
 use pondarch_controller::{Decision, RequestClassId, TableId};
 use pondarch_proxy_session::{Urgency, Wanted, table};
 use std::collections::{BTreeMap, BTreeSet};
@@ -61,7 +62,7 @@
             self.steward
                 .proxy_joined(now, peer.id, fresh, peer.usual, peer.zone);
             let proxy = peer.name.clone();
-            self.tell(Event::Joined {
+            self.tell(Event::ProxyJoined {
                 proxy,
                 fresh,
                 cause,
@@ -105,20 +106,20 @@
                         table::tries_word(tries).into(),
                     );
                     let cause = self.cause.clone();
-                    self.tell(Event::LevelChanged {
+                    self.tell(Event::AdmissionChanged {
                         table: table.0,
-                        kind,
+                        class: kind,
                         quota,
-                        tries,
+                        retry_policy: tries,
                         cause,
                     });
                 }
                 Decision::CheckHealth(host) => {
                     if let Some(addr) = self.list.address(&host) {
                         let host = host.0.to_string();
-                        self.out.push_back(Output::Probe {
+                        self.out.push_back(Output::CheckHealth {
                             host,
-                            addr,
+                            address: addr,
                             for_load: false,
                         });
                     }
@@ -132,7 +133,7 @@
             let cause = self.cause.clone();
             self.tell(Event::TableChanged {
                 table: table.0,
-                lines,
+                weights: lines,
                 cause,
             });
         }
@@ -140,7 +141,7 @@
             self.mark_table(table);
             for host in self.books.newly_held_back(table, &self.list, self.now) {
                 let host = host.0.to_string();
-                self.tell(Event::HeldBack {
+                self.tell(Event::WeightTooSmall {
                     table: table.0,
                     host,
                 });
@@ -160,7 +161,7 @@
         peer.bound.extend(kinds.iter().map(|kind| (*kind, table)));
         peer.mark_dirty(now, &cause);
         let proxy = peer.name.clone();
-        self.tell(Event::Bound {
+        self.tell(Event::ProxyBound {
             proxy,
             table: table.0,
             cause,
@@ -234,9 +235,13 @@
                     let cause = peer.dirty.take().map(|dirty| dirty.1).unwrap_or_default();
                     let (proxy, conn) = (peer.id.0, peer.conn);
                     let lines = peer.session.order(now, batch);
-                    self.out.push_back(Output::Write { proxy, conn, lines });
+                    self.out.push_back(Output::Write {
+                        proxy,
+                        connection: conn,
+                        lines,
+                    });
                     let (proxy, urgency) = (peer.name.clone(), urgency_word(urgency).into());
-                    self.tell(Event::Ordered {
+                    self.tell(Event::UpdateSent {
                         proxy,
                         commands,
                         urgency,
@@ -247,9 +252,9 @@
                     peer.blocked_until = Some(at);
                     let proxy = peer.name.clone();
                     if why != "pace" {
-                        self.tell(Event::Waits {
+                        self.tell(Event::UpdateDelayed {
                             proxy,
-                            why: why.into(),
+                            reason: why.into(),
                         });
                     }
                 }
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -28,7 +28,7 @@
     info.put("Uptime_sec", (now - core.started).micros() / 1_000_000);
     info.put(
         "Start_time_sec",
-        crate::wire::micros(core.started) / 1_000_000,
+        crate::time::micros(core.started) / 1_000_000,
     );
     info.put("Node", &core.name);
     info.put("ListVersion", list.version);
@@ -72,11 +72,11 @@
         info.put(
             "Records",
             records
-                .stopped
+                .stopped_reason
                 .as_ref()
                 .map_or("written".into(), |why| format!("stopped: {why}")),
         );
-        info.put("RecordsLost", records.lost);
+        info.put("RecordsLost", records.lost_inputs);
     }
     if core.pushes.on {
         let counts = &core.pushes.counts;
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -1,7 +1,8 @@
 //! A steward's core: inputs in, outputs out. No I/O and no clock, so that a recorded run, played again, gives the
 //! same outputs byte for byte.
 //!
-//! - `wire`: the inputs and outputs, and the events that tell what led to what.
+//! - `input`, `output`, `event`: what goes in and comes out, and the events that say what led to what; `reported_load`,
+//!   `time`: parts of them. `recorded_debug`: their `Debug` texts, which are on the wire.
 //! - `core`: the core as its surroundings see it.
 //! - `course`, `follow`: the decision module is told what happened, and what it decides is carried out.
 //! - `list`: the hosts as the file and the operators have them.
@@ -11,7 +12,7 @@
 //! - `peer`: one proxy: dialled, looked at, joined, lost.
 //! - `weigher`, `weighing`: weights as a solver sets them, between the list and the module.
 //! - `pushes`, `reporting`: reports that proxies and hosts push; these and rounds in the course of things.
-//! - `remembered`, `recovering`: what a steward that starts again must still know; taken up and given out.
+//! - `recovered_state`, `recovering`: what a steward that starts again must still know; taken up and given out.
 //! - `round`: sums of all proxies gathered into one look.
 //! - `operator`, `info`, `zones`: the runtime API of the steward itself, and the map that operators set.
 
@@ -23,22 +24,32 @@
 mod channel;
 mod core;
 mod course;
+mod event;
 mod follow;
 mod info;
+mod input;
 mod list;
-pub mod names;
+mod names;
 mod operator;
+mod output;
 mod peer;
 mod pushes;
+mod recorded_debug;
+mod recovered_state;
 mod recovering;
-pub mod remembered;
+mod reported_load;
 mod reporting;
 mod round;
+mod time;
 mod weigher;
 mod weighing;
-pub mod wire;
 mod zones;
 
 pub use crate::core::Core;
-pub use remembered::Remembered;
-pub use wire::{Event, Input, LoadTold, Output, RecordsState};
+pub use event::Event;
+pub use input::{EventLogState, Input};
+pub use names::DNS_QUERY_REPORT_INTERVAL;
+pub use output::Output;
+pub use recovered_state::{RecoveredHost, RecoveredList, RecoveredState};
+pub use reported_load::ReportedLoad;
+pub use time::micros;
--- a/crates/daemon-core/src/list.rs
+++ b/crates/daemon-core/src/list.rs
@@ -1,7 +1,7 @@
 //! The hosts as the file lists them, with what operators said over it.
 
-use crate::remembered::{Edit, RememberedHost, RememberedList};
-use crate::wire::micros;
+use crate::recovered_state::{Edit, RecoveredHost, RecoveredList};
+use crate::time::micros;
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
 use pondarch_controller::DurationExt;
@@ -147,20 +147,20 @@
     }
 
     /// What of it outlives the steward. Times are as they were then.
-    pub(crate) fn remembered(&self) -> RememberedList {
-        let host = |(_, k): (&HostId, &Known)| RememberedHost {
+    pub(crate) fn remembered(&self) -> RecoveredList {
+        let host = |(_, k): (&HostId, &Known)| RecoveredHost {
             entry: k.entry.clone(),
             started_us: micros(k.started),
-            standing: match k.standing {
+            state: match k.standing {
                 EndpointState::Ready => HostState::Ready,
                 EndpointState::Draining => HostState::Drain,
                 EndpointState::Removed => HostState::Gone,
             },
-            told_away_us: k.told_away.map(micros),
+            draining_since_us: k.told_away.map(micros),
         };
-        RememberedList {
+        RecoveredList {
             file: self.file.clone(),
-            file_version: self.file_version,
+            file_generation: self.file_version,
             added: self.added.values().cloned().collect(),
             edits: self
                 .edits
@@ -174,12 +174,12 @@
     /// Takes up what was known; gives the complete list for the module. Hosts in zones that the settings no longer have
     /// are left behind: the file says where they are now. None: no host was known, which is no list. Taken for one, it had
     /// proxies joined to tables without a host.
-    pub(crate) fn recover(&mut self, old: RememberedList) -> Option<Vec<Endpoint>> {
+    pub(crate) fn recover(&mut self, old: RecoveredList) -> Option<Vec<Endpoint>> {
         let id = |name: &str| HostId(name.into());
         let zones = self.zones.clone();
         let fits = |entry: &HostEntry| zones.contains(&entry.zone);
         self.file = old.file.into_iter().filter(&fits).collect();
-        self.file_version = old.file_version;
+        self.file_version = old.file_generation;
         self.added = old
             .added
             .into_iter()
@@ -191,15 +191,15 @@
             .into_iter()
             .map(|(name, edit)| (id(&name), edit))
             .collect();
-        let known = |host: RememberedHost| {
-            let standing = match host.standing {
+        let known = |host: RecoveredHost| {
+            let standing = match host.state {
                 HostState::Ready => EndpointState::Ready,
                 HostState::Drain => EndpointState::Draining,
                 HostState::Gone => EndpointState::Removed,
             };
             let (started, told_away) = (
                 Time::from_micros(host.started_us),
-                host.told_away_us.map(Time::from_micros),
+                host.draining_since_us.map(Time::from_micros),
             );
             (
                 id(&host.entry.name),
--- a/crates/daemon-core/src/names.rs
+++ b/crates/daemon-core/src/names.rs
@@ -2,7 +2,7 @@
 //! be held of it.
 
 use crate::list::{HostList, Known};
-use crate::remembered::RememberedHost;
+use crate::recovered_state::RecoveredHost;
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, ProxyId, TableId, Time};
@@ -15,7 +15,7 @@
 /// Proxies that are tracked at most: those of the settings.
 const MEMBERS_MOST: usize = 60_000;
 /// How late the edge may tell of an answer: it tells of each table and proxy once in this time.
-pub const TOLD_WITHIN: Duration = Duration::from_millis(200);
+pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Whoever is not known is one of so many strangers. Each is bound like a proxy, so that no table is given away that the
 /// module keeps no longer, and strangers do not all meet the same few hosts.
 const STRANGERS: usize = 4;
@@ -69,7 +69,7 @@
     pub(crate) fn new(site: &Site) -> Option<Names> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
-        let holds = lifetime.held() + TOLD_WITHIN;
+        let holds = lifetime.held() + DNS_QUERY_REPORT_INTERVAL;
         let spare = dns
             .grace
             .0
@@ -175,7 +175,7 @@
 
     /// Serials go on from there. Whatever caches were given in the run's last moment they may hold for a while: any host that
     /// was known then, and of one that had just started the process before it.
-    pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RememberedHost]) {
+    pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RecoveredHost]) {
         // What the run gave out after its last record is not known: a secondary that has it must see a newer one.
         self.view = Arc::new(View {
             serial: serial.wrapping_add(UNSEEN_SERIALS),
@@ -192,7 +192,7 @@
                 Time::from_micros(host.started_us),
             );
             let long_away = host
-                .told_away_us
+                .draining_since_us
                 .is_some_and(|at| Time::from_micros(at) + self.holds <= last);
             if long_away {
                 continue;
--- a/crates/daemon-core/src/remembered.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -17,38 +17,51 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Times in microseconds since 1970, by the clock of the run that wrote them.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Remembered {
+/// What a controller knows again after a restart. Times are in microseconds since 1970, by the clock of the run that
+/// wrote them.
+#[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct RecoveredState {
+    /// When this was the state.
     pub at_us: u64,
-    pub list: RememberedList,
+    /// The endpoint list.
+    pub list: RecoveredList,
+    /// The zone map that operators set.
     pub zones: BTreeMap<String, String>,
-    #[serde(default)]
-    pub serial: u32,
+    /// Serial of the DNS zone.
+    #[serde(default, rename = "serial")]
+    pub dns_serial: u32,
 }
 
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RememberedList {
+/// The endpoint list, with what operators changed in it.
+#[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct RecoveredList {
     pub(crate) file: Vec<HostEntry>,
-    pub(crate) file_version: Option<u64>,
+    #[serde(rename = "file_version")]
+    pub(crate) file_generation: Option<u64>,
     pub(crate) added: Vec<HostEntry>,
     pub(crate) edits: Vec<(String, Edit)>,
-    pub(crate) hosts: Vec<RememberedHost>,
+    pub(crate) hosts: Vec<RecoveredHost>,
 }
 
-/// A host, file and operators taken together.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RememberedHost {
+/// A host, as the file and the operators together have it.
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
+pub struct RecoveredHost {
+    /// Its entry in the list.
     pub entry: HostEntry,
+    /// When it started, as far as it is known; 0: not known.
     pub started_us: u64,
-    pub standing: HostState,
-    pub told_away_us: Option<u64>,
+    /// Whether it serves, drains or was removed.
+    #[serde(rename = "standing")]
+    pub state: HostState,
+    /// Since when proxies are to send it no new requests; none: it serves.
+    #[serde(rename = "told_away_us")]
+    pub draining_since_us: Option<u64>,
 }
 
-impl Remembered {
+impl RecoveredState {
     /// The same by another clock, by which it is `now_us` when `passed_us` have passed since then. Where the machine's
     /// clock jumped, that is not what it says: a cold host would be warm, or a drain be owed from tomorrow.
-    pub fn by_clock(mut self, now_us: u64, passed_us: u64) -> Remembered {
+    pub fn by_clock(mut self, now_us: u64, passed_us: u64) -> RecoveredState {
         let then = now_us.saturating_sub(passed_us);
         let old = self.at_us;
         let moved = |at: u64| (at + then).saturating_sub(old);
@@ -57,13 +70,13 @@
             if host.started_us > 0 && host.entry.started.is_none() {
                 host.started_us = moved(host.started_us).max(1);
             }
-            host.told_away_us = host.told_away_us.map(moved);
+            host.draining_since_us = host.draining_since_us.map(moved);
         }
         self.at_us = then;
         self
     }
 
-    pub fn hosts(&self) -> &[RememberedHost] {
+    pub fn hosts(&self) -> &[RecoveredHost] {
         &self.list.hosts
     }
 }
--- a/crates/daemon-core/src/recovering.rs
+++ b/crates/daemon-core/src/recovering.rs
@@ -1,27 +1,28 @@
 //! What is known after a start, in the course of things: taken up, and given out again.
 
 use crate::course::Course;
-use crate::remembered::Remembered;
-use crate::wire::{Event, micros};
+use crate::event::Event;
+use crate::recovered_state::RecoveredState;
+use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, Time};
 use std::collections::BTreeMap;
 
 impl Course {
-    pub(crate) fn remembered(&self) -> Remembered {
+    pub(crate) fn remembered(&self) -> RecoveredState {
         let serial = self.names.as_ref().map_or(0, |names| names.view().serial);
-        Remembered {
+        RecoveredState {
             at_us: micros(self.now),
             list: self.list.remembered(),
             zones: self.zones.entries().clone(),
-            serial,
+            dns_serial: serial,
         }
     }
 
-    pub(crate) fn recovered(&mut self, old: Remembered) {
+    pub(crate) fn recovered(&mut self, old: RecoveredState) {
         let (now, last) = (self.now, Time::from_micros(old.at_us));
         if let Some(names) = &mut self.names {
-            names.recover(now, last, old.serial, &old.list.hosts);
+            names.recover(now, last, old.dns_serial, &old.list.hosts);
         }
         let listings = self.list.recover(old.list);
         self.zones.recover(old.zones);
@@ -40,7 +41,7 @@
         self.tell(Event::Recovered {
             ready,
             draining,
-            gone,
+            removed: gone,
         });
         if let Some(listings) = listings {
             self.list_changed(listings);
--- a/crates/daemon-core/src/reporting.rs
+++ b/crates/daemon-core/src/reporting.rs
@@ -1,9 +1,12 @@
 //! Reports in the course of things: what is pushed or read goes to a round, and each round to the module.
 
 use crate::course::{Course, LOAD_PERIODS};
+use crate::event::Event;
+use crate::output::Output;
 use crate::pushes::{CREDIT, Sender, odd, row};
+use crate::reported_load::ReportedLoad;
 use crate::round::Gathered;
-use crate::wire::{Event, LoadTold, Output, micros};
+use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::{Candidate, Purpose, Verdict, age};
@@ -31,25 +34,25 @@
         };
         if let Some(why) = refused {
             self.pushes.counts.strangers += 1;
-            return self.out.push_back(Output::RefuseSender {
-                conn,
-                why: why.into(),
+            return self.out.push_back(Output::RejectSender {
+                connection: conn,
+                reason: why.into(),
             });
         }
         // Whoever comes later under a name is it: the other is a connection that nobody has closed yet.
         let known = self.pushes.known.entry(name.clone()).or_default();
         let old = std::mem::replace(&mut known.conn, conn);
         if old != conn && self.pushes.senders.remove(&old).is_some() {
-            self.out.push_back(Output::RefuseSender {
-                conn: old,
-                why: "another connection has the name".into(),
+            self.out.push_back(Output::RejectSender {
+                connection: old,
+                reason: "another connection has the name".into(),
             });
         }
         self.pushes.senders.insert(conn, Sender { name, is, run });
         let at_us = micros(self.now);
-        self.out.push_back(Output::Credit {
-            conn,
-            more: CREDIT,
+        self.out.push_back(Output::GrantCredit {
+            connection: conn,
+            reports: CREDIT,
             at_us,
         });
     }
@@ -74,9 +77,9 @@
             return;
         };
         let (name, is, run) = (name.clone(), *is, *run);
-        self.out.push_back(Output::Credit {
-            conn,
-            more: 1,
+        self.out.push_back(Output::GrantCredit {
+            connection: conn,
+            reports: 1,
             at_us: micros(now),
         });
         let (known, counts) = (
@@ -121,12 +124,12 @@
         match is {
             SenderIs::Host => {
                 if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
-                    let told = LoadTold {
-                        busy: own.busy,
-                        queue: own.waiting,
-                        service_ms: own.service_ms,
-                        rate: own.rate,
-                        errored_rate: own.errored_rate,
+                    let told = ReportedLoad {
+                        utilization: own.busy,
+                        queue_length: own.waiting,
+                        service_time_ms: own.service_ms,
+                        request_rate: own.rate,
+                        failure_rate: own.errored_rate,
                     };
                     self.loads
                         .insert(HostId(name.as_str().into()), (sent, told));
@@ -171,7 +174,7 @@
         self.loads.extend(
             look.loads
                 .into_iter()
-                .map(|(host, load)| (host, (at, LoadTold::of(&load)))),
+                .map(|(host, load)| (host, (at, ReportedLoad::from_host_load(&load)))),
         );
     }
 
@@ -223,7 +226,10 @@
     pub(crate) fn tell_odd(&mut self) {
         if let Some(wrong) = self.pushes.counts.last_odd.take() {
             let refused = self.pushes.counts.odd;
-            self.tell(Event::ReportRefused { wrong, refused });
+            self.tell(Event::ReportRejected {
+                error: wrong,
+                rejected_total: refused,
+            });
         }
     }
 
@@ -283,9 +289,9 @@
         }
         if !lines.is_empty() || kept > 0 {
             let (hosts, oldest_us) = (lines.len(), oldest.micros());
-            self.out.push_back(Output::Looked {
+            self.out.push_back(Output::LoadReportsApplied {
                 hosts,
-                kept,
+                deferred: kept,
                 oldest_us,
                 dropped: stale,
             });
@@ -297,7 +303,7 @@
             .scaled(LOAD_PERIODS);
         for (host, met) in lines {
             let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
-            let load = load.map(|(_, told)| told.load());
+            let load = load.map(|(_, told)| told.host_load());
             let met = AttemptOutcomes { load, ..met };
             self.steward.record_outcomes(now, &host, met);
             self.told_at.insert(host.clone(), now);
--- a/crates/daemon-core/src/weighing.rs
+++ b/crates/daemon-core/src/weighing.rs
@@ -1,7 +1,8 @@
 //! Weights that a solver sets, in the course of things: what is seen goes to it, and what it answers to the module.
 
 use crate::course::Course;
-use crate::wire::{Event, Output};
+use crate::event::Event;
+use crate::output::Output;
 use pondarch_controller::{HostId, RequestClassId};
 use pondarch_weight_solver::{Plan, Problem};
 use std::time::Duration;
@@ -33,7 +34,7 @@
         let loads = &self.loads;
         weigher.closed(now, &self.list, |host| {
             let (at, load) = loads.get(host)?;
-            (now - *at <= fresh).then_some((load.busy?, load.queue.unwrap_or(0.0)))
+            (now - *at <= fresh).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
         });
     }
 
@@ -51,7 +52,7 @@
         let problem = weigher.planner.due(now, &listed);
         if late {
             self.tell(Event::PlanFailed {
-                wrong: "the solver is too late".into(),
+                error: "the solver is too late".into(),
             });
         }
         match problem {
@@ -69,7 +70,7 @@
         let failed = answer.as_ref().err().cloned();
         weigher.planner.answered(now, number, answer);
         match failed {
-            Some(wrong) => self.tell(Event::PlanFailed { wrong }),
+            Some(wrong) => self.tell(Event::PlanFailed { error: wrong }),
             None => self.take_step(),
         }
     }
@@ -85,7 +86,7 @@
         let news = std::mem::replace(&mut weigher.told, source) != source;
         self.steward.apply_capacity_plan(now, let_in);
         if news {
-            self.tell(Event::WeightsFrom {
+            self.tell(Event::WeightSourceChanged {
                 source: source.word().into(),
             });
         }
@@ -97,7 +98,10 @@
             .map(|(host, weight)| (host.0.to_string(), *weight))
             .collect();
         let cause = self.cause.clone();
-        self.tell(Event::Weighed { moved, cause });
+        self.tell(Event::TargetWeightsChanged {
+            weights: moved,
+            cause,
+        });
         let listings = self.list.reweigh(handed);
         self.steward
             .apply_endpoint_list(now, self.list.version, true, listings);
--- a/crates/daemon-core/tests/in_memory/hard_cases.rs
+++ b/crates/daemon-core/tests/in_memory/hard_cases.rs
@@ -63,7 +63,7 @@
     assert!(
         town.events
             .iter()
-            .all(|event| !matches!(event, Event::Refused { .. }))
+            .all(|event| !matches!(event, Event::UpdateRejected { .. }))
     );
 }
 
@@ -132,7 +132,7 @@
     }
     assert!(town.info("LinesWaiting") <= 8_000);
     town.run(3_000);
-    let left = |event: &Event| matches!(event, Event::Left { proxy, why } if proxy == "front-0" && why.contains("unanswered"));
+    let left = |event: &Event| matches!(event, Event::ProxyLeft { proxy, reason: why } if proxy == "front-0" && why.contains("unanswered"));
     assert!(town.events.iter().any(left));
     assert_eq!(town.info("ProxiesJoined"), 7);
     assert_eq!(town.info("LinesWaiting"), 0);
@@ -150,18 +150,18 @@
     town.drop_link(0);
     town.give(Input::Answer {
         proxy: 0,
-        conn: old,
+        connection: old,
         text: "1\n# nonsense".into(),
     });
-    town.give(Input::Lost {
+    town.give(Input::Disconnected {
         proxy: 0,
-        conn: old,
-        why: "again".into(),
+        connection: old,
+        reason: "again".into(),
     });
     town.run(4_000);
     town.give(Input::Answer {
         proxy: 0,
-        conn: old,
+        connection: old,
         text: "late".into(),
     });
     assert_eq!(town.info("ProxiesJoined"), 1);
@@ -176,14 +176,12 @@
     town.run(100);
     town.give(Input::Answer {
         proxy: 0,
-        conn,
+        connection: conn,
         text: String::new(),
     });
-    assert!(
-        town.events
-            .iter()
-            .any(|e| matches!(e, Event::Left { why, .. } if why.contains("nothing asked for")))
-    );
+    assert!(town.events.iter().any(
+        |e| matches!(e, Event::ProxyLeft { reason: why, .. } if why.contains("nothing asked for"))
+    ));
     town.run(4_000);
     assert_eq!(town.info("ProxiesJoined"), 1);
 }
@@ -198,7 +196,7 @@
     town.drop_link(0);
     town.run(1_000);
     let joined = town.events.iter().rev().find_map(|event| match event {
-        Event::Joined { fresh, .. } => Some(*fresh),
+        Event::ProxyJoined { fresh, .. } => Some(*fresh),
         _ => None,
     });
     assert_eq!(joined, Some(true));
@@ -228,11 +226,9 @@
     (0..12).step_by(2).for_each(|n| hosts[n].weight = 4.0);
     town.list(hosts);
     town.run(2_500);
-    assert!(
-        town.events
-            .iter()
-            .any(|e| matches!(e, Event::Refused { wrong, .. } if wrong.contains("Not now")))
-    );
+    assert!(town.events.iter().any(
+        |e| matches!(e, Event::UpdateRejected { error: wrong, .. } if wrong.contains("Not now"))
+    ));
     let few = town.fronts[0].orders.len() - before;
     assert!(few <= 3, "{few} messages for one refusal");
     town.run(8_000);
@@ -339,11 +335,11 @@
 #[test]
 fn broken_and_older_lists_leave_the_last_good_one() {
     let mut town = settled(2, 8);
-    town.give(Input::ListRefused {
-        wrong: "hosts.jsonnet:3:1: syntax error".into(),
+    town.give(Input::EndpointListRejected {
+        error: "hosts.jsonnet:3:1: syntax error".into(),
     });
-    town.give(Input::List {
-        version: Some(0),
+    town.give(Input::EndpointList {
+        generation: Some(0),
         hosts: Vec::new(),
     });
     town.run(3_000);
@@ -372,7 +368,7 @@
     for n in 1..40u64 {
         core.handle(
             pondarch_controller::Time::from_micros(START + n * 250_000),
-            Input::Tick,
+            Input::TimerExpired,
         );
     }
     let out: Vec<_> = std::iter::from_fn(|| core.next_output()).collect();
--- a/crates/daemon-core/tests/in_memory/names.rs
+++ b/crates/daemon-core/tests/in_memory/names.rs
@@ -5,7 +5,7 @@
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::{Dns, Secondary};
 use pondarch_controller::{ProxyId, TableId};
-use pondarch_daemon_core::{Event, Input, LoadTold, Output};
+use pondarch_daemon_core::{Event, Input, Output, ReportedLoad};
 use pondarch_dns_core::Heard;
 use pondarch_dns_server::STANDING;
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,7 @@
             1,
         )
         .map(|table| table.0);
-    town.give(Input::AskedByName {
+    town.give(Input::DnsQueried {
         proxy: Some(proxy),
         table,
         serial: view.serial,
@@ -80,7 +80,8 @@
     assert_eq!(bound(&town, 2), Some(table), "asking again changes nothing");
     town.run(30_000);
     assert!(bound(&town, 2).is_none());
-    let left = |event: &&Event| matches!(event, Event::Left { proxy, .. } if proxy == "front-2");
+    let left =
+        |event: &&Event| matches!(event, Event::ProxyLeft { proxy, .. } if proxy == "front-2");
     assert_eq!(town.events.iter().filter(left).count(), 1);
     assert_eq!(town.info("NamesAsking"), 0);
     // Those with a runtime API are not touched by any of it.
@@ -101,7 +102,7 @@
     assert!(standing == STANDING && first.lines(standing).len() == 12);
     for mark in 0..40 {
         let stranger = first.stranger(mark).map(|id| id.0);
-        town.give(Input::AskedByName {
+        town.give(Input::DnsQueried {
             proxy: stranger,
             table: Some(STANDING.0),
             serial: first.serial,
@@ -138,12 +139,12 @@
 #[test]
 fn a_host_that_only_plain_proxies_meet_is_judged_by_its_own_word() {
     let mut town = town_of(Vec::new(), &[0, 1, 2, 3]);
-    let word = |n: usize| LoadTold {
-        busy: Some(if n == 5 { 1.0 } else { 0.3 }),
-        queue: Some(if n == 5 { 9.0 } else { 0.0 }),
-        service_ms: None,
-        rate: Some(8.0),
-        errored_rate: Some(0.0),
+    let word = |n: usize| ReportedLoad {
+        utilization: Some(if n == 5 { 1.0 } else { 0.3 }),
+        queue_length: Some(if n == 5 { 9.0 } else { 0.0 }),
+        service_time_ms: None,
+        request_rate: Some(8.0),
+        failure_rate: Some(0.0),
     };
     let weight = |town: &Town, name: &str| {
         let view = town.core.view();
@@ -162,18 +163,18 @@
         (0..4).for_each(|proxy| asks(&mut town, proxy));
         for n in (0..12).filter(|n| step < 20 || *n != 7) {
             let load = Some(if step < 20 {
-                LoadTold {
-                    busy: Some(0.3),
-                    queue: Some(0.0),
+                ReportedLoad {
+                    utilization: Some(0.3),
+                    queue_length: Some(0.0),
                     ..word(n)
                 }
             } else {
                 word(n)
             });
-            town.give(Input::Probed {
+            town.give(Input::HealthCheckCompleted {
                 host: format!("host-{n}"),
                 for_load: true,
-                good: true,
+                healthy: true,
                 load,
             });
         }
@@ -431,7 +432,7 @@
 
 fn says(town: &mut Town) -> Vec<u16> {
     let said = town.outputs.drain(..).filter_map(|output| match output {
-        Output::SayChanged { secondary } => Some(secondary),
+        Output::NotifySecondary { secondary } => Some(secondary),
         _ => None,
     });
     said.collect()
@@ -448,9 +449,9 @@
     town.run(2_000);
     let serial = town.core.view().serial;
     for n in [0, 1] {
-        town.give(Input::Secondary {
-            n,
-            heard: Heard::Fetched(serial),
+        town.give(Input::SecondaryObserved {
+            index: n,
+            observation: Heard::Fetched(serial),
         });
     }
     town.events.clear();
@@ -461,13 +462,13 @@
     town.list(hosts);
     assert_eq!(says(&mut town), [0, 1]);
     let serial = town.core.view().serial;
-    town.give(Input::Secondary {
-        n: 0,
-        heard: Heard::Acknowledged,
+    town.give(Input::SecondaryObserved {
+        index: 0,
+        observation: Heard::Acknowledged,
     });
-    town.give(Input::Secondary {
-        n: 0,
-        heard: Heard::Fetched(serial),
+    town.give(Input::SecondaryObserved {
+        index: 0,
+        observation: Heard::Fetched(serial),
     });
     assert!(
         town.command(1, "show map secondaries")
@@ -476,17 +477,17 @@
     // The other is cut off: it is told again, said to be late, and what it serves goes on lingering.
     town.run(9_000);
     assert!(says(&mut town).iter().filter(|n| **n == 1).count() >= 4);
-    let late = |event: &&Event| matches!(event, Event::SecondaryLate { secondary } if secondary == "second-1");
+    let late = |event: &&Event| matches!(event, Event::SecondaryBehind { secondary } if secondary == "second-1");
     assert_eq!(town.events.iter().filter(late).count(), 1);
     assert!(town.command(1, "show map lingering").contains("host-3"));
     let serial = town.core.view().serial;
-    town.give(Input::Secondary {
-        n: 0,
-        heard: Heard::Fetched(serial),
+    town.give(Input::SecondaryObserved {
+        index: 0,
+        observation: Heard::Fetched(serial),
     });
-    town.give(Input::Secondary {
-        n: 1,
-        heard: Heard::Fetched(serial),
+    town.give(Input::SecondaryObserved {
+        index: 1,
+        observation: Heard::Fetched(serial),
     });
     let fetched = town.now;
     while town.command(1, "show map lingering").contains("host-3") {
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -187,7 +187,7 @@
     town.list(hosts);
     town.run(4_000);
     assert!(!town.serving(0, "proof").contains_key("host-4"));
-    let told = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::HeldBack { host, .. } if host == "host-4");
+    let told = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
     assert!(town.events.iter().any(told));
     town.run(20_000);
     assert!(
--- a/crates/daemon-core/tests/in_memory/pushes.rs
+++ b/crates/daemon-core/tests/in_memory/pushes.rs
@@ -75,11 +75,11 @@
 
     fn come(&mut self, town: &mut Town) {
         let (conn, name, is, run) = (self.conn, self.name.clone(), self.is, self.run);
-        town.give(Input::SenderCame {
-            conn,
+        town.give(Input::SenderConnected {
+            connection: conn,
             name,
-            is,
-            run,
+            role: is,
+            incarnation: run,
         });
         self.hear(town);
     }
@@ -90,7 +90,11 @@
         let said = std::mem::take(&mut town.outputs);
         for output in said {
             match output {
-                Output::Credit { conn, more, at_us } if conn == self.conn => {
+                Output::GrantCredit {
+                    connection: conn,
+                    reports: more,
+                    at_us,
+                } if conn == self.conn => {
                     self.credit += more;
                     self.word = (at_us, now);
                 }
@@ -114,8 +118,8 @@
     }
 
     fn send(&mut self, town: &mut Town, report: Report) {
-        town.give(Input::Pushed {
-            conn: self.conn,
+        town.give(Input::ReportReceived {
+            connection: self.conn,
             report: Box::new(report),
         });
         self.hear(town);
@@ -141,7 +145,7 @@
 fn looked(town: &mut Town) -> (usize, u64) {
     let mut all = (0, 0);
     town.outputs.retain(|output| match output {
-        Output::Looked { oldest_us, .. } => {
+        Output::LoadReportsApplied { oldest_us, .. } => {
             all = (all.0 + 1, all.1.max(*oldest_us));
             false
         }
@@ -340,7 +344,7 @@
     pusher.send(&mut town, report);
     assert_eq!(town.info("ReportsRefused"), 5);
     town.run(1_500);
-    let said = |event: &&Event| matches!(event, Event::ReportRefused { wrong, .. } if wrong.starts_with("front-0: "));
+    let said = |event: &&Event| matches!(event, Event::ReportRejected { error: wrong, .. } if wrong.starts_with("front-0: "));
     assert_eq!(town.events.iter().filter(said).count(), 1, "once a round");
     let mut host = Pusher {
         name: "host-3".into(),
@@ -373,14 +377,14 @@
         } else {
             SenderIs::Host
         };
-        town.give(Input::SenderCame {
-            conn: 1_000 + n,
+        town.give(Input::SenderConnected {
+            connection: 1_000 + n,
             name: format!("nobody-{n}"),
-            is,
-            run: n,
+            role: is,
+            incarnation: n,
         });
-        town.give(Input::Pushed {
-            conn: 1_000 + n,
+        town.give(Input::ReportReceived {
+            connection: 1_000 + n,
             report: Box::default(),
         });
         town.outputs.clear();
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/town.rs
@@ -185,8 +185,8 @@
 
     pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List {
-            version: Some(self.version),
+        self.give(Input::EndpointList {
+            generation: Some(self.version),
             hosts,
         });
     }
@@ -202,26 +202,39 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => {
                 let front = &mut self.fronts[proxy as usize];
                 front.conn = front.up.then_some(conn);
                 front.lines.clear();
                 let input = match front.conn {
-                    Some(conn) => Input::Connected { proxy, conn },
-                    None => Input::Lost {
+                    Some(conn) => Input::Connected {
                         proxy,
-                        conn,
-                        why: "refused".into(),
+                        connection: conn,
+                    },
+                    None => Input::Disconnected {
+                        proxy,
+                        connection: conn,
+                        reason: "refused".into(),
                     },
                 };
                 self.give(input);
             }
-            Output::Write { proxy, conn, lines } => {
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 self.fronts[proxy as usize]
                     .lines
                     .extend(lines.into_iter().map(|line| (conn, line)));
             }
-            Output::Hangup { proxy, conn } => {
+            Output::HangUp {
+                proxy,
+                connection: conn,
+            } => {
                 let front = &mut self.fronts[proxy as usize];
                 front.conn = front.conn.filter(|held| *held != conn);
                 front.lines.clear();
@@ -243,12 +256,12 @@
                     plan: answer,
                 });
             }
-            Output::Probe { .. }
-            | Output::ViewChanged { .. }
-            | Output::SayChanged { .. }
-            | Output::Credit { .. }
-            | Output::RefuseSender { .. }
-            | Output::Looked { .. } => {}
+            Output::CheckHealth { .. }
+            | Output::DnsViewChanged { .. }
+            | Output::NotifySecondary { .. }
+            | Output::GrantCredit { .. }
+            | Output::RejectSender { .. }
+            | Output::LoadReportsApplied { .. } => {}
         }
     }
 
@@ -296,7 +309,11 @@
                 continue;
             }
             for text in answers {
-                self.give(Input::Answer { proxy, conn, text });
+                self.give(Input::Answer {
+                    proxy,
+                    connection: conn,
+                    text,
+                });
             }
         }
     }
@@ -305,10 +322,10 @@
     pub(crate) fn drop_link(&mut self, n: usize) {
         self.fronts[n].lines.clear();
         if let Some(conn) = self.fronts[n].conn.take() {
-            self.give(Input::Lost {
+            self.give(Input::Disconnected {
                 proxy: n as u16,
-                conn,
-                why: "broke".into(),
+                connection: conn,
+                reason: "broke".into(),
             });
         }
     }
@@ -325,7 +342,7 @@
                 break;
             }
             self.now = wake;
-            self.give(Input::Tick);
+            self.give(Input::TimerExpired);
             self.deliver();
         }
         self.now = end;
--- a/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
@@ -106,10 +106,10 @@
     site.reports.push = Some("unix:/push".parse().expect("a path"));
     let mut town = Town::open(&site, 3);
     town.run(1_000);
-    town.give(pondarch_daemon_core::Input::Records(
-        pondarch_daemon_core::RecordsState {
-            stopped: None,
-            lost: 2,
+    town.give(pondarch_daemon_core::Input::EventLog(
+        pondarch_daemon_core::EventLogState {
+            stopped_reason: None,
+            lost_inputs: 2,
         },
     ));
     assert_same(
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -9,7 +9,7 @@
 use pondarch_config::{HostEntry, Site, site_from_text};
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
-use pondarch_daemon_core::{Core, Input, Output, wire::micros};
+use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_event_log::disk::Trouble;
 use pondarch_event_log::{Disk, Folder, Keep, Log, frame, keeping};
 use pondarch_proxy_core::holding::Holding;
@@ -92,8 +92,8 @@
             let weight = 1.0 + (n / 20_000 % 3) as f64;
             return (
                 Time::from_micros(self.now),
-                Input::List {
-                    version: None,
+                Input::EndpointList {
+                    generation: None,
                     hosts: hosts(weight),
                 },
             );
@@ -106,15 +106,25 @@
             None => {
                 let wake = micros(self.core.wake_at()).max(self.now + 1);
                 self.now = wake;
-                (Time::from_micros(wake), Input::Tick)
+                (Time::from_micros(wake), Input::TimerExpired)
             }
         }
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => self.waits.push_back(Input::Connected { proxy, conn }),
-            Output::Write { proxy, conn, lines } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => self.waits.push_back(Input::Connected {
+                proxy,
+                connection: conn,
+            }),
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 let front = &mut self.fronts[usize::from(proxy)];
                 for backend in front.backends.values_mut() {
                     backend.reqs += 3;
@@ -128,11 +138,11 @@
                     .flat_map(|line| front.line(line))
                     .collect::<Vec<_>>();
                 self.waits
-                    .extend(
-                        texts
-                            .into_iter()
-                            .map(|text| Input::Answer { proxy, conn, text }),
-                    );
+                    .extend(texts.into_iter().map(|text| Input::Answer {
+                        proxy,
+                        connection: conn,
+                        text,
+                    }));
             }
             _ => {}
         }
@@ -190,7 +200,7 @@
         if let Some(recorder) = &mut recorder {
             recorder.decided(decisions);
             if recorder.wants_snapshot(clock.now()) {
-                recorder.snapshot(clock.now(), town.core.remembered());
+                recorder.snapshot(clock.now(), town.core.state_to_recover());
             }
         }
         times.record(one.elapsed().as_nanos() as u64).ok();
@@ -207,7 +217,7 @@
         }
     }
     let mut state = None;
-    while let Ok(Input::Records(other)) = told.try_recv() {
+    while let Ok(Input::EventLog(other)) = told.try_recv() {
         state = Some(other);
     }
     let us = |part| times.value_at_quantile(part) as f64 / 1e3;
@@ -222,7 +232,7 @@
     if let Some(recorder) = recorder {
         let runtime = tokio::runtime::Handle::current();
         tokio::task::block_in_place(|| {
-            runtime.block_on(recorder.end(clock.now(), town.core.remembered()))
+            runtime.block_on(recorder.end(clock.now(), town.core.state_to_recover()))
         });
     }
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -8,7 +8,7 @@
 use crate::recorder::{self, Recorder};
 use crate::{dns, hosts_file, log};
 use pondarch_config::Site;
-use pondarch_daemon_core::{Core, Input, Output, wire};
+use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_io_util::Clock;
 use pondarch_load_report_protocol::ToSender;
 use pondarch_replay::Start;
@@ -47,11 +47,11 @@
 pub async fn run(site: Site, text: String, options: Options) -> Result<(), DaemonError> {
     let clock = Clock::start();
     let now = clock.now();
-    let seed = options.seed.unwrap_or(wire::micros(now));
+    let seed = options.seed.unwrap_or(micros(now));
     let (inputs, mut queue) = mpsc::channel(INPUTS_MOST);
     let before = recorder::before(&site, now)?;
     // Above that of any run before, whatever the clock says: proxies refuse the orders of an older one.
-    let epoch = wire::micros(now).max(before.epoch + 1);
+    let epoch = micros(now).max(before.epoch + 1);
     let process = std::process::id();
     let start = Start {
         program: env!("CARGO_PKG_VERSION").into(),
@@ -59,7 +59,7 @@
         seed,
         process,
         epoch,
-        at_us: wire::micros(now),
+        at_us: micros(now),
         boot: recorder::boot(),
     };
     let held = before.folder;
@@ -112,11 +112,9 @@
     };
     let (mut counted, mut counted_at) = ((0, 0, 0), now);
     let mut core = Core::new(&edge.site, seed, process, epoch, now);
-    let mut next = Some(
-        before
-            .known
-            .map_or(Input::Tick, |known| Input::Recovered(Box::new(known))),
-    );
+    let mut next = Some(before.known.map_or(Input::TimerExpired, |known| {
+        Input::Recovered(Box::new(known))
+    }));
     loop {
         let input = match next.take() {
             Some(input) => input,
@@ -127,7 +125,7 @@
                     _ = term.recv() => break,
                     _ = int.recv() => break,
                     Some(input) = queue.recv() => input,
-                    () = sleep_until(wake) => Input::Tick,
+                    () = sleep_until(wake) => Input::TimerExpired,
                 }
             }
         };
@@ -136,8 +134,8 @@
             .as_mut()
             .map(|recorder| recorder.input(now, &input));
         // An operator is told that something is done once it would survive.
-        edge.awaits =
-            taken.filter(|_| matches!(input, Input::Command { .. }) && input.is_remembered());
+        edge.awaits = taken
+            .filter(|_| matches!(input, Input::Command { .. }) && input.changes_recovered_state());
         core.handle(now, input);
         let mut decisions = Vec::new();
         while let Some(output) = core.next_output() {
@@ -145,8 +143,10 @@
                 decisions.push(output.clone());
             }
             match (&output, &names) {
-                (Output::ViewChanged { .. }, Some(names)) => names.set(core.view()),
-                (Output::SayChanged { secondary }, Some(names)) => names.say_changed(*secondary),
+                (Output::DnsViewChanged { .. }, Some(names)) => names.set(core.view()),
+                (Output::NotifySecondary { secondary }, Some(names)) => {
+                    names.say_changed(*secondary)
+                }
                 _ => edge.carry_out(output),
             }
         }
@@ -157,7 +157,7 @@
         if let Some(recorder) = &mut recorder {
             recorder.decided(decisions);
             if recorder.wants_snapshot(now) {
-                recorder.snapshot(now, core.remembered());
+                recorder.snapshot(now, core.state_to_recover());
             }
         }
         // What came meanwhile is taken before the clock, or a busy steward would hear nothing but ticks.
@@ -168,7 +168,7 @@
     info!("steward stops; proxies keep their tables");
     tasks.shutdown().await;
     if let Some(recorder) = recorder {
-        recorder.end(clock.now(), core.remembered()).await;
+        recorder.end(clock.now(), core.state_to_recover()).await;
     }
     Ok(())
 }
@@ -210,17 +210,20 @@
             return None;
         }
         *told = now;
-        Some(Input::Memory {
-            waiting,
-            records,
-            connections,
-            capped,
+        Some(Input::MemoryUsage {
+            queued_bytes: waiting,
+            event_log_bytes: records,
+            connection_bytes: connections,
+            rejected_connections: capped,
         })
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => {
                 let (of, limit) = (
                     &self.site.proxies[proxy as usize],
                     self.site.links.dial_limit.std(),
@@ -230,7 +233,11 @@
                 let connection = Connection::dial(proxy, conn, to, limit, self.inputs.clone());
                 self.connections.insert(proxy, (conn, connection));
             }
-            Output::Write { proxy, conn, lines } => {
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 let written = match self.connections.get(&proxy) {
                     Some((held, connection)) if *held == conn => connection.write(lines),
                     _ => true,
@@ -243,7 +250,10 @@
                     );
                 }
             }
-            Output::Hangup { proxy, conn } => {
+            Output::HangUp {
+                proxy,
+                connection: conn,
+            } => {
                 if self
                     .connections
                     .get(&proxy)
@@ -252,9 +262,9 @@
                     self.connections.remove(&proxy);
                 }
             }
-            Output::Probe {
+            Output::CheckHealth {
                 host,
-                addr,
+                address: addr,
                 for_load,
             } => {
                 while self.probes.try_join_next().is_some() {}
@@ -280,20 +290,27 @@
                         .ok();
                 });
             }
-            Output::Credit { conn, more, at_us } => {
+            Output::GrantCredit {
+                connection: conn,
+                reports: more,
+                at_us,
+            } => {
                 if let Some(pushes) = &self.pushes {
                     pushes.say(conn, ToSender::Credit { more, at_us });
                 }
             }
-            Output::RefuseSender { conn, why } => {
+            Output::RejectSender {
+                connection: conn,
+                reason: why,
+            } => {
                 if let Some(pushes) = &self.pushes {
                     pushes.say(conn, ToSender::Refused { why });
                 }
             }
             // For the records.
-            Output::Looked { .. } => {}
+            Output::LoadReportsApplied { .. } => {}
             // Only with a DNS front, which the loop tells.
-            Output::ViewChanged { .. } | Output::SayChanged { .. } => {}
+            Output::DnsViewChanged { .. } | Output::NotifySecondary { .. } => {}
             Output::Reply { caller, text } => match (self.awaits, self.written.clone()) {
                 (Some(n), Some(mut written)) => {
                     let callers = self.callers.clone();
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -42,7 +42,14 @@
         let task = tokio::spawn(async move {
             let why = talk((proxy, conn), &to, limit, queue, &written, &inputs).await;
             // If the daemon is gone, nobody needs to know.
-            inputs.send(Input::Lost { proxy, conn, why }).await.ok();
+            inputs
+                .send(Input::Disconnected {
+                    proxy,
+                    connection: conn,
+                    reason: why,
+                })
+                .await
+                .ok();
         });
         Connection {
             lines,
@@ -90,7 +97,14 @@
         Ok(Err(wrong)) => return format!("cannot be reached at {to}: {wrong}"),
         Err(_) => return format!("cannot be reached at {to} within {} ms", limit.as_millis()),
     };
-    if inputs.send(Input::Connected { proxy, conn }).await.is_err() {
+    if inputs
+        .send(Input::Connected {
+            proxy,
+            connection: conn,
+        })
+        .await
+        .is_err()
+    {
         return "the steward stops".into();
     }
     let (mut to_proxy, mut from_proxy) = Framed::new(stream, ClientCodec::default()).split();
@@ -114,7 +128,11 @@
             match from_proxy.next().await {
                 Some(Ok(text)) => {
                     if inputs
-                        .send(Input::Answer { proxy, conn, text })
+                        .send(Input::Answer {
+                            proxy,
+                            connection: conn,
+                            text,
+                        })
                         .await
                         .is_err()
                     {
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -6,8 +6,8 @@
 use pondarch_config::{Endpoint, Site};
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, Time};
+use pondarch_daemon_core::DNS_QUERY_REPORT_INTERVAL;
 use pondarch_daemon_core::Input;
-use pondarch_daemon_core::names::TOLD_WITHIN;
 use pondarch_dns_core::Limits;
 use pondarch_dns_server::{Answerer, Copies, Key, Reply, Transport, View, Zone, rows};
 use pondarch_io_util::Clock;
@@ -165,7 +165,13 @@
     /// All of a reply was sent: what it says of a secondary is so. Untold it would be told again.
     async fn sent(&self, reply: Reply) {
         for (n, heard) in reply.heard {
-            self.inputs.send(Input::Secondary { n, heard }).await.ok();
+            self.inputs
+                .send(Input::SecondaryObserved {
+                    index: n,
+                    observation: heard,
+                })
+                .await
+                .ok();
         }
     }
 
@@ -182,13 +188,15 @@
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
             let last = told.get(&(reply.asked, table)).copied();
             // Told again well within the time that the core reckons with, and at once of another serial.
-            if last.is_some_and(|(at, of)| of == serial && now - at < TOLD_WITHIN.scaled(0.5)) {
+            if last.is_some_and(|(at, of)| {
+                of == serial && now - at < DNS_QUERY_REPORT_INTERVAL.scaled(0.5)
+            }) {
                 return;
             }
             told.insert((reply.asked, table), (now, serial));
         }
         let (proxy, given) = (reply.asked.map(|id| id.0), reply.given.map(|table| table.0));
-        let input = Input::AskedByName {
+        let input = Input::DnsQueried {
             proxy,
             table: given,
             serial,
--- a/crates/daemon/src/hosts_file.rs
+++ b/crates/daemon/src/hosts_file.rs
@@ -38,15 +38,15 @@
     // Evaluating takes its time: not on a thread that serves sockets.
     let list = tokio::task::spawn_blocking(move || read_hosts(&file, &zones)).await;
     match list {
-        Ok(Ok(list)) => Input::List {
-            version: list.version,
+        Ok(Ok(list)) => Input::EndpointList {
+            generation: list.version,
             hosts: list.hosts,
         },
-        Ok(Err(wrong)) => Input::ListRefused {
-            wrong: wrong.to_string(),
+        Ok(Err(wrong)) => Input::EndpointListRejected {
+            error: wrong.to_string(),
         },
-        Err(_) => Input::ListRefused {
-            wrong: "the evaluator failed".into(),
+        Err(_) => Input::EndpointListRejected {
+            error: "the evaluator failed".into(),
         },
     }
 }
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -5,41 +5,43 @@
 
 pub(crate) fn event(event: &Event) {
     match event {
-        Event::ListTaken {
-            version,
-            open,
+        Event::EndpointListApplied {
+            generation: version,
+            ready: open,
             draining,
-            gone,
+            removed: gone,
         } => {
             info!(version, open, draining, gone, "list taken");
         }
-        Event::ListRefused { wrong } => warn!(wrong, "list refused, the last one holds"),
-        Event::Joined {
+        Event::EndpointListRejected { error: wrong } => {
+            warn!(wrong, "list refused, the last one holds")
+        }
+        Event::ProxyJoined {
             proxy,
             fresh,
             cause,
         } => info!(proxy, fresh, cause, "proxy joined"),
-        Event::Left { proxy, why } => warn!(proxy, why, "proxy left"),
-        Event::Bound {
+        Event::ProxyLeft { proxy, reason: why } => warn!(proxy, why, "proxy left"),
+        Event::ProxyBound {
             proxy,
             table,
             cause,
         } => info!(proxy, table, cause, "proxy bound"),
         Event::TableChanged {
             table,
-            lines,
+            weights: lines,
             cause,
         } => info!(table, ?lines, cause, "table changed"),
-        Event::LevelChanged {
+        Event::AdmissionChanged {
             table,
-            kind,
+            class: kind,
             quota,
-            tries,
+            retry_policy: tries,
             cause,
         } => {
             info!(table, kind, quota, %tries, cause, "level changed");
         }
-        Event::Ordered {
+        Event::UpdateSent {
             proxy,
             commands,
             urgency,
@@ -47,32 +49,46 @@
         } => {
             info!(proxy, commands, %urgency, cause, "orders sent");
         }
-        Event::Applied { proxy, took_us } => debug!(proxy, took_us, "orders applied"),
-        Event::Refused { proxy, wrong } => warn!(proxy, wrong, "order refused"),
-        Event::Waits { proxy, why } => warn!(proxy, %why, "orders wait"),
-        Event::WeightsFrom { source } => info!(%source, "weights from"),
-        Event::Weighed { moved, cause } => info!(?moved, cause, "weights changed"),
-        Event::PlanFailed { wrong } => warn!(wrong, "no plan"),
+        Event::UpdateAcknowledged { proxy, took_us } => debug!(proxy, took_us, "orders applied"),
+        Event::UpdateRejected {
+            proxy,
+            error: wrong,
+        } => warn!(proxy, wrong, "order refused"),
+        Event::UpdateDelayed { proxy, reason: why } => warn!(proxy, %why, "orders wait"),
+        Event::WeightSourceChanged { source } => info!(%source, "weights from"),
+        Event::TargetWeightsChanged {
+            weights: moved,
+            cause,
+        } => info!(?moved, cause, "weights changed"),
+        Event::PlanFailed { error: wrong } => warn!(wrong, "no plan"),
         Event::Recovered {
             ready,
             draining,
-            gone,
+            removed: gone,
         } => {
             info!(ready, draining, gone, "recovered what was known")
         }
-        Event::Records {
-            stopped: None,
-            lost,
+        Event::EventLogChanged {
+            stopped_reason: None,
+            lost_inputs: lost,
         } => info!(lost, "records are written"),
-        Event::Records {
-            stopped: Some(why),
-            lost,
+        Event::EventLogChanged {
+            stopped_reason: Some(why),
+            lost_inputs: lost,
         } => warn!(why, lost, "records are not written"),
-        Event::ReportRefused { wrong, refused } => warn!(wrong, refused, "report refused"),
-        Event::KeptOut { host, for_s } => {
+        Event::ReportRejected {
+            error: wrong,
+            rejected_total: refused,
+        } => warn!(wrong, refused, "report refused"),
+        Event::HostExcluded {
+            host,
+            duration_s: for_s,
+        } => {
             info!(host, for_s, "started anew, kept out while caches hold it")
         }
-        Event::SecondaryLate { secondary } => warn!(secondary, "secondary is behind for too long"),
-        Event::HeldBack { table, host } => info!(table, host, "cold host held back"),
+        Event::SecondaryBehind { secondary } => {
+            warn!(secondary, "secondary is behind for too long")
+        }
+        Event::WeightTooSmall { table, host } => info!(table, host, "cold host held back"),
     }
 }
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -1,7 +1,7 @@
 //! Asks a host over HTTP/1.1, for its health or its load.
 
 use pondarch_config::site::Probes;
-use pondarch_daemon_core::{Input, LoadTold};
+use pondarch_daemon_core::{Input, ReportedLoad};
 use pondarch_io_util::{Answer, get};
 use pondarch_load_report::{HEADER, Report};
 use std::net::SocketAddr;
@@ -43,19 +43,19 @@
             Err(_) => Ok(None),
         };
         let report = asked.ok().flatten().map(|answer| load_of(&answer));
-        let load = report.map(|report| LoadTold {
-            busy: report.busy,
-            queue: report.queue,
-            service_ms: report.latency_ms,
-            rate: report.rate,
-            errored_rate: report.errored_rate,
+        let load = report.map(|report| ReportedLoad {
+            utilization: report.busy,
+            queue_length: report.queue,
+            service_time_ms: report.latency_ms,
+            request_rate: report.rate,
+            failure_rate: report.errored_rate,
         });
         // If the daemon is gone, nobody needs to know.
         self.inputs
-            .send(Input::Probed {
+            .send(Input::HealthCheckCompleted {
                 host,
                 for_load,
-                good: report.is_some(),
+                healthy: report.is_some(),
                 load,
             })
             .await
--- a/crates/daemon/src/push.rs
+++ b/crates/daemon/src/push.rs
@@ -105,7 +105,10 @@
         connections.spawn(async move {
             talk(conn, stream, &pushers, &inputs).await;
             if pushers.words().remove(&conn).is_some() {
-                inputs.send(Input::SenderLeft { conn }).await.ok();
+                inputs
+                    .send(Input::SenderDisconnected { connection: conn })
+                    .await
+                    .ok();
             }
             drop(place);
         });
@@ -120,11 +123,11 @@
     };
     let (words, mut said) = mpsc::channel(WORDS_MOST);
     pushers.words().insert(conn, words);
-    let came = Input::SenderCame {
-        conn,
+    let came = Input::SenderConnected {
+        connection: conn,
         name: hello.name,
-        is: hello.is,
-        run: hello.run,
+        role: hello.is,
+        incarnation: hello.run,
     };
     if inputs.send(came).await.is_err() {
         return;
@@ -146,7 +149,7 @@
             report = timeout(IDLE, wire.next()) => match report {
                 Ok(Some(Ok(ToSteward::Report(report)))) if credit > 0 => {
                     credit -= 1;
-                    if inputs.send(Input::Pushed { conn, report: Box::new(report) }).await.is_err() {
+                    if inputs.send(Input::ReportReceived { connection: conn, report: Box::new(report) }).await.is_err() {
                         return;
                     }
                 }
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -5,7 +5,7 @@
 use pondarch_config::Site;
 use pondarch_config::site::Records;
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Input, Output, RecordsState, Remembered, wire::micros};
+use pondarch_daemon_core::{EventLogState, Input, Output, RecoveredState, micros};
 use pondarch_event_log::disk::LockError;
 use pondarch_event_log::keeping::State;
 use pondarch_event_log::{Disk, Folder, Keep, Log, frame};
@@ -33,7 +33,7 @@
     /// None: it could not be had yet, and is tried again.
     pub(crate) folder: Option<Folder>,
     pub(crate) epoch: u64,
-    pub(crate) known: Option<Remembered>,
+    pub(crate) known: Option<RecoveredState>,
 }
 
 /// Gives the disk once it can be had; asked again while it cannot.
@@ -169,8 +169,8 @@
             waiting: waiting.clone(),
             written: written_to,
             inputs,
-            told: RecordsState::default(),
-            state: RecordsState::default(),
+            told: EventLogState::default(),
+            state: EventLogState::default(),
             untold: true,
             gap: None,
         };
@@ -205,7 +205,8 @@
         self.n += 1;
         let n = self.n;
         // What was told while nothing could be written stands in no record: a snapshot makes that good at once.
-        if matches!(input, Input::Records(state) if state.stopped.is_none() && state.lost > 0) {
+        if matches!(input, Input::EventLog(state) if state.stopped_reason.is_none() && state.lost_inputs > 0)
+        {
             self.snapshot_at = at;
         }
         if let Some((first, last)) = self.gap
@@ -242,7 +243,7 @@
         now >= self.snapshot_at
     }
 
-    pub fn snapshot(&mut self, now: Time, known: Remembered) {
+    pub fn snapshot(&mut self, now: Time, known: RecoveredState) {
         self.snapshot_at = now + self.every;
         let (n, epoch, at_us) = (self.n, self.epoch, micros(now));
         // Without room there is none this time.
@@ -270,7 +271,7 @@
     }
 
     /// Writes what waits and a last snapshot, within a bound.
-    pub async fn end(mut self, now: Time, known: Remembered) {
+    pub async fn end(mut self, now: Time, known: RecoveredState) {
         self.snapshot(now, known);
         drop(self.words);
         if tokio::time::timeout(END_WAITS, self.thread).await.is_err() {
@@ -283,8 +284,8 @@
 fn size(input: &Input) -> usize {
     match input {
         Input::Answer { text, .. } => text.len() + 100,
-        Input::List { hosts, .. } => hosts.len() * 200 + 100,
-        Input::Pushed { report, .. } => report.body.counted.len() * 120 + 200,
+        Input::EndpointList { hosts, .. } => hosts.len() * 200 + 100,
+        Input::ReportReceived { report, .. } => report.body.counted.len() * 120 + 200,
         _ => 200,
     }
 }
@@ -301,8 +302,8 @@
     waiting: Arc<AtomicUsize>,
     written: watch::Sender<u64>,
     inputs: mpsc::Sender<Input>,
-    state: RecordsState,
-    told: RecordsState,
+    state: EventLogState,
+    told: EventLogState,
     untold: bool,
     /// Inputs that were taken off the queue and could not be written.
     gap: Option<(u64, u64, String)>,
@@ -347,7 +348,7 @@
         });
         match opened {
             Ok(log) => self.log = Some(log),
-            Err(wrong) => self.state.stopped = Some(wrong),
+            Err(wrong) => self.state.stopped_reason = Some(wrong),
         }
     }
 
@@ -372,7 +373,7 @@
                     (n, Record::Decided { n, decisions })
                 }
                 Word::Gap { first, last } => {
-                    self.state.lost += last - first + 1;
+                    self.state.lost_inputs += last - first + 1;
                     (
                         last,
                         Record::Gap {
@@ -431,7 +432,7 @@
                 .is_some_and(|log| log.write(now, first, &before));
         }
         if done {
-            (self.started, self.gap, self.state.stopped) = (true, None, None);
+            (self.started, self.gap, self.state.stopped_reason) = (true, None, None);
         } else {
             let stopped = self
                 .log
@@ -440,11 +441,11 @@
                     State::Stopped { why, .. } => Some(why.clone()),
                     State::Writes => None,
                 });
-            self.state.stopped = stopped
-                .or(self.state.stopped.take())
+            self.state.stopped_reason = stopped
+                .or(self.state.stopped_reason.take())
                 .or(Some("the folder cannot be had".into()));
-            let why = self.state.stopped.clone().unwrap_or_default();
-            self.state.lost += last - first + 1;
+            let why = self.state.stopped_reason.clone().unwrap_or_default();
+            self.state.lost_inputs += last - first + 1;
             let begin = self.gap.as_ref().map_or(first, |(begin, ..)| *begin);
             self.gap = Some((begin, last, why));
         }
@@ -458,15 +459,18 @@
             && !log.snapshot(now, &snapshot.bytes())
             && let State::Stopped { why, .. } = log.keeping().state()
         {
-            self.state.stopped = Some(why.clone());
+            self.state.stopped_reason = Some(why.clone());
         }
     }
 
     /// Tells the core how it goes, where that changed; if it has no room now, the next time.
     fn tell(&mut self) {
         let state = &self.state;
-        if self.untold || state.stopped != self.told.stopped {
-            self.untold = self.inputs.try_send(Input::Records(state.clone())).is_err();
+        if self.untold || state.stopped_reason != self.told.stopped_reason {
+            self.untold = self
+                .inputs
+                .try_send(Input::EventLog(state.clone()))
+                .is_err();
             self.told = state.clone();
         }
     }
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -5,7 +5,7 @@
 use pondarch_config::site_from_text;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, Time};
-use pondarch_daemon_core::{Core, Input, LoadTold, Output, RecordsState};
+use pondarch_daemon_core::{Core, EventLogState, Input, Output, ReportedLoad};
 use pondarch_event_log::{Folder, Keep, Log, frame};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
 use pondarch_proxy_core::holding::{Holding, Server};
@@ -188,27 +188,37 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => {
                 self.fronts[usize::from(proxy)].conn = Some(conn);
-                self.give(Input::Connected { proxy, conn });
+                self.give(Input::Connected {
+                    proxy,
+                    connection: conn,
+                });
             }
-            Output::Write { proxy, conn, lines } => {
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 let lines = lines.into_iter().map(|line| (conn, line));
                 self.fronts[usize::from(proxy)].lines.extend(lines);
             }
-            Output::Hangup { proxy, .. } => self.fronts[usize::from(proxy)].conn = None,
-            Output::Probe { host, for_load, .. } => {
-                let load = for_load.then_some(LoadTold {
-                    busy: Some(0.4),
-                    queue: Some(1.0),
-                    service_ms: Some(20.0),
-                    rate: Some(15.0),
-                    errored_rate: Some(0.5),
+            Output::HangUp { proxy, .. } => self.fronts[usize::from(proxy)].conn = None,
+            Output::CheckHealth { host, for_load, .. } => {
+                let load = for_load.then_some(ReportedLoad {
+                    utilization: Some(0.4),
+                    queue_length: Some(1.0),
+                    service_time_ms: Some(20.0),
+                    request_rate: Some(15.0),
+                    failure_rate: Some(0.5),
                 });
-                self.give(Input::Probed {
+                self.give(Input::HealthCheckCompleted {
                     host,
                     for_load,
-                    good: true,
+                    healthy: true,
                     load,
                 });
             }
@@ -243,9 +253,13 @@
                 });
             }
             let proxy = n as u16;
-            answers
-                .into_iter()
-                .for_each(|text| self.give(Input::Answer { proxy, conn, text }));
+            answers.into_iter().for_each(|text| {
+                self.give(Input::Answer {
+                    proxy,
+                    connection: conn,
+                    text,
+                })
+            });
         }
     }
 
@@ -260,7 +274,7 @@
                 break;
             }
             self.now = wake;
-            self.give(Input::Tick);
+            self.give(Input::TimerExpired);
             self.deliver();
         }
         self.now = end;
@@ -268,8 +282,8 @@
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List {
-            version: Some(self.version),
+        self.give(Input::EndpointList {
+            generation: Some(self.version),
             hosts,
         });
     }
@@ -289,7 +303,7 @@
             n,
             at_us,
             boot: boot(at_us),
-            known: self.core.remembered(),
+            known: self.core.state_to_recover(),
         };
         assert!(
             self.log
@@ -344,23 +358,23 @@
 
     fn pushes(&mut self) {
         let (conn, run) = (51, 5);
-        self.give(Input::SenderCame {
-            conn,
+        self.give(Input::SenderConnected {
+            connection: conn,
             name: "front-0".into(),
-            is: SenderIs::Proxy,
-            run,
+            role: SenderIs::Proxy,
+            incarnation: run,
         });
-        self.give(Input::SenderCame {
-            conn: 52,
+        self.give(Input::SenderConnected {
+            connection: 52,
             name: "host-1".into(),
-            is: SenderIs::Host,
-            run,
+            role: SenderIs::Host,
+            incarnation: run,
         });
-        self.give(Input::SenderCame {
-            conn: 53,
+        self.give(Input::SenderConnected {
+            connection: 53,
             name: "nobody".into(),
-            is: SenderIs::Proxy,
-            run,
+            role: SenderIs::Proxy,
+            incarnation: run,
         });
         for number in 1..4 {
             let server = Some("host-0".to_string());
@@ -398,17 +412,17 @@
                 counted: Vec::new(),
                 own: Some(own),
             });
-            self.give(Input::Pushed {
-                conn,
+            self.give(Input::ReportReceived {
+                connection: conn,
                 report: of_proxy,
             });
-            self.give(Input::Pushed {
-                conn: 52,
+            self.give(Input::ReportReceived {
+                connection: 52,
                 report: of_host,
             });
             self.run(1_000);
         }
-        self.give(Input::SenderLeft { conn });
+        self.give(Input::SenderDisconnected { connection: conn });
     }
 
     fn names(&mut self) {
@@ -418,7 +432,7 @@
             let table = view
                 .table_of(Some(ProxyId(2)), RequestClassId(0), 1)
                 .map(|table| table.0);
-            self.give(Input::AskedByName {
+            self.give(Input::DnsQueried {
                 proxy: Some(2),
                 table,
                 serial: view.serial,
@@ -429,7 +443,10 @@
                     Heard::Asks(None),
                     Heard::Fetched(view.serial),
                 ] {
-                    self.give(Input::Secondary { n: 0, heard });
+                    self.give(Input::SecondaryObserved {
+                        index: 0,
+                        observation: heard,
+                    });
                 }
             }
             self.run(500);
@@ -437,35 +454,35 @@
     }
 
     fn troubles(&mut self) {
-        self.give(Input::Records(RecordsState {
-            stopped: Some("no space".into()),
-            lost: 0,
+        self.give(Input::EventLog(EventLogState {
+            stopped_reason: Some("no space".into()),
+            lost_inputs: 0,
         }));
-        self.give(Input::Records(RecordsState {
-            stopped: None,
-            lost: 3,
+        self.give(Input::EventLog(EventLogState {
+            stopped_reason: None,
+            lost_inputs: 3,
         }));
-        self.give(Input::Memory {
-            waiting: 10,
-            records: 20,
-            connections: 30,
-            capped: 1,
+        self.give(Input::MemoryUsage {
+            queued_bytes: 10,
+            event_log_bytes: 20,
+            connection_bytes: 30,
+            rejected_connections: 1,
         });
-        self.give(Input::ListRefused {
-            wrong: "hosts:3: it ends".into(),
+        self.give(Input::EndpointListRejected {
+            error: "hosts:3: it ends".into(),
         });
-        self.give(Input::Probed {
+        self.give(Input::HealthCheckCompleted {
             host: "host-0".into(),
             for_load: false,
-            good: false,
+            healthy: false,
             load: None,
         });
         if let Some(conn) = self.fronts[1].conn.take() {
             self.fronts[1].lines.clear();
-            self.give(Input::Lost {
+            self.give(Input::Disconnected {
                 proxy: 1,
-                conn,
-                why: "broke".into(),
+                connection: conn,
+                reason: "broke".into(),
             });
         }
         self.run(1_500);
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -121,8 +121,8 @@
             What::Known(known) => self.give(Input::Recovered(known.clone())),
             What::List { version, hosts } => {
                 self.listed(hosts);
-                self.give(Input::List {
-                    version: *version,
+                self.give(Input::EndpointList {
+                    generation: *version,
                     hosts: hosts.clone(),
                 });
             }
@@ -132,10 +132,10 @@
                 front.up = *up;
                 front.lines.clear();
                 if let Some(conn) = front.conn.take().filter(|_| !up) {
-                    self.give(Input::Lost {
+                    self.give(Input::Disconnected {
                         proxy: n,
-                        conn,
-                        why: "as recorded".into(),
+                        connection: conn,
+                        reason: "as recorded".into(),
                     });
                 }
             }
@@ -150,10 +150,10 @@
                 load,
             } => {
                 let (host, load) = (host.clone(), *load);
-                self.give(Input::Probed {
+                self.give(Input::HealthCheckCompleted {
                     host,
                     for_load: *for_load,
-                    good: *good,
+                    healthy: *good,
                     load,
                 });
             }
@@ -165,7 +165,7 @@
                     .table_of(asked, pondarch_controller::RequestClassId(0), mark)
                     .map(|table| table.0);
                 let proxy = asked.or_else(|| view.stranger(mark)).map(|id| id.0);
-                self.give(Input::AskedByName {
+                self.give(Input::DnsQueried {
                     proxy,
                     table,
                     serial: view.serial,
@@ -222,7 +222,7 @@
                 break;
             }
             self.now = wake;
-            self.give(Input::Tick);
+            self.give(Input::TimerExpired);
             self.settle();
         }
         self.now = self.now.max(until);
@@ -252,21 +252,31 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => {
                 let Some(front) = self.fronts.get_mut(usize::from(proxy)) else {
                     return;
                 };
                 front.conn = front.up.then_some(conn);
                 self.events.push_back(match front.up {
-                    true => Input::Connected { proxy, conn },
-                    false => Input::Lost {
+                    true => Input::Connected {
+                        proxy,
+                        connection: conn,
+                    },
+                    false => Input::Disconnected {
                         proxy,
-                        conn,
-                        why: "as recorded".into(),
+                        connection: conn,
+                        reason: "as recorded".into(),
                     },
                 });
             }
-            Output::Write { proxy, conn, lines } => {
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 let Some(front) = self.fronts.get_mut(usize::from(proxy)) else {
                     return;
                 };
@@ -274,7 +284,10 @@
                     .lines
                     .extend(lines.into_iter().map(|line| (conn, line)));
             }
-            Output::Hangup { proxy, conn } => {
+            Output::HangUp {
+                proxy,
+                connection: conn,
+            } => {
                 if let Some(front) = self.fronts.get_mut(usize::from(proxy)) {
                     front.conn = front.conn.filter(|held| *held != conn);
                     front.lines.clear();
@@ -287,13 +300,13 @@
             }
             Output::Event(event) => self.noted(event),
             // Probes were answered as recorded, at their recorded times.
-            Output::Probe { .. }
-            | Output::ViewChanged { .. }
-            | Output::SayChanged { .. }
+            Output::CheckHealth { .. }
+            | Output::DnsViewChanged { .. }
+            | Output::NotifySecondary { .. }
             | Output::Reply { .. }
-            | Output::Credit { .. }
-            | Output::RefuseSender { .. }
-            | Output::Looked { .. } => {}
+            | Output::GrantCredit { .. }
+            | Output::RejectSender { .. }
+            | Output::LoadReportsApplied { .. } => {}
         }
     }
 
@@ -318,7 +331,7 @@
         for text in front.holding.line(&line) {
             self.events.push_back(Input::Answer {
                 proxy: n as u16,
-                conn,
+                connection: conn,
                 text,
             });
         }
@@ -327,7 +340,11 @@
     fn noted(&mut self, event: Event) {
         let played = &mut self.played;
         match event {
-            Event::TableChanged { table, lines, .. } => {
+            Event::TableChanged {
+                table,
+                weights: lines,
+                ..
+            } => {
                 played.table_changes += 1;
                 played.lines_changed += lines.len() as u64;
                 let held = played.tables.entry(table).or_default();
@@ -338,13 +355,13 @@
                     }
                 }
             }
-            Event::Bound { .. } => played.binds += 1,
-            Event::LevelChanged { .. } => played.level_changes += 1,
-            Event::Ordered { commands, .. } => {
+            Event::ProxyBound { .. } => played.binds += 1,
+            Event::AdmissionChanged { .. } => played.level_changes += 1,
+            Event::UpdateSent { commands, .. } => {
                 played.messages += 1;
                 played.commands += commands as u64;
             }
-            Event::HeldBack { .. } => played.held_back += 1,
+            Event::WeightTooSmall { .. } => played.held_back += 1,
             _ => {}
         }
     }
--- a/crates/replay/src/record.rs
+++ b/crates/replay/src/record.rs
@@ -1,6 +1,6 @@
 //! What is recorded of a run, as bytes: MessagePack with the fields' names, so that fields that are added harm no reader.
 
-use pondarch_daemon_core::{Input, Output, Remembered};
+use pondarch_daemon_core::{Input, Output, RecoveredState};
 use serde::{Deserialize, Serialize};
 
 /// The machine's own count of time, which no setting of its clock moves: which start of the machine, and how long ago.
@@ -60,7 +60,7 @@
     pub n: u64,
     pub at_us: u64,
     pub boot: Option<Boot>,
-    pub known: Remembered,
+    pub known: RecoveredState,
 }
 
 impl Decision {
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -5,7 +5,7 @@
 use crate::runs::{self, Flaw, HistoryError, Numbers, Place};
 use pondarch_config::Site;
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Core, Input, Output, Remembered};
+use pondarch_daemon_core::{Core, Input, Output, RecoveredState};
 use pondarch_event_log::{Disk, frame, log};
 
 /// What was found.
@@ -17,7 +17,7 @@
     pub last_us: u64,
     pub boot: Option<Boot>,
     /// None: nothing was known.
-    pub known: Option<Remembered>,
+    pub known: Option<RecoveredState>,
     /// Inputs of the tail that were taken.
     pub inputs: usize,
     /// What was dropped, and why.
@@ -80,7 +80,7 @@
                         });
                     }
                     found.last_us = at_us;
-                    if input.is_remembered() {
+                    if input.changes_recovered_state() {
                         if matches!(input, Input::Recovered(_)) {
                             // Another run began with all that was known: what a scratch core had is in it.
                             core = Core::new(site, 0, 0, 0, Time::from_micros(at_us));
@@ -95,7 +95,7 @@
                         .iter()
                         .rev()
                         .filter_map(|decision| match decision {
-                            Decision::Output(Output::ViewChanged { serial }) => Some(*serial),
+                            Decision::Output(Output::DnsViewChanged { serial }) => Some(*serial),
                             _ => None,
                         });
                     serial = views.next().or(serial);
@@ -119,11 +119,13 @@
         let up_us = boot.up_us + found.last_us.saturating_sub(at_us);
         Boot { up_us, ..boot }
     });
-    found.known = knows.then(|| core.remembered()).map(|known| Remembered {
-        at_us: found.last_us,
-        serial: serial.unwrap_or(known.serial).max(known.serial),
-        ..known
-    });
+    found.known = knows
+        .then(|| core.state_to_recover())
+        .map(|known| RecoveredState {
+            at_us: found.last_us,
+            dns_serial: serial.unwrap_or(known.dns_serial).max(known.dns_serial),
+            ..known
+        });
     Ok(found)
 }
 
--- a/crates/replay/src/scene.rs
+++ b/crates/replay/src/scene.rs
@@ -4,7 +4,7 @@
 use crate::record::Record;
 use crate::runs::{self, Flaw, HistoryError};
 use pondarch_config::{HostEntry, site_from_text};
-use pondarch_daemon_core::{Input, LoadTold, Remembered};
+use pondarch_daemon_core::{Input, RecoveredState, ReportedLoad};
 use pondarch_event_log::Disk;
 use pondarch_runtime_api::stat::{self, RowType};
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum What {
     /// What an earlier run knew.
-    Known(Box<Remembered>),
+    Known(Box<RecoveredState>),
     List {
         version: Option<u64>,
         hosts: Vec<HostEntry>,
@@ -51,7 +51,7 @@
         host: String,
         for_load: bool,
         good: bool,
-        load: Option<LoadTold>,
+        load: Option<ReportedLoad>,
     },
     Asked {
         proxy: Option<u16>,
@@ -123,21 +123,24 @@
 ) -> Option<What> {
     match input {
         Input::Recovered(known) => Some(What::Known(known)),
-        Input::List { version, hosts } => Some(What::List { version, hosts }),
+        Input::EndpointList {
+            generation: version,
+            hosts,
+        } => Some(What::List { version, hosts }),
         // The first connection, or the first failed dial, and each change after it.
         Input::Connected { proxy, .. } => {
             (up.insert(proxy, true) != Some(true)).then_some(What::Proxy { proxy, up: true })
         }
-        Input::Lost { proxy, .. } => {
+        Input::Disconnected { proxy, .. } => {
             (up.insert(proxy, false) != Some(false)).then_some(What::Proxy { proxy, up: false })
         }
         Input::Answer { proxy, text, .. } => {
             traffic(proxy, &text, counters.entry(proxy).or_default())
         }
-        Input::Probed {
+        Input::HealthCheckCompleted {
             host,
             for_load,
-            good,
+            healthy: good,
             load,
         } => Some(What::Probed {
             host,
@@ -145,18 +148,18 @@
             good,
             load,
         }),
-        Input::Pushed { .. } => None,
-        Input::AskedByName { proxy, .. } => Some(What::Asked { proxy }),
+        Input::ReportReceived { .. } => None,
+        Input::DnsQueried { proxy, .. } => Some(What::Asked { proxy }),
         Input::Command { level, line, .. } => {
             (!line.starts_with("show")).then_some(What::Operator { level, line })
         }
-        Input::Tick
-        | Input::ListRefused { .. }
-        | Input::Records(_)
-        | Input::Secondary { .. }
-        | Input::SenderCame { .. }
-        | Input::SenderLeft { .. }
-        | Input::Memory { .. }
+        Input::TimerExpired
+        | Input::EndpointListRejected { .. }
+        | Input::EventLog(_)
+        | Input::SecondaryObserved { .. }
+        | Input::SenderConnected { .. }
+        | Input::SenderDisconnected { .. }
+        | Input::MemoryUsage { .. }
         | Input::Solved { .. } => None,
     }
 }
--- a/crates/replay/tests/recovery.rs
+++ b/crates/replay/tests/recovery.rs
@@ -3,7 +3,7 @@
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::{Site, site_from_text};
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Core, Input, Remembered};
+use pondarch_daemon_core::{Core, Input, RecoveredState};
 use pondarch_event_log::disk::Trouble;
 use pondarch_event_log::{Disk, Folder, Keep, Log, frame};
 use pondarch_replay::replay::{Span, replay};
@@ -57,7 +57,7 @@
     now: u64,
     version: u64,
     /// What was known after each input, from the first on.
-    known: Vec<Remembered>,
+    known: Vec<RecoveredState>,
     gap: Option<(u64, u64)>,
 }
 
@@ -137,15 +137,15 @@
         } else {
             self.gap = Some((self.gap.map_or(n, |(first, _)| first), n));
         }
-        self.known.push(Remembered {
+        self.known.push(RecoveredState {
             at_us: self.now,
-            ..self.core.remembered()
+            ..self.core.state_to_recover()
         });
     }
 
     fn snapshot(&mut self) {
-        let known = self.core.remembered();
-        self.known.push(Remembered {
+        let known = self.core.state_to_recover();
+        self.known.push(RecoveredState {
             at_us: self.now,
             ..known.clone()
         });
@@ -162,8 +162,8 @@
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List {
-            version: Some(self.version),
+        self.give(Input::EndpointList {
+            generation: Some(self.version),
             hosts,
         });
     }
@@ -222,7 +222,7 @@
         match step {
             Step::Wait(ms) => {
                 run.now += ms * 1_000;
-                run.give(Input::Tick);
+                run.give(Input::TimerExpired);
             }
             Step::Standing(n, state) => {
                 hosts[*n].state = *state;
@@ -239,7 +239,7 @@
                 let table = view
                     .table_of(None, pondarch_controller::RequestClassId(0), 5)
                     .map(|table| table.0);
-                run.give(Input::AskedByName {
+                run.give(Input::DnsQueried {
                     proxy,
                     table,
                     serial: view.serial,
@@ -248,8 +248,8 @@
             Step::Noise(len) => {
                 // Nothing that packs well.
                 let mut chance = fastrand::Rng::with_seed(run.n);
-                run.give(Input::ListRefused {
-                    wrong: (0..*len).map(|_| chance.alphanumeric()).collect(),
+                run.give(Input::EndpointListRejected {
+                    error: (0..*len).map(|_| chance.alphanumeric()).collect(),
                 });
             }
             Step::Snapshot => run.snapshot(),
@@ -298,8 +298,8 @@
         let same = same.cloned().expect("one");
         // Serials go on where a view was made anew: never back.
         // The last decision may be the one thing that was cut off: the next run begins 100 higher.
-        prop_assert!(back.serial + 100 >= same.serial);
-        back.serial = same.serial;
+        prop_assert!(back.dns_serial + 100 >= same.dns_serial);
+        back.dns_serial = same.dns_serial;
         prop_assert_eq!(&back, &same);
         // The next run begins with it, and is killed before it wrote anything but that.
         let mut next = Run::start(Folder::lock(folder.path()).expect("a lock"), segment, dns, START + 1, at + 1_000);
@@ -307,7 +307,7 @@
         next.log.end(Time::from_micros(next.now));
         let again = found(folder.path(), dns).known.expect("known");
         prop_assert_eq!((again.at_us, &again.list), (at + 1_000, &same.list));
-        prop_assert!(again.serial >= same.serial);
+        prop_assert!(again.dns_serial >= same.dns_serial);
     }
 
     /// Any byte of any file flipped: never a panic, never a state that was not, and what is wrong is named.
@@ -389,7 +389,7 @@
     let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
     let difference = runs[0].differs.clone().expect("a difference");
     assert_eq!(difference.n, 3);
-    assert!(matches!(difference.input, Input::List { .. }) && difference.now.is_some());
+    assert!(matches!(difference.input, Input::EndpointList { .. }) && difference.now.is_some());
     let (runs, _) =
         replay(&Folder::look(folder.path()), Span { from: 4, to: 9 }).expect("it can be read");
     assert_eq!(runs[0].differs, None, "not asked for");
@@ -430,9 +430,7 @@
         text.iter().any(|what| what.contains("are missing")),
         "{text:?}"
     );
-    let drained = |host: &&pondarch_daemon_core::remembered::RememberedHost| {
-        host.standing == HostState::Drain
-    };
+    let drained = |host: &&pondarch_daemon_core::RecoveredHost| host.state == HostState::Drain;
     assert_eq!(
         recovery
             .known
@@ -480,7 +478,7 @@
     assert!(
         run.known
             .last()
-            .is_some_and(|known| known.hosts()[5].standing == HostState::Drain),
+            .is_some_and(|known| known.hosts()[5].state == HostState::Drain),
         "deciding goes on"
     );
     run.log.disk().room = None;
@@ -515,8 +513,8 @@
     give(
         &mut core,
         START,
-        Input::List {
-            version: Some(1),
+        Input::EndpointList {
+            generation: Some(1),
             hosts: hosts.clone(),
         },
     );
@@ -526,19 +524,19 @@
     give(
         &mut core,
         START + 5_000_000,
-        Input::List {
-            version: Some(2),
+        Input::EndpointList {
+            generation: Some(2),
             hosts: later,
         },
     );
-    let known = core.remembered();
+    let known = core.state_to_recover();
     for jump in [-600_000_000i64, 600_000_000] {
         // 3 s later by the machine's own count.
         let now = (START as i64 + 8_000_000 + jump) as u64;
         let moved = known.clone().by_clock(now, 3_000_000);
         let of = |n: usize| moved.hosts()[n].clone();
         assert_eq!(
-            now - of(2).told_away_us.expect("told"),
+            now - of(2).draining_since_us.expect("told"),
             3_000_000,
             "the drain was told 3 s ago"
         );
@@ -558,12 +556,12 @@
     let hosts: Vec<_> = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
     first.handle(
         Time::from_micros(START),
-        Input::List {
-            version: Some(4),
+        Input::EndpointList {
+            generation: Some(4),
             hosts: hosts.clone(),
         },
     );
-    let known = first.remembered();
+    let known = first.state_to_recover();
     let at = START + 60_000_000;
     let mut next = Core::new(&site(false), 9, 2, START + 1, Time::from_micros(at));
     next.handle(Time::from_micros(at), Input::Recovered(Box::new(known)));
@@ -572,12 +570,12 @@
     later[4].started = Some((at - 2_000_000) as f64 / 1e6);
     next.handle(
         Time::from_micros(at + 10),
-        Input::List {
-            version: Some(5),
+        Input::EndpointList {
+            generation: Some(5),
             hosts: later.clone(),
         },
     );
-    let started = |core: &Core, n: usize| core.remembered().hosts()[n].started_us;
+    let started = |core: &Core, n: usize| core.state_to_recover().hosts()[n].started_us;
     assert_eq!(
         (started(&next, 3), started(&next, 4), started(&next, 5)),
         (at + 10, at - 2_000_000, 0)
@@ -585,12 +583,12 @@
     // An older copy of the file is refused also over a restart.
     next.handle(
         Time::from_micros(at + 20),
-        Input::List {
-            version: Some(3),
+        Input::EndpointList {
+            generation: Some(3),
             hosts: Vec::new(),
         },
     );
-    assert_eq!(next.remembered().hosts().len(), 8);
+    assert_eq!(next.state_to_recover().hosts().len(), 8);
 }
 
 /// The list was lost in a gap, and what is on record tells of no host: no list has come, and what proxies hold stands.
@@ -613,15 +611,15 @@
         },
     );
     for _ in 0..100 {
-        give(&mut core, Input::Tick);
+        give(&mut core, Input::TimerExpired);
     }
     let hosts = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
     give(
         &mut core,
-        Input::List {
-            version: Some(1),
+        Input::EndpointList {
+            generation: Some(1),
             hosts,
         },
     );
-    assert_eq!(core.remembered().hosts().len(), 8);
+    assert_eq!(core.state_to_recover().hosts().len(), 8);
 }
