--- a/crates/daemon-core/tests/in_memory/main.rs
+++ b/crates/daemon-core/tests/in_memory/main.rs
@@ -4,6 +4,7 @@
 mod names;
 mod operators;
 mod pushes;
+mod recorded_names;
 mod replay;
 mod town;
 mod weights;
