--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/orders.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use town::{Town, host, site};
 
-/// Counts what is allocated, so that it can be told for each command.
+/// ReportCounters what is allocated, so that it can be told for each command.
 struct Counting;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -1,11 +1,11 @@
 //! The core as its surroundings see it.
 
-use crate::course::Course;
+use crate::dns_state::DnsState;
 use crate::input::Input;
-use crate::names::Names;
 use crate::operator;
 use crate::output::Output;
 use crate::recovered_state::RecoveredState;
+use crate::state::DaemonState;
 use pondarch_config::Site;
 use pondarch_controller::Time;
 use pondarch_dns_server::View;
@@ -14,7 +14,7 @@
 /// A steward without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
 /// `Input::TimerExpired` is given at `wake_at`.
 pub struct Core {
-    course: Course,
+    state: DaemonState,
 }
 
 impl Core {
@@ -23,35 +23,35 @@
     /// any start before, or proxies refuse its orders as older ones.
     pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
         Core {
-            course: Course::new(site, seed, process, epoch, now),
+            state: DaemonState::new(site, seed, process, epoch, now),
         }
     }
 
     /// What a steward that starts again must still know, for `Input::Recovered`.
     pub fn state_to_recover(&self) -> RecoveredState {
-        self.course.remembered()
+        self.state.state_to_recover()
     }
 
     pub fn handle(&mut self, now: Time, input: Input) {
-        self.course.handle(now, input, operator::answer);
+        self.state.apply_input(now, input, operator::answer);
     }
 
     pub fn next_output(&mut self) -> Option<Output> {
-        self.course.next_output()
+        self.state.next_output()
     }
 
     /// What the DNS front is to answer from, after `Output::DnsViewChanged`.
     pub fn view(&self) -> Arc<View> {
-        self.course
-            .names
+        self.state
+            .dns
             .as_ref()
-            .map(Names::view)
+            .map(DnsState::view)
             .unwrap_or_default()
     }
 
     /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
     /// with each.
     pub fn wake_at(&self) -> Time {
-        self.course.wake_at()
+        self.state.wake_at()
     }
 }
--- a/crates/daemon-core/src/follow.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -1,54 +1,55 @@
 //! What follows from an input: proxies there is room for are joined, decisions pulled, and differences written.
 
-use crate::channel::Room;
-use crate::course::Course;
 use crate::event::Event;
 use crate::output::Output;
 use crate::peer::{Link, Peer};
+use crate::state::DaemonState;
+use crate::update_queue::QueueCapacity;
 use pondarch_controller::{Decision, RequestClassId, TableId};
 use pondarch_proxy_session::{Urgency, Wanted, table};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Course {
+impl DaemonState {
     /// Joins those there is room for, pulls decisions, and brings proxies up to date.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn follow_up(&mut self) {
         // Before the first list the module decides nothing: proxies are looked at, keep what they hold, and are
         // joined when it comes.
-        if self.list.version == 0 {
+        if self.endpoints.generation == 0 {
             return;
         }
-        self.join_known();
-        self.pull();
-        self.renew_view();
-        self.dispatch();
+        self.join_waiting_proxies();
+        self.take_decisions();
+        self.update_dns_view();
+        self.send_updates();
     }
 
-    fn join_known(&mut self) {
+    fn join_waiting_proxies(&mut self) {
         if !self
             .peers
             .iter()
-            .any(|peer| matches!(peer.link, Link::Known { .. }))
+            .any(|peer| matches!(peer.link, Link::Waiting { .. }))
         {
             return;
         }
         // Two commands a line and kind for the largest table so far, and the maps.
         let largest = self
-            .books
-            .books
+            .tables
+            .by_id
             .values()
-            .map(|book| book.dealt.len())
+            .map(|assignment| assignment.weights.len())
             .max()
             .unwrap_or(0)
             .max(8);
-        let lines = (2 * largest * self.kinds.len() + 2 * self.kinds.len() + 1) as f64;
+        let lines =
+            (2 * largest * self.request_classes.len() + 2 * self.request_classes.len() + 1) as f64;
         let pending = self
             .peers
             .iter()
-            .filter(|p| p.is_joined() && p.dirty.is_some())
+            .filter(|p| p.is_joined() && p.pending_update.is_some())
             .count();
-        let mut room = self.channel.joins(lines, pending);
+        let mut room = self.update_queue.possible_joins(lines, pending);
         for n in 0..self.peers.len() {
-            let Link::Known { fresh } = self.peers[n].link else {
+            let Link::Waiting { fresh } = self.peers[n].link else {
                 continue;
             };
             if room == 0 {
@@ -58,11 +59,11 @@
             let (now, cause) = (self.now, self.cause.clone());
             let peer = &mut self.peers[n];
             peer.link = Link::Joined;
-            peer.mark_dirty(now, &cause);
-            self.steward
-                .proxy_joined(now, peer.id, fresh, peer.usual, peer.zone);
+            peer.require_update(now, &cause);
+            self.controller
+                .proxy_joined(now, peer.id, fresh, peer.usual_rate, peer.zone);
             let proxy = peer.name.clone();
-            self.tell(Event::ProxyJoined {
+            self.log_event(Event::ProxyJoined {
                 proxy,
                 fresh,
                 cause,
@@ -70,12 +71,12 @@
         }
     }
 
-    fn pull(&mut self) {
+    fn take_decisions(&mut self) {
         let mut lines: BTreeMap<TableId, Vec<(String, f64)>> = BTreeMap::new();
         let mut touched: BTreeSet<TableId> = BTreeSet::new();
-        while let Some(ruling) = self.steward.next_decision(self.now) {
-            self.touch_names();
-            match ruling {
+        while let Some(decision) = self.controller.next_decision(self.now) {
+            self.mark_dns_view_outdated();
+            match decision {
                 Decision::SetWeight {
                     table,
                     host,
@@ -85,28 +86,28 @@
                         .entry(table)
                         .or_default()
                         .push((host.0.to_string(), weight.unwrap_or(0.0)));
-                    self.books.deal(table, host, weight);
+                    self.tables.set_weight(table, host, weight);
                     touched.insert(table);
                 }
                 Decision::BindProxy {
                     proxy,
                     table,
                     classes: kinds,
-                } => self.bind(proxy.0, table, &kinds),
+                } => self.bind_proxy(proxy.0, table, &kinds),
                 Decision::SetAdmissionRate {
                     table,
                     class: kind,
                     quota,
                     retry_policy: tries,
                 } => {
-                    self.books.level(table, kind, quota, tries);
+                    self.tables.set_admission(table, kind, quota, tries);
                     touched.insert(table);
                     let (kind, tries) = (
-                        self.kinds[kind.0 as usize].clone(),
+                        self.request_classes[kind.0 as usize].clone(),
                         table::tries_word(tries).into(),
                     );
                     let cause = self.cause.clone();
-                    self.tell(Event::AdmissionChanged {
+                    self.log_event(Event::AdmissionChanged {
                         table: table.0,
                         class: kind,
                         quota,
@@ -115,9 +116,9 @@
                     });
                 }
                 Decision::CheckHealth(host) => {
-                    if let Some(addr) = self.list.address(&host) {
+                    if let Some(addr) = self.endpoints.address(&host) {
                         let host = host.0.to_string();
-                        self.out.push_back(Output::CheckHealth {
+                        self.outputs.push_back(Output::CheckHealth {
                             host,
                             address: addr,
                             for_load: false,
@@ -126,22 +127,25 @@
                 }
                 // The list is followed by the edge at all times; a session knows by itself what its proxy has applied.
                 Decision::WatchEndpoints | Decision::RequestAck(_) => {}
-                Decision::SetTimer(span) => self.woken_at = Some(self.now + span),
+                Decision::SetTimer(span) => self.timer_at = Some(self.now + span),
             }
         }
         for (table, lines) in lines {
             let cause = self.cause.clone();
-            self.tell(Event::TableChanged {
+            self.log_event(Event::TableChanged {
                 table: table.0,
                 weights: lines,
                 cause,
             });
         }
         for table in touched {
-            self.mark_table(table);
-            for host in self.books.newly_held_back(table, &self.list, self.now) {
+            self.require_table_update(table);
+            for host in self
+                .tables
+                .newly_too_small(table, &self.endpoints, self.now)
+            {
                 let host = host.0.to_string();
-                self.tell(Event::WeightTooSmall {
+                self.log_event(Event::WeightTooSmall {
                     table: table.0,
                     host,
                 });
@@ -149,44 +153,45 @@
         }
     }
 
-    fn bind(&mut self, proxy: u16, table: TableId, kinds: &[RequestClassId]) {
+    fn bind_proxy(&mut self, proxy: u16, table: TableId, kinds: &[RequestClassId]) {
         let (now, cause) = (self.now, self.cause.clone());
-        let all: Vec<RequestClassId> = (0..self.kinds.len())
+        let all: Vec<RequestClassId> = (0..self.request_classes.len())
             .map(|k| RequestClassId(k as u8))
             .collect();
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
         };
         let kinds = if kinds.is_empty() { &all } else { kinds };
-        peer.bound.extend(kinds.iter().map(|kind| (*kind, table)));
-        peer.mark_dirty(now, &cause);
+        peer.bindings
+            .extend(kinds.iter().map(|kind| (*kind, table)));
+        peer.require_update(now, &cause);
         let proxy = peer.name.clone();
-        self.tell(Event::ProxyBound {
+        self.log_event(Event::ProxyBound {
             proxy,
             table: table.0,
             cause,
         });
     }
 
-    pub(crate) fn mark_table(&mut self, table: TableId) {
+    pub(crate) fn require_table_update(&mut self, table: TableId) {
         let (now, cause) = (self.now, self.cause.clone());
         for peer in self
             .peers
             .iter_mut()
-            .filter(|peer| peer.bound.values().any(|t| *t == table))
+            .filter(|peer| peer.bindings.values().any(|t| *t == table))
         {
-            peer.mark_dirty(now, &cause);
+            peer.require_update(now, &cause);
         }
     }
 
     /// All that a proxy should hold.
-    fn wanted(&mut self, n: usize) -> Wanted {
+    fn wanted_state(&mut self, n: usize) -> Wanted {
         let mut wanted = Wanted::default();
-        for (&kind, &table) in &self.peers[n].bound {
+        for (&kind, &table) in &self.peers[n].bindings {
             wanted
                 .lines
-                .insert(kind, self.books.lines(table, &self.list, self.now));
-            if let Some((level, tries)) = self.books.levels(table, kind, self.by_rate) {
+                .insert(kind, self.tables.lines(table, &self.endpoints, self.now));
+            if let Some((level, tries)) = self.tables.admission(table, kind, self.admits_by_rate) {
                 wanted.levels.insert(kind, level);
                 wanted.tries.insert(kind, tries);
             }
@@ -195,25 +200,28 @@
     }
 
     /// Writes the differences that are due: drains first, then joins, then the longest waiting.
-    fn dispatch(&mut self) {
+    fn send_updates(&mut self) {
         let now = self.now;
         let may = |peer: &Peer| {
             let waits = peer.blocked_until.is_some_and(|until| until > now);
-            peer.is_joined() && peer.dirty.is_some() && !waits && peer.session.is_quiet()
+            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_quiet()
         };
         let ready: Vec<usize> = (0..self.peers.len())
             .filter(|&n| may(&self.peers[n]))
             .collect();
         let mut due = Vec::new();
         for n in ready {
-            let wanted = self.wanted(n);
-            let (list, peer) = (&self.list, &mut self.peers[n]);
-            match peer.session.due(now, &wanted, |host| list.must_go(host)) {
-                Some(batch) => {
-                    due.push((batch.urgency, peer.dirty.as_ref().map(|d| d.0), n, batch))
-                }
+            let wanted = self.wanted_state(n);
+            let (list, peer) = (&self.endpoints, &mut self.peers[n]);
+            match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
+                Some(batch) => due.push((
+                    batch.urgency,
+                    peer.pending_update.as_ref().map(|d| d.0),
+                    n,
+                    batch,
+                )),
                 // Nothing to do, unless a refused line is left for later.
-                None if peer.session.next_due().is_none() => peer.dirty = None,
+                None if peer.session.next_due().is_none() => peer.pending_update = None,
                 None => {}
             }
         }
@@ -221,45 +229,53 @@
         let mut full = false;
         for (urgency, _, n, batch) in due {
             let peer = &mut self.peers[n];
-            match self
-                .channel
-                .room(now, &mut peer.mail, batch.steps.len() + 1, urgency)
-            {
-                Room::Now if !full || urgency == Urgency::Drain => {
+            match self.update_queue.capacity(
+                now,
+                &mut peer.sent_messages,
+                batch.steps.len() + 1,
+                urgency,
+            ) {
+                QueueCapacity::Available if !full || urgency == Urgency::Drain => {
                     // The version is one more.
                     let commands = batch.steps.len() + 1;
-                    peer.in_flight = self.channel.wrote(now, &mut peer.mail, commands);
+                    peer.in_flight =
+                        self.update_queue
+                            .record_sent(now, &mut peer.sent_messages, commands);
                     peer.silent_since = Some(now);
                     peer.blocked_until = None;
-                    peer.ordered += commands as u64;
-                    let cause = peer.dirty.take().map(|dirty| dirty.1).unwrap_or_default();
-                    let (proxy, conn) = (peer.id.0, peer.conn);
+                    peer.commands_sent += commands as u64;
+                    let cause = peer
+                        .pending_update
+                        .take()
+                        .map(|dirty| dirty.1)
+                        .unwrap_or_default();
+                    let (proxy, connection) = (peer.id.0, peer.connection);
                     let lines = peer.session.order(now, batch);
-                    self.out.push_back(Output::Write {
+                    self.outputs.push_back(Output::Write {
                         proxy,
-                        connection: conn,
+                        connection,
                         lines,
                     });
                     let (proxy, urgency) = (peer.name.clone(), urgency_word(urgency).into());
-                    self.tell(Event::UpdateSent {
+                    self.log_event(Event::UpdateSent {
                         proxy,
                         commands,
                         urgency,
                         cause,
                     });
                 }
-                Room::At(at, why) => {
+                QueueCapacity::AvailableAt(at, reason) => {
                     peer.blocked_until = Some(at);
                     let proxy = peer.name.clone();
-                    if why != "pace" {
-                        self.tell(Event::UpdateDelayed {
+                    if reason != "pace" {
+                        self.log_event(Event::UpdateDelayed {
                             proxy,
-                            reason: why.into(),
+                            reason: reason.into(),
                         });
                     }
                 }
                 // Whoever is behind this one waits as well, or small messages would keep a large one out for ever.
-                Room::Now | Room::AfterAnswers => full = true,
+                QueueCapacity::Available | QueueCapacity::AvailableAfterReplies => full = true,
             }
         }
     }
--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -1,11 +1,11 @@
 //! Proxies that ask by name, in the course of things: who is joined and who has left, what is answered from now on, and what
 //! caches may still hold.
 
-use crate::course::Course;
+use crate::dns_state::SECONDARY_ANSWER_INTERVAL;
 use crate::event::Event;
-use crate::names::SERVED_EVERY;
 use crate::output::Output;
 use crate::peer::Link;
+use crate::state::DaemonState;
 use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
@@ -14,40 +14,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-impl Course {
+impl DaemonState {
     /// A table was answered as it was at this serial, to a proxy if it is known which.
-    pub(crate) fn asked_by_name(&mut self, proxy: Option<u16>, table: Option<u16>, serial: u32) {
+    pub(crate) fn on_dns_query(&mut self, proxy: Option<u16>, table: Option<u16>, serial: u32) {
         let (now, cause) = (self.now, self.cause.clone());
-        let Some(names) = &mut self.names else { return };
+        let Some(names) = &mut self.dns else { return };
         if let Some(table) = table {
             names
                 .held
-                .answered(now, serial, TableId(table), names.holds);
+                .answered(now, serial, TableId(table), names.cache_lifetime);
             if names.view.serial != serial {
-                self.find_echoes();
+                self.update_exclusions();
             }
         }
         if let Some(proxy) = proxy {
-            self.asks_for_hosts(proxy, cause);
+            self.join_dns_proxy(proxy, cause);
         }
     }
 
-    fn asks_for_hosts(&mut self, proxy: u16, cause: String) {
+    fn join_dns_proxy(&mut self, proxy: u16, cause: String) {
         let now = self.now;
-        let Some(names) = &mut self.names else { return };
+        let Some(names) = &mut self.dns else { return };
         // Those with a runtime API are joined by it; that they ask for names as well changes nothing.
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
         };
-        let Link::ByName { joined } = peer.link else {
+        let Link::Dns { joined } = peer.link else {
             return;
         };
         if names.members.asked(now, peer.id) == Asked::Joined && !joined {
-            peer.link = Link::ByName { joined: true };
-            let (id, usual, zone, proxy) = (peer.id, peer.usual, peer.zone, peer.name.clone());
+            peer.link = Link::Dns { joined: true };
+            let (id, usual, zone, proxy) = (peer.id, peer.usual_rate, peer.zone, peer.name.clone());
             // Nobody can tell a restart: it counts as one that was there before.
-            self.steward.proxy_joined(now, id, false, usual, zone);
-            self.tell(Event::ProxyJoined {
+            self.controller.proxy_joined(now, id, false, usual, zone);
+            self.log_event(Event::ProxyJoined {
                 proxy,
                 fresh: false,
                 cause,
@@ -56,74 +56,79 @@
     }
 
     /// What is due by time: who has left, what caches hold no more, and secondaries that are to be told.
-    pub(crate) fn names_timers(&mut self) {
+    pub(crate) fn run_dns_timers(&mut self) {
         let now = self.now;
-        let Some(names) = &mut self.names else { return };
-        if now - names.served >= SERVED_EVERY {
-            names.served = now;
+        let Some(names) = &mut self.dns else { return };
+        if now - names.secondaries_answered_at >= SECONDARY_ANSWER_INTERVAL {
+            names.secondaries_answered_at = now;
             if let Some(serial) = names.secondaries.oldest(now) {
-                names.held.served(now, serial, names.holds);
+                names.held.served(now, serial, names.cache_lifetime);
                 // Who asks a secondary is not seen here: strangers, as far as is known.
-                for stranger in names.strangers.clone() {
-                    self.asks_for_hosts(stranger.0, "a secondary serves".into());
+                for unknown_proxy in names.unknown_proxies.clone() {
+                    self.join_dns_proxy(unknown_proxy.0, "a secondary serves".into());
                 }
             }
         }
-        let Some(names) = &mut self.names else { return };
-        if names.last_until.take_if(|until| *until <= now).is_some() {
-            names.stale = true;
+        let Some(names) = &mut self.dns else { return };
+        if names
+            .last_answer_until
+            .take_if(|until| *until <= now)
+            .is_some()
+        {
+            names.view_outdated = true;
         }
         let late = names.secondaries.late(now);
         let late: Vec<String> = late
             .into_iter()
-            .filter_map(|n| names.keys.get(usize::from(n)).cloned())
+            .filter_map(|n| names.secondary_names.get(usize::from(n)).cloned())
             .collect();
         let left = names.members.left(now);
-        let ended = names.echoes.values().any(|until| *until <= now);
+        let ended = names.excluded_until.values().any(|until| *until <= now);
         for secondary in names.secondaries.say(now) {
-            self.out.push_back(Output::NotifySecondary { secondary });
+            self.outputs
+                .push_back(Output::NotifySecondary { secondary });
         }
         late.into_iter()
-            .for_each(|secondary| self.tell(Event::SecondaryBehind { secondary }));
+            .for_each(|secondary| self.log_event(Event::SecondaryBehind { secondary }));
         for id in left {
             let peer = &mut self.peers[id.0 as usize];
-            peer.link = Link::ByName { joined: false };
-            peer.bound.clear();
+            peer.link = Link::Dns { joined: false };
+            peer.bindings.clear();
             let proxy = peer.name.clone();
-            self.steward.proxy_left(now, id);
-            self.tell(Event::ProxyLeft {
+            self.controller.proxy_left(now, id);
+            self.log_event(Event::ProxyLeft {
                 proxy,
                 reason: "has not asked for its hosts".into(),
             });
         }
         if ended {
-            self.find_echoes();
+            self.update_exclusions();
         }
     }
 
     /// DNS brings no sums: of hosts that only proxies without a runtime API meet, what they say of themselves is all
     /// there is, and stands for a look at them. One that says nothing was not seen.
-    pub(crate) fn told_of_themselves(&mut self) -> BTreeMap<HostId, AttemptOutcomes> {
+    pub(crate) fn self_reported_outcomes(&mut self) -> BTreeMap<HostId, AttemptOutcomes> {
         let now = self.now;
-        let Some(names) = &mut self.names else {
+        let Some(names) = &mut self.dns else {
             return BTreeMap::new();
         };
-        let last = std::mem::replace(&mut names.told, now);
+        let last = std::mem::replace(&mut names.self_reports_taken_at, now);
         // Where proxies bring sums, those are the evidence: a host that hangs may still answer a short question.
         let looked_at = self.peers.iter().filter(|peer| peer.is_joined());
         let tables: BTreeSet<TableId> = looked_at
-            .flat_map(|peer| peer.bound.values().copied())
+            .flat_map(|peer| peer.bindings.values().copied())
             .collect();
         let of = |table: &TableId| {
-            self.books
-                .books
+            self.tables
+                .by_id
                 .get(table)
                 .into_iter()
-                .flat_map(|book| book.dealt.keys())
+                .flat_map(|assignment| assignment.weights.keys())
         };
         let looked_at: BTreeSet<&HostId> = tables.iter().flat_map(of).collect();
         // Each word counts once, for the time since the last ones were taken.
-        let over = (now - last).min(self.report_every.scaled(2.0));
+        let over = (now - last).min(self.report_interval.scaled(2.0));
         let told = self
             .loads
             .iter()
@@ -132,9 +137,9 @@
             .collect()
     }
 
-    pub(crate) fn secondary_heard(&mut self, n: u16, heard: Heard) {
+    pub(crate) fn on_secondary(&mut self, n: u16, heard: Heard) {
         let now = self.now;
-        if let Some(names) = &mut self.names {
+        if let Some(names) = &mut self.dns {
             names.secondaries.heard(now, usize::from(n), heard);
         }
     }
@@ -142,15 +147,15 @@
     /// Hosts that started anew under the same name and address are kept out of all tables, of both fronts, until the
     /// answers of their old, heavy lines have run out: what caches bring such a host cannot be taken back, and with
     /// its new line on top it could be pushed over.
-    pub(crate) fn find_echoes(&mut self) {
+    pub(crate) fn update_exclusions(&mut self) {
         let now = self.now;
-        let Some(names) = &mut self.names else { return };
-        let found = names.found_echoes(now, &self.list);
-        let before = std::mem::replace(&mut names.echoes, found);
+        let Some(names) = &mut self.dns else { return };
+        let found = names.hosts_to_exclude(now, &self.endpoints);
+        let before = std::mem::replace(&mut names.excluded_until, found);
         let names = &self
-            .names
+            .dns
             .as_ref()
-            .map(|names| names.echoes.clone())
+            .map(|names| names.excluded_until.clone())
             .unwrap_or_default();
         let changed: BTreeSet<&HostId> = before
             .keys()
@@ -161,42 +166,39 @@
             return;
         }
         for table in self
-            .books
-            .keep_out(names.keys().cloned().collect(), &changed)
+            .tables
+            .exclude(names.keys().cloned().collect(), &changed)
         {
-            self.mark_table(table);
+            self.require_table_update(table);
         }
         for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
-            let (host, for_s) = (host.0.to_string(), (*until - now).seconds());
-            self.tell(Event::HostExcluded {
-                host,
-                duration_s: for_s,
-            });
+            let (host, duration_s) = (host.0.to_string(), (*until - now).seconds());
+            self.log_event(Event::HostExcluded { host, duration_s });
         }
-        self.touch_names();
+        self.mark_dns_view_outdated();
     }
 
-    pub(crate) fn touch_names(&mut self) {
-        if let Some(names) = &mut self.names {
-            names.touch();
+    pub(crate) fn mark_dns_view_outdated(&mut self) {
+        if let Some(names) = &mut self.dns {
+            names.mark_outdated();
         }
     }
 
     /// What is to be answered from now on, if it changed.
-    pub(crate) fn renew_view(&mut self) {
+    pub(crate) fn update_dns_view(&mut self) {
         let now = self.now;
-        let Some(names) = self.names.as_mut().filter(|names| names.stale) else {
+        let Some(names) = self.dns.as_mut().filter(|names| names.view_outdated) else {
             return;
         };
-        names.stale = false;
-        let list = &self.list;
+        names.view_outdated = false;
+        let list = &self.endpoints;
         let by_name = self
             .peers
             .iter()
-            .filter(|peer| matches!(peer.link, Link::ByName { joined: true }));
+            .filter(|peer| matches!(peer.link, Link::Dns { joined: true }));
         let bound: BTreeMap<_, TableId> = by_name
             .flat_map(|peer| {
-                peer.bound
+                peer.bindings
                     .iter()
                     .map(|(kind, table)| ((peer.id, *kind), *table))
             })
@@ -204,42 +206,46 @@
         let used: BTreeSet<TableId> = bound.values().copied().collect();
         // Where nobody is bound the list itself is all there is; cold hosts of it come with a table alone.
         let listed = list
-            .known
+            .hosts
             .iter()
-            .filter(|(host, k)| k.standing == EndpointState::Ready && !list.is_cold(host, now));
+            .filter(|(host, k)| k.state == EndpointState::Ready && !list.is_warming_up(host, now));
         let listed: BTreeMap<HostId, f64> = listed
             .map(|(host, k)| (host.clone(), k.entry.weight))
             .collect();
-        let dealt = |table: &TableId| {
-            self.books
-                .books
+        let weights = |table: &TableId| {
+            self.tables
+                .by_id
                 .get(table)
-                .map(|book| (*table, &book.dealt))
+                .map(|assignment| (*table, &assignment.weights))
         };
         let (mut tables, mut last) = (BTreeMap::new(), BTreeSet::new());
-        names.last_until = None;
-        for (table, dealt) in used.iter().filter_map(dealt).chain([(STANDING, &listed)]) {
-            let (lines, until) = names.lines(now, dealt, table, list);
+        names.last_answer_until = None;
+        for (table, weights) in used.iter().filter_map(weights).chain([(STANDING, &listed)]) {
+            let (lines, until) = names.lines(now, weights, table, list);
             if let Some(until) = until {
                 last.insert(table);
-                names.last_until = Some(names.last_until.map_or(until, |other| other.min(until)));
+                names.last_answer_until = Some(
+                    names
+                        .last_answer_until
+                        .map_or(until, |other| other.min(until)),
+                );
             }
             tables.insert(table, lines);
         }
         let hosts = list
-            .known
+            .hosts
             .iter()
             .map(|(host, known)| (host.clone(), known.entry.address))
             .collect();
         let old = &names.view;
-        let strangers = names.strangers.clone();
+        let unknown_proxies = names.unknown_proxies.clone();
         let view = View {
             serial: old.serial,
             tables,
             bound,
             hosts,
             last,
-            strangers,
+            strangers: unknown_proxies,
         };
         if view == **old {
             return;
@@ -254,7 +260,7 @@
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
                 let named = |line: &Line| {
                     let started = list
-                        .known
+                        .hosts
                         .get(&line.host)
                         .map(|known| known.started)
                         .unwrap_or_default();
@@ -280,11 +286,12 @@
             names.held.changed(now, serial, *table, BTreeMap::new());
         }
         names.view = Arc::new(View { serial, ..view });
-        self.out.push_back(Output::DnsViewChanged { serial });
+        self.outputs.push_back(Output::DnsViewChanged { serial });
         // After the view, so that what they fetch is it.
         names.secondaries.changed(now, serial);
         for secondary in names.secondaries.say(now) {
-            self.out.push_back(Output::NotifySecondary { secondary });
+            self.outputs
+                .push_back(Output::NotifySecondary { secondary });
         }
     }
 }
--- a/crates/daemon-core/src/names.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -1,7 +1,7 @@
 //! Proxies that take their tables from the DNS front: joined while they ask, what is answered to them, and what may still
 //! be held of it.
 
-use crate::list::{HostList, Known};
+use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
@@ -13,60 +13,60 @@
 use std::time::Duration;
 
 /// Proxies that are tracked at most: those of the settings.
-const MEMBERS_MOST: usize = 60_000;
+const MAX_MEMBERS: usize = 60_000;
 /// How late the edge may tell of an answer: it tells of each table and proxy once in this time.
 pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Whoever is not known is one of so many strangers. Each is bound like a proxy, so that no table is given away that the
 /// module keeps no longer, and strangers do not all meet the same few hosts.
-const STRANGERS: usize = 4;
+const UNKNOWN_PROXIES: usize = 4;
 /// Serials that an earlier run may have given out after its last record: some a second, for the seconds that records may
 /// be late.
-const UNSEEN_SERIALS: u32 = 100;
+const UNRECORDED_SERIALS: u32 = 100;
 /// Stands for all that an earlier run gave away.
-const BEFORE: TableId = TableId(u16::MAX - 2);
+const PREVIOUS_RUN: TableId = TableId(u16::MAX - 2);
 /// How often it is noted that copies of the zone are being answered from.
-pub(crate) const SERVED_EVERY: Duration = Duration::from_millis(100);
+pub(crate) const SECONDARY_ANSWER_INTERVAL: Duration = Duration::from_millis(100);
 
-pub(crate) struct Names {
+pub(crate) struct DnsState {
     pub(crate) members: Members,
     pub(crate) held: Held,
-    pub(crate) holds: Duration,
+    pub(crate) cache_lifetime: Duration,
     pub(crate) view: Arc<View>,
     /// Tables, bindings or the list may have changed since the view was made.
-    pub(crate) stale: bool,
+    pub(crate) view_outdated: bool,
     /// After its hosts were told away, a table's last answer may be given for so long.
     pub(crate) last_answer_for: Duration,
     /// When the first such answer must end.
-    pub(crate) last_until: Option<Time>,
+    pub(crate) last_answer_until: Option<Time>,
     /// Hosts that started anew and are still met by answers from before, with until when.
-    pub(crate) echoes: BTreeMap<HostId, Time>,
+    pub(crate) excluded_until: BTreeMap<HostId, Time>,
     pub(crate) secondaries: Secondaries,
-    pub(crate) keys: Vec<String>,
-    pub(crate) served: Time,
+    pub(crate) secondary_names: Vec<String>,
+    pub(crate) secondaries_answered_at: Time,
     /// When hosts' own words were last taken for looks.
-    pub(crate) told: Time,
-    pub(crate) strangers: Vec<ProxyId>,
+    pub(crate) self_reports_taken_at: Time,
+    pub(crate) unknown_proxies: Vec<ProxyId>,
 }
 
 /// Strangers as proxies of a site: after those of the settings, one after the other from each zone.
-pub(crate) fn strangers(site: &Site) -> Vec<pondarch_config::site::Proxy> {
+pub(crate) fn unknown_proxies(site: &Site) -> Vec<pondarch_config::site::Proxy> {
     if site.dns.is_none() {
         return Vec::new();
     }
     let usual: f64 = site.proxies.iter().map(|proxy| proxy.usual_rate).sum();
-    let stranger = |n: usize| pondarch_config::site::Proxy {
+    let unknown_proxy = |n: usize| pondarch_config::site::Proxy {
         name: format!("strangers-{n}"),
         zone: site.zones[n % site.zones.len()].clone(),
         runtime: None,
         sources: Vec::new(),
         usual_rate: usual / site.proxies.len().max(1) as f64,
     };
-    (0..STRANGERS).map(stranger).collect()
+    (0..UNKNOWN_PROXIES).map(unknown_proxy).collect()
 }
 
-impl Names {
+impl DnsState {
     /// None without a DNS front, or with one whose lifetime does not fit its grace, which `check` refuses.
-    pub(crate) fn new(site: &Site) -> Option<Names> {
+    pub(crate) fn new(site: &Site) -> Option<DnsState> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
         let holds = lifetime.held() + DNS_QUERY_REPORT_INTERVAL;
@@ -75,25 +75,25 @@
             .0
             .micros()
             .saturating_sub(dns.learns_within.0.micros());
-        Some(Names {
-            members: Members::new(holds, MEMBERS_MOST),
+        Some(DnsState {
+            members: Members::new(holds, MAX_MEMBERS),
             held: Held::default(),
-            holds,
+            cache_lifetime: holds,
             view: Arc::default(),
-            stale: true,
+            view_outdated: true,
             last_answer_for: Lifetime::last_answer_for(Duration::from_micros(spare))
                 .unwrap_or(Duration::ZERO),
-            last_until: None,
-            echoes: BTreeMap::new(),
+            last_answer_until: None,
+            excluded_until: BTreeMap::new(),
             secondaries: Secondaries::new(dns.secondaries.len(), dns.behind.0, dns.expires.0),
-            keys: dns
+            secondary_names: dns
                 .secondaries
                 .iter()
                 .map(|secondary| secondary.key.clone())
                 .collect(),
-            served: Time::default(),
-            told: Time::default(),
-            strangers: (0..STRANGERS)
+            secondaries_answered_at: Time::default(),
+            self_reports_taken_at: Time::default(),
+            unknown_proxies: (0..UNKNOWN_PROXIES)
                 .map(|n| ProxyId((site.proxies.len() + n) as u16))
                 .collect(),
         })
@@ -104,11 +104,11 @@
     }
 
     pub(crate) fn wake_at(&self) -> Option<Time> {
-        let echo = self.echoes.values().min().copied();
+        let exclusion = self.excluded_until.values().min().copied();
         [
             self.members.wake_at(),
-            echo,
-            self.last_until,
+            exclusion,
+            self.last_answer_until,
             self.secondaries.wake_at(),
         ]
         .into_iter()
@@ -117,22 +117,22 @@
     }
 
     /// Tables or bindings may have changed.
-    pub(crate) fn touch(&mut self) {
-        self.stale = true;
+    pub(crate) fn mark_outdated(&mut self) {
+        self.view_outdated = true;
     }
 
     /// Proxies of the settings that ask.
     pub(crate) fn members(&self) -> usize {
-        self.members.len() - self.strangers_asking()
+        self.members.len() - self.unknown_proxies_asking()
     }
 
-    pub(crate) fn strangers(&self) -> usize {
-        self.strangers.len()
+    pub(crate) fn unknown_proxies(&self) -> usize {
+        self.unknown_proxies.len()
     }
 
     /// Of the strangers, those that somebody asked as.
-    pub(crate) fn strangers_asking(&self) -> usize {
-        self.strangers
+    pub(crate) fn unknown_proxies_asking(&self) -> usize {
+        self.unknown_proxies
             .iter()
             .filter(|id| self.members.holds(**id))
             .count()
@@ -143,7 +143,7 @@
         // Strangers are many, each with a cache of its own.
         self.members
             .holds_too_long()
-            .filter(|id| !self.strangers.contains(id))
+            .filter(|id| !self.unknown_proxies.contains(id))
     }
 
     /// Hosts that no table names any more and caches may still hold, each with until when.
@@ -156,7 +156,7 @@
     }
 
     /// Each secondary by its key: what it holds, and for how long it is behind.
-    pub(crate) fn copies(&self, now: Time) -> BTreeMap<String, String> {
+    pub(crate) fn secondary_states(&self, now: Time) -> BTreeMap<String, String> {
         let word = |(holds, behind): (Option<u32>, Option<Time>)| {
             let holds = holds.map_or("nothing yet".to_string(), |serial| {
                 format!("holds {serial}")
@@ -166,7 +166,7 @@
                 None => holds,
             }
         };
-        self.keys
+        self.secondary_names
             .iter()
             .cloned()
             .zip(self.secondaries.states().map(word))
@@ -178,10 +178,10 @@
     pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RecoveredHost]) {
         // What the run gave out after its last record is not known: a secondary that has it must see a newer one.
         self.view = Arc::new(View {
-            serial: serial.wrapping_add(UNSEEN_SERIALS),
+            serial: serial.wrapping_add(UNRECORDED_SERIALS),
             ..View::default()
         });
-        let until = last + self.holds;
+        let until = last + self.cache_lifetime;
         if until <= now {
             return;
         }
@@ -193,7 +193,7 @@
             );
             let long_away = host
                 .draining_since_us
-                .is_some_and(|at| Time::from_micros(at) + self.holds <= last);
+                .is_some_and(|at| Time::from_micros(at) + self.cache_lifetime <= last);
             if long_away {
                 continue;
             }
@@ -202,7 +202,7 @@
                 addr: host.entry.address,
                 started,
             };
-            if !started.is_unset() && last - started < self.holds {
+            if !started.is_unset() && last - started < self.cache_lifetime {
                 before.insert(
                     id.clone(),
                     Named {
@@ -216,57 +216,65 @@
         self.held.recover(
             now,
             vec![
-                (BEFORE, serial, until, before),
-                (BEFORE, serial, until, known),
+                (PREVIOUS_RUN, serial, until, before),
+                (PREVIOUS_RUN, serial, until, known),
             ],
         );
     }
 
     /// Hosts of the list that started anew and are still met by answers from before.
-    pub(crate) fn found_echoes(&self, now: Time, list: &HostList) -> BTreeMap<HostId, Time> {
-        let cold = |(host, known): &(&HostId, &Known)| {
-            known.standing == EndpointState::Ready && list.is_cold(host, now)
+    pub(crate) fn hosts_to_exclude(
+        &self,
+        now: Time,
+        list: &EndpointList,
+    ) -> BTreeMap<HostId, Time> {
+        let cold = |(host, known): &(&HostId, &ListedHost)| {
+            known.state == EndpointState::Ready && list.is_warming_up(host, now)
         };
-        let echo = |(host, known): (&HostId, &Known)| {
+        let exclusion = |(host, known): (&HostId, &ListedHost)| {
             Some((
                 host.clone(),
                 self.held
                     .echo(now, host, known.entry.address, known.started)?,
             ))
         };
-        list.known.iter().filter(cold).filter_map(echo).collect()
+        list.hosts
+            .iter()
+            .filter(cold)
+            .filter_map(exclusion)
+            .collect()
     }
 
     /// A table's lines as they are to be answered, and whether they are only what it last had.
     pub(crate) fn lines(
         &self,
         now: Time,
-        dealt: &BTreeMap<HostId, f64>,
+        weights: &BTreeMap<HostId, f64>,
         table: TableId,
-        list: &HostList,
+        list: &EndpointList,
     ) -> (Vec<Line>, Option<Time>) {
         let line = |(host, weight): (&HostId, &f64)| {
-            let addr = list.address(host).filter(|_| !list.must_go(host))?;
+            let addr = list.address(host).filter(|_| !list.must_drain(host))?;
             Some(Line {
                 host: host.clone(),
                 addr,
                 weight: *weight,
-                cold: list.is_cold(host, now),
+                cold: list.is_warming_up(host, now),
             })
         };
-        let mut lines: Vec<Line> = dealt.iter().filter_map(line).collect();
+        let mut lines: Vec<Line> = weights.iter().filter_map(line).collect();
         // One that is kept out is better than none.
         if lines
             .iter()
-            .any(|line| !self.echoes.contains_key(&line.host))
+            .any(|line| !self.excluded_until.contains_key(&line.host))
         {
-            lines.retain(|line| !self.echoes.contains_key(&line.host));
+            lines.retain(|line| !self.excluded_until.contains_key(&line.host));
         }
         if !lines.is_empty() {
             return (lines, None);
         }
         let until =
-            |line: &Line| Some(list.known.get(&line.host)?.told_away? + self.last_answer_for);
+            |line: &Line| Some(list.hosts.get(&line.host)?.draining_since? + self.last_answer_for);
         let still = |line: &&Line| until(line).is_some_and(|until| until > now);
         let last: Vec<Line> = self
             .view
--- a/crates/daemon-core/src/list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -12,63 +12,63 @@
 
 /// One host, file and operators taken together.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct ListedHost {
     pub(crate) entry: HostEntry,
     pub(crate) started: Time,
-    pub(crate) standing: EndpointState,
+    pub(crate) state: EndpointState,
     /// Since when it is to be left alone.
-    pub(crate) told_away: Option<Time>,
+    pub(crate) draining_since: Option<Time>,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct HostList {
+pub(crate) struct EndpointList {
     zones: Vec<String>,
-    cold: Duration,
+    slow_start_window: Duration,
     file: Vec<HostEntry>,
-    file_version: Option<u64>,
+    file_generation: Option<u64>,
     added: BTreeMap<HostId, HostEntry>,
     edits: BTreeMap<HostId, Edit>,
-    pub(crate) known: BTreeMap<HostId, Known>,
+    pub(crate) hosts: BTreeMap<HostId, ListedHost>,
     /// Weights that go to the module instead of the listed ones.
-    pub(crate) handed: BTreeMap<HostId, f64>,
-    machines: Vec<String>,
+    pub(crate) planned_weights: BTreeMap<HostId, f64>,
+    machine_types: Vec<String>,
     racks: Vec<String>,
     /// Rises with every change that the module is told of.
-    pub(crate) version: u64,
-    pub(crate) refused: Option<String>,
+    pub(crate) generation: u64,
+    pub(crate) rejected_reason: Option<String>,
 }
 
-impl HostList {
-    pub(crate) fn new(zones: Vec<String>, cold: Duration) -> HostList {
-        HostList {
+impl EndpointList {
+    pub(crate) fn new(zones: Vec<String>, cold: Duration) -> EndpointList {
+        EndpointList {
             zones,
-            cold,
-            ..HostList::default()
+            slow_start_window: cold,
+            ..EndpointList::default()
         }
     }
 
     /// The file's word. A version that falls back is an older copy: it is refused.
-    pub(crate) fn file_came(
+    pub(crate) fn apply_file(
         &mut self,
         now: Time,
         version: Option<u64>,
         hosts: Vec<HostEntry>,
     ) -> Result<Vec<Endpoint>, String> {
-        if let (Some(held), Some(new)) = (self.file_version, version)
+        if let (Some(held), Some(new)) = (self.file_generation, version)
             && new < held
         {
-            let wrong =
+            let error =
                 format!("the list's version fell from {held} to {new}: an older copy, not taken");
-            self.refused = Some(wrong.clone());
-            return Err(wrong);
+            self.rejected_reason = Some(error.clone());
+            return Err(error);
         }
-        (self.file, self.file_version, self.refused) = (hosts, version, None);
+        (self.file, self.file_generation, self.rejected_reason) = (hosts, version, None);
         let listed = |id: &HostId| self.file.iter().any(|entry| *entry.name == *id.0);
         self.added.retain(|id, _| !listed(id));
         let added = &self.added;
         self.edits
             .retain(|id, _| listed(id) || added.contains_key(id));
-        Ok(self.listings(now))
+        Ok(self.merge(now))
     }
 
     pub(crate) fn edit(
@@ -78,12 +78,12 @@
         change: impl FnOnce(&mut Edit),
     ) -> Vec<Endpoint> {
         change(self.edits.entry(host.clone()).or_default());
-        self.listings(now)
+        self.merge(now)
     }
 
     pub(crate) fn add(&mut self, now: Time, entry: HostEntry) -> Vec<Endpoint> {
         self.added.insert(HostId(entry.name.as_str().into()), entry);
-        self.listings(now)
+        self.merge(now)
     }
 
     /// A host that only an operator listed is forgotten; one of the file is gone until that is taken back.
@@ -93,12 +93,12 @@
         } else {
             self.edits.entry(host.clone()).or_default().state = Some(HostState::Gone);
         }
-        self.listings(now)
+        self.merge(now)
     }
 
     /// The file and the operators taken together; everything that changed is remembered.
-    fn listings(&mut self, now: Time) -> Vec<Endpoint> {
-        let first = self.known.is_empty();
+    fn merge(&mut self, now: Time) -> Vec<Endpoint> {
+        let first = self.hosts.is_empty();
         let mut known = BTreeMap::new();
         for entry in self.file.iter().chain(self.added.values()) {
             let id = HostId(entry.name.as_str().into());
@@ -107,67 +107,67 @@
             entry.weight = edit.weight.unwrap_or(entry.weight);
             entry.address = edit.address.unwrap_or(entry.address);
             entry.state = edit.state.unwrap_or(entry.state);
-            let before = self.known.get(&id);
-            let standing = match entry.state {
+            let before = self.hosts.get(&id);
+            let state = match entry.state {
                 HostState::Ready => EndpointState::Ready,
                 HostState::Drain => EndpointState::Draining,
                 HostState::Gone => EndpointState::Removed,
             };
-            let told_away = match standing {
+            let draining_since = match state {
                 EndpointState::Ready => None,
-                _ => before.and_then(|known| known.told_away).or(Some(now)),
+                _ => before.and_then(|known| known.draining_since).or(Some(now)),
             };
             let started = started(now, first, &entry, before);
             known.insert(
                 id,
-                Known {
+                ListedHost {
                     entry,
                     started,
-                    standing,
-                    told_away,
+                    state,
+                    draining_since,
                 },
             );
         }
         // A host that is listed no more stays known as gone: proxies may still hold it.
-        for (id, old) in std::mem::take(&mut self.known) {
-            let told_away = old.told_away.or(Some(now));
-            known.entry(id).or_insert(Known {
-                standing: EndpointState::Removed,
-                told_away,
+        for (id, old) in std::mem::take(&mut self.hosts) {
+            let draining_since = old.draining_since.or(Some(now));
+            known.entry(id).or_insert(ListedHost {
+                state: EndpointState::Removed,
+                draining_since,
                 ..old
             });
         }
         // But not for ever: past the warming time, what has not come back would be new anyway.
-        let kept = self.cold + Duration::from_millis(600_000);
+        let kept = self.slow_start_window + Duration::from_millis(600_000);
         known.retain(|_, k| {
-            k.standing != EndpointState::Removed || k.told_away.is_none_or(|at| now - at < kept)
+            k.state != EndpointState::Removed || k.draining_since.is_none_or(|at| now - at < kept)
         });
-        self.known = known;
-        self.complete()
+        self.hosts = known;
+        self.endpoints()
     }
 
     /// What of it outlives the steward. Times are as they were then.
-    pub(crate) fn remembered(&self) -> RecoveredList {
-        let host = |(_, k): (&HostId, &Known)| RecoveredHost {
+    pub(crate) fn to_recovered(&self) -> RecoveredList {
+        let host = |(_, k): (&HostId, &ListedHost)| RecoveredHost {
             entry: k.entry.clone(),
             started_us: micros(k.started),
-            state: match k.standing {
+            state: match k.state {
                 EndpointState::Ready => HostState::Ready,
                 EndpointState::Draining => HostState::Drain,
                 EndpointState::Removed => HostState::Gone,
             },
-            draining_since_us: k.told_away.map(micros),
+            draining_since_us: k.draining_since.map(micros),
         };
         RecoveredList {
             file: self.file.clone(),
-            file_generation: self.file_version,
+            file_generation: self.file_generation,
             added: self.added.values().cloned().collect(),
             edits: self
                 .edits
                 .iter()
                 .map(|(id, edit)| (id.0.to_string(), edit.clone()))
                 .collect(),
-            hosts: self.known.iter().map(host).collect(),
+            hosts: self.hosts.iter().map(host).collect(),
         }
     }
 
@@ -179,7 +179,7 @@
         let zones = self.zones.clone();
         let fits = |entry: &HostEntry| zones.contains(&entry.zone);
         self.file = old.file.into_iter().filter(&fits).collect();
-        self.file_version = old.file_generation;
+        self.file_generation = old.file_generation;
         self.added = old
             .added
             .into_iter()
@@ -192,59 +192,62 @@
             .map(|(name, edit)| (id(&name), edit))
             .collect();
         let known = |host: RecoveredHost| {
-            let standing = match host.state {
+            let state = match host.state {
                 HostState::Ready => EndpointState::Ready,
                 HostState::Drain => EndpointState::Draining,
                 HostState::Gone => EndpointState::Removed,
             };
-            let (started, told_away) = (
+            let (started, draining_since) = (
                 Time::from_micros(host.started_us),
                 host.draining_since_us.map(Time::from_micros),
             );
             (
                 id(&host.entry.name),
-                Known {
+                ListedHost {
                     entry: host.entry,
                     started,
-                    standing,
-                    told_away,
+                    state,
+                    draining_since,
                 },
             )
         };
-        self.known = old
+        self.hosts = old
             .hosts
             .into_iter()
             .filter(|host| fits(&host.entry))
             .map(known)
             .collect();
-        (!self.known.is_empty()).then(|| self.complete())
+        (!self.hosts.is_empty()).then(|| self.endpoints())
     }
 
     /// The same hosts with other weights for the module.
-    pub(crate) fn reweigh(&mut self, handed: BTreeMap<HostId, f64>) -> Vec<Endpoint> {
-        self.handed = handed;
-        self.complete()
+    pub(crate) fn set_planned_weights(
+        &mut self,
+        planned_weights: BTreeMap<HostId, f64>,
+    ) -> Vec<Endpoint> {
+        self.planned_weights = planned_weights;
+        self.endpoints()
     }
 
     /// The complete list for the module.
-    fn complete(&mut self) -> Vec<Endpoint> {
-        self.version += 1;
-        let handed = &self.handed;
+    fn endpoints(&mut self) -> Vec<Endpoint> {
+        self.generation += 1;
+        let planned_weights = &self.planned_weights;
         let listed = self
-            .known
+            .hosts
             .iter()
-            .filter(|(_, k)| k.standing != EndpointState::Removed);
+            .filter(|(_, k)| k.state != EndpointState::Removed);
         let zone = |name: &str| self.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
-        let (machines, racks) = (&mut self.machines, &mut self.racks);
+        let (machines, racks) = (&mut self.machine_types, &mut self.racks);
         listed
             .map(|(id, k)| Endpoint {
                 host: id.clone(),
                 zone: ZoneId(zone(&k.entry.zone)),
                 machine_type: MachineTypeId(number_of(machines, &k.entry.machine) as u16),
                 cell: CellId(number_of(racks, &k.entry.rack) as u64),
-                weight: handed.get(id).copied().unwrap_or(k.entry.weight),
+                weight: planned_weights.get(id).copied().unwrap_or(k.entry.weight),
                 started: k.started,
-                state: k.standing,
+                state: k.state,
             })
             .collect()
     }
@@ -254,31 +257,31 @@
         self.added.contains_key(host)
     }
 
-    pub(crate) fn must_go(&self, host: &HostId) -> bool {
-        self.known
+    pub(crate) fn must_drain(&self, host: &HostId) -> bool {
+        self.hosts
             .get(host)
-            .is_none_or(|k| k.standing != EndpointState::Ready)
+            .is_none_or(|k| k.state != EndpointState::Ready)
     }
 
     pub(crate) fn address(&self, host: &HostId) -> Option<SocketAddr> {
-        self.known.get(host).map(|k| k.entry.address)
+        self.hosts.get(host).map(|k| k.entry.address)
     }
 
-    pub(crate) fn is_cold(&self, host: &HostId, now: Time) -> bool {
-        let started = self.known.get(host).map_or(Time::default(), |k| k.started);
-        !started.is_unset() && now - started < self.cold
+    pub(crate) fn is_warming_up(&self, host: &HostId, now: Time) -> bool {
+        let started = self.hosts.get(host).map_or(Time::default(), |k| k.started);
+        !started.is_unset() && now - started < self.slow_start_window
     }
 
     /// The part of its work that a host can do by now, at least.
-    pub(crate) fn warm(&self, host: &HostId, now: Time, start_share: f64) -> f64 {
-        let started = self.known.get(host).map_or(Time::default(), |k| k.started);
-        if started.is_unset() || self.cold == Duration::ZERO {
+    pub(crate) fn warm_fraction(&self, host: &HostId, now: Time, start_share: f64) -> f64 {
+        let started = self.hosts.get(host).map_or(Time::default(), |k| k.started);
+        if started.is_unset() || self.slow_start_window == Duration::ZERO {
             return 1.0;
         }
-        (start_share + (1.0 - start_share) * (now - started).ratio(self.cold)).min(1.0)
+        (start_share + (1.0 - start_share) * (now - started).ratio(self.slow_start_window)).min(1.0)
     }
 
-    pub(crate) fn zone_of(&self, known: &Known) -> ZoneId {
+    pub(crate) fn zone_of(&self, known: &ListedHost) -> ZoneId {
         ZoneId(
             self.zones
                 .iter()
@@ -295,13 +298,13 @@
 /// When a host's process started, as far as can be told. The list's word counts. Without it, a host of the first
 /// list has long run; one that is new later, or is back, or has another address, is another process: it starts
 /// cold now.
-fn started(now: Time, first: bool, entry: &HostEntry, before: Option<&Known>) -> Time {
+fn started(now: Time, first: bool, entry: &HostEntry, before: Option<&ListedHost>) -> Time {
     if let Some(seconds) = entry.started {
         return Time::from_micros((seconds * 1e6) as u64);
     }
     match before {
         None if first => Time::default(),
-        Some(k) if k.standing != EndpointState::Removed && k.entry.address == entry.address => {
+        Some(k) if k.state != EndpointState::Removed && k.entry.address == entry.address => {
             k.started
         }
         _ => now,
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -1,26 +1,26 @@
 //! `show info`: the steward's own figures.
 
-use crate::course::Course;
-use crate::names::Names;
-use crate::weigher::Weigher;
+use crate::dns_state::DnsState;
+use crate::state::DaemonState;
+use crate::weight_planner::WeightPlanner;
 use pondarch_controller::DurationExt;
 use pondarch_controller::EndpointState;
 use pondarch_runtime_api::info::Info;
 
-pub(crate) fn info(core: &Course) -> Info {
+pub(crate) fn info(core: &DaemonState) -> Info {
     let mut info = Info::default();
-    let (now, list) = (core.now, &core.list);
-    let open = |s: EndpointState| list.known.values().filter(|k| k.standing == s).count();
+    let (now, list) = (core.now, &core.endpoints);
+    let open = |s: EndpointState| list.hosts.values().filter(|k| k.state == s).count();
     let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
     let cold = list
-        .known
+        .hosts
         .keys()
-        .filter(|host| list.is_cold(host, now))
+        .filter(|host| list.is_warming_up(host, now))
         .count();
     let behind = core
         .peers
         .iter()
-        .filter(|peer| peer.is_joined() && peer.dirty.is_some())
+        .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
         .count();
     info.put("Name", "pondarch");
     info.put("Version", env!("CARGO_PKG_VERSION"));
@@ -31,33 +31,39 @@
         crate::time::micros(core.started) / 1_000_000,
     );
     info.put("Node", &core.name);
-    info.put("ListVersion", list.version);
-    info.put("ListRefused", list.refused.as_deref().unwrap_or("-"));
+    info.put("ListVersion", list.generation);
+    info.put(
+        "ListRefused",
+        list.rejected_reason.as_deref().unwrap_or("-"),
+    );
     info.put("HostsReady", open(EndpointState::Ready));
     info.put("HostsDraining", open(EndpointState::Draining));
     info.put("HostsGone", open(EndpointState::Removed));
     info.put("HostsCold", cold);
-    let strangers = core.names.as_ref().map_or(0, Names::strangers);
-    info.put("Proxies", core.peers.len() - strangers);
+    let unknown_proxies = core.dns.as_ref().map_or(0, DnsState::unknown_proxies);
+    info.put("Proxies", core.peers.len() - unknown_proxies);
     info.put("ProxiesJoined", joined);
     info.put("ProxiesBehind", behind);
-    info.put("Tables", core.books.books.len());
-    let source = core.weigher.as_ref().map_or("listed", Weigher::source);
+    info.put("Tables", core.tables.by_id.len());
+    let source = core
+        .weight_planner
+        .as_ref()
+        .map_or("listed", WeightPlanner::source);
     info.put("Weights", source);
     info.put(
         "WeightsFailed",
-        core.weigher
+        core.weight_planner
             .as_ref()
-            .and_then(Weigher::failed)
+            .and_then(WeightPlanner::failed)
             .unwrap_or("-"),
     );
-    if let Some(names) = &core.names {
+    if let Some(names) = &core.dns {
         let too_long: Vec<&str> = names
             .holds_too_long()
             .filter_map(|id| core.peers.get(id.0 as usize).map(|peer| peer.name.as_str()))
             .collect();
         info.put("NamesAsking", names.members());
-        info.put("NamesStrangersAsking", names.strangers_asking());
+        info.put("NamesStrangersAsking", names.unknown_proxies_asking());
         info.put("NamesSerial", names.view().serial);
         info.put(
             "NamesHoldTooLong",
@@ -68,42 +74,48 @@
             },
         );
     }
-    if let Some(records) = &core.records {
+    if let Some(records) = &core.event_log {
         info.put(
             "Records",
             records
                 .stopped_reason
                 .as_ref()
-                .map_or("written".into(), |why| format!("stopped: {why}")),
+                .map_or("written".into(), |reason| format!("stopped: {reason}")),
         );
         info.put("RecordsLost", records.lost_inputs);
     }
-    if core.pushes.on {
-        let counts = &core.pushes.counts;
-        info.put("Senders", core.pushes.senders());
-        info.put("Reports", counts.taken);
+    if core.pushed_reports.enabled {
+        let counts = &core.pushed_reports.counters;
+        info.put("Senders", core.pushed_reports.senders());
+        info.put("Reports", counts.received);
         info.put("ReportsLate", counts.late);
-        info.put("ReportsDoubled", counts.doubled);
+        info.put("ReportsDoubled", counts.duplicate);
         info.put("ReportsMissing", counts.missing);
         info.put("ReportsRestarted", counts.restarted);
         info.put("ReportsStale", counts.stale);
-        info.put("ReportsRefused", counts.odd);
-        info.put("ReportsOfStrangers", counts.strangers);
-        info.put("ReportsUnlisted", counts.unlisted);
-        info.put("ClockJumps", counts.jumps);
+        info.put("ReportsRefused", counts.rejected);
+        info.put("ReportsOfStrangers", counts.unknown_senders);
+        info.put("ReportsUnlisted", counts.unlisted_hosts);
+        info.put("ClockJumps", counts.clock_jumps);
     }
     for purpose in pondarch_load_ingestion::account::PURPOSES {
         let word = purpose.word();
-        info.put(&format!("Memory_{word}"), core.account.of(purpose).bytes);
+        info.put(&format!("Memory_{word}"), core.memory.of(purpose).bytes);
     }
-    info.put("LinesWaiting", core.channel.waiting().round() as u64);
+    info.put("LinesWaiting", core.update_queue.waiting().round() as u64);
     info.put(
         "LinesOrdered",
-        core.peers.iter().map(|peer| peer.ordered).sum::<u64>(),
+        core.peers
+            .iter()
+            .map(|peer| peer.commands_sent)
+            .sum::<u64>(),
     );
     info.put(
         "LinesRefused",
-        core.peers.iter().map(|peer| peer.refused).sum::<u64>(),
+        core.peers
+            .iter()
+            .map(|peer| peer.commands_rejected)
+            .sum::<u64>(),
     );
     info
 }
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -19,36 +19,36 @@
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines, missing_docs)]
 
-mod asking;
-mod books;
-mod channel;
 mod core;
-mod course;
+mod decisions;
+mod dns_events;
+mod dns_state;
+mod endpoint_list;
 mod event;
-mod follow;
 mod info;
 mod input;
-mod list;
-mod names;
 mod operator;
+mod outcome_aggregator;
 mod output;
 mod peer;
-mod pushes;
+mod pushed_reports;
 mod recorded_debug;
 mod recovered_state;
-mod recovering;
+mod recovery;
+mod report_events;
 mod reported_load;
-mod reporting;
-mod round;
+mod state;
+mod table_assignments;
 mod time;
-mod weigher;
-mod weighing;
-mod zones;
+mod update_queue;
+mod weight_events;
+mod weight_planner;
+mod zone_map;
 
 pub use crate::core::Core;
+pub use dns_state::DNS_QUERY_REPORT_INTERVAL;
 pub use event::Event;
 pub use input::{EventLogState, Input};
-pub use names::DNS_QUERY_REPORT_INTERVAL;
 pub use output::Output;
 pub use recovered_state::{RecoveredHost, RecoveredList, RecoveredState};
 pub use reported_load::ReportedLoad;
--- a/crates/daemon-core/src/operator.rs
+++ b/crates/daemon-core/src/operator.rs
@@ -1,10 +1,10 @@
 //! The steward's own runtime API. The backend `hosts` is the list; each table is a backend `table-<n>` that can be
 //! looked at. Changes to `hosts` are the operators' word on the list: they go through the module like the file's.
 
-use crate::course::Course;
+use crate::endpoint_list::ListedHost;
 use crate::info::info;
-use crate::list::Known;
 use crate::peer::Link;
+use crate::state::DaemonState;
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::{HostState, bad_name};
 use pondarch_controller::DurationExt;
@@ -22,10 +22,10 @@
 const HOSTS: &str = "hosts";
 /// Name of the map of hosts' zones; it can be set, as `add server` has no word for a zone.
 const ZONES: &str = "zones";
-const DENIED: &str = "Permission denied\n";
+const PERMISSION_DENIED: &str = "Permission denied\n";
 
 /// The answers to one line, each ended as the protocol wants it.
-pub(crate) fn answer(core: &mut Course, level: u8, line: &str) -> String {
+pub(crate) fn answer(core: &mut DaemonState, level: u8, line: &str) -> String {
     let level = match level {
         0 => Level::User,
         1 => Level::Operator,
@@ -41,13 +41,13 @@
         .collect()
 }
 
-fn one(core: &mut Course, level: Level, command: Result<Command, CommandError>) -> String {
+fn one(core: &mut DaemonState, level: Level, command: Result<Command, CommandError>) -> String {
     let command = match command {
         Ok(command) => command,
-        Err(wrong) => return format!("{wrong}\n"),
+        Err(error) => return format!("{error}\n"),
     };
     if command.level() > level {
-        return DENIED.into();
+        return PERMISSION_DENIED.into();
     }
     match command {
         Command::Help => command::HELP.into(),
@@ -71,8 +71,8 @@
         }
         Command::ShowBackend => {
             let tables = core
-                .books
-                .books
+                .tables
+                .by_id
                 .keys()
                 .map(|table| format!("table-{}\n", table.0));
             std::iter::once(format!("# name\n{HOSTS}\n"))
@@ -88,7 +88,7 @@
             None => "Can't find backend.\n".into(),
         },
         Command::ShowMemory => core
-            .account
+            .memory
             .lines()
             .map(|(of, text)| format!("{of}: {text}\n"))
             .collect(),
@@ -147,10 +147,12 @@
             key,
             value,
         } if map == ZONES => put_zone(core, version, &key, &value),
-        Command::SetMap { map, key, value } if map == ZONES => match core.zones.of(&key) {
-            Some(_) => put_zone(core, None, &key, &value),
-            None => "entry not found.\n".into(),
-        },
+        Command::SetMap { map, key, value } if map == ZONES => {
+            match core.zones.zone_of_host(&key) {
+                Some(_) => put_zone(core, None, &key, &value),
+                None => "entry not found.\n".into(),
+            }
+        }
         Command::DelMap { map, key } if map == ZONES => match core.zones.remove(&key) {
             true => String::new(),
             false => "entry not found.\n".into(),
@@ -180,12 +182,12 @@
         },
         Command::GetWeight(server) => match host(core, &server) {
             Ok((_, known)) => format!("{} (initial {})\n", known.entry.weight, known.entry.weight),
-            Err(wrong) => wrong,
+            Err(error) => error,
         },
         Command::SetWeight(server, weight) => set_weight(core, &server, weight),
         Command::SetState(server, state) => set_state(core, &server, state),
         Command::SetAddr(server, ip, port) => match host(core, &server) {
-            Err(wrong) => wrong,
+            Err(error) => error,
             Ok((id, known)) => {
                 let old = known.entry.address;
                 let new = std::net::SocketAddr::new(ip, port.unwrap_or(old.port()));
@@ -193,8 +195,10 @@
                     return "no need to change the addr, no need to change the port\n".into();
                 }
                 let now = core.now;
-                let listings = core.list.edit(now, &id, |edit| edit.address = Some(new));
-                core.list_changed(listings);
+                let endpoints = core
+                    .endpoints
+                    .edit(now, &id, |edit| edit.address = Some(new));
+                core.apply_endpoints(endpoints);
                 format!(
                     "IP changed from '{}' to '{}', port changed from '{}' to '{}' by 'stats socket command'\n",
                     old.ip(),
@@ -210,20 +214,20 @@
             weight,
         } => add_host(core, &server, addr, weight),
         Command::DelServer(server) => match host(core, &server) {
-            Err(wrong) => wrong,
-            Ok((_, known)) if known.standing != EndpointState::Removed => {
+            Err(error) => error,
+            Ok((_, known)) if known.state != EndpointState::Removed => {
                 "Only servers in maintenance mode can be deleted.\n".into()
             }
             Ok((id, _)) => {
-                let listings = core.list.remove(core.now, &id);
-                core.list_changed(listings);
+                let endpoints = core.endpoints.remove(core.now, &id);
+                core.apply_endpoints(endpoints);
                 "Server deleted.\n".into()
             }
         },
     }
 }
 
-fn since(core: &Course, at: Time) -> f64 {
+fn since(core: &DaemonState, at: Time) -> f64 {
     (at - core.started).seconds()
 }
 
@@ -244,17 +248,17 @@
     }
 }
 
-fn map(core: &Course, name: &str) -> Option<BTreeMap<String, String>> {
+fn map(core: &DaemonState, name: &str) -> Option<BTreeMap<String, String>> {
     let by_kind = |value: fn(&(f64, pondarch_controller::RetryPolicy)) -> String| {
-        let of = |(table, book): (&TableId, &crate::books::Book)| {
-            let key = |kind: usize| format!("table-{}/{}", table.0, core.kinds[kind]);
-            let entries = book
-                .levels
+        let of = |(table, assignment): (&TableId, &crate::table_assignments::TableAssignment)| {
+            let key = |kind: usize| format!("table-{}/{}", table.0, core.request_classes[kind]);
+            let entries = assignment
+                .admission
                 .iter()
                 .map(|(kind, level)| (key(kind.0 as usize), value(level)));
             entries.collect::<Vec<_>>()
         };
-        core.books.books.iter().flat_map(of).collect()
+        core.tables.by_id.iter().flat_map(of).collect()
     };
     match name {
         "levels" => Some(by_kind(|(quota, _)| quota.to_string())),
@@ -266,15 +270,20 @@
                 let link = match peer.link {
                     Link::Down(_) => "down".to_string(),
                     Link::Dialling => "dialling".to_string(),
-                    Link::Looking => "looking".to_string(),
-                    Link::Known { .. } => "waits".to_string(),
-                    Link::ByName { joined: false } => "by name, not asking".to_string(),
-                    Link::ByName { joined: true } | Link::Joined => {
-                        let tables: std::collections::BTreeSet<_> = peer.bound.values().collect();
+                    Link::ReadingState => "looking".to_string(),
+                    Link::Waiting { .. } => "waits".to_string(),
+                    Link::Dns { joined: false } => "by name, not asking".to_string(),
+                    Link::Dns { joined: true } | Link::Joined => {
+                        let tables: std::collections::BTreeSet<_> =
+                            peer.bindings.values().collect();
                         let names = tables.iter().map(|table| format!(" table-{}", table.0));
-                        let lag = if peer.dirty.is_some() { " behind" } else { "" };
-                        let lag = if peer.is_joined() { lag } else { " by name" };
-                        format!("joined{}{lag}", names.collect::<String>())
+                        let state = if peer.pending_update.is_some() {
+                            " behind"
+                        } else {
+                            ""
+                        };
+                        let state = if peer.is_joined() { state } else { " by name" };
+                        format!("joined{}{state}", names.collect::<String>())
                     }
                 };
                 (peer.name.clone(), link)
@@ -282,7 +291,7 @@
             Some(core.peers.iter().map(of).collect())
         }
         "lingering" => {
-            let names = core.names.as_ref();
+            let names = core.dns.as_ref();
             let lingering = names
                 .map(|names| names.lingering(core.now))
                 .unwrap_or_default();
@@ -291,30 +300,30 @@
             };
             Some(lingering.into_iter().map(left).collect())
         }
-        "owed" => Some(core.owed()),
+        "owed" => Some(core.undrained_hosts()),
         "secondaries" => Some(
-            core.names
+            core.dns
                 .as_ref()
-                .map(|names| names.copies(core.now))
+                .map(|names| names.secondary_states(core.now))
                 .unwrap_or_default(),
         ),
         "weights" => {
-            let of = |(id, known): (&HostId, &Known)| {
-                let handed = core
-                    .list
-                    .handed
+            let of = |(id, known): (&HostId, &ListedHost)| {
+                let planned_weights = core
+                    .endpoints
+                    .planned_weights
                     .get(id)
                     .copied()
                     .unwrap_or(known.entry.weight);
-                (id.0.to_string(), format!("{handed:.3}"))
+                (id.0.to_string(), format!("{planned_weights:.3}"))
             };
-            Some(core.list.known.iter().map(of).collect())
+            Some(core.endpoints.hosts.iter().map(of).collect())
         }
         ZONES => {
             let zone =
-                |(id, known): (&HostId, &Known)| (id.0.to_string(), known.entry.zone.clone());
+                |(id, known): (&HostId, &ListedHost)| (id.0.to_string(), known.entry.zone.clone());
             let mut zones = core.zones.entries().clone();
-            zones.extend(core.list.known.iter().map(zone));
+            zones.extend(core.endpoints.hosts.iter().map(zone));
             Some(zones)
         }
         _ => None,
@@ -322,41 +331,42 @@
 }
 
 /// A row for each host of the list with what was met there lately, and one for each line of a table.
-fn rows(core: &Course) -> Vec<StatRow> {
+fn rows(core: &DaemonState) -> Vec<StatRow> {
     let mut rows = Vec::new();
-    for (id, known) in &core.list.known {
-        let met = core.met.get(id).copied().unwrap_or_default();
+    for (id, known) in &core.endpoints.hosts {
+        let outcomes = core.last_outcomes.get(id).copied().unwrap_or_default();
         rows.push(StatRow {
             backend: HOSTS.into(),
             server: id.0.to_string(),
             of: RowType::Server,
-            status: status(known.standing).into(),
+            status: status(known.state).into(),
             weight: known.entry.weight.round() as u64,
-            mean: met.mean_latency,
+            mean: outcomes.mean_latency,
             addr: known.entry.address.to_string(),
             sums: Some(Sums {
-                done: (met.attempts - met.failures).max(0.0) as u64,
-                errored: met.failures as u64,
+                done: (outcomes.attempts - outcomes.failures).max(0.0) as u64,
+                errored: outcomes.failures as u64,
                 done_time: Duration::from_micros(
-                    (met.mean_latency.micros() as f64 * (met.attempts - met.failures).max(0.0))
+                    (outcomes.mean_latency.micros() as f64
+                        * (outcomes.attempts - outcomes.failures).max(0.0))
                         as u64,
                 ),
             }),
             ..StatRow::default()
         });
     }
-    for (table, book) in &core.books.books {
-        for (id, weight) in &book.dealt {
-            let standing = core
-                .list
-                .known
+    for (table, assignment) in &core.tables.by_id {
+        for (id, weight) in &assignment.weights {
+            let state = core
+                .endpoints
+                .hosts
                 .get(id)
-                .map_or(EndpointState::Removed, |known| known.standing);
+                .map_or(EndpointState::Removed, |known| known.state);
             rows.push(StatRow {
                 backend: format!("table-{}", table.0),
                 server: id.0.to_string(),
                 of: RowType::Server,
-                status: status(standing).into(),
+                status: status(state).into(),
                 // Thousandths: the module's own grain.
                 weight: (weight * 1e3).round() as u64,
                 ..StatRow::default()
@@ -366,23 +376,23 @@
     rows
 }
 
-fn status(standing: EndpointState) -> &'static str {
-    match standing {
+fn status(state: EndpointState) -> &'static str {
+    match state {
         EndpointState::Ready => "UP",
         EndpointState::Draining => "DRAIN",
         EndpointState::Removed => "MAINT",
     }
 }
 
-fn servers(core: &mut Course, backend: Option<&str>) -> Option<Vec<ServerState>> {
+fn servers(core: &mut DaemonState, backend: Option<&str>) -> Option<Vec<ServerState>> {
     let mut servers = Vec::new();
     if backend.is_none_or(|name| name == HOSTS) {
-        for (id, known) in &core.list.known {
+        for (id, known) in &core.endpoints.hosts {
             servers.push(ServerState {
                 backend: HOSTS.into(),
                 server: id.0.to_string(),
                 addr: known.entry.address,
-                state: match known.standing {
+                state: match known.state {
                     EndpointState::Ready => AdminState::Ready,
                     EndpointState::Draining => AdminState::Drain,
                     EndpointState::Removed => AdminState::Maint,
@@ -394,12 +404,12 @@
         }
     }
     let named = |table: &TableId| format!("table-{}", table.0);
-    let tables: Vec<TableId> = core.books.books.keys().copied().collect();
+    let tables: Vec<TableId> = core.tables.by_id.keys().copied().collect();
     let of = tables
         .iter()
         .filter(|table| backend.is_none_or(|name| name == named(table)));
     for &table in of {
-        let lines = core.books.lines(table, &core.list, core.now);
+        let lines = core.tables.lines(table, &core.endpoints, core.now);
         for (id, line) in lines.iter() {
             servers.push(ServerState {
                 backend: named(&table),
@@ -417,11 +427,11 @@
     known.then_some(servers)
 }
 
-fn host(core: &Course, server: &ServerRef) -> Result<(HostId, Known), String> {
+fn host(core: &DaemonState, server: &ServerRef) -> Result<(HostId, ListedHost), String> {
     if server.backend != HOSTS {
         let table = core
-            .books
-            .books
+            .tables
+            .by_id
             .keys()
             .any(|table| server.backend == format!("table-{}", table.0));
         return Err(if table {
@@ -431,16 +441,16 @@
         });
     }
     let id = HostId(server.server.as_str().into());
-    core.list
-        .known
+    core.endpoints
+        .hosts
         .get(&id)
         .map(|known| (id, known.clone()))
         .ok_or_else(|| "No such server.\n".into())
 }
 
-fn set_weight(core: &mut Course, server: &ServerRef, weight: GivenWeight) -> String {
+fn set_weight(core: &mut DaemonState, server: &ServerRef, weight: GivenWeight) -> String {
     match (host(core, server), weight) {
-        (Err(wrong), _) => wrong,
+        (Err(error), _) => error,
         (Ok(_), GivenWeight::Units(0)) => {
             "A listed weight is above 0; use 'set server <srv> state drain' to send nothing new there.\n"
                 .into()
@@ -453,26 +463,26 @@
             if weight <= 0.0 {
                 return "A listed weight is above 0.\n".into();
             }
-            let listings = core.list.edit(core.now, &id, |edit| edit.weight = Some(weight));
-            core.list_changed(listings);
+            let endpoints = core.endpoints.edit(core.now, &id, |edit| edit.weight = Some(weight));
+            core.apply_endpoints(endpoints);
             String::new()
         }
     }
 }
 
-fn set_state(core: &mut Course, server: &ServerRef, state: AdminState) -> String {
+fn set_state(core: &mut DaemonState, server: &ServerRef, state: AdminState) -> String {
     match host(core, server) {
-        Err(wrong) => wrong,
+        Err(error) => error,
         Ok((id, _)) => {
             let state = match state {
                 AdminState::Ready => HostState::Ready,
                 AdminState::Drain => HostState::Drain,
                 AdminState::Maint => HostState::Gone,
             };
-            let listings = core
-                .list
+            let endpoints = core
+                .endpoints
                 .edit(core.now, &id, |edit| edit.state = Some(state));
-            core.list_changed(listings);
+            core.apply_endpoints(endpoints);
             String::new()
         }
     }
@@ -481,7 +491,7 @@
 /// As the guide has it, a new server is in maintenance until it is made ready. Its zone is the one the map has for
 /// it, or the site's first.
 fn add_host(
-    core: &mut Course,
+    core: &mut DaemonState,
     server: &ServerRef,
     addr: std::net::SocketAddr,
     weight: Option<u16>,
@@ -491,10 +501,10 @@
     }
     let id = HostId(server.server.as_str().into());
     if core
-        .list
-        .known
+        .endpoints
+        .hosts
         .get(&id)
-        .is_some_and(|known| known.standing != EndpointState::Removed)
+        .is_some_and(|known| known.state != EndpointState::Removed)
     {
         return "Already exists a server with the same name in the backend.\n".into();
     }
@@ -506,8 +516,8 @@
         address: addr,
         zone: core
             .zones
-            .of(&id.0)
-            .or(core.list.zones().first())
+            .zone_of_host(&id.0)
+            .or(core.endpoints.zones().first())
             .cloned()
             .unwrap_or_default(),
         rack: String::new(),
@@ -517,8 +527,8 @@
         started: None,
         state: HostState::Gone,
     };
-    let listings = core.list.add(core.now, entry);
-    core.list_changed(listings);
+    let endpoints = core.endpoints.add(core.now, entry);
+    core.apply_endpoints(endpoints);
     "New server registered.\n".into()
 }
 
@@ -526,18 +536,18 @@
     done.err().unwrap_or_default().to_string()
 }
 
-fn put_zone(core: &mut Course, version: Option<u64>, key: &str, zone: &str) -> String {
+fn put_zone(core: &mut DaemonState, version: Option<u64>, key: &str, zone: &str) -> String {
     let id = HostId(key.into());
-    if !core.list.zones().iter().any(|known| known == zone) {
+    if !core.endpoints.zones().iter().any(|known| known == zone) {
         return format!(
             "'{zone}' is none of the site's zones: {}.\n",
-            core.list.zones().join(", ")
+            core.endpoints.zones().join(", ")
         );
     }
-    if core.list.known.contains_key(&id) && !core.list.is_added(&id) {
+    if core.endpoints.hosts.contains_key(&id) && !core.endpoints.is_added(&id) {
         return "The file names this host's zone; change it there.\n".into();
     }
-    let done = core.zones.put(version, key, zone);
+    let done = core.zones.set(version, key, zone);
     if version.is_none() && done.is_ok() {
         rezone(core);
     }
@@ -545,20 +555,20 @@
 }
 
 /// Hosts that operators added take the zones that the map has for them now.
-fn rezone(core: &mut Course) {
-    let zone = |id: &HostId| core.zones.of(&id.0).cloned();
+fn rezone(core: &mut DaemonState) {
+    let zone = |id: &HostId| core.zones.zone_of_host(&id.0).cloned();
     let of = core
-        .list
-        .known
+        .endpoints
+        .hosts
         .iter()
-        .filter(|(id, _)| core.list.is_added(id));
+        .filter(|(id, _)| core.endpoints.is_added(id));
     let moved: Vec<HostEntry> = of
         .filter_map(|(id, known)| Some((zone(id)?, known.entry.clone())))
         .filter(|(zone, entry)| *zone != entry.zone)
         .map(|(zone, entry)| HostEntry { zone, ..entry })
         .collect();
     for entry in moved {
-        let listings = core.list.add(core.now, entry);
-        core.list_changed(listings);
+        let endpoints = core.endpoints.add(core.now, entry);
+        core.apply_endpoints(endpoints);
     }
 }
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -1,6 +1,6 @@
 //! One proxy: dialled, looked at, joined, lost, and dialled again.
 
-use crate::channel::Mail;
+use crate::update_queue::SentMessages;
 use pondarch_config::site::Links;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, TableId, Time, ZoneId};
@@ -15,14 +15,14 @@
     Down(Time),
     Dialling,
     /// Connected; it is being asked what it holds.
-    Looking,
+    ReadingState,
     /// What it holds is known; it waits for room in the channel to be joined.
-    Known {
+    Waiting {
         fresh: bool,
     },
     Joined,
     /// It has no runtime API and takes tables from the DNS front: joined while it asks.
-    ByName {
+    Dns {
         joined: bool,
     },
 }
@@ -32,22 +32,22 @@
     pub(crate) id: ProxyId,
     pub(crate) name: String,
     pub(crate) zone: ZoneId,
-    pub(crate) usual: f64,
+    pub(crate) usual_rate: f64,
     pub(crate) link: Link,
-    pub(crate) conn: u64,
+    pub(crate) connection: u64,
     pub(crate) session: Session,
-    pub(crate) bound: BTreeMap<RequestClassId, TableId>,
-    pub(crate) mail: Mail,
+    pub(crate) bindings: BTreeMap<RequestClassId, TableId>,
+    pub(crate) sent_messages: SentMessages,
     /// What its message under way cost in the channel.
     pub(crate) in_flight: f64,
     /// It may differ from what it should hold, since then and by this input.
-    pub(crate) dirty: Option<(Time, String)>,
+    pub(crate) pending_update: Option<(Time, String)>,
     pub(crate) blocked_until: Option<Time>,
     /// Answers are awaited and none has come since.
     pub(crate) silent_since: Option<Time>,
-    pub(crate) failures: u32,
-    pub(crate) ordered: u64,
-    pub(crate) refused: u64,
+    pub(crate) failed_dials: u32,
+    pub(crate) commands_sent: u64,
+    pub(crate) commands_rejected: u64,
 }
 
 impl Peer {
@@ -61,57 +61,55 @@
         let link = if of.runtime.is_some() {
             Link::Down(now)
         } else {
-            Link::ByName { joined: false }
+            Link::Dns { joined: false }
         };
         Peer {
             id: ProxyId(n as u16),
             name: of.name.clone(),
             zone: ZoneId(zone),
-            usual: of.usual_rate,
+            usual_rate: of.usual_rate,
             link,
-            conn: 0,
+            connection: 0,
             session: Session::new(front),
-            bound: BTreeMap::new(),
-            mail: Mail::default(),
+            bindings: BTreeMap::new(),
+            sent_messages: SentMessages::default(),
             in_flight: 0.0,
-            dirty: None,
+            pending_update: None,
             blocked_until: None,
             silent_since: None,
-            failures: 0,
-            ordered: 0,
-            refused: 0,
+            failed_dials: 0,
+            commands_sent: 0,
+            commands_rejected: 0,
         }
     }
 
     pub(crate) fn is_connected(&self) -> bool {
-        !matches!(
-            self.link,
-            Link::Down(_) | Link::Dialling | Link::ByName { .. }
-        )
+        !matches!(self.link, Link::Down(_) | Link::Dialling | Link::Dns { .. })
     }
 
     pub(crate) fn has_runtime(&self) -> bool {
-        !matches!(self.link, Link::ByName { .. })
+        !matches!(self.link, Link::Dns { .. })
     }
 
     pub(crate) fn is_joined(&self) -> bool {
         self.link == Link::Joined
     }
 
-    pub(crate) fn mark_dirty(&mut self, now: Time, cause: &str) {
-        self.dirty.get_or_insert_with(|| (now, cause.to_string()));
+    pub(crate) fn require_update(&mut self, now: Time, cause: &str) {
+        self.pending_update
+            .get_or_insert_with(|| (now, cause.to_string()));
     }
 
     /// The connection is gone: when to dial again. Doubling waits with jitter, so that proxies that were lost
     /// together do not come back together.
-    pub(crate) fn lost(&mut self, now: Time, links: &Links, chance: &mut fastrand::Rng) {
+    pub(crate) fn on_disconnected(&mut self, now: Time, links: &Links, random: &mut fastrand::Rng) {
         let (least, most) = (links.redial_least.0, links.redial_most.0);
         let doubled = least
-            .scaled(f64::from(1u32 << self.failures.min(16)))
+            .scaled(f64::from(1u32 << self.failed_dials.min(16)))
             .min(most);
-        self.failures = self.failures.saturating_add(1);
-        self.link = Link::Down(now + doubled.scaled(0.5 + chance.f64()));
-        self.bound.clear();
-        (self.dirty, self.blocked_until, self.silent_since) = (None, None, None);
+        self.failed_dials = self.failed_dials.saturating_add(1);
+        self.link = Link::Down(now + doubled.scaled(0.5 + random.f64()));
+        self.bindings.clear();
+        (self.pending_update, self.blocked_until, self.silent_since) = (None, None, None);
     }
 }
--- a/crates/daemon-core/src/pushes.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -9,72 +9,72 @@
 use std::time::Duration;
 
 /// Reports of one sender that may be under way: one that is taken, one that waits.
-pub(crate) const CREDIT: u32 = 3;
+pub(crate) const REPORT_CREDIT: u32 = 3;
 /// What a counter may rise by in a second: far beyond what a proxy can do.
-const COUNT_MOST: f64 = 1e6;
+const MAX_COUNT_RATE: f64 = 1e6;
 /// Busy part of all cores, and reqs waiting, that can be.
-const BUSY_MOST: f64 = 1.5;
-const WAITING_MOST: f64 = 1e6;
+const MAX_UTILIZATION: f64 = 1.5;
+const MAX_QUEUE_LENGTH: f64 = 1e6;
 
 /// One that said who it is, on one connection.
 #[derive(Debug)]
 pub(crate) struct Sender {
     pub(crate) name: String,
-    pub(crate) is: SenderIs,
-    pub(crate) run: u64,
+    pub(crate) role: SenderIs,
+    pub(crate) incarnation: u64,
 }
 
 /// What is known of a name over its connections.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct SenderHistory {
     pub(crate) order: Order,
     pub(crate) clocks: Clocks,
-    pub(crate) conn: u64,
-    pub(crate) last: BTreeMap<(String, Option<String>), (u64, u64)>,
+    pub(crate) connection: u64,
+    pub(crate) last_counts: BTreeMap<(String, Option<String>), (u64, u64)>,
     pub(crate) last_at: Time,
 }
 
-impl Known {
+impl SenderHistory {
     fn bytes(&self) -> u64 {
-        300 + self.last.len() as u64 * 120
+        300 + self.last_counts.len() as u64 * 120
     }
 }
 
 /// What became of reports so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Counts {
-    pub(crate) taken: u64,
+pub(crate) struct ReportCounters {
+    pub(crate) received: u64,
     pub(crate) late: u64,
-    pub(crate) doubled: u64,
+    pub(crate) duplicate: u64,
     pub(crate) missing: u64,
     pub(crate) restarted: u64,
     /// Too old to be evidence.
     pub(crate) stale: u64,
     /// Figures that cannot be.
-    pub(crate) odd: u64,
-    pub(crate) jumps: u64,
-    pub(crate) strangers: u64,
+    pub(crate) rejected: u64,
+    pub(crate) clock_jumps: u64,
+    pub(crate) unknown_senders: u64,
     /// Lines of hosts that are not listed.
-    pub(crate) unlisted: u64,
-    pub(crate) last_odd: Option<String>,
+    pub(crate) unlisted_hosts: u64,
+    pub(crate) last_rejected: Option<String>,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Pushes {
+pub(crate) struct PushedReports {
     /// Whether there is anywhere to push to.
-    pub(crate) on: bool,
+    pub(crate) enabled: bool,
     pub(crate) senders: BTreeMap<u64, Sender>,
     /// By name: those of the settings and of the list alone, so that it is bounded.
-    pub(crate) known: BTreeMap<String, Known>,
+    pub(crate) histories: BTreeMap<String, SenderHistory>,
     pub(crate) silence: Silence,
-    pub(crate) counts: Counts,
+    pub(crate) counters: ReportCounters,
 }
 
-impl Pushes {
-    pub(crate) fn new(on: bool) -> Pushes {
-        Pushes {
-            on,
-            ..Pushes::default()
+impl PushedReports {
+    pub(crate) fn new(on: bool) -> PushedReports {
+        PushedReports {
+            enabled: on,
+            ..PushedReports::default()
         }
     }
 
@@ -85,20 +85,24 @@
 
     /// What all of it takes, in bytes, roughly.
     pub(crate) fn bytes(&self) -> u64 {
-        self.known.values().map(Known::bytes).sum::<u64>() + self.senders.len() as u64 * 150
+        self.histories
+            .values()
+            .map(SenderHistory::bytes)
+            .sum::<u64>()
+            + self.senders.len() as u64 * 150
     }
 
     /// Gives up what figures are checked by until so many bytes are free, the largest first; gives of how many senders.
-    pub(crate) fn shed(&mut self, bytes: u64) -> u64 {
+    pub(crate) fn drop_histories(&mut self, bytes: u64) -> u64 {
         let (mut freed, mut times) = (0, 0);
-        let mut largest: Vec<&mut Known> = self.known.values_mut().collect();
-        largest.sort_by_key(|known| std::cmp::Reverse(known.last.len()));
+        let mut largest: Vec<&mut SenderHistory> = self.histories.values_mut().collect();
+        largest.sort_by_key(|known| std::cmp::Reverse(known.last_counts.len()));
         for known in largest {
             if freed >= bytes {
                 break;
             }
             let before = known.bytes();
-            known.last.clear();
+            known.last_counts.clear();
             (freed, times) = (freed + before - known.bytes(), times + 1);
         }
         times
@@ -129,18 +133,18 @@
 }
 
 /// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-pub(crate) fn odd(body: &Body, known: &mut Known, seconds: f64) -> Option<String> {
+pub(crate) fn odd(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
     let within = |what: &str, figure: Option<f64>, most: f64| {
         let odd = figure.filter(|figure| !(0.0..=most).contains(figure))?;
         Some(format!("{what} of {odd}"))
     };
     if let Some(own) = &body.own {
         let figures = [
-            ("busy", own.busy, BUSY_MOST),
-            ("waiting", own.waiting, WAITING_MOST),
+            ("busy", own.busy, MAX_UTILIZATION),
+            ("waiting", own.waiting, MAX_QUEUE_LENGTH),
             ("service_ms", own.service_ms, 3.6e6),
-            ("rate", own.rate, COUNT_MOST),
-            ("errored_rate", own.errored_rate, COUNT_MOST),
+            ("rate", own.rate, MAX_COUNT_RATE),
+            ("errored_rate", own.errored_rate, MAX_COUNT_RATE),
         ];
         if let Some(odd) = figures
             .into_iter()
@@ -151,20 +155,20 @@
     }
     let mut last = BTreeMap::new();
     for of in &body.counted {
-        let load = within("busy", of.busy, BUSY_MOST)
-            .or_else(|| within("waiting", of.waiting, WAITING_MOST));
+        let load = within("busy", of.busy, MAX_UTILIZATION)
+            .or_else(|| within("waiting", of.waiting, MAX_QUEUE_LENGTH));
         let place = of.server.as_deref().unwrap_or("the backend");
         if let Some(odd) = load {
             return Some(format!("{}/{place}: {odd}", of.backend));
         }
         let key = (of.backend.clone(), of.server.clone());
         let now = (of.reqs, of.done.saturating_add(of.errored));
-        if let Some(then) = known.last.get(&key) {
+        if let Some(then) = known.last_counts.get(&key) {
             let more = now
                 .0
                 .saturating_sub(then.0)
                 .max(now.1.saturating_sub(then.1));
-            if more as f64 > COUNT_MOST * seconds {
+            if more as f64 > MAX_COUNT_RATE * seconds {
                 return Some(format!(
                     "{}/{place}: {more} reqs within {seconds:.1} s",
                     of.backend
@@ -173,6 +177,6 @@
         }
         last.insert(key, now);
     }
-    known.last = last;
+    known.last_counts = last;
     None
 }
--- a/crates/daemon-core/src/recovering.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -1,36 +1,36 @@
 //! What is known after a start, in the course of things: taken up, and given out again.
 
-use crate::course::Course;
 use crate::event::Event;
 use crate::recovered_state::RecoveredState;
+use crate::state::DaemonState;
 use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, Time};
 use std::collections::BTreeMap;
 
-impl Course {
-    pub(crate) fn remembered(&self) -> RecoveredState {
-        let serial = self.names.as_ref().map_or(0, |names| names.view().serial);
+impl DaemonState {
+    pub(crate) fn state_to_recover(&self) -> RecoveredState {
+        let serial = self.dns.as_ref().map_or(0, |names| names.view().serial);
         RecoveredState {
             at_us: micros(self.now),
-            list: self.list.remembered(),
+            list: self.endpoints.to_recovered(),
             zones: self.zones.entries().clone(),
             dns_serial: serial,
         }
     }
 
-    pub(crate) fn recovered(&mut self, old: RecoveredState) {
+    pub(crate) fn recover(&mut self, old: RecoveredState) {
         let (now, last) = (self.now, Time::from_micros(old.at_us));
-        if let Some(names) = &mut self.names {
+        if let Some(names) = &mut self.dns {
             names.recover(now, last, old.dns_serial, &old.list.hosts);
         }
-        let listings = self.list.recover(old.list);
+        let endpoints = self.endpoints.recover(old.list);
         self.zones.recover(old.zones);
         let count = |wanted| {
-            self.list
-                .known
+            self.endpoints
+                .hosts
                 .values()
-                .filter(|known| known.standing == wanted)
+                .filter(|known| known.state == wanted)
                 .count()
         };
         let (ready, draining, gone) = (
@@ -38,24 +38,24 @@
             count(EndpointState::Draining),
             count(EndpointState::Removed),
         );
-        self.tell(Event::Recovered {
+        self.log_event(Event::Recovered {
             ready,
             draining,
             removed: gone,
         });
-        if let Some(listings) = listings {
-            self.list_changed(listings);
+        if let Some(endpoints) = endpoints {
+            self.apply_endpoints(endpoints);
         }
     }
 
     /// Hosts that are to be left alone and that proxies still hold, or may: since when, and by whom.
-    pub(crate) fn owed(&self) -> BTreeMap<String, String> {
+    pub(crate) fn undrained_hosts(&self) -> BTreeMap<String, String> {
         let mut owed = BTreeMap::new();
         for (host, known) in self
-            .list
-            .known
+            .endpoints
+            .hosts
             .iter()
-            .filter(|(_, known)| known.standing != EndpointState::Ready)
+            .filter(|(_, known)| known.state != EndpointState::Ready)
         {
             let (mut holding, mut unknown) = (Vec::new(), 0);
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
@@ -68,7 +68,7 @@
             if holding.is_empty() && unknown == 0 {
                 continue;
             }
-            let since = (self.now - known.told_away.unwrap_or(Time::default())).seconds();
+            let since = (self.now - known.draining_since.unwrap_or(Time::default())).seconds();
             let not_seen = if unknown > 0 {
                 format!(" and {unknown} not looked at")
             } else {
--- /dev/null
+++ b/crates/daemon-core/src/report_events.rs
@@ -0,0 +1,401 @@
+//! Reports in the course of things: what is pushed or read goes to a round, and each round to the module.
+
+use crate::event::Event;
+use crate::outcome_aggregator::AggregatedOutcomes;
+use crate::output::Output;
+use crate::pushed_reports::{REPORT_CREDIT, Sender, odd, row};
+use crate::reported_load::ReportedLoad;
+use crate::state::{DaemonState, MAX_LOAD_REPORT_PERIODS};
+use crate::time::micros;
+use pondarch_controller::DurationExt;
+use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
+use pondarch_load_ingestion::{Candidate, Purpose, Verdict, age};
+use pondarch_load_report_protocol::{Counted, Report, SenderIs};
+use pondarch_proxy_session::sums::Look;
+use pondarch_runtime_api::stat::StatRow;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+impl DaemonState {
+    pub(crate) fn on_sender_connected(
+        &mut self,
+        connection: u64,
+        name: String,
+        role: SenderIs,
+        incarnation: u64,
+    ) {
+        let refused = match role {
+            SenderIs::Proxy
+                if !self
+                    .peers
+                    .iter()
+                    .any(|peer| peer.has_runtime() && peer.name == name) =>
+            {
+                Some("no proxy of this steward has that name")
+            }
+            SenderIs::Host
+                if !self
+                    .endpoints
+                    .hosts
+                    .contains_key(&HostId(name.as_str().into())) =>
+            {
+                Some("no host of the list has that name")
+            }
+            _ => None,
+        };
+        if let Some(reason) = refused {
+            self.pushed_reports.counters.unknown_senders += 1;
+            return self.outputs.push_back(Output::RejectSender {
+                connection,
+                reason: reason.into(),
+            });
+        }
+        // Whoever comes later under a name is it: the other is a connection that nobody has closed yet.
+        let known = self
+            .pushed_reports
+            .histories
+            .entry(name.clone())
+            .or_default();
+        let old = std::mem::replace(&mut known.connection, connection);
+        if old != connection && self.pushed_reports.senders.remove(&old).is_some() {
+            self.outputs.push_back(Output::RejectSender {
+                connection: old,
+                reason: "another connection has the name".into(),
+            });
+        }
+        self.pushed_reports.senders.insert(
+            connection,
+            Sender {
+                name,
+                role,
+                incarnation,
+            },
+        );
+        let at_us = micros(self.now);
+        self.outputs.push_back(Output::GrantCredit {
+            connection,
+            reports: REPORT_CREDIT,
+            at_us,
+        });
+    }
+
+    pub(crate) fn on_sender_disconnected(&mut self, connection: u64) {
+        self.pushed_reports.senders.remove(&connection);
+    }
+
+    pub(crate) fn on_report(&mut self, connection: u64, mut report: Report) {
+        let now = self.now;
+        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
+        let hosts = &self.endpoints.hosts;
+        let listed = |of: &Counted| {
+            of.server
+                .as_ref()
+                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
+        };
+        let before = report.body.counted.len();
+        report.body.counted.retain(listed);
+        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+        let Some(Sender {
+            name,
+            role,
+            incarnation,
+        }) = self.pushed_reports.senders.get(&connection)
+        else {
+            return;
+        };
+        let name = name.clone();
+        let role = *role;
+        let incarnation = *incarnation;
+        self.outputs.push_back(Output::GrantCredit {
+            connection,
+            reports: 1,
+            at_us: micros(now),
+        });
+        let (known, counts) = (
+            self.pushed_reports
+                .histories
+                .entry(name.clone())
+                .or_default(),
+            &mut self.pushed_reports.counters,
+        );
+        counts.received += 1;
+        match known.order.came(incarnation, report.number) {
+            Verdict::Newest { missing } => counts.missing += missing,
+            Verdict::Restarted => {
+                counts.restarted += 1;
+                known.last_counts.clear();
+            }
+            Verdict::Late => return counts.late += 1,
+            Verdict::Doubled => return counts.duplicate += 1,
+        }
+        let word = (report.word_us > 0).then(|| {
+            (
+                Time::from_micros(report.word_us),
+                Duration::from_micros(report.had_us.min(86_400_000_000)),
+            )
+        });
+        let mapped = known.clocks.came(now, report.sent_us, word);
+        if mapped.jumped {
+            counts.clock_jumps += 1;
+        }
+        let sent = mapped.sent();
+        let over = sent
+            .map_or(Duration::ZERO, |sent| sent - known.last_at)
+            .max(Duration::from_millis(100));
+        if let Some(odd) = odd(&report.body, known, over.seconds()) {
+            counts.rejected += 1;
+            counts.last_rejected = Some(format!("{name}: {odd}"));
+            return;
+        }
+        known.last_at = sent.unwrap_or(known.last_at);
+        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
+        let fresh = sent.is_some_and(|sent| now - sent < age::STALE);
+        if !fresh {
+            counts.stale += 1;
+        }
+        match role {
+            SenderIs::Host => {
+                if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
+                    let told = ReportedLoad {
+                        utilization: own.busy,
+                        queue_length: own.waiting,
+                        service_time_ms: own.service_ms,
+                        request_rate: own.rate,
+                        failure_rate: own.errored_rate,
+                    };
+                    self.loads
+                        .insert(HostId(name.as_str().into()), (sent, told));
+                }
+            }
+            SenderIs::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counted),
+        }
+    }
+
+    fn on_proxy_report(
+        &mut self,
+        name: &str,
+        sent: Option<Time>,
+        fresh: bool,
+        counted: Vec<Counted>,
+    ) {
+        let now = self.now;
+        let Some(peer) = self
+            .peers
+            .iter_mut()
+            .find(|peer| peer.name == name && peer.is_joined())
+        else {
+            return;
+        };
+        let (id, at) = (peer.id, sent.unwrap_or(now));
+        let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
+        let Some(look) = peer.session.counted(at, &rows) else {
+            return;
+        };
+        self.pushed_reports.silence.heard(now, id);
+        if fresh {
+            self.record_counters(id, look, at);
+        }
+    }
+
+    /// What a look at a proxy brought, by whichever way, as of then.
+    pub(crate) fn record_counters(&mut self, id: ProxyId, look: Look, at: Time) {
+        let now = self.now;
+        for &(kind, many) in &look.reqs {
+            self.controller
+                .record_arrivals(now, id, kind, many, look.over);
+            self.record_requests(id.0, kind, many, look.over);
+        }
+        if let Some(weigher) = &mut self.weight_planner {
+            weigher.record(&look);
+        }
+        self.outcomes
+            .record(id.0, &look, age::counts(now - at, look.over), at);
+        self.loads.extend(
+            look.loads
+                .into_iter()
+                .map(|(host, load)| (host, (at, ReportedLoad::from_host_load(&load)))),
+        );
+    }
+
+    /// Proxies whose counters come by pushes now; the others are asked.
+    pub(crate) fn pushes_reports(&self, id: ProxyId) -> bool {
+        self.pushed_reports.enabled
+            && self
+                .pushed_reports
+                .silence
+                .speaks(self.now, self.report_interval, id)
+    }
+
+    /// Hosts that are told of as not heard of through no fault of their own, with a line that says nothing.
+    pub(crate) fn unobservable_hosts(&self) -> BTreeMap<HostId, AttemptOutcomes> {
+        if !self.pushed_reports.enabled
+            || self
+                .pushed_reports
+                .silence
+                .silent(self.now, self.report_interval)
+                .is_empty()
+        {
+            return BTreeMap::new();
+        }
+        let meets = self
+            .peers
+            .iter()
+            .filter(|peer| peer.is_joined())
+            .map(|peer| {
+                let tables: BTreeSet<_> = peer.bindings.values().collect();
+                let assignments = tables
+                    .into_iter()
+                    .filter_map(|table| self.tables.by_id.get(table));
+                (
+                    peer.id,
+                    assignments
+                        .flat_map(|assignment| assignment.weights.keys().cloned())
+                        .collect::<BTreeSet<HostId>>(),
+                )
+            });
+        let meets = meets.collect();
+        let excused = self
+            .pushed_reports
+            .silence
+            .excused(self.now, self.report_interval, &meets);
+        let nothing = AttemptOutcomes {
+            period: self.report_interval,
+            ..AttemptOutcomes::default()
+        };
+        excused.into_iter().map(|host| (host, nothing)).collect()
+    }
+
+    /// Says what was odd since the last time, if anything was: once a round, however much came.
+    pub(crate) fn log_rejected_reports(&mut self) {
+        if let Some(error) = self.pushed_reports.counters.last_rejected.take() {
+            let refused = self.pushed_reports.counters.rejected;
+            self.log_event(Event::ReportRejected {
+                error,
+                rejected_total: refused,
+            });
+        }
+    }
+
+    /// A round is over: its lines go to the module, within the budget, each with how old it is.
+    pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
+        let (now, every) = (self.now, self.report_interval);
+        let stale = gathered
+            .iter()
+            .filter(|(_, of)| now - of.oldest_at >= age::STALE)
+            .count();
+        let mut gathered: Vec<(HostId, AggregatedOutcomes)> = gathered
+            .into_iter()
+            .filter(|(_, of)| now - of.oldest_at < age::STALE)
+            .collect();
+        let budget = self.max_outcomes_per_second.map_or(usize::MAX, |lines| {
+            (lines * every.seconds()).max(1.0) as usize
+        });
+        let mut kept = 0;
+        if gathered.len() > budget {
+            let candidates: Vec<Candidate> = gathered
+                .iter()
+                .map(|(host, of)| self.candidate(host, of))
+                .collect();
+            let chosen = self.selection.among(now, every, &candidates, budget);
+            let mut n = 0;
+            let told = |_: &mut (HostId, AggregatedOutcomes)| {
+                n += 1;
+                chosen.binary_search(&(n - 1)).is_err()
+            };
+            let rest: Vec<_> = gathered.extract_if(.., told).collect();
+            kept = rest.len();
+            let fades = age::faded(every);
+            for (host, of) in rest {
+                let outcomes = AttemptOutcomes {
+                    attempts: of.outcomes.attempts * fades,
+                    failures: of.outcomes.failures * fades,
+                    ..of.outcomes
+                };
+                let outcomes = AttemptOutcomes {
+                    period: outcomes.period + every,
+                    ..outcomes
+                };
+                self.outcomes
+                    .defer(host, AggregatedOutcomes { outcomes, ..of });
+            }
+        }
+        let oldest = gathered
+            .iter()
+            .map(|(_, of)| now - of.oldest_at)
+            .max()
+            .unwrap_or(Duration::ZERO);
+        let mut lines: BTreeMap<HostId, AttemptOutcomes> = gathered
+            .into_iter()
+            .map(|(host, of)| (host, of.outcomes))
+            .collect();
+        for (host, outcomes) in self
+            .self_reported_outcomes()
+            .into_iter()
+            .chain(self.unobservable_hosts())
+        {
+            lines.entry(host).or_insert(outcomes);
+        }
+        if !lines.is_empty() || kept > 0 {
+            let (hosts, oldest_us) = (lines.len(), oldest.micros());
+            self.outputs.push_back(Output::LoadReportsApplied {
+                hosts,
+                deferred: kept,
+                oldest_us,
+                dropped: stale,
+            });
+        }
+        let fresh = self
+            .load_interval
+            .unwrap_or(Duration::ZERO)
+            .max(every)
+            .scaled(MAX_LOAD_REPORT_PERIODS);
+        for (host, outcomes) in lines {
+            let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
+            let load = load.map(|(_, told)| told.host_load());
+            let outcomes = AttemptOutcomes { load, ..outcomes };
+            self.controller.record_outcomes(now, &host, outcomes);
+            self.outcomes_applied_at.insert(host.clone(), now);
+            self.last_outcomes.insert(host, outcomes);
+        }
+        self.record_observations(fresh);
+        self.log_rejected_reports();
+        let reports =
+            self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
+        if !self.memory.takes(Purpose::Reports, reports) {
+            let times = self
+                .pushed_reports
+                .drop_histories(reports - Purpose::Reports.cap());
+            self.memory.capped(Purpose::Reports, times);
+        }
+        let tables = self.tables.bytes()
+            + self
+                .peers
+                .iter()
+                .map(|peer| peer.session.bytes())
+                .sum::<u64>();
+        if !self.memory.takes(Purpose::Tables, tables) {
+            let used = self
+                .peers
+                .iter()
+                .flat_map(|peer| peer.bindings.values().copied())
+                .collect();
+            let times = self.tables.drop_unused(&used);
+            self.memory.capped(Purpose::Tables, times);
+        }
+    }
+
+    fn candidate(&self, host: &HostId, of: &AggregatedOutcomes) -> Candidate {
+        Candidate {
+            host: host.clone(),
+            told: self
+                .outcomes_applied_at
+                .get(host)
+                .copied()
+                .unwrap_or_default(),
+            tries: of.outcomes.attempts,
+            errored: of.outcomes.failures,
+            changing: self.endpoints.is_warming_up(host, self.now)
+                || self.endpoints.must_drain(host),
+        }
+    }
+}
--- a/crates/daemon-core/src/course.rs
+++ b/crates/daemon-core/src/state.rs
@@ -1,19 +1,19 @@
 //! The course of things: each input is noted, and the decision module told. What follows from its decisions stands
 //! in `follow`. The order within an input is always the same: note it, ask the module, bring proxies up to date.
 
-use crate::books::Books;
-use crate::channel::Channel;
+use crate::dns_state::{self, DnsState};
+use crate::endpoint_list::EndpointList;
 use crate::event::Event;
 use crate::input::{EventLogState, Input};
-use crate::list::HostList;
-use crate::names::{self, Names};
+use crate::outcome_aggregator::OutcomeAggregator;
 use crate::output::Output;
 use crate::peer::{Link, Peer};
-use crate::pushes::Pushes;
+use crate::pushed_reports::PushedReports;
 use crate::reported_load::ReportedLoad;
-use crate::round::Rounds;
-use crate::weigher::Weigher;
-use crate::zones::Zones;
+use crate::table_assignments::TableAssignments;
+use crate::update_queue::UpdateQueue;
+use crate::weight_planner::WeightPlanner;
+use crate::zone_map::ZoneMap;
 use pondarch_config::Site;
 use pondarch_config::site::{Links, Weights};
 use pondarch_controller::Controller;
@@ -26,60 +26,60 @@
 use std::time::Duration;
 
 /// Events that are kept for `show events`, the newest; and errors for `show errors`.
-const KEPT_MOST: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// Load reports older than this many of their periods are not passed on: the module weighs them as new.
-pub(crate) const LOAD_PERIODS: f64 = 3.0;
+pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
 /// Dials under way at one time: a fleet that comes back at once must not flood this machine's sockets.
-const DIALS_MOST: usize = 64;
+const MAX_CONCURRENT_DIALS: usize = 64;
 
-pub(crate) struct Course {
+pub(crate) struct DaemonState {
     pub(crate) name: String,
-    pub(crate) kinds: Vec<String>,
+    pub(crate) request_classes: Vec<String>,
     pub(crate) links: Links,
-    pub(crate) load_every: Option<Duration>,
-    pub(crate) report_every: Duration,
-    pub(crate) by_rate: bool,
+    pub(crate) load_interval: Option<Duration>,
+    pub(crate) report_interval: Duration,
+    pub(crate) admits_by_rate: bool,
     pub(crate) process: u32,
     pub(crate) started: Time,
     pub(crate) now: Time,
-    pub(crate) steward: Controller,
-    pub(crate) list: HostList,
-    pub(crate) zones: Zones,
+    pub(crate) controller: Controller,
+    pub(crate) endpoints: EndpointList,
+    pub(crate) zones: ZoneMap,
     /// None: listed weights are used as they are.
-    pub(crate) weigher: Option<Weigher>,
+    pub(crate) weight_planner: Option<WeightPlanner>,
     /// None: no DNS front.
-    pub(crate) names: Option<Names>,
-    pub(crate) books: Books,
+    pub(crate) dns: Option<DnsState>,
+    pub(crate) tables: TableAssignments,
     pub(crate) peers: Vec<Peer>,
-    pub(crate) channel: Channel,
-    pub(crate) rounds: Rounds,
-    pub(crate) chance: fastrand::Rng,
-    pub(crate) woken_at: Option<Time>,
+    pub(crate) update_queue: UpdateQueue,
+    pub(crate) outcomes: OutcomeAggregator,
+    pub(crate) random: fastrand::Rng,
+    pub(crate) timer_at: Option<Time>,
     pub(crate) loads: BTreeMap<HostId, (Time, ReportedLoad)>,
-    pub(crate) met: BTreeMap<HostId, AttemptOutcomes>,
-    pub(crate) load_at: Option<Time>,
+    pub(crate) last_outcomes: BTreeMap<HostId, AttemptOutcomes>,
+    pub(crate) next_load_read_at: Option<Time>,
     /// When a host's line went to the module last.
-    pub(crate) told_at: BTreeMap<HostId, Time>,
+    pub(crate) outcomes_applied_at: BTreeMap<HostId, Time>,
     /// Lines of hosts that the module is told in a second; none: all.
-    pub(crate) lines_per_second: Option<f64>,
-    pub(crate) choice: Choice,
-    pub(crate) pushes: Pushes,
-    pub(crate) account: Account,
+    pub(crate) max_outcomes_per_second: Option<f64>,
+    pub(crate) selection: Choice,
+    pub(crate) pushed_reports: PushedReports,
+    pub(crate) memory: Account,
     /// None: nothing is recorded.
-    pub(crate) records: Option<EventLogState>,
-    pub(crate) inputs: u64,
+    pub(crate) event_log: Option<EventLogState>,
+    pub(crate) input_count: u64,
     pub(crate) cause: String,
     pub(crate) events: VecDeque<(Time, Event)>,
     pub(crate) errors: VecDeque<(Time, String)>,
-    pub(crate) out: VecDeque<Output>,
+    pub(crate) outputs: VecDeque<Output>,
 }
 
-impl Course {
-    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the steward's own. The
+impl DaemonState {
+    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
     /// mark that joined proxies get tells this start of this steward from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
-    pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Course {
-        let ticket = site.ticket();
+    pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
+        let deployment = site.ticket();
         let mark = format!("{}:{epoch}", site.name);
         let front = Arc::new(front(site, &mark));
         let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
@@ -87,7 +87,7 @@
             Peer::new(n, p, zone(&p.zone), front.clone(), now)
         };
         let of = &site.channel;
-        let channel = Channel::new(
+        let channel = UpdateQueue::new(
             of.lines_per_second,
             of.lines_per_message,
             of.most_waiting,
@@ -100,67 +100,68 @@
             .as_ref()
             .and_then(|probes| probes.load_every)
             .map(|every| every.0);
-        Course {
+        DaemonState {
             name: site.name.clone(),
-            kinds: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
+            request_classes: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
             links: site.links.clone(),
-            load_every,
-            report_every: site.reports.every.0,
-            by_rate: ticket.admission == AdmissionMode::Rate,
+            load_interval: load_every,
+            report_interval: site.reports.every.0,
+            admits_by_rate: deployment.admission == AdmissionMode::Rate,
             process,
             started: now,
             now,
-            list: HostList::new(site.zones.clone(), ticket.slow_start_window),
-            zones: Zones::default(),
-            weigher: (site.weights == Weights::Solved).then(|| Weigher::new(site, now)),
-            names: Names::new(site),
-            books: Books::default(),
+            endpoints: EndpointList::new(site.zones.clone(), deployment.slow_start_window),
+            zones: ZoneMap::default(),
+            weight_planner: (site.weights == Weights::Solved)
+                .then(|| WeightPlanner::new(site, now)),
+            dns: DnsState::new(site),
+            tables: TableAssignments::default(),
             peers: site
                 .proxies
                 .iter()
-                .chain(&names::strangers(site))
+                .chain(&dns_state::unknown_proxies(site))
                 .enumerate()
                 .map(peer)
                 .collect(),
-            channel,
-            rounds: Rounds::new(site.reports.every.0, now),
-            chance: fastrand::Rng::with_seed(seed),
-            steward: Controller::new(ticket, seed, now),
-            woken_at: None,
+            update_queue: channel,
+            outcomes: OutcomeAggregator::new(site.reports.every.0, now),
+            random: fastrand::Rng::with_seed(seed),
+            controller: Controller::new(deployment, seed, now),
+            timer_at: None,
             loads: BTreeMap::new(),
-            met: BTreeMap::new(),
-            load_at: load_every.map(|every| now + every),
-            told_at: BTreeMap::new(),
-            lines_per_second: site.reports.lines_per_second,
-            choice: Choice::new(seed),
-            pushes: Pushes::new(site.reports.push.is_some()),
-            account: Account::default(),
-            records: None,
-            inputs: 0,
+            last_outcomes: BTreeMap::new(),
+            next_load_read_at: load_every.map(|every| now + every),
+            outcomes_applied_at: BTreeMap::new(),
+            max_outcomes_per_second: site.reports.lines_per_second,
+            selection: Choice::new(seed),
+            pushed_reports: PushedReports::new(site.reports.push.is_some()),
+            memory: Account::default(),
+            event_log: None,
+            input_count: 0,
             cause: String::new(),
             events: VecDeque::new(),
             errors: VecDeque::new(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
         }
     }
 
     pub(crate) fn next_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
     /// with each: it must not make the clock run in circles.
     pub(crate) fn wake_at(&self) -> Time {
-        let mut at = self.rounds.wake_at();
+        let mut at = self.outcomes.wake_at();
         let mut sooner = |other: Option<Time>| {
             at = other
                 .filter(|other| *other > self.now)
                 .map_or(at, |other| at.min(other));
         };
-        sooner(self.woken_at);
-        sooner(self.load_at);
-        sooner(self.names.as_ref().and_then(Names::wake_at));
-        sooner(self.weigher.as_ref().map(Weigher::wake_at));
+        sooner(self.timer_at);
+        sooner(self.next_load_read_at);
+        sooner(self.dns.as_ref().and_then(DnsState::wake_at));
+        sooner(self.weight_planner.as_ref().map(WeightPlanner::wake_at));
         for peer in &self.peers {
             sooner(
                 peer.silent_since
@@ -168,7 +169,7 @@
             );
             match peer.link {
                 Link::Down(dial_at) => sooner(Some(dial_at)),
-                Link::Joined if peer.dirty.is_some() => {
+                Link::Joined if peer.pending_update.is_some() => {
                     sooner(peer.blocked_until);
                     sooner(peer.session.next_due());
                 }
@@ -181,25 +182,25 @@
     // ---- Inputs ---------------------------------------------------------------------------------------
 
     /// Takes one input; a line of an operator is answered by `answer`, which is given the level and the line.
-    pub(crate) fn handle(
+    pub(crate) fn apply_input(
         &mut self,
         now: Time,
         input: Input,
-        answer: impl FnOnce(&mut Course, u8, &str) -> String,
+        answer: impl FnOnce(&mut DaemonState, u8, &str) -> String,
     ) {
         self.now = now.max(self.now);
-        self.inputs += 1;
-        self.cause = format!("#{} {}", self.inputs, self.named(&input));
+        self.input_count += 1;
+        self.cause = format!("#{} {}", self.input_count, self.describe_input(&input));
         match input {
             Input::TimerExpired => {}
-            Input::Recovered(known) => self.recovered(*known),
+            Input::Recovered(known) => self.recover(*known),
             Input::EventLog(state) => {
                 let EventLogState {
                     stopped_reason: stopped,
                     lost_inputs: lost,
                 } = state.clone();
-                self.records = Some(state);
-                self.tell(Event::EventLogChanged {
+                self.event_log = Some(state);
+                self.log_event(Event::EventLogChanged {
                     stopped_reason: stopped,
                     lost_inputs: lost,
                 });
@@ -207,84 +208,78 @@
             Input::EndpointList {
                 generation: version,
                 hosts,
-            } => match self.list.file_came(self.now, version, hosts) {
-                Ok(listings) => self.list_changed(listings),
-                Err(wrong) => self.list_refused(wrong),
+            } => match self.endpoints.apply_file(self.now, version, hosts) {
+                Ok(endpoints) => self.apply_endpoints(endpoints),
+                Err(error) => self.reject_endpoint_list(error),
             },
-            Input::EndpointListRejected { error: wrong } => {
-                self.list.refused = Some(wrong.clone());
-                self.list_refused(wrong);
+            Input::EndpointListRejected { error } => {
+                self.endpoints.rejected_reason = Some(error.clone());
+                self.reject_endpoint_list(error);
             }
-            Input::Connected {
-                proxy,
-                connection: conn,
-            } => self.connected(proxy, conn),
+            Input::Connected { proxy, connection } => self.on_connected(proxy, connection),
             Input::Answer {
                 proxy,
-                connection: conn,
+                connection,
                 text,
-            } => self.answered(proxy, conn, &text),
+            } => self.on_answer(proxy, connection, &text),
             Input::Disconnected {
                 proxy,
-                connection: conn,
-                reason: why,
+                connection,
+                reason,
             } => {
-                if self.peer(proxy, conn).is_some() {
-                    self.lost(proxy, &why);
+                if self.peer(proxy, connection).is_some() {
+                    self.on_disconnected(proxy, &reason);
                 }
             }
             Input::HealthCheckCompleted {
                 host,
                 for_load,
-                healthy: good,
+                healthy,
                 load,
-            } => self.probed(&host, for_load, good, load),
+            } => self.on_health_check(&host, for_load, healthy, load),
             Input::DnsQueried {
                 proxy,
                 table,
                 serial,
-            } => self.asked_by_name(proxy, table, serial),
+            } => self.on_dns_query(proxy, table, serial),
             Input::SecondaryObserved {
                 index: n,
                 observation: heard,
-            } => self.secondary_heard(n, heard),
+            } => self.on_secondary(n, heard),
             Input::SenderConnected {
-                connection: conn,
+                connection,
                 name,
-                role: is,
-                incarnation: run,
-            } => self.sender_came(conn, name, is, run),
-            Input::ReportReceived {
-                connection: conn,
-                report,
-            } => self.pushed(conn, *report),
-            Input::SenderDisconnected { connection: conn } => self.sender_left(conn),
+                role,
+                incarnation,
+            } => self.on_sender_connected(connection, name, role, incarnation),
+            Input::ReportReceived { connection, report } => self.on_report(connection, *report),
+            Input::SenderDisconnected { connection } => self.on_sender_disconnected(connection),
             Input::MemoryUsage {
                 queued_bytes: waiting,
                 event_log_bytes: records,
                 connection_bytes: connections,
                 rejected_connections: capped,
             } => {
-                self.account.takes(Purpose::Waiting, waiting);
-                self.account.takes(Purpose::Records, records);
-                self.account.takes(Purpose::Connections, connections);
-                self.account.capped(Purpose::Connections, capped);
+                self.memory.takes(Purpose::Waiting, waiting);
+                self.memory.takes(Purpose::Records, records);
+                self.memory.takes(Purpose::Connections, connections);
+                self.memory.capped(Purpose::Connections, capped);
             }
-            Input::Solved { number, plan } => self.solved(number, plan),
+            Input::Solved { number, plan } => self.on_plan(number, plan),
             Input::Command {
                 caller,
                 level,
                 line,
             } => {
                 let text = answer(self, level, &line);
-                self.out.push_back(Output::Reply { caller, text });
+                self.outputs.push_back(Output::Reply { caller, text });
             }
         }
-        self.timers();
-        self.settle();
+        self.run_timers();
+        self.follow_up();
     }
 
-    fn named(&self, input: &Input) -> String {
+    fn describe_input(&self, input: &Input) -> String {
         let proxy = |n: u16| {
             self.peers
                 .get(n as usize)
@@ -317,86 +312,90 @@
         }
     }
 
-    pub(crate) fn list_changed(&mut self, mut listings: Vec<Endpoint>) {
-        self.weigh_list();
-        for listing in &mut listings {
+    pub(crate) fn apply_endpoints(&mut self, mut endpoints: Vec<Endpoint>) {
+        self.plan_listed_weights();
+        for listing in &mut endpoints {
             listing.weight = self
-                .list
-                .handed
+                .endpoints
+                .planned_weights
                 .get(&listing.host)
                 .copied()
                 .unwrap_or(listing.weight);
         }
         let count = |wanted| {
-            self.list
-                .known
+            self.endpoints
+                .hosts
                 .values()
-                .filter(|k| k.standing == wanted)
+                .filter(|k| k.state == wanted)
                 .count()
         };
         use pondarch_controller::EndpointState::{Draining, Ready, Removed};
         let (open, draining, gone) = (count(Ready), count(Draining), count(Removed));
-        let version = self.list.version;
-        self.tell(Event::EndpointListApplied {
+        let version = self.endpoints.generation;
+        self.log_event(Event::EndpointListApplied {
             generation: version,
             ready: open,
             draining,
             removed: gone,
         });
-        self.steward
-            .apply_endpoint_list(self.now, version, true, listings);
-        self.touch_names();
-        self.find_echoes();
-        for table in self.books.readdress(&self.list) {
-            self.mark_table(table);
+        self.controller
+            .apply_endpoint_list(self.now, version, true, endpoints);
+        self.mark_dns_view_outdated();
+        self.update_exclusions();
+        for table in self.tables.refresh_addresses(&self.endpoints) {
+            self.require_table_update(table);
         }
         self.loads
-            .retain(|host, _| self.list.known.contains_key(host));
-        self.met
-            .retain(|host, _| self.list.known.contains_key(host));
-        self.told_at
-            .retain(|host, _| self.list.known.contains_key(host));
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
+        self.last_outcomes
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
+        self.outcomes_applied_at
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
     }
 
-    fn list_refused(&mut self, wrong: String) {
-        self.error(format!("hosts: {wrong}"));
-        self.tell(Event::EndpointListRejected { error: wrong });
+    fn reject_endpoint_list(&mut self, error: String) {
+        self.log_error(format!("hosts: {error}"));
+        self.log_event(Event::EndpointListRejected { error });
     }
 
     /// The peer, if this is still its connection: what comes late for an older one says nothing any more.
-    fn peer(&mut self, proxy: u16, conn: u64) -> Option<&mut Peer> {
-        let current = |peer: &&mut Peer| peer.conn == conn && !matches!(peer.link, Link::Down(_));
+    fn peer(&mut self, proxy: u16, connection: u64) -> Option<&mut Peer> {
+        let current =
+            |peer: &&mut Peer| peer.connection == connection && !matches!(peer.link, Link::Down(_));
         self.peers.get_mut(proxy as usize).filter(current)
     }
 
-    fn connected(&mut self, proxy: u16, conn: u64) {
+    fn on_connected(&mut self, proxy: u16, connection: u64) {
         let now = self.now;
-        if let Some(peer) = self.peer(proxy, conn) {
-            peer.link = Link::Looking;
+        if let Some(peer) = self.peer(proxy, connection) {
+            peer.link = Link::ReadingState;
             peer.silent_since = Some(now);
             let lines = peer.session.begin();
-            self.out.push_back(Output::Write {
+            self.outputs.push_back(Output::Write {
                 proxy,
-                connection: conn,
+                connection,
                 lines,
             });
         }
     }
 
-    fn answered(&mut self, proxy: u16, conn: u64, text: &str) {
+    fn on_answer(&mut self, proxy: u16, connection: u64, text: &str) {
         let now = self.now;
-        let Some(peer) = self.peer(proxy, conn).filter(|peer| peer.is_connected()) else {
+        let Some(peer) = self
+            .peer(proxy, connection)
+            .filter(|peer| peer.is_connected())
+        else {
             return;
         };
         let (told, lines) = match peer.session.answered(now, text) {
             Ok(result) => result,
-            Err(wrong) => return self.hang_up(proxy, &wrong.to_string()),
+            Err(error) => return self.hang_up(proxy, &error.to_string()),
         };
         peer.silent_since = (!peer.session.is_quiet() || !lines.is_empty()).then_some(now);
         if !lines.is_empty() {
-            self.out.push_back(Output::Write {
+            self.outputs.push_back(Output::Write {
                 proxy,
-                connection: conn,
+                connection,
                 lines,
             });
         }
@@ -404,87 +403,92 @@
             None => {}
             Some(Told::Learned { fresh }) => {
                 let peer = &mut self.peers[proxy as usize];
-                if peer.link == Link::Looking {
-                    peer.link = Link::Known { fresh };
+                if peer.link == Link::ReadingState {
+                    peer.link = Link::Waiting { fresh };
                 } else {
                     // It looked again after a refusal: what is still different is due.
-                    peer.mark_dirty(now, &self.cause);
+                    peer.require_update(now, &self.cause);
                 }
             }
-            Some(Told::Applied { took, refused }) => self.applied(proxy, took, refused),
+            Some(Told::Applied { took, refused }) => self.on_acknowledged(proxy, took, refused),
             Some(Told::Sums(look)) => {
                 let id = self.peers[proxy as usize].id;
-                self.looked(id, look, now);
+                self.record_counters(id, look, now);
             }
         }
     }
 
-    fn applied(&mut self, proxy: u16, took: Duration, refused: Vec<String>) {
+    fn on_acknowledged(&mut self, proxy: u16, took: Duration, refused: Vec<String>) {
         let (now, cause) = (self.now, self.cause.clone());
         let peer = &mut self.peers[proxy as usize];
-        self.channel.cleared(std::mem::take(&mut peer.in_flight));
-        peer.failures = 0;
-        peer.refused += refused.len() as u64;
+        self.update_queue
+            .record_acknowledged(std::mem::take(&mut peer.in_flight));
+        peer.failed_dials = 0;
+        peer.commands_rejected += refused.len() as u64;
         // There may be a second part that waited for this one.
-        peer.mark_dirty(now, &cause);
+        peer.require_update(now, &cause);
         peer.blocked_until = None;
         let name = peer.name.clone();
-        for wrong in refused {
-            self.error(format!("{name}: refused: {wrong}"));
-            self.tell(Event::UpdateRejected {
+        for error in refused {
+            self.log_error(format!("{name}: refused: {error}"));
+            self.log_event(Event::UpdateRejected {
                 proxy: name.clone(),
-                error: wrong,
+                error,
             });
         }
-        self.tell(Event::UpdateAcknowledged {
+        self.log_event(Event::UpdateAcknowledged {
             proxy: name,
             took_us: took.micros(),
         });
     }
 
-    fn hang_up(&mut self, proxy: u16, why: &str) {
-        let conn = self.peers[proxy as usize].conn;
-        self.out.push_back(Output::HangUp {
-            proxy,
-            connection: conn,
-        });
-        self.lost(proxy, why);
+    fn hang_up(&mut self, proxy: u16, reason: &str) {
+        let connection = self.peers[proxy as usize].connection;
+        self.outputs.push_back(Output::HangUp { proxy, connection });
+        self.on_disconnected(proxy, reason);
     }
 
-    fn lost(&mut self, proxy: u16, why: &str) {
+    fn on_disconnected(&mut self, proxy: u16, reason: &str) {
         let peer = &mut self.peers[proxy as usize];
         let (joined, dialled) = (peer.is_joined(), peer.is_connected());
-        self.channel.cleared(std::mem::take(&mut peer.in_flight));
-        peer.lost(self.now, &self.links, &mut self.chance);
-        let (id, name, again) = (peer.id, peer.name.clone(), peer.failures > 1);
-        self.rounds.lost(proxy);
-        self.pushes.silence.left(id);
+        self.update_queue
+            .record_acknowledged(std::mem::take(&mut peer.in_flight));
+        peer.on_disconnected(self.now, &self.links, &mut self.random);
+        let (id, name, again) = (peer.id, peer.name.clone(), peer.failed_dials > 1);
+        self.outcomes.proxy_lost(proxy);
+        self.pushed_reports.silence.left(id);
         if joined {
-            if let Some(weigher) = &mut self.weigher {
+            if let Some(weigher) = &mut self.weight_planner {
                 weigher.estimates().left(id);
             }
-            self.steward.proxy_left(self.now, id);
+            self.controller.proxy_left(self.now, id);
         }
         // A proxy that is simply not there is told of once, not at every dial.
         if dialled || !again {
-            self.error(format!("{name}: {why}"));
-            self.tell(Event::ProxyLeft {
+            self.log_error(format!("{name}: {reason}"));
+            self.log_event(Event::ProxyLeft {
                 proxy: name,
-                reason: why.to_string(),
+                reason: reason.to_string(),
             });
         }
     }
 
-    fn probed(&mut self, host: &str, for_load: bool, good: bool, load: Option<ReportedLoad>) {
+    fn on_health_check(
+        &mut self,
+        host: &str,
+        for_load: bool,
+        healthy: bool,
+        load: Option<ReportedLoad>,
+    ) {
         let host = HostId(host.into());
         if let Some(load) = load {
             self.loads.insert(host.clone(), (self.now, load));
         }
         if !for_load {
-            self.steward.on_health_check_result(
+            self.controller.on_health_check_result(
                 self.now,
                 &host,
-                good,
+                healthy,
                 load.map(|told| told.host_load()),
             );
         }
@@ -492,39 +496,43 @@
 
     // ---- Time -----------------------------------------------------------------------------------------
 
-    fn timers(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.now;
-        if self.woken_at.take_if(|at| *at <= now).is_some() {
-            self.steward.on_timer(now);
+        if self.timer_at.take_if(|at| *at <= now).is_some() {
+            self.controller.on_timer(now);
         }
-        if self.rounds.due(now) {
-            let speak: Vec<bool> = self.peers.iter().map(|peer| self.speaks(peer.id)).collect();
+        if self.outcomes.begin_if_due(now) {
+            let speak: Vec<bool> = self
+                .peers
+                .iter()
+                .map(|peer| self.pushes_reports(peer.id))
+                .collect();
             let asked = |(peer, speaks): &(&mut Peer, bool)| peer.is_joined() && !speaks;
             for (peer, _) in self.peers.iter_mut().zip(speak).filter(asked) {
                 let Some(line) = peer.session.read_stat() else {
                     continue;
                 };
                 peer.silent_since = Some(now);
-                self.rounds.asked(peer.id.0);
-                let (proxy, conn) = (peer.id.0, peer.conn);
-                self.out.push_back(Output::Write {
+                self.outcomes.request_sent(peer.id.0);
+                let (proxy, connection) = (peer.id.0, peer.connection);
+                self.outputs.push_back(Output::Write {
                     proxy,
-                    connection: conn,
+                    connection,
                     lines: vec![line],
                 });
             }
         }
-        if let Some(gathered) = self.rounds.closed(now) {
-            self.tell_round(gathered);
+        if let Some(gathered) = self.outcomes.take_closed(now) {
+            self.apply_outcomes(gathered);
         }
-        if let Some(every) = self.load_every
-            && self.load_at.is_some_and(|at| at <= now)
+        if let Some(every) = self.load_interval
+            && self.next_load_read_at.is_some_and(|at| at <= now)
         {
-            self.load_at = Some(now + every);
-            for (host, known) in &self.list.known {
-                if known.standing == pondarch_controller::EndpointState::Ready {
+            self.next_load_read_at = Some(now + every);
+            for (host, known) in &self.endpoints.hosts {
+                if known.state == pondarch_controller::EndpointState::Ready {
                     let (host, addr) = (host.0.to_string(), known.entry.address);
-                    self.out.push_back(Output::CheckHealth {
+                    self.outputs.push_back(Output::CheckHealth {
                         host,
                         address: addr,
                         for_load: true,
@@ -532,8 +540,8 @@
                 }
             }
         }
-        self.weigh();
-        self.names_timers();
+        self.request_plan();
+        self.run_dns_timers();
         let limit = self.links.answer_limit.0;
         let silent = |peer: &Peer| peer.silent_since.is_some_and(|since| now - since >= limit);
         let silent: Vec<u16> = self
@@ -551,28 +559,28 @@
             .filter(|peer| peer.link == Link::Dialling)
             .count();
         for peer in &mut self.peers {
-            if matches!(peer.link, Link::Down(at) if at <= now) && dialling < DIALS_MOST {
+            if matches!(peer.link, Link::Down(at) if at <= now) && dialling < MAX_CONCURRENT_DIALS {
                 dialling += 1;
-                peer.conn += 1;
+                peer.connection += 1;
                 peer.link = Link::Dialling;
-                self.out.push_back(Output::Dial {
+                self.outputs.push_back(Output::Dial {
                     proxy: peer.id.0,
-                    connection: peer.conn,
+                    connection: peer.connection,
                 });
             }
         }
     }
 
-    pub(crate) fn tell(&mut self, event: Event) {
-        if self.events.len() == KEPT_MOST {
+    pub(crate) fn log_event(&mut self, event: Event) {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back((self.now, event.clone()));
-        self.out.push_back(Output::Event(event));
+        self.outputs.push_back(Output::Event(event));
     }
 
-    fn error(&mut self, text: String) {
-        if self.errors.len() == KEPT_MOST {
+    fn log_error(&mut self, text: String) {
+        if self.errors.len() == MAX_EVENTS {
             self.errors.pop_front();
         }
         self.errors.push_back((self.now, text));
--- a/crates/daemon-core/src/books.rs
+++ b/crates/daemon-core/src/table_assignments.rs
@@ -1,6 +1,6 @@
 //! The tables as the module deals them, and as proxies are to hold them.
 
-use crate::list::HostList;
+use crate::endpoint_list::EndpointList;
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, TableId, Time};
 use pondarch_proxy_session::units::{Share, units};
 use pondarch_proxy_session::{Lines, WantedLine, table};
@@ -9,53 +9,55 @@
 
 /// One table.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
-    pub(crate) dealt: BTreeMap<HostId, f64>,
-    pub(crate) levels: BTreeMap<RequestClassId, (f64, RetryPolicy)>,
+pub(crate) struct TableAssignment {
+    pub(crate) weights: BTreeMap<HostId, f64>,
+    pub(crate) admission: BTreeMap<RequestClassId, (f64, RetryPolicy)>,
     /// As proxies are to hold it; none: to be made anew.
     lines: Option<Arc<Lines>>,
-    held_back: Vec<HostId>,
+    too_small: Vec<HostId>,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Books {
-    pub(crate) books: BTreeMap<TableId, Book>,
+pub(crate) struct TableAssignments {
+    pub(crate) by_id: BTreeMap<TableId, TableAssignment>,
     /// Hosts that no proxy is to be told of for now, as long as their tables have others.
-    kept_out: BTreeSet<HostId>,
+    excluded: BTreeSet<HostId>,
 }
 
-impl Books {
-    pub(crate) fn deal(&mut self, table: TableId, host: HostId, weight: Option<f64>) {
-        let book = self.books.entry(table).or_default();
+impl TableAssignments {
+    pub(crate) fn set_weight(&mut self, table: TableId, host: HostId, weight: Option<f64>) {
+        let assignment = self.by_id.entry(table).or_default();
         match weight {
-            Some(weight) => drop(book.dealt.insert(host, weight)),
-            None => drop(book.dealt.remove(&host)),
+            Some(weight) => drop(assignment.weights.insert(host, weight)),
+            None => drop(assignment.weights.remove(&host)),
         }
-        book.lines = None;
+        assignment.lines = None;
     }
 
-    pub(crate) fn level(
+    pub(crate) fn set_admission(
         &mut self,
         table: TableId,
         kind: RequestClassId,
         quota: f64,
         tries: RetryPolicy,
     ) {
-        self.books
+        self.by_id
             .entry(table)
             .or_default()
-            .levels
+            .admission
             .insert(kind, (quota, tries));
     }
 
     /// Addresses may have changed: tables that hold one of these hosts are made anew. Gives those tables.
-    pub(crate) fn readdress(&mut self, list: &HostList) -> Vec<TableId> {
+    pub(crate) fn refresh_addresses(&mut self, list: &EndpointList) -> Vec<TableId> {
         let mut changed = Vec::new();
-        for (id, book) in &mut self.books {
-            let Some(lines) = &book.lines else { continue };
+        for (id, assignment) in &mut self.by_id {
+            let Some(lines) = &assignment.lines else {
+                continue;
+            };
             let same = |(host, line): (&HostId, &WantedLine)| list.address(host) == Some(line.addr);
             if !lines.iter().all(same) {
-                book.lines = None;
+                assignment.lines = None;
                 changed.push(*id);
             }
         }
@@ -63,32 +65,34 @@
     }
 
     /// These hosts are kept out from now on; gives the tables that hold one of those that `changed`.
-    pub(crate) fn keep_out(
+    pub(crate) fn exclude(
         &mut self,
         hosts: BTreeSet<HostId>,
         changed: &BTreeSet<&HostId>,
     ) -> Vec<TableId> {
-        self.kept_out = hosts;
-        let holds = |(_, book): &(&TableId, &mut Book)| {
-            changed.iter().any(|host| book.dealt.contains_key(*host))
+        self.excluded = hosts;
+        let holds = |(_, assignment): &(&TableId, &mut TableAssignment)| {
+            changed
+                .iter()
+                .any(|host| assignment.weights.contains_key(*host))
         };
-        let of = self.books.iter_mut().filter(holds);
-        of.map(|(table, book)| {
-            book.lines = None;
+        let of = self.by_id.iter_mut().filter(holds);
+        of.map(|(table, assignment)| {
+            assignment.lines = None;
             *table
         })
         .collect()
     }
 
     /// A table as proxies are to hold it.
-    pub(crate) fn lines(&mut self, table: TableId, list: &HostList, now: Time) -> Arc<Lines> {
-        let book = self.books.entry(table).or_default();
-        if let Some(lines) = &book.lines {
+    pub(crate) fn lines(&mut self, table: TableId, list: &EndpointList, now: Time) -> Arc<Lines> {
+        let assignment = self.by_id.entry(table).or_default();
+        if let Some(lines) = &assignment.lines {
             return lines.clone();
         }
-        let kept_out = &self.kept_out;
-        let others = book
-            .dealt
+        let kept_out = &self.excluded;
+        let others = assignment
+            .weights
             .keys()
             .any(|host| !kept_out.contains(host) && list.address(host).is_some());
         let share = |(host, &weight): (&HostId, &f64)| {
@@ -99,44 +103,44 @@
             };
             Share {
                 weight,
-                cold: list.is_cold(host, now),
+                cold: list.is_warming_up(host, now),
             }
         };
-        let shares: Vec<Share> = book.dealt.iter().map(share).collect();
+        let shares: Vec<Share> = assignment.weights.iter().map(share).collect();
         let mut lines = Lines::new();
-        book.held_back.clear();
-        for (host, units) in book.dealt.keys().zip(units(&shares)) {
+        assignment.too_small.clear();
+        for (host, units) in assignment.weights.keys().zip(units(&shares)) {
             match (list.address(host), units) {
                 (Some(addr), Some(units)) => {
                     lines.insert(host.clone(), WantedLine { addr, units });
                 }
-                (_, None) => book.held_back.push(host.clone()),
+                (_, None) => assignment.too_small.push(host.clone()),
                 // A host the list no longer knows at all cannot be reached by anybody.
                 (None, _) => {}
             }
         }
         let lines = Arc::new(lines);
-        book.lines = Some(lines.clone());
+        assignment.lines = Some(lines.clone());
         lines
     }
 
     /// Cold hosts of a table that cannot be told, and could be before its last change.
-    pub(crate) fn newly_held_back(
+    pub(crate) fn newly_too_small(
         &mut self,
         table: TableId,
-        list: &HostList,
+        list: &EndpointList,
         now: Time,
     ) -> Vec<HostId> {
         let before = self
-            .books
+            .by_id
             .get(&table)
-            .map(|book| book.held_back.clone())
+            .map(|assignment| assignment.too_small.clone())
             .unwrap_or_default();
         self.lines(table, list, now);
         let held = self
-            .books
+            .by_id
             .get(&table)
-            .map(|book| book.held_back.as_slice())
+            .map(|assignment| assignment.too_small.as_slice())
             .unwrap_or_default();
         held.iter()
             .filter(|host| !before.contains(host))
@@ -146,32 +150,34 @@
 
     /// What all tables take, in bytes, roughly: as dealt, and as proxies are to hold them.
     pub(crate) fn bytes(&self) -> u64 {
-        let ready = |book: &Book| {
-            book.lines
+        let ready = |assignment: &TableAssignment| {
+            assignment
+                .lines
                 .as_ref()
                 .map_or(0, |lines| lines.len() as u64 * 100)
         };
-        self.books
+        self.by_id
             .values()
-            .map(|book| 200 + book.dealt.len() as u64 * 100 + ready(book))
+            .map(|assignment| 200 + assignment.weights.len() as u64 * 100 + ready(assignment))
             .sum()
     }
 
     /// Gives up what is kept ready of tables that no proxy uses; gives of how many.
-    pub(crate) fn shed(&mut self, used: &BTreeSet<TableId>) -> u64 {
-        let idle =
-            |(table, book): &(&TableId, &mut Book)| !used.contains(table) && book.lines.is_some();
-        let idle = self.books.iter_mut().filter(idle);
-        idle.map(|(_, book)| book.lines = None).count() as u64
+    pub(crate) fn drop_unused(&mut self, used: &BTreeSet<TableId>) -> u64 {
+        let idle = |(table, assignment): &(&TableId, &mut TableAssignment)| {
+            !used.contains(table) && assignment.lines.is_some()
+        };
+        let idle = self.by_id.iter_mut().filter(idle);
+        idle.map(|(_, assignment)| assignment.lines = None).count() as u64
     }
 
-    pub(crate) fn levels(
+    pub(crate) fn admission(
         &self,
         table: TableId,
         kind: RequestClassId,
         by_rate: bool,
     ) -> Option<(String, &'static str)> {
-        let (quota, tries) = self.books.get(&table)?.levels.get(&kind)?;
+        let (quota, tries) = self.by_id.get(&table)?.admission.get(&kind)?;
         Some((
             table::level_word(*quota, by_rate),
             table::tries_word(*tries),
--- a/crates/daemon-core/src/channel.rs
+++ b/crates/daemon-core/src/update_queue.rs
@@ -10,18 +10,18 @@
 /// Messages of the cap that are kept for drains.
 const DRAIN_RESERVE: usize = 2;
 /// Parts of the lines that may wait which ordinary orders and joins may fill: room is left for drains.
-const ORDINARY_PART: f64 = 0.5;
-const JOIN_PART: f64 = 0.75;
+const MAX_ORDINARY_FRACTION: f64 = 0.5;
+const MAX_JOIN_FRACTION: f64 = 0.75;
 /// Duration whose lines may be sent at one time after a pause.
 const BURST: Duration = Duration::from_millis(100);
 
 /// The channel of one steward; figures in commands ("lines"), as the proxies count them.
 #[derive(Debug)]
-pub(crate) struct Channel {
-    rate: f64,
-    head: f64,
-    most_waiting: f64,
-    cap: usize,
+pub(crate) struct UpdateQueue {
+    lines_per_second: f64,
+    message_overhead: f64,
+    max_waiting: f64,
+    max_messages: usize,
     window: Duration,
     /// Lines that may go now; under 0 after a large message.
     credit: f64,
@@ -32,19 +32,19 @@
 
 /// The messages written to one proxy within the window.
 #[derive(Debug, Default)]
-pub(crate) struct Mail(VecDeque<Time>);
+pub(crate) struct SentMessages(VecDeque<Time>);
 
 /// Whether a message may be written now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Room {
-    Now,
+pub(crate) enum QueueCapacity {
+    Available,
     /// The cap or the pace: not before this time.
-    At(Time, &'static str),
+    AvailableAt(Time, &'static str),
     /// Too much is unanswered: as soon as answers come.
-    AfterAnswers,
+    AvailableAfterReplies,
 }
 
-impl Channel {
+impl UpdateQueue {
     pub(crate) fn new(
         rate: f64,
         head: f64,
@@ -52,13 +52,13 @@
         cap: u64,
         window: Duration,
         now: Time,
-    ) -> Channel {
+    ) -> UpdateQueue {
         let cap = if cap == 0 { usize::MAX } else { cap as usize };
-        Channel {
-            rate,
-            head,
-            most_waiting,
-            cap,
+        UpdateQueue {
+            lines_per_second: rate,
+            message_overhead: head,
+            max_waiting: most_waiting,
+            max_messages: cap,
             window,
             credit: 0.0,
             credit_at: now,
@@ -71,63 +71,69 @@
     }
 
     /// How many joins of this many lines may be answered beside those that wait already.
-    pub(crate) fn joins(&self, lines: f64, pending: usize) -> usize {
-        let free = self.most_waiting * JOIN_PART - self.in_flight;
-        let fit = (free / (lines + self.head)).max(0.0) as usize;
+    pub(crate) fn possible_joins(&self, lines: f64, pending: usize) -> usize {
+        let free = self.max_waiting * MAX_JOIN_FRACTION - self.in_flight;
+        let fit = (free / (lines + self.message_overhead)).max(0.0) as usize;
         // One at a time always may, or a large table would keep all out.
         fit.saturating_sub(pending)
             .max(usize::from(pending == 0 && self.in_flight == 0.0))
     }
 
-    pub(crate) fn room(
+    pub(crate) fn capacity(
         &mut self,
         now: Time,
-        mail: &mut Mail,
+        sent_messages: &mut SentMessages,
         lines: usize,
         urgency: Urgency,
-    ) -> Room {
-        mail.0.retain(|&at| now - at <= self.window);
+    ) -> QueueCapacity {
+        sent_messages.0.retain(|&at| now - at <= self.window);
         let cap = if urgency == Urgency::Drain {
-            self.cap
+            self.max_messages
         } else {
-            self.cap.saturating_sub(DRAIN_RESERVE)
+            self.max_messages.saturating_sub(DRAIN_RESERVE)
         };
-        if mail.0.len() >= cap {
-            let frees = mail.0[mail.0.len() - cap];
-            return Room::At(
+        if sent_messages.0.len() >= cap {
+            let frees = sent_messages.0[sent_messages.0.len() - cap];
+            return QueueCapacity::AvailableAt(
                 frees + self.window + Duration::from_millis(1),
                 "message cap",
             );
         }
         let part = match urgency {
-            Urgency::Ordinary => ORDINARY_PART,
-            Urgency::Join => JOIN_PART,
+            Urgency::Ordinary => MAX_ORDINARY_FRACTION,
+            Urgency::Join => MAX_JOIN_FRACTION,
             Urgency::Drain => 1.0,
         };
-        let all = self.in_flight + lines as f64 + self.head;
-        if all > self.most_waiting * part && self.in_flight > 0.0 {
-            return Room::AfterAnswers;
+        let all = self.in_flight + lines as f64 + self.message_overhead;
+        if all > self.max_waiting * part && self.in_flight > 0.0 {
+            return QueueCapacity::AvailableAfterReplies;
         }
-        self.credit = (self.credit + (now - self.credit_at).seconds() * self.rate)
-            .min(self.rate * BURST.seconds());
+        self.credit = (self.credit + (now - self.credit_at).seconds() * self.lines_per_second)
+            .min(self.lines_per_second * BURST.seconds());
         self.credit_at = now;
         if self.credit < 0.0 {
-            let wait = Duration::from_micros((-self.credit / self.rate * 1e6) as u64 + 1);
-            return Room::At(now + wait, "pace");
+            let wait =
+                Duration::from_micros((-self.credit / self.lines_per_second * 1e6) as u64 + 1);
+            return QueueCapacity::AvailableAt(now + wait, "pace");
         }
-        Room::Now
+        QueueCapacity::Available
     }
 
-    pub(crate) fn wrote(&mut self, now: Time, mail: &mut Mail, lines: usize) -> f64 {
-        mail.0.push_back(now);
-        let cost = lines as f64 + self.head;
+    pub(crate) fn record_sent(
+        &mut self,
+        now: Time,
+        sent_messages: &mut SentMessages,
+        lines: usize,
+    ) -> f64 {
+        sent_messages.0.push_back(now);
+        let cost = lines as f64 + self.message_overhead;
         self.credit -= cost;
         self.in_flight += cost;
         cost
     }
 
     /// A message is answered, or its proxy is lost.
-    pub(crate) fn cleared(&mut self, cost: f64) {
+    pub(crate) fn record_acknowledged(&mut self, cost: f64) {
         self.in_flight = (self.in_flight - cost).max(0.0);
     }
 }
@@ -145,24 +151,24 @@
         /// Whatever comes, neither budget is passed, and a drain finds room once answers are in.
         #[test]
         fn budgets_hold(steps in prop::collection::vec((0..400u64, 0..3usize, 1..60usize, 0..3u8, any::<bool>()), 1..300)) {
-            let mut channel = Channel::new(500.0, 3.0, 300.0, 12, Duration::from_millis(10_000), at(0));
-            let mut mails = [Mail::default(), Mail::default(), Mail::default()];
+            let mut channel = UpdateQueue::new(500.0, 3.0, 300.0, 12, Duration::from_millis(10_000), at(0));
+            let mut sent_messages = [SentMessages::default(), SentMessages::default(), SentMessages::default()];
             let mut written: Vec<Vec<u64>> = vec![Vec::new(); 3];
             let mut open: Vec<f64> = Vec::new();
             let mut now = 0;
             for (wait, to, lines, urgency, answer) in steps {
                 now += wait;
                 if answer {
-                    open.drain(..).for_each(|cost| channel.cleared(cost));
+                    open.drain(..).for_each(|cost| channel.record_acknowledged(cost));
                 }
                 let urgency = [Urgency::Ordinary, Urgency::Join, Urgency::Drain][urgency as usize];
-                match channel.room(at(now), &mut mails[to], lines, urgency) {
-                    Room::Now => {
-                        open.push(channel.wrote(at(now), &mut mails[to], lines));
+                match channel.capacity(at(now), &mut sent_messages[to], lines, urgency) {
+                    QueueCapacity::Available => {
+                        open.push(channel.record_sent(at(now), &mut sent_messages[to], lines));
                         written[to].push(now);
                     }
-                    Room::At(when, _) => prop_assert!(when > at(now)),
-                    Room::AfterAnswers => prop_assert!(!open.is_empty()),
+                    QueueCapacity::AvailableAt(when, _) => prop_assert!(when > at(now)),
+                    QueueCapacity::AvailableAfterReplies => prop_assert!(!open.is_empty()),
                 }
                 let lately = written[to].iter().filter(|&&w| now - w <= 10_000).count();
                 prop_assert!(lately <= 12);
@@ -173,19 +179,22 @@
 
     #[test]
     fn drains_keep_their_reserve() {
-        let mut channel = Channel::new(1e6, 3.0, 1e6, 6, Duration::from_millis(10_000), at(0));
-        let mut mail = Mail::default();
+        let mut channel = UpdateQueue::new(1e6, 3.0, 1e6, 6, Duration::from_millis(10_000), at(0));
+        let mut sent_messages = SentMessages::default();
         for n in 0..4 {
             assert_eq!(
-                channel.room(at(n), &mut mail, 1, Urgency::Ordinary),
-                Room::Now
+                channel.capacity(at(n), &mut sent_messages, 1, Urgency::Ordinary),
+                QueueCapacity::Available
             );
-            channel.wrote(at(n), &mut mail, 1);
+            channel.record_sent(at(n), &mut sent_messages, 1);
         }
         assert!(matches!(
-            channel.room(at(9), &mut mail, 1, Urgency::Ordinary),
-            Room::At(..)
+            channel.capacity(at(9), &mut sent_messages, 1, Urgency::Ordinary),
+            QueueCapacity::AvailableAt(..)
         ));
-        assert_eq!(channel.room(at(9), &mut mail, 1, Urgency::Drain), Room::Now);
+        assert_eq!(
+            channel.capacity(at(9), &mut sent_messages, 1, Urgency::Drain),
+            QueueCapacity::Available
+        );
     }
 }
--- a/crates/daemon-core/src/weighing.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -1,113 +1,117 @@
 //! Weights that a solver sets, in the course of things: what is seen goes to it, and what it answers to the module.
 
-use crate::course::Course;
 use crate::event::Event;
 use crate::output::Output;
+use crate::state::DaemonState;
 use pondarch_controller::{HostId, RequestClassId};
 use pondarch_weight_solver::{Plan, Problem};
 use std::time::Duration;
 
-impl Course {
+impl DaemonState {
     /// Weights for a list that has just come; the listed ones where nobody solves.
-    pub(crate) fn weigh_list(&mut self) {
-        let (now, list) = (self.now, &mut self.list);
-        let Some(weigher) = &mut self.weigher else {
+    pub(crate) fn plan_listed_weights(&mut self) {
+        let (now, list) = (self.now, &mut self.endpoints);
+        let Some(weigher) = &mut self.weight_planner else {
             return;
         };
-        let listed = weigher.listed(now, list);
+        let listed = weigher.planner_hosts(now, list);
         let before = std::mem::take(&mut weigher.started);
         weigher.started = list
-            .known
+            .hosts
             .iter()
             .map(|(host, known)| (host.clone(), known.started))
             .collect();
         let anew = |host: &HostId| before.get(host) != weigher.started.get(host);
         weigher.planner.list_came(&listed, anew);
-        list.handed = weigher.planner.handed(now, &listed);
+        list.planned_weights = weigher.planner.handed(now, &listed);
     }
 
-    pub(crate) fn round_closed(&mut self, fresh: Duration) {
+    pub(crate) fn record_observations(&mut self, fresh: Duration) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else {
+        let Some(weigher) = &mut self.weight_planner else {
             return;
         };
         let loads = &self.loads;
-        weigher.closed(now, &self.list, |host| {
+        weigher.interval_closed(now, &self.endpoints, |host| {
             let (at, load) = loads.get(host)?;
             (now - *at <= fresh).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
         });
     }
 
     /// Asks for a plan when it is time, and gives up one that is late.
-    pub(crate) fn weigh(&mut self) {
+    pub(crate) fn request_plan(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else {
+        let Some(weigher) = &mut self.weight_planner else {
             return;
         };
         if now < weigher.wake_at() {
             return;
         }
         let late = weigher.planner.gave_up(now);
-        let listed = weigher.listed(now, &self.list);
+        let listed = weigher.planner_hosts(now, &self.endpoints);
         let problem = weigher.planner.due(now, &listed);
         if late {
-            self.tell(Event::PlanFailed {
+            self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
             });
         }
         match problem {
-            Some(Problem { number, fleet }) => self.out.push_back(Output::Solve { number, fleet }),
+            Some(Problem { number, fleet }) => {
+                self.outputs.push_back(Output::Solve { number, fleet })
+            }
             // Without answers, weights go back in time; with one, the step is taken when it comes.
-            None => self.take_step(),
+            None => self.apply_plan_step(),
         }
     }
 
-    pub(crate) fn solved(&mut self, number: u64, answer: Result<Plan, String>) {
+    pub(crate) fn on_plan(&mut self, number: u64, answer: Result<Plan, String>) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else {
+        let Some(weigher) = &mut self.weight_planner else {
             return;
         };
         let failed = answer.as_ref().err().cloned();
         weigher.planner.answered(now, number, answer);
         match failed {
-            Some(wrong) => self.tell(Event::PlanFailed { error: wrong }),
-            None => self.take_step(),
+            Some(error) => self.log_event(Event::PlanFailed { error }),
+            None => self.apply_plan_step(),
         }
     }
 
-    fn take_step(&mut self) {
+    fn apply_plan_step(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weigher else {
+        let Some(weigher) = &mut self.weight_planner else {
             return;
         };
-        let listed = weigher.listed(now, &self.list);
+        let listed = weigher.planner_hosts(now, &self.endpoints);
         let stepped = weigher.planner.step(now, &listed);
-        let (source, let_in) = (weigher.planner.source(), weigher.planner.let_in());
-        let news = std::mem::replace(&mut weigher.told, source) != source;
-        self.steward.apply_capacity_plan(now, let_in);
-        if news {
-            self.tell(Event::WeightSourceChanged {
+        let (source, admitted_rates) = (weigher.planner.source(), weigher.planner.let_in());
+        let source_changed = std::mem::replace(&mut weigher.last_source, source) != source;
+        self.controller.apply_capacity_plan(now, admitted_rates);
+        if source_changed {
+            self.log_event(Event::WeightSourceChanged {
                 source: source.word().into(),
             });
         }
-        let Some(handed) = stepped else { return };
-        let moved = handed
+        let Some(planned_weights) = stepped else {
+            return;
+        };
+        let moved = planned_weights
             .iter()
-            .filter(|(host, weight)| self.list.handed.get(host) != Some(weight));
+            .filter(|(host, weight)| self.endpoints.planned_weights.get(host) != Some(weight));
         let moved = moved
             .map(|(host, weight)| (host.0.to_string(), *weight))
             .collect();
         let cause = self.cause.clone();
-        self.tell(Event::TargetWeightsChanged {
+        self.log_event(Event::TargetWeightsChanged {
             weights: moved,
             cause,
         });
-        let listings = self.list.reweigh(handed);
-        self.steward
-            .apply_endpoint_list(now, self.list.version, true, listings);
+        let endpoints = self.endpoints.set_planned_weights(planned_weights);
+        self.controller
+            .apply_endpoint_list(now, self.endpoints.generation, true, endpoints);
     }
 
-    pub(crate) fn reqs_asked(
+    pub(crate) fn record_requests(
         &mut self,
         proxy: u16,
         kind: RequestClassId,
@@ -116,7 +120,7 @@
     ) {
         let peer = &self.peers[proxy as usize];
         let (id, zone) = (peer.id, peer.zone);
-        if let Some(weigher) = &mut self.weigher {
+        if let Some(weigher) = &mut self.weight_planner {
             weigher.estimates().asked(id, zone, kind, many, over);
         }
     }
--- a/crates/daemon-core/src/weigher.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -1,7 +1,7 @@
 //! Weights between the list and the module: what is seen goes to the estimates, problems go out to be solved, and what
 //! the planner makes of the answers is handed to the module as listed weights.
 
-use crate::list::HostList;
+use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
 use pondarch_controller::{EndpointState, HostId, Time};
 use pondarch_proxy_session::sums::Look;
@@ -9,17 +9,17 @@
 use pondarch_weight_solver::{Estimates, Listed, Planner, Seen, Source};
 use std::collections::BTreeMap;
 
-pub(crate) struct Weigher {
+pub(crate) struct WeightPlanner {
     pub(crate) planner: Planner,
     start_share: f64,
     /// What the round that is under way brought, by host.
-    gathered: BTreeMap<HostId, Seen>,
+    observed: BTreeMap<HostId, Seen>,
     pub(crate) started: BTreeMap<HostId, Time>,
-    pub(crate) told: Source,
+    pub(crate) last_source: Source,
 }
 
-impl Weigher {
-    pub(crate) fn new(site: &Site, now: Time) -> Weigher {
+impl WeightPlanner {
+    pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
         let kind = |kind: &pondarch_config::site::Kind| KindFacts {
             name: kind.name.clone(),
             response_target: kind.response_target.0,
@@ -31,7 +31,7 @@
             .unwrap_or(site.proxies.len() as u64)
             .max(1);
         let own_part = site.proxies.len() as f64 / all as f64;
-        Weigher {
+        WeightPlanner {
             planner: Planner::new(
                 kinds,
                 site.zones.clone(),
@@ -40,9 +40,9 @@
                 now,
             ),
             start_share: site.cold.start_share,
-            gathered: BTreeMap::new(),
+            observed: BTreeMap::new(),
             started: BTreeMap::new(),
-            told: Source::Listed,
+            last_source: Source::Listed,
         }
     }
 
@@ -63,9 +63,9 @@
     }
 
     /// One proxy's look, of which each figure counts once.
-    pub(crate) fn looked(&mut self, look: &Look) {
+    pub(crate) fn record(&mut self, look: &Look) {
         for (host, kind, done, took) in &look.done {
-            let seen = self.gathered.entry(host.clone()).or_default();
+            let seen = self.observed.entry(host.clone()).or_default();
             match seen.done.iter_mut().find(|(k, _, _)| k == kind) {
                 Some((_, all, time)) => (*all, *time) = (*all + done, *time + *took),
                 None => seen.done.push((*kind, *done, *took)),
@@ -75,33 +75,35 @@
     }
 
     /// The round is over: what it brought of warm hosts is evidence.
-    pub(crate) fn closed(
+    pub(crate) fn interval_closed(
         &mut self,
         now: Time,
-        list: &HostList,
+        list: &EndpointList,
         loads: impl Fn(&HostId) -> Option<(f64, f64)>,
     ) {
-        for (host, mut seen) in std::mem::take(&mut self.gathered) {
-            if list.known.contains_key(&host) && list.warm(&host, now, self.start_share) >= 1.0 {
+        for (host, mut seen) in std::mem::take(&mut self.observed) {
+            if list.hosts.contains_key(&host)
+                && list.warm_fraction(&host, now, self.start_share) >= 1.0
+            {
                 seen.load = loads(&host);
                 self.planner.estimates.seen(now, &host, &seen);
             }
         }
     }
 
-    pub(crate) fn listed(&self, now: Time, list: &HostList) -> Vec<Listed> {
+    pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<Listed> {
         let known = list
-            .known
+            .hosts
             .iter()
-            .filter(|(_, k)| k.standing != EndpointState::Removed);
+            .filter(|(_, k)| k.state != EndpointState::Removed);
         known
             .map(|(host, k)| Listed {
                 host: host.clone(),
                 zone: list.zone_of(k),
                 cores: k.entry.cores,
                 weight: k.entry.weight,
-                warm: list.warm(host, now, self.start_share),
-                open: k.standing == EndpointState::Ready,
+                warm: list.warm_fraction(host, now, self.start_share),
+                open: k.state == EndpointState::Ready,
             })
             .collect()
     }
--- a/crates/daemon-core/src/zones.rs
+++ b/crates/daemon-core/src/zone_map.rs
@@ -4,21 +4,21 @@
 use std::collections::BTreeMap;
 
 /// Entries at most, of the map and of each version.
-const ENTRIES_MOST: usize = 10_000;
+const MAX_ENTRIES: usize = 10_000;
 /// Versions under way at most: beyond that the oldest is dropped, as nobody may ever commit it.
-const VERSIONS_MOST: usize = 8;
+const MAX_VERSIONS: usize = 8;
 
 type Entries = BTreeMap<String, String>;
 
 #[derive(Debug, Default)]
-pub(crate) struct Zones {
+pub(crate) struct ZoneMap {
     entries: Entries,
     prepared: BTreeMap<u64, Entries>,
     last: u64,
 }
 
-impl Zones {
-    pub(crate) fn of(&self, host: &str) -> Option<&String> {
+impl ZoneMap {
+    pub(crate) fn zone_of_host(&self, host: &str) -> Option<&String> {
         self.entries.get(host)
     }
 
@@ -38,14 +38,14 @@
     pub(crate) fn prepare(&mut self) -> u64 {
         self.last += 1;
         self.prepared.insert(self.last, Entries::new());
-        if self.prepared.len() > VERSIONS_MOST {
+        if self.prepared.len() > MAX_VERSIONS {
             self.prepared.pop_first();
         }
         self.last
     }
 
     /// Adds or changes an entry, of a version or of the map itself. The error is the answer.
-    pub(crate) fn put(
+    pub(crate) fn set(
         &mut self,
         version: Option<u64>,
         host: &str,
@@ -58,7 +58,7 @@
                 .get_mut(&version)
                 .ok_or("Version not found.\n")?,
         };
-        if entries.len() >= ENTRIES_MOST && !entries.contains_key(host) {
+        if entries.len() >= MAX_ENTRIES && !entries.contains_key(host) {
             return Err("The map is full.\n");
         }
         entries.insert(host.to_string(), zone.to_string());
