--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/orders.rs
@@ -1,18 +1,18 @@
 //! What the codec and the core cost in one thread: `cargo bench -p pondarch-daemon-core`.
 
-#[path = "../tests/in_memory/town.rs"]
+#[path = "../tests/in_memory/simulated_fleet.rs"]
 #[allow(dead_code)]
-mod town;
+mod simulated_fleet;
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use pondarch_runtime_api::command::{GivenWeight, parse_line};
 use pondarch_runtime_api::stat::{self, RowType, StatRow, Sums};
 use pondarch_runtime_api::{Command, ServerRef};
+use simulated_fleet::{SimulatedFleet, host, site};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
-use town::{Town, host, site};
 
 /// ReportCounters what is allocated, so that it can be told for each command.
 struct Counting;
@@ -109,43 +109,44 @@
 fn core(c: &mut Criterion) {
     let mut site = site(20);
     site.channel.message_cap = 0;
-    let mut town = Town::open(&site, 40);
-    town.run(5_000);
+    let mut fleet = SimulatedFleet::open(&site, 40);
+    fleet.run(5_000);
     let mut heavy = false;
-    let mut change = |town: &mut Town| {
+    let mut change = |fleet: &mut SimulatedFleet| {
         heavy = !heavy;
         let mut hosts: Vec<_> = (0..40).map(host).collect();
         hosts
             .iter_mut()
             .step_by(2)
             .for_each(|host| host.weight = if heavy { 3.0 } else { 1.0 });
-        town.list(hosts);
-        town.run(2_000);
+        fleet.list(hosts);
+        fleet.run(2_000);
         // What the harness keeps for tests is not the core's.
-        let ordered: usize = town
+        let ordered: usize = fleet
             .fronts
             .iter()
             .flat_map(|f| &f.orders)
             .map(|(_, commands)| commands.len())
             .sum();
-        town.fronts
+        fleet
+            .fronts
             .iter_mut()
             .for_each(|front| front.orders.clear());
-        town.inputs.clear();
-        town.outputs.clear();
-        town.events.clear();
+        fleet.inputs.clear();
+        fleet.outputs.clear();
+        fleet.events.clear();
         ordered
     };
-    change(&mut town);
-    let ordered = change(&mut town);
+    change(&mut fleet);
+    let ordered = change(&mut fleet);
     println!("a change of the list: {ordered} commands to 20 proxies, and 2 s of looks and beats");
     allocated("an order, with its share of looks", ordered, || {
-        change(&mut town)
+        change(&mut fleet)
     });
     let mut group = c.benchmark_group("core");
     group.throughput(Throughput::Elements(ordered as u64));
     group.sample_size(20);
-    group.bench_function("orders", |b| b.iter(|| change(&mut town)));
+    group.bench_function("orders", |b| b.iter(|| change(&mut fleet)));
     group.finish();
 }
 
--- a/crates/daemon-core/tests/in_memory/names.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -1,6 +1,6 @@
 //! Proxies that take their tables from the DNS front.
 
-use crate::town::*;
+use crate::simulated_fleet::*;
 use pondarch_config::Length;
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::{Dns, Secondary};
@@ -11,16 +11,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Two proxies with a runtime API, and two that ask for names; answers live 4 s, or 3 s with secondaries.
-fn town() -> Town {
+fn fleet() -> SimulatedFleet {
     town_with(Vec::new())
 }
 
-fn town_with(secondaries: Vec<Secondary>) -> Town {
+fn town_with(secondaries: Vec<Secondary>) -> SimulatedFleet {
     town_of(secondaries, &[2, 3])
 }
 
 /// These of four proxies ask by name.
-fn town_of(secondaries: Vec<Secondary>, by_name: &[usize]) -> Town {
+fn town_of(secondaries: Vec<Secondary>, by_name: &[usize]) -> SimulatedFleet {
     let mut site = site(4);
     site.dns = Some(Dns {
         zone: "pond.example".into(),
@@ -34,14 +34,14 @@
         expires: Length::millis(60_000),
     });
     by_name.iter().for_each(|&n| site.proxies[n].runtime = None);
-    let mut town = Town::open(&site, 12);
-    town.run(3_000);
-    assert_eq!(town.info("ProxiesJoined"), 4 - by_name.len() as u64);
-    town
+    let mut fleet = SimulatedFleet::open(&site, 12);
+    fleet.run(3_000);
+    assert_eq!(fleet.info("ProxiesJoined"), 4 - by_name.len() as u64);
+    fleet
 }
 
-fn asks(town: &mut Town, proxy: u16) {
-    let view = town.core.view();
+fn asks(fleet: &mut SimulatedFleet, proxy: u16) {
+    let view = fleet.core.view();
     let table = view
         .table_of(
             Some(ProxyId(proxy)),
@@ -49,15 +49,16 @@
             1,
         )
         .map(|table| table.0);
-    town.give(Input::DnsQueried {
+    fleet.give(Input::DnsQueried {
         proxy: Some(proxy),
         table,
         serial: view.serial,
     });
 }
 
-fn bound(town: &Town, proxy: u16) -> Option<TableId> {
-    town.core
+fn bound(fleet: &SimulatedFleet, proxy: u16) -> Option<TableId> {
+    fleet
+        .core
         .view()
         .bound
         .get(&(ProxyId(proxy), pondarch_controller::RequestClassId(0)))
@@ -66,61 +67,65 @@
 
 #[test]
 fn who_asks_is_joined_and_bound_and_who_asks_no_more_has_left() {
-    let mut town = town();
-    assert!(bound(&town, 2).is_none());
-    asks(&mut town, 2);
-    town.run(1_000);
-    let table = bound(&town, 2).expect("bound");
-    assert!(!town.core.view().lines(table).is_empty());
-    assert!(bound(&town, 3).is_none());
+    let mut fleet = fleet();
+    assert!(bound(&fleet, 2).is_none());
+    asks(&mut fleet, 2);
+    fleet.run(1_000);
+    let table = bound(&fleet, 2).expect("bound");
+    assert!(!fleet.core.view().lines(table).is_empty());
+    assert!(bound(&fleet, 3).is_none());
     for _ in 0..10 {
-        town.run(3_000);
-        asks(&mut town, 2);
+        fleet.run(3_000);
+        asks(&mut fleet, 2);
     }
-    assert_eq!(bound(&town, 2), Some(table), "asking again changes nothing");
-    town.run(30_000);
-    assert!(bound(&town, 2).is_none());
+    assert_eq!(
+        bound(&fleet, 2),
+        Some(table),
+        "asking again changes nothing"
+    );
+    fleet.run(30_000);
+    assert!(bound(&fleet, 2).is_none());
     let left =
         |event: &&Event| matches!(event, Event::ProxyLeft { proxy, .. } if proxy == "front-2");
-    assert_eq!(town.events.iter().filter(left).count(), 1);
-    assert_eq!(town.info("NamesAsking"), 0);
+    assert_eq!(fleet.events.iter().filter(left).count(), 1);
+    assert_eq!(fleet.info("NamesAsking"), 0);
     // Those with a runtime API are not touched by any of it.
-    assert_eq!(town.info("ProxiesJoined"), 2);
-    asks(&mut town, 0);
-    assert_eq!(town.info("NamesAsking"), 0);
+    assert_eq!(fleet.info("ProxiesJoined"), 2);
+    asks(&mut fleet, 0);
+    assert_eq!(fleet.info("NamesAsking"), 0);
 }
 
 /// A table that the module keeps no longer may name hosts that hang or start cold: strangers are bound like proxies, and
 /// what nobody is bound to is given to nobody.
 #[test]
 fn strangers_are_bound_like_proxies_and_no_other_table_is_given_away() {
-    let mut town = town();
-    let first = town.core.view();
+    let mut fleet = fleet();
+    let first = fleet.core.view();
     let standing = first
         .table_of(None, pondarch_controller::RequestClassId(0), 77)
         .expect("the list itself");
     assert!(standing == STANDING && first.lines(standing).len() == 12);
     for mark in 0..40 {
         let stranger = first.stranger(mark).map(|id| id.0);
-        town.give(Input::DnsQueried {
+        fleet.give(Input::DnsQueried {
             proxy: stranger,
             table: Some(STANDING.0),
             serial: first.serial,
         });
     }
-    town.run(500);
+    fleet.run(500);
     assert_eq!(
         (
-            town.info("NamesStrangersAsking"),
-            town.info("NamesAsking"),
-            town.info("Proxies")
+            fleet.info("NamesStrangersAsking"),
+            fleet.info("NamesAsking"),
+            fleet.info("Proxies")
         ),
         (4, 0, 4)
     );
-    asks(&mut town, 2);
-    town.run(500);
+    asks(&mut fleet, 2);
+    fleet.run(500);
     for _ in 0..20 {
-        let view = town.core.view();
+        let view = fleet.core.view();
         let used: std::collections::BTreeSet<_> =
             view.bound.values().copied().chain([STANDING]).collect();
         assert!(view.tables.keys().all(|table| used.contains(table)));
@@ -128,17 +133,17 @@
             view.table_of(None, pondarch_controller::RequestClassId(0), 77)
                 .is_some()
         );
-        town.run(2_000);
-        asks(&mut town, 2);
+        fleet.run(2_000);
+        asks(&mut fleet, 2);
     }
-    assert_eq!(town.info("NamesStrangersAsking"), 0, "they asked no more");
-    assert_eq!(town.info("NamesAsking"), 1);
+    assert_eq!(fleet.info("NamesStrangersAsking"), 0, "they asked no more");
+    assert_eq!(fleet.info("NamesAsking"), 1);
 }
 
 /// What hosts say of themselves, where no proxy brings sums: one is as busy as can be, one says nothing.
 #[test]
 fn a_host_that_only_plain_proxies_meet_is_judged_by_its_own_word() {
-    let mut town = town_of(Vec::new(), &[0, 1, 2, 3]);
+    let mut fleet = town_of(Vec::new(), &[0, 1, 2, 3]);
     let word = |n: usize| ReportedLoad {
         utilization: Some(if n == 5 { 1.0 } else { 0.3 }),
         queue_length: Some(if n == 5 { 9.0 } else { 0.0 }),
@@ -146,8 +151,8 @@
         request_rate: Some(8.0),
         failure_rate: Some(0.0),
     };
-    let weight = |town: &Town, name: &str| {
-        let view = town.core.view();
+    let weight = |fleet: &SimulatedFleet, name: &str| {
+        let view = fleet.core.view();
         let lines = view
             .tables
             .iter()
@@ -160,7 +165,7 @@
     };
     let mut before = (0.0, 0.0);
     for step in 0..60 {
-        (0..4).for_each(|proxy| asks(&mut town, proxy));
+        (0..4).for_each(|proxy| asks(&mut fleet, proxy));
         for n in (0..12).filter(|n| step < 20 || *n != 7) {
             let load = Some(if step < 20 {
                 ReportedLoad {
@@ -171,7 +176,7 @@
             } else {
                 word(n)
             });
-            town.give(Input::HealthCheckCompleted {
+            fleet.give(Input::HealthCheckCompleted {
                 host: format!("host-{n}"),
                 for_load: true,
                 healthy: true,
@@ -179,12 +184,12 @@
             });
         }
         if step == 19 {
-            before = (weight(&town, "host-5"), weight(&town, "host-7"));
+            before = (weight(&fleet, "host-5"), weight(&fleet, "host-7"));
         }
-        town.run(500);
+        fleet.run(500);
     }
     assert!(before.0 > 0.0 && before.1 > 0.0);
-    let after = (weight(&town, "host-5"), weight(&town, "host-7"));
+    let after = (weight(&fleet, "host-5"), weight(&fleet, "host-7"));
     assert!(
         after.0 < before.0 * 0.7,
         "busy: {} after {}",
@@ -201,22 +206,22 @@
 
 #[test]
 fn a_drain_leaves_the_answers_at_once_and_lingers_no_longer_than_the_grace() {
-    let mut town = town();
-    asks(&mut town, 2);
-    town.run(1_000);
-    asks(&mut town, 2);
-    let table = bound(&town, 2).expect("bound");
-    let host_of = town.core.view().lines(table)[0].host.clone();
-    let serial = town.core.view().serial;
+    let mut fleet = fleet();
+    asks(&mut fleet, 2);
+    fleet.run(1_000);
+    asks(&mut fleet, 2);
+    let table = bound(&fleet, 2).expect("bound");
+    let host_of = fleet.core.view().lines(table)[0].host.clone();
+    let serial = fleet.core.view().serial;
     // The drain is learnt just after an answer.
-    let told = town.now;
+    let told = fleet.now;
     let mut hosts: Vec<_> = (0..12).map(host).collect();
     hosts
         .iter_mut()
         .filter(|host| *host.name == *host_of.0)
         .for_each(|host| host.state = HostState::Drain);
-    town.list(hosts);
-    let view = town.core.view();
+    fleet.list(hosts);
+    let view = fleet.core.view();
     assert!(view.serial > serial);
     assert!(
         view.tables
@@ -225,59 +230,59 @@
             .all(|line| line.host != host_of),
         "it is answered no more"
     );
-    let lingering = town.command(1, "show map lingering");
+    let lingering = fleet.command(1, "show map lingering");
     assert!(lingering.contains(&*host_of.0), "{lingering}");
-    town.run(6_000);
-    assert!(town.now - told <= 6_000_000);
-    assert!(!town.command(1, "show map lingering").contains(&*host_of.0));
+    fleet.run(6_000);
+    assert!(fleet.now - told <= 6_000_000);
+    assert!(!fleet.command(1, "show map lingering").contains(&*host_of.0));
 }
 
 #[test]
 fn an_emptied_list_and_a_refilled_one() {
-    let mut town = town();
-    asks(&mut town, 2);
-    town.run(1_000);
-    let table = bound(&town, 2).expect("bound");
-    let before = town.core.view().lines(table).to_vec();
-    town.list(Vec::new());
-    town.run(1_000);
+    let mut fleet = fleet();
+    asks(&mut fleet, 2);
+    fleet.run(1_000);
+    let table = bound(&fleet, 2).expect("bound");
+    let before = fleet.core.view().lines(table).to_vec();
+    fleet.list(Vec::new());
+    fleet.run(1_000);
     // What the table last had is given for as long as it runs out within the grace, and no longer.
-    let view = town.core.view();
+    let view = fleet.core.view();
     assert!(view.last.contains(&table) && view.lines(table) == before);
-    town.run(2_450);
-    assert!(!town.core.view().lines(table).is_empty());
-    town.run(100);
+    fleet.run(2_450);
+    assert!(!fleet.core.view().lines(table).is_empty());
+    fleet.run(100);
     assert!(
-        town.core.view().lines(table).is_empty(),
+        fleet.core.view().lines(table).is_empty(),
         "the grace ends in 2.5 s: 0.5 to learn, 1 held, 1 counted"
     );
-    assert_eq!(bound(&town, 2), Some(table), "still bound");
-    let serial = town.core.view().serial;
-    town.list((0..12).map(host).collect());
-    town.run(2_000);
-    asks(&mut town, 2);
-    town.run(1_000);
-    let view = town.core.view();
+    assert_eq!(bound(&fleet, 2), Some(table), "still bound");
+    let serial = fleet.core.view().serial;
+    fleet.list((0..12).map(host).collect());
+    fleet.run(2_000);
+    asks(&mut fleet, 2);
+    fleet.run(1_000);
+    let view = fleet.core.view();
     assert!(view.serial > serial && view.last.is_empty());
-    assert!(bound(&town, 2).is_some_and(|table| !view.lines(table).is_empty()));
+    assert!(bound(&fleet, 2).is_some_and(|table| !view.lines(table).is_empty()));
 }
 
 /// A list that names one drained host fewer does not bring it back as a last answer.
 #[test]
 fn a_host_that_drained_long_ago_is_in_no_last_answer() {
-    let mut town = town();
-    asks(&mut town, 2);
-    town.run(1_000);
+    let mut fleet = fleet();
+    asks(&mut fleet, 2);
+    fleet.run(1_000);
     let mut hosts: Vec<_> = (0..12).map(host).collect();
     hosts
         .iter_mut()
         .skip(1)
         .for_each(|host| host.state = HostState::Drain);
-    town.list(hosts);
-    town.run(5_000);
-    town.list(Vec::new());
-    town.run(500);
-    let view = town.core.view();
+    fleet.list(hosts);
+    fleet.run(5_000);
+    fleet.list(Vec::new());
+    fleet.run(500);
+    let view = fleet.core.view();
     let named: Vec<_> = view
         .tables
         .values()
@@ -302,15 +307,15 @@
 }
 
 impl Load {
-    fn at(&mut self, town: &mut Town, host: &str) -> f64 {
+    fn at(&mut self, fleet: &mut SimulatedFleet, host: &str) -> f64 {
         for proxy in [2, 3] {
             if self
                 .caches
                 .get(&proxy)
-                .is_none_or(|(until, _)| *until <= town.now)
+                .is_none_or(|(until, _)| *until <= fleet.now)
             {
-                asks(town, proxy);
-                let view = town.core.view();
+                asks(fleet, proxy);
+                let view = fleet.core.view();
                 let table = view.table_of(
                     Some(ProxyId(proxy)),
                     pondarch_controller::RequestClassId(0),
@@ -325,7 +330,7 @@
                     .map(|line| (line.host.0.to_string(), line.weight / all))
                     .collect();
                 // The worst that a cache does: it counts whole seconds.
-                self.caches.insert(proxy, (town.now + 5 * SECOND, parts));
+                self.caches.insert(proxy, (fleet.now + 5 * SECOND, parts));
             }
         }
         let held = self
@@ -334,7 +339,7 @@
             .filter_map(|(_, parts)| parts.get(host))
             .sum::<f64>();
         let by_runtime = [0, 1].map(|n| {
-            let serving = town.serving(n, "proof");
+            let serving = fleet.serving(n, "proof");
             let all: f64 = serving.values().map(|(_, weight)| f64::from(*weight)).sum();
             serving
                 .get(host)
@@ -350,28 +355,28 @@
 fn a_cold_host_is_not_pushed_over_by_both_fronts_together() {
     let mut worst = 0.0f64;
     for n in 0..12 {
-        let mut town = town();
+        let mut fleet = fleet();
         let mut load = Load {
             caches: BTreeMap::new(),
         };
         let name = format!("host-{n}");
         for _ in 0..30 {
-            town.run(100);
-            load.at(&mut town, &name);
+            fleet.run(100);
+            load.at(&mut fleet, &name);
         }
-        let start = town.now;
+        let start = fleet.now;
         let mut hosts: Vec<_> = (0..12).map(host).collect();
         hosts[n].started = Some(start as f64 / 1e6);
-        town.list(hosts);
+        fleet.list(hosts);
         let (mut brought, mut returned) = (VecDeque::new(), None);
-        while town.now < start + 18 * SECOND {
-            town.run(100);
-            let now = load.at(&mut town, &name);
+        while fleet.now < start + 18 * SECOND {
+            fleet.run(100);
+            let now = load.at(&mut fleet, &name);
             brought.push_back(now * 0.1);
             if brought.len() > 20 {
                 brought.pop_front();
             }
-            let age = (town.now - start) as f64 / 1e6;
+            let age = (fleet.now - start) as f64 / 1e6;
             let share = 0.2 + 0.8 * age / 18.0;
             // Answers from before the start are no steward's to take back; theirs have run out after 5.2 s.
             if age > 5.3 {
@@ -380,8 +385,8 @@
             }
             let own = [0, 1]
                 .iter()
-                .any(|&p| town.serving(p, "proof").contains_key(&name));
-            let answered = town
+                .any(|&p| fleet.serving(p, "proof").contains_key(&name));
+            let answered = fleet
                 .core
                 .view()
                 .tables
@@ -413,25 +418,25 @@
 
 #[test]
 fn a_host_that_is_alone_is_not_kept_out() {
-    let mut town = town();
-    town.list(vec![host(0)]);
-    town.run(8_000);
-    asks(&mut town, 2);
-    town.run(300);
+    let mut fleet = fleet();
+    fleet.list(vec![host(0)]);
+    fleet.run(8_000);
+    asks(&mut fleet, 2);
+    fleet.run(300);
     let mut again = host(0);
-    again.started = Some(town.now as f64 / 1e6);
-    town.list(vec![again]);
-    town.run(300);
-    let view = town.core.view();
+    again.started = Some(fleet.now as f64 / 1e6);
+    fleet.list(vec![again]);
+    fleet.run(300);
+    let view = fleet.core.view();
     assert!(
         view.tables.values().any(|lines| !lines.is_empty()),
         "a cold host is better than none"
     );
-    assert!(town.serving(0, "proof").contains_key("host-0"));
+    assert!(fleet.serving(0, "proof").contains_key("host-0"));
 }
 
-fn says(town: &mut Town) -> Vec<u16> {
-    let said = town.outputs.drain(..).filter_map(|output| match output {
+fn says(fleet: &mut SimulatedFleet) -> Vec<u16> {
+    let said = fleet.outputs.drain(..).filter_map(|output| match output {
         Output::NotifySecondary { secondary } => Some(secondary),
         _ => None,
     });
@@ -445,64 +450,65 @@
         key: format!("second-{n}"),
         secret_file: "none".into(),
     };
-    let mut town = town_with(vec![secondary(0), secondary(1)]);
-    town.run(2_000);
-    let serial = town.core.view().serial;
+    let mut fleet = town_with(vec![secondary(0), secondary(1)]);
+    fleet.run(2_000);
+    let serial = fleet.core.view().serial;
     for n in [0, 1] {
-        town.give(Input::SecondaryObserved {
+        fleet.give(Input::SecondaryObserved {
             index: n,
             observation: Heard::Fetched(serial),
         });
     }
-    town.events.clear();
-    says(&mut town);
+    fleet.events.clear();
+    says(&mut fleet);
     let mut hosts: Vec<_> = (0..12).map(host).collect();
     hosts[3].state = HostState::Drain;
-    let told = town.now;
-    town.list(hosts);
-    assert_eq!(says(&mut town), [0, 1]);
-    let serial = town.core.view().serial;
-    town.give(Input::SecondaryObserved {
+    let told = fleet.now;
+    fleet.list(hosts);
+    assert_eq!(says(&mut fleet), [0, 1]);
+    let serial = fleet.core.view().serial;
+    fleet.give(Input::SecondaryObserved {
         index: 0,
         observation: Heard::Acknowledged,
     });
-    town.give(Input::SecondaryObserved {
+    fleet.give(Input::SecondaryObserved {
         index: 0,
         observation: Heard::Fetched(serial),
     });
     assert!(
-        town.command(1, "show map secondaries")
+        fleet
+            .command(1, "show map secondaries")
             .contains("second-1 holds")
     );
     // The other is cut off: it is told again, said to be late, and what it serves goes on lingering.
-    town.run(9_000);
-    assert!(says(&mut town).iter().filter(|n| **n == 1).count() >= 4);
+    fleet.run(9_000);
+    assert!(says(&mut fleet).iter().filter(|n| **n == 1).count() >= 4);
     let late = |event: &&Event| matches!(event, Event::SecondaryBehind { secondary } if secondary == "second-1");
-    assert_eq!(town.events.iter().filter(late).count(), 1);
-    assert!(town.command(1, "show map lingering").contains("host-3"));
-    let serial = town.core.view().serial;
-    town.give(Input::SecondaryObserved {
+    assert_eq!(fleet.events.iter().filter(late).count(), 1);
+    assert!(fleet.command(1, "show map lingering").contains("host-3"));
+    let serial = fleet.core.view().serial;
+    fleet.give(Input::SecondaryObserved {
         index: 0,
         observation: Heard::Fetched(serial),
     });
-    town.give(Input::SecondaryObserved {
+    fleet.give(Input::SecondaryObserved {
         index: 1,
         observation: Heard::Fetched(serial),
     });
-    let fetched = town.now;
-    while town.command(1, "show map lingering").contains("host-3") {
-        town.run(50);
+    let fetched = fleet.now;
+    while fleet.command(1, "show map lingering").contains("host-3") {
+        fleet.run(50);
         assert!(
-            town.now - fetched < 4_500_000,
+            fleet.now - fetched < 4_500_000,
             "answers live 3 s, and 1 for how caches count"
         );
     }
-    assert!(town.now - told > 12 * SECOND);
+    assert!(fleet.now - told > 12 * SECOND);
 }
 
 #[test]
 fn serials_never_go_back_when_a_steward_starts_again() {
-    let mut first = town();
+    let mut first = fleet();
     for n in 0..8 {
         let mut hosts: Vec<_> = (0..12).map(host).collect();
         hosts[n].weight = 4.0;
--- a/crates/daemon-core/tests/in_memory/main.rs
+++ b/crates/daemon-core/tests/in_memory/main.rs
@@ -1,11 +1,11 @@
 //! The core against proxies in memory.
 
-mod hard_cases;
-mod names;
+mod dns;
+mod faults;
 mod operators;
-mod pushes;
+mod pushed_reports;
 mod recorded_names;
 mod replay;
-mod town;
+mod simulated_fleet;
 mod weights;
 mod wire_texts;
--- /dev/null
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -0,0 +1,195 @@
+//! Reports that are pushed: late, twice, out of order, by clocks that are off, by senders that rave, and not at all.
+
+mod counted_once;
+mod rejected;
+mod silence;
+
+use crate::simulated_fleet::*;
+use pondarch_config::Length;
+use pondarch_config::hosts::HostState;
+use pondarch_daemon_core::{Event, Input, Output};
+use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
+use pondarch_proxy_core::holding::Holding;
+use pondarch_runtime_api::stat::RowType;
+use std::collections::BTreeMap;
+
+const STALE_US: u64 = 6_000_000;
+
+/// One that pushes, with a clock of its own.
+struct Pusher {
+    name: String,
+    is: SenderIs,
+    conn: u64,
+    run: u64,
+    number: u64,
+    /// Its clock less ours.
+    off: i64,
+    word: (u64, u64),
+    credit: u32,
+}
+
+fn fleet(lines_per_second: Option<f64>, hosts: usize) -> SimulatedFleet {
+    let mut site = site(6);
+    site.reports.push = Some("unix:/push".parse().expect("a path"));
+    site.reports.lines_per_second = lines_per_second;
+    site.reports.every = Length::millis(1_000);
+    let mut fleet = SimulatedFleet::open(&site, hosts);
+    fleet.run(3_000);
+    assert_eq!(fleet.info("ProxiesJoined"), 6);
+    fleet
+}
+
+fn body(tables: &Holding) -> Body {
+    let counted = tables.rows().into_iter().map(|row| {
+        let sums = row.sums.unwrap_or_default();
+        Counted {
+            backend: row.backend,
+            server: (row.of == RowType::Server).then_some(row.server),
+            reqs: row.reqs,
+            done: sums.done,
+            errored: sums.errored,
+            done_us: sums.done_time.as_micros() as u64,
+            ..Counted::default()
+        }
+    });
+    Body {
+        counted: counted.collect(),
+        own: None,
+    }
+}
+
+impl Pusher {
+    fn proxy(n: usize, off_s: i64) -> Pusher {
+        let name = format!("front-{n}");
+        Pusher {
+            name,
+            is: SenderIs::Proxy,
+            conn: 100 + n as u64,
+            run: 5,
+            number: 0,
+            off: off_s * 1_000_000,
+            word: (0, 0),
+            credit: 0,
+        }
+    }
+
+    fn theirs(&self, now: u64) -> u64 {
+        now.saturating_add_signed(self.off)
+    }
+
+    fn come(&mut self, fleet: &mut SimulatedFleet) {
+        let (conn, name, is, run) = (self.conn, self.name.clone(), self.is, self.run);
+        fleet.give(Input::SenderConnected {
+            connection: conn,
+            name,
+            role: is,
+            incarnation: run,
+        });
+        self.hear(fleet);
+    }
+
+    /// Takes the words that were said to it.
+    fn hear(&mut self, fleet: &mut SimulatedFleet) {
+        let now = self.theirs(fleet.now);
+        let said = std::mem::take(&mut fleet.outputs);
+        for output in said {
+            match output {
+                Output::GrantCredit {
+                    connection: conn,
+                    reports: more,
+                    at_us,
+                } if conn == self.conn => {
+                    self.credit += more;
+                    self.word = (at_us, now);
+                }
+                other => fleet.outputs.push(other),
+            }
+        }
+    }
+
+    /// The report that it would send now.
+    fn report(&mut self, fleet: &SimulatedFleet, body: Body) -> Report {
+        self.number += 1;
+        let sent_us = self.theirs(fleet.now);
+        let had_us = sent_us - self.word.1;
+        Report {
+            number: self.number,
+            sent_us,
+            word_us: self.word.0,
+            had_us,
+            body,
+        }
+    }
+
+    fn send(&mut self, fleet: &mut SimulatedFleet, report: Report) {
+        fleet.give(Input::ReportReceived {
+            connection: self.conn,
+            report: Box::new(report),
+        });
+        self.hear(fleet);
+    }
+
+    fn push(&mut self, fleet: &mut SimulatedFleet, n: usize) {
+        let report = self.report(fleet, body(&fleet.fronts[n].tables));
+        self.send(fleet, report);
+    }
+}
+
+/// A second of traffic at each proxy; each pushes.
+fn second(fleet: &mut SimulatedFleet, pushers: &mut [Pusher]) {
+    fleet.run(500);
+    for (n, pusher) in pushers.iter_mut().enumerate() {
+        fleet.traffic(n, 5, 0, 40);
+        pusher.push(fleet, n);
+    }
+    fleet.run(500);
+}
+
+/// What the module was told of since the last call: rounds, and the oldest figure of all.
+fn looked(fleet: &mut SimulatedFleet) -> (usize, u64) {
+    let mut all = (0, 0);
+    fleet.outputs.retain(|output| match output {
+        Output::LoadReportsApplied { oldest_us, .. } => {
+            all = (all.0 + 1, all.1.max(*oldest_us));
+            false
+        }
+        _ => true,
+    });
+    all
+}
+
+fn stat_reads(fleet: &mut SimulatedFleet) -> usize {
+    let reads = |output: &Output| matches!(output, Output::Write { lines, .. } if lines.iter().any(|line| line == "show stat"));
+    let count = fleet.outputs.iter().filter(|output| reads(output)).count();
+    fleet.outputs.clear();
+    count
+}
+
+/// Reqs done at all hosts in the round that was told last.
+fn done(fleet: &mut SimulatedFleet) -> u64 {
+    let stat = fleet.command(1, "show stat");
+    let header: Vec<&str> = stat.lines().next().unwrap_or_default().split(',').collect();
+    let at = header
+        .iter()
+        .position(|name| *name == "pond_done")
+        .expect("our column");
+    let hosts = stat.lines().filter(|line| line.starts_with("hosts,"));
+    hosts
+        .filter_map(|line| line.split(',').nth(at)?.parse::<u64>().ok())
+        .sum()
+}
+
+fn weights(fleet: &mut SimulatedFleet) -> BTreeMap<String, f64> {
+    let stat = fleet.command(1, "show stat");
+    let rows = stat.lines().filter(|line| line.starts_with("table-"));
+    let mut all = BTreeMap::new();
+    for row in rows {
+        let fields: Vec<&str> = row.split(',').collect();
+        let weight: f64 = fields
+            .get(18)
+            .and_then(|weight| weight.parse().ok())
+            .unwrap_or(0.0);
+        *all.entry(fields[1].to_string()).or_default() += weight;
+    }
+    all
+}
--- a/crates/daemon-core/tests/in_memory/replay.rs
+++ b/crates/daemon-core/tests/in_memory/replay.rs
@@ -1,6 +1,6 @@
 //! The same inputs give the same outputs, byte for byte.
 
-use crate::town::*;
+use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output};
@@ -67,42 +67,42 @@
     #[test]
     fn any_course_keeps_the_rules_and_replays(steps in prop::collection::vec(step(), 1..30)) {
         let site = site(6);
-        let mut town = Town::open(&site, 14);
+        let mut fleet = SimulatedFleet::open(&site, 14);
         let mut hosts: Vec<_> = (0..14).map(host).collect();
-        town.run(2_000);
+        fleet.run(2_000);
         for step in steps {
             match step {
-                Step::Wait(ms) => town.run(ms),
+                Step::Wait(ms) => fleet.run(ms),
                 Step::Standing(n, state) => {
                     hosts[n].state = state;
-                    town.list(hosts.clone());
+                    fleet.list(hosts.clone());
                 }
                 Step::Restart(n) => {
-                    hosts[n].started = Some(town.now as f64 / 1e6);
-                    town.list(hosts.clone());
+                    hosts[n].started = Some(fleet.now as f64 / 1e6);
+                    fleet.list(hosts.clone());
                 }
-                Step::Broken(n) => town.drop_link(n),
+                Step::Broken(n) => fleet.drop_link(n),
                 Step::Away(n, up) => {
-                    town.fronts[n].up = up;
+                    fleet.fronts[n].up = up;
                     if !up {
-                        town.drop_link(n);
+                        fleet.drop_link(n);
                     }
                 }
-                Step::Fault(n, fault) => town.fronts[n].fault = fault,
-                Step::Traffic(n, done, errored, mean) => town.traffic(n, done, errored, mean),
-                Step::Operator(line) => drop(town.command(2, line)),
+                Step::Fault(n, fault) => fleet.fronts[n].fault = fault,
+                Step::Traffic(n, done, errored, mean) => fleet.traffic(n, done, errored, mean),
+                Step::Operator(line) => drop(fleet.command(2, line)),
             }
-            town.deliver();
-            for front in &town.fronts {
-                let since = town.now.saturating_sub(10 * SECOND);
+            fleet.deliver();
+            for front in &fleet.fronts {
+                let since = fleet.now.saturating_sub(10 * SECOND);
                 let lately = front.orders.iter().filter(|(at, _)| *at > since).count();
                 prop_assert!(lately <= 12, "{lately} messages within the window");
             }
-            prop_assert!(town.info("LinesWaiting") <= 8_000);
+            prop_assert!(fleet.info("LinesWaiting") <= 8_000);
         }
-        let text = serde_json::to_string(&town.inputs).expect("inputs can be written");
+        let text = serde_json::to_string(&fleet.inputs).expect("inputs can be written");
         let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("and read");
         let again = played(&inputs, &site);
-        prop_assert_eq!(serde_json::to_string(&again).ok(), serde_json::to_string(&town.outputs).ok());
+        prop_assert_eq!(serde_json::to_string(&again).ok(), serde_json::to_string(&fleet.outputs).ok());
     }
 }
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -39,7 +39,7 @@
     lines: VecDeque<(u64, String)>,
 }
 
-pub(crate) struct Town {
+pub(crate) struct SimulatedFleet {
     pub core: Core,
     pub now: u64,
     pub fronts: Vec<Front>,
@@ -145,8 +145,8 @@
     }
 }
 
-impl Town {
-    pub(crate) fn open(site: &Site, hosts: usize) -> Town {
+impl SimulatedFleet {
+    pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
         let front = |(n, proxy): (usize, &site::Proxy)| {
             let mut tables = Holding::new(&proxy.name, 100 + n as u64, &KINDS);
             // Standing tables: two hosts each.
@@ -167,7 +167,7 @@
         };
         let fronts = site.proxies.iter().enumerate().map(front).collect();
         let core = Core::new(site, 7, 1, START, Time::from_micros(START));
-        let mut town = Town {
+        let mut fleet = SimulatedFleet {
             core,
             now: START,
             fronts,
@@ -179,8 +179,8 @@
             solver: Solver::Answers,
             callers: 0,
         };
-        town.list((0..hosts).map(host).collect());
-        town
+        fleet.list((0..hosts).map(host).collect());
+        fleet
     }
 
     pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -1,6 +1,6 @@
 //! Solved weights between the list and the module.
 
-use crate::town::*;
+use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::Weights;
 use pondarch_controller::Time;
@@ -8,19 +8,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn solved(proxies: usize, hosts: usize) -> Town {
+fn solved(proxies: usize, hosts: usize) -> SimulatedFleet {
     let mut site = site(proxies);
     site.weights = Weights::Solved;
-    let mut town = Town::open(&site, hosts);
-    town.run(3_000);
-    assert_eq!(town.info("ProxiesJoined"), proxies as u64);
-    town
+    let mut fleet = SimulatedFleet::open(&site, hosts);
+    fleet.run(3_000);
+    assert_eq!(fleet.info("ProxiesJoined"), proxies as u64);
+    fleet
 }
 
 /// A second of traffic: each line gets reqs by its weight; those of `slow` take three times as long. Hosts tell how
 /// busy they are.
-fn second(town: &mut Town, slow: &str) {
-    for front in &mut town.fronts {
+fn second(fleet: &mut SimulatedFleet, slow: &str) {
+    for front in &mut fleet.fronts {
         for backend in front.tables.backends.values_mut() {
             let all: u64 = backend
                 .servers
@@ -41,11 +41,11 @@
             }
         }
     }
-    town.run(1_000);
+    fleet.run(1_000);
 }
 
-fn weights(town: &mut Town) -> BTreeMap<String, f64> {
-    let text = town.command(1, "show map weights");
+fn weights(fleet: &mut SimulatedFleet) -> BTreeMap<String, f64> {
+    let text = fleet.command(1, "show map weights");
     let line = |line: &str| {
         let mut words = line.split_whitespace().skip(1);
         Some((words.next()?.to_string(), words.next()?.parse().ok()?))
@@ -53,8 +53,8 @@
     text.lines().filter_map(line).collect()
 }
 
-fn source(town: &mut Town) -> String {
-    let text = town.command(0, "show info");
+fn source(fleet: &mut SimulatedFleet) -> String {
+    let text = fleet.command(0, "show info");
     text.lines()
         .find_map(|line| line.strip_prefix("Weights: "))
         .unwrap_or("?")
@@ -63,25 +63,26 @@
 
 #[test]
 fn a_slow_host_gets_less_in_the_list_the_module_sees_and_in_tables() {
-    let mut town = solved(4, 8);
-    let before = weights(&mut town);
+    let mut fleet = solved(4, 8);
+    let before = weights(&mut fleet);
     assert!(
         before.values().all(|weight| (weight - 1.0).abs() < 1e-9),
         "{before:?}"
     );
     for _ in 0..30 {
-        second(&mut town, "host-3");
+        second(&mut fleet, "host-3");
     }
-    let after = weights(&mut town);
-    assert_eq!(source(&mut town), "solved");
+    let after = weights(&mut fleet);
+    assert_eq!(source(&mut fleet), "solved");
     assert!(after["host-3"] < 0.7 && after["host-2"] > 0.9, "{after:?}");
     // The list's own word stays what it was, and the whole does not seem to grow.
     assert!(
-        town.command(1, "get weight hosts/host-3")
+        fleet
+            .command(1, "get weight hosts/host-3")
             .starts_with("1 (initial 1)")
     );
     assert!((after.values().sum::<f64>() - 8.0).abs() < 1.0, "{after:?}");
-    let lines = town.serving(0, "proof");
+    let lines = fleet.serving(0, "proof");
     let usual = lines
         .iter()
         .filter(|(name, _)| *name != "host-3")
@@ -94,41 +95,42 @@
 
 #[test]
 fn listed_weights_are_used_as_they_are_unless_the_settings_say_so() {
-    let mut town = Town::open(&site(2), 6);
+    let mut fleet = SimulatedFleet::open(&site(2), 6);
     for _ in 0..10 {
-        second(&mut town, "host-3");
+        second(&mut fleet, "host-3");
     }
     assert!(
-        town.outputs
+        fleet
+            .outputs
             .iter()
             .all(|output| !matches!(output, Output::Solve { .. }))
     );
-    assert_eq!(source(&mut town), "listed");
+    assert_eq!(source(&mut fleet), "listed");
 }
 
 #[test]
 fn a_solver_that_fails_or_is_silent_is_said_and_leaves_the_weights() {
     for trouble in [Solver::Fails, Solver::Silent] {
-        let mut town = solved(4, 8);
-        town.solver = trouble;
+        let mut fleet = solved(4, 8);
+        fleet.solver = trouble;
         for _ in 0..20 {
-            second(&mut town, "host-3");
+            second(&mut fleet, "host-3");
         }
-        assert_eq!(source(&mut town), "listed");
+        assert_eq!(source(&mut fleet), "listed");
         let failed = |event: &Event| matches!(event, Event::PlanFailed { .. });
-        assert!(town.events.iter().any(failed));
-        assert!(!town.command(0, "show info").contains("WeightsFailed: -"));
+        assert!(fleet.events.iter().any(failed));
+        assert!(!fleet.command(0, "show info").contains("WeightsFailed: -"));
         assert!(
-            weights(&mut town)
+            weights(&mut fleet)
                 .values()
                 .all(|weight| (weight - 1.0).abs() < 1e-9)
         );
-        town.solver = Solver::Answers;
+        fleet.solver = Solver::Answers;
         for _ in 0..10 {
-            second(&mut town, "host-3");
+            second(&mut fleet, "host-3");
         }
-        assert_eq!(source(&mut town), "solved");
-        assert!(town.command(0, "show info").contains("WeightsFailed: -"));
+        assert_eq!(source(&mut fleet), "solved");
+        assert!(fleet.command(0, "show info").contains("WeightsFailed: -"));
     }
 }
 
@@ -136,18 +138,18 @@
 /// kept.
 #[test]
 fn a_raving_solver_breaks_no_rule() {
-    let mut town = solved(4, 8);
-    town.solver = Solver::Raves;
-    let mut last = weights(&mut town);
+    let mut fleet = solved(4, 8);
+    fleet.solver = Solver::Raves;
+    let mut last = weights(&mut fleet);
     for n in 0..40 {
         if n == 10 {
             // The last by name is the one that gets everything: a cold host, and another is drained.
             let mut hosts: Vec<_> = (0..10).map(host).collect();
             hosts[2].state = HostState::Drain;
-            town.list(hosts);
+            fleet.list(hosts);
         }
-        second(&mut town, "host-3");
-        let now = weights(&mut town);
+        second(&mut fleet, "host-3");
+        let now = weights(&mut fleet);
         // A host that drains is judged afresh: its weight is the list's again. Cold ones go by the guard.
         for (host, weight) in now
             .iter()
@@ -162,7 +164,7 @@
         last = now;
         for front in 0..4 {
             for kind in KINDS {
-                let lines = town.serving(front, kind);
+                let lines = fleet.serving(front, kind);
                 assert!(!lines.is_empty(), "nothing to pick for {kind}");
                 assert!(
                     n < 11 || !lines.contains_key("host-2"),
@@ -185,7 +187,7 @@
         }
     }
     // Orders to one proxy within ten seconds.
-    for front in &town.fronts {
+    for front in &fleet.fronts {
         let times: Vec<u64> = front.orders.iter().map(|(at, _)| *at).collect();
         for at in &times {
             let near = times
@@ -198,18 +200,19 @@
 
 #[test]
 fn weights_change_few_orders_when_nothing_changes() {
-    let mut listed = Town::open(&site(4), 8);
+    let mut listed = SimulatedFleet::open(&site(4), 8);
     listed.run(3_000);
     // The module's own easing by times goes on with both.
-    let messages = [solved(4, 8), listed].map(|mut town| {
+    let messages = [solved(4, 8), listed].map(|mut fleet| {
         for _ in 0..40 {
-            second(&mut town, "host-3");
+            second(&mut fleet, "host-3");
         }
-        let before: usize = town.fronts.iter().map(|front| front.orders.len()).sum();
+        let before: usize = fleet.fronts.iter().map(|front| front.orders.len()).sum();
         for _ in 0..60 {
-            second(&mut town, "host-3");
+            second(&mut fleet, "host-3");
         }
-        town.fronts
+        fleet
+            .fronts
             .iter()
             .map(|front| front.orders.len())
             .sum::<usize>()
@@ -223,20 +226,20 @@
 
 #[test]
 fn a_run_with_plans_replays_to_the_same() {
-    let mut town = solved(4, 8);
+    let mut fleet = solved(4, 8);
     for n in 0..20 {
-        town.solver = if n % 7 == 3 {
+        fleet.solver = if n % 7 == 3 {
             Solver::Fails
         } else {
             Solver::Answers
         };
-        second(&mut town, "host-3");
+        second(&mut fleet, "host-3");
     }
     let mut site = site(4);
     site.weights = Weights::Solved;
     let mut core = Core::new(&site, 7, 1, START, Time::from_micros(START));
     let mut outputs = Vec::new();
-    for (at, input) in &town.inputs {
+    for (at, input) in &fleet.inputs {
         let text = serde_json::to_string(input).expect("an input can be recorded");
         let input: Input = serde_json::from_str(&text).expect("and read");
         core.handle(Time::from_micros(*at), input);
@@ -247,5 +250,5 @@
             .iter()
             .any(|output| matches!(output, Output::Solve { .. }))
     );
-    assert_eq!(outputs, town.outputs);
+    assert_eq!(outputs, fleet.outputs);
 }
--- a/crates/daemon-core/tests/in_memory/wire_texts.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts.rs
@@ -1,16 +1,16 @@
 //! The literal text of the operators' answers, and of the commands that proxies are sent, from one small run: records
 //! hold checksums of them, so that a renaming in the code must leave each as it is.
 
-use crate::town::*;
+use crate::simulated_fleet::*;
 
 mod answers;
 mod orders;
 
 /// Two proxies and three hosts, three seconds after the start.
-fn town() -> Town {
-    let mut town = Town::open(&site(2), 3);
-    town.run(3_000);
-    town
+fn fleet() -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::open(&site(2), 3);
+    fleet.run(3_000);
+    fleet
 }
 
 /// Compares line by line, so that a failure names the first line that differs.
--- a/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
@@ -65,10 +65,10 @@
     (2, "bogus"),
 ];
 
-fn transcript(town: &mut Town, commands: &[(u8, &str)]) -> String {
+fn transcript(fleet: &mut SimulatedFleet, commands: &[(u8, &str)]) -> String {
     let mut out = String::new();
     for (level, line) in commands {
-        let answer = town.command(*level, line);
+        let answer = fleet.command(*level, line);
         out.push_str(&format!(
             "> {line}\n{}",
             answer.strip_suffix('\n').expect("an empty line")
@@ -79,11 +79,11 @@
 
 #[test]
 fn answers_of_every_command() {
-    let mut town = town();
-    town.traffic(0, 30, 3, 80);
-    town.run(2_500);
+    let mut fleet = fleet();
+    fleet.traffic(0, 30, 3, 80);
+    fleet.run(2_500);
     assert_same(
-        &transcript(&mut town, COMMANDS),
+        &transcript(&mut fleet, COMMANDS),
         include_str!("answers.txt"),
     );
 }
@@ -104,16 +104,16 @@
         expires: Length::millis(60_000),
     });
     site.reports.push = Some("unix:/push".parse().expect("a path"));
-    let mut town = Town::open(&site, 3);
-    town.run(1_000);
-    town.give(pondarch_daemon_core::Input::EventLog(
+    let mut fleet = SimulatedFleet::open(&site, 3);
+    fleet.run(1_000);
+    fleet.give(pondarch_daemon_core::Input::EventLog(
         pondarch_daemon_core::EventLogState {
             stopped_reason: None,
             lost_inputs: 2,
         },
     ));
     assert_same(
-        &transcript(&mut town, &[(0, "show info")]),
+        &transcript(&mut fleet, &[(0, "show info")]),
         include_str!("info.txt"),
     );
 }
@@ -122,17 +122,17 @@
 /// here, in one place.
 #[test]
 fn show_events() {
-    let mut town = town();
-    town.command(
+    let mut fleet = fleet();
+    fleet.command(
         2,
         "set server hosts/host-1 weight 3; set server hosts/host-2 state drain",
     );
-    town.fronts[0].fault = Fault::Refuse(1);
-    town.run(2_000);
-    town.drop_link(1);
-    town.run(1_000);
+    fleet.fronts[0].fault = Fault::Refuse(1);
+    fleet.run(2_000);
+    fleet.drop_link(1);
+    fleet.run(1_000);
     assert_same(
-        &transcript(&mut town, &[(2, "show events")]),
+        &transcript(&mut fleet, &[(2, "show events")]),
         include_str!("events.txt"),
     );
 }
