--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -11,15 +11,15 @@
 use pondarch_dns_server::View;
 use std::sync::Arc;
 
-/// A steward without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
+/// The controller without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
 /// `Input::TimerExpired` is given at `wake_at`.
 pub struct Core {
     state: DaemonState,
 }
 
 impl Core {
-    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the steward's own. The
-    /// mark that joined proxies get tells this start of this steward from any other: `epoch` must be higher than that of
+    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
+    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
     pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
         Core {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// What a steward that starts again must still know, for `Input::Recovered`.
+    /// What a controller that starts again must still know, for `Input::Recovered`.
     pub fn state_to_recover(&self) -> RecoveredState {
         self.state.state_to_recover()
     }
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -250,7 +250,7 @@
         if view == **old {
             return;
         }
-        // Seconds since 1970, so that a steward that starts again never goes back.
+        // Seconds since 1970, so that a controller that starts again never goes back.
         let serial = old
             .serial
             .wrapping_add(1)
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -10,6 +10,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Why an endpoint list is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum EndpointListError {
+    /// The generation is lower than that of the list in force.
+    #[error("the list's version fell from {held} to {new}: an older copy, not taken")]
+    OlderGeneration {
+        /// Generation of the list in force.
+        held: u64,
+        /// Generation of the rejected list.
+        new: u64,
+    },
+}
+
 /// One host, file and operators taken together.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedHost {
@@ -53,16 +67,17 @@
         now: Time,
         version: Option<u64>,
         hosts: Vec<HostEntry>,
-    ) -> Result<Vec<Endpoint>, String> {
+    ) -> Result<Vec<Endpoint>, EndpointListError> {
         if let (Some(held), Some(new)) = (self.file_generation, version)
             && new < held
         {
-            let error =
-                format!("the list's version fell from {held} to {new}: an older copy, not taken");
-            self.rejected_reason = Some(error.clone());
+            let error = EndpointListError::OlderGeneration { held, new };
+            self.rejected_reason = Some(error.to_string());
             return Err(error);
         }
-        (self.file, self.file_generation, self.rejected_reason) = (hosts, version, None);
+        self.file = hosts;
+        self.file_generation = version;
+        self.rejected_reason = None;
         let listed = |id: &HostId| self.file.iter().any(|entry| *entry.name == *id.0);
         self.added.retain(|id, _| !listed(id));
         let added = &self.added;
@@ -146,7 +161,7 @@
         self.endpoints()
     }
 
-    /// What of it outlives the steward. Times are as they were then.
+    /// What of it outlives the controller. Times are as they were then.
     pub(crate) fn to_recovered(&self) -> RecoveredList {
         let host = |(_, k): (&HostId, &ListedHost)| RecoveredHost {
             entry: k.entry.clone(),
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -1,4 +1,4 @@
-//! `show info`: the steward's own figures.
+//! `show info`: the controller's own figures.
 
 use crate::dns_state::DnsState;
 use crate::state::DaemonState;
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -1,20 +1,20 @@
-//! A steward's core: inputs in, outputs out. No I/O and no clock, so that a recorded run, played again, gives the
-//! same outputs byte for byte.
+//! The state machine of the stand-alone controller: inputs in, outputs out. No I/O and no clock, so that a recorded run,
+//! replayed, gives the same outputs byte for byte.
 //!
 //! - `input`, `output`, `event`: what goes in and comes out, and the events that say what led to what; `reported_load`,
 //!   `time`: parts of them. `recorded_debug`: their `Debug` texts, which are on the wire.
-//! - `core`: the core as its surroundings see it.
-//! - `course`, `follow`: the decision module is told what happened, and what it decides is carried out.
-//! - `list`: the hosts as the file and the operators have them.
-//! - `names`, `asking`: proxies that take their tables from the DNS front; the same in the course of things.
-//! - `books`: the tables as the module deals them, and as proxies are to hold them.
-//! - `channel`: how much may be sent, and when.
-//! - `peer`: one proxy: dialled, looked at, joined, lost.
-//! - `weigher`, `weighing`: weights as a solver sets them, between the list and the module.
-//! - `pushes`, `reporting`: reports that proxies and hosts push; these and rounds in the course of things.
-//! - `recovered_state`, `recovering`: what a steward that starts again must still know; taken up and given out.
-//! - `round`: sums of all proxies gathered into one look.
-//! - `operator`, `info`, `zones`: the runtime API of the steward itself, and the map that operators set.
+//! - `core`: the state machine as its surroundings see it.
+//! - `state`, `decisions`: inputs are applied to the decisions, and what these decide is carried out.
+//! - `endpoint_list`: the hosts as the file and the operators have them.
+//! - `dns_state`, `dns_events`: proxies that take their tables from the DNS server; the inputs and timers of these.
+//! - `table_assignments`: the tables as they were decided, and as proxies are to hold them.
+//! - `update_queue`: how much may be sent to proxies, and when.
+//! - `peer`: one proxy and its connection.
+//! - `weight_planner`, `weight_events`: weights that a solver sets, between the endpoint list and the decisions.
+//! - `pushed_reports`, `report_events`: reports that proxies and hosts push; the inputs and intervals of these.
+//! - `outcome_aggregator`: outcomes of all proxies, summed up by host over a report interval.
+//! - `recovered_state`, `recovery`: what a controller that starts again must still know; taken over and given out.
+//! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the map that operators set.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines, missing_docs)]
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -1,4 +1,4 @@
-//! What a steward that starts again must still know, and what it leaves behind.
+//! What a controller that starts again must still know, and what it leaves behind.
 //!
 //! | kept | because |
 //! | --- | --- |
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -76,7 +76,7 @@
 
 impl DaemonState {
     /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
-    /// mark that joined proxies get tells this start of this steward from any other: `epoch` must be higher than that of
+    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
     pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
         let deployment = site.ticket();
@@ -210,7 +210,7 @@
                 hosts,
             } => match self.endpoints.apply_file(self.now, version, hosts) {
                 Ok(endpoints) => self.apply_endpoints(endpoints),
-                Err(error) => self.reject_endpoint_list(error),
+                Err(error) => self.reject_endpoint_list(error.to_string()),
             },
             Input::EndpointListRejected { error } => {
                 self.endpoints.rejected_reason = Some(error.clone());
--- a/crates/daemon-core/src/update_queue.rs
+++ b/crates/daemon-core/src/update_queue.rs
@@ -15,7 +15,7 @@
 /// Duration whose lines may be sent at one time after a pause.
 const BURST: Duration = Duration::from_millis(100);
 
-/// The channel of one steward; figures in commands ("lines"), as the proxies count them.
+/// The update queue of one controller; figures in commands ("lines"), as the proxies count them.
 #[derive(Debug)]
 pub(crate) struct UpdateQueue {
     lines_per_second: f64,
--- a/crates/daemon-core/src/zone_map.rs
+++ b/crates/daemon-core/src/zone_map.rs
@@ -8,6 +8,19 @@
 /// Versions under way at most: beyond that the oldest is dropped, as nobody may ever commit it.
 const MAX_VERSIONS: usize = 8;
 
+/// Why the map could not be changed or shown. The texts are answers to operators, with their line ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum ZoneMapError {
+    /// No such version is under way.
+    #[error("Version not found.\n")]
+    VersionNotFound,
+    /// The map or the version has as many entries as it may have.
+    #[error("The map is full.\n")]
+    Full,
+}
+
+/// Zone by host.
 type Entries = BTreeMap<String, String>;
 
 #[derive(Debug, Default)]
@@ -31,8 +44,10 @@
         self.entries = entries;
     }
 
-    pub(crate) fn version(&self, version: u64) -> Option<&Entries> {
-        self.prepared.get(&version)
+    pub(crate) fn version(&self, version: u64) -> Result<&Entries, ZoneMapError> {
+        self.prepared
+            .get(&version)
+            .ok_or(ZoneMapError::VersionNotFound)
     }
 
     pub(crate) fn prepare(&mut self) -> u64 {
@@ -44,22 +59,22 @@
         self.last
     }
 
-    /// Adds or changes an entry, of a version or of the map itself. The error is the answer.
+    /// Adds or changes an entry, of a version or of the map itself.
     pub(crate) fn set(
         &mut self,
         version: Option<u64>,
         host: &str,
         zone: &str,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), ZoneMapError> {
         let entries = match version {
             None => &mut self.entries,
             Some(version) => self
                 .prepared
                 .get_mut(&version)
-                .ok_or("Version not found.\n")?,
+                .ok_or(ZoneMapError::VersionNotFound)?,
         };
         if entries.len() >= MAX_ENTRIES && !entries.contains_key(host) {
-            return Err("The map is full.\n");
+            return Err(ZoneMapError::Full);
         }
         entries.insert(host.to_string(), zone.to_string());
         Ok(())
@@ -69,24 +84,24 @@
         self.entries.remove(host).is_some()
     }
 
-    pub(crate) fn clear(&mut self, version: Option<u64>) -> Result<(), &'static str> {
+    pub(crate) fn clear(&mut self, version: Option<u64>) -> Result<(), ZoneMapError> {
         match version {
             None => self.entries.clear(),
             Some(version) => self
                 .prepared
                 .get_mut(&version)
-                .ok_or("Version not found.\n")?
+                .ok_or(ZoneMapError::VersionNotFound)?
                 .clear(),
         }
         Ok(())
     }
 
     /// A version becomes the map; older ones under way can't be committed any more.
-    pub(crate) fn commit(&mut self, version: u64) -> Result<(), &'static str> {
+    pub(crate) fn commit(&mut self, version: u64) -> Result<(), ZoneMapError> {
         self.entries = self
             .prepared
             .remove(&version)
-            .ok_or("Version not found.\n")?;
+            .ok_or(ZoneMapError::VersionNotFound)?;
         self.prepared.retain(|other, _| *other > version);
         Ok(())
     }
