--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -56,7 +56,8 @@
                 break;
             }
             room -= 1;
-            let (now, cause) = (self.now, self.cause.clone());
+            let now = self.now;
+            let cause = self.cause.clone();
             let peer = &mut self.peers[n];
             peer.link = Link::Joined;
             peer.require_update(now, &cause);
@@ -102,10 +103,8 @@
                 } => {
                     self.tables.set_admission(table, kind, quota, tries);
                     touched.insert(table);
-                    let (kind, tries) = (
-                        self.request_classes[kind.0 as usize].clone(),
-                        table::tries_word(tries).into(),
-                    );
+                    let kind = self.request_classes[kind.0 as usize].clone();
+                    let tries = table::tries_word(tries).into();
                     let cause = self.cause.clone();
                     self.log_event(Event::AdmissionChanged {
                         table: table.0,
@@ -154,7 +153,8 @@
     }
 
     fn bind_proxy(&mut self, proxy: u16, table: TableId, kinds: &[RequestClassId]) {
-        let (now, cause) = (self.now, self.cause.clone());
+        let now = self.now;
+        let cause = self.cause.clone();
         let all: Vec<RequestClassId> = (0..self.request_classes.len())
             .map(|k| RequestClassId(k as u8))
             .collect();
@@ -174,7 +174,8 @@
     }
 
     pub(crate) fn require_table_update(&mut self, table: TableId) {
-        let (now, cause) = (self.now, self.cause.clone());
+        let now = self.now;
+        let cause = self.cause.clone();
         for peer in self
             .peers
             .iter_mut()
@@ -212,7 +213,8 @@
         let mut due = Vec::new();
         for n in ready {
             let wanted = self.wanted_state(n);
-            let (list, peer) = (&self.endpoints, &mut self.peers[n]);
+            let list = &self.endpoints;
+            let peer = &mut self.peers[n];
             match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
                 Some(batch) => due.push((
                     batch.urgency,
@@ -249,14 +251,16 @@
                         .take()
                         .map(|dirty| dirty.1)
                         .unwrap_or_default();
-                    let (proxy, connection) = (peer.id.0, peer.connection);
+                    let proxy = peer.id.0;
+                    let connection = peer.connection;
                     let lines = peer.session.order(now, batch);
                     self.outputs.push_back(Output::Write {
                         proxy,
                         connection,
                         lines,
                     });
-                    let (proxy, urgency) = (peer.name.clone(), urgency_word(urgency).into());
+                    let proxy = peer.name.clone();
+                    let urgency = urgency_word(urgency).into();
                     self.log_event(Event::UpdateSent {
                         proxy,
                         commands,
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -17,7 +17,8 @@
 impl DaemonState {
     /// A table was answered as it was at this serial, to a proxy if it is known which.
     pub(crate) fn on_dns_query(&mut self, proxy: Option<u16>, table: Option<u16>, serial: u32) {
-        let (now, cause) = (self.now, self.cause.clone());
+        let now = self.now;
+        let cause = self.cause.clone();
         let Some(names) = &mut self.dns else { return };
         if let Some(table) = table {
             names
@@ -44,7 +45,10 @@
         };
         if names.members.asked(now, peer.id) == Asked::Joined && !joined {
             peer.link = Link::Dns { joined: true };
-            let (id, usual, zone, proxy) = (peer.id, peer.usual_rate, peer.zone, peer.name.clone());
+            let id = peer.id;
+            let usual = peer.usual_rate;
+            let zone = peer.zone;
+            let proxy = peer.name.clone();
             // Nobody can tell a restart: it counts as one that was there before.
             self.controller.proxy_joined(now, id, false, usual, zone);
             self.log_event(Event::ProxyJoined {
@@ -88,8 +92,9 @@
             self.outputs
                 .push_back(Output::NotifySecondary { secondary });
         }
-        late.into_iter()
-            .for_each(|secondary| self.log_event(Event::SecondaryBehind { secondary }));
+        for secondary in late {
+            self.log_event(Event::SecondaryBehind { secondary });
+        }
         for id in left {
             let peer = &mut self.peers[id.0 as usize];
             peer.link = Link::Dns { joined: false };
@@ -172,7 +177,8 @@
             self.require_table_update(table);
         }
         for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
-            let (host, duration_s) = (host.0.to_string(), (*until - now).seconds());
+            let host = host.0.to_string();
+            let duration_s = (*until - now).seconds();
             self.log_event(Event::HostExcluded { host, duration_s });
         }
         self.mark_dns_view_outdated();
@@ -218,7 +224,8 @@
                 .get(table)
                 .map(|assignment| (*table, &assignment.weights))
         };
-        let (mut tables, mut last) = (BTreeMap::new(), BTreeSet::new());
+        let mut tables = BTreeMap::new();
+        let mut last = BTreeSet::new();
         names.last_answer_until = None;
         for (table, weights) in used.iter().filter_map(weights).chain([(STANDING, &listed)]) {
             let (lines, until) = names.lines(now, weights, table, list);
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -185,12 +185,11 @@
         if until <= now {
             return;
         }
-        let (mut known, mut before) = (BTreeMap::new(), BTreeMap::new());
+        let mut known = BTreeMap::new();
+        let mut before = BTreeMap::new();
         for host in hosts {
-            let (id, started) = (
-                HostId(host.entry.name.as_str().into()),
-                Time::from_micros(host.started_us),
-            );
+            let id = HostId(host.entry.name.as_str().into());
+            let started = Time::from_micros(host.started_us);
             let long_away = host
                 .draining_since_us
                 .is_some_and(|at| Time::from_micros(at) + self.cache_lifetime <= last);
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -212,10 +212,8 @@
                 HostState::Drain => EndpointState::Draining,
                 HostState::Gone => EndpointState::Removed,
             };
-            let (started, draining_since) = (
-                Time::from_micros(host.started_us),
-                host.draining_since_us.map(Time::from_micros),
-            );
+            let started = Time::from_micros(host.started_us);
+            let draining_since = host.draining_since_us.map(Time::from_micros);
             (
                 id(&host.entry.name),
                 ListedHost {
@@ -253,7 +251,8 @@
             .iter()
             .filter(|(_, k)| k.state != EndpointState::Removed);
         let zone = |name: &str| self.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
-        let (machines, racks) = (&mut self.machine_types, &mut self.racks);
+        let machines = &mut self.machine_types;
+        let racks = &mut self.racks;
         listed
             .map(|(id, k)| Endpoint {
                 host: id.clone(),
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -9,7 +9,8 @@
 
 pub(crate) fn info(core: &DaemonState) -> Info {
     let mut info = Info::default();
-    let (now, list) = (core.now, &core.endpoints);
+    let now = core.now;
+    let list = &core.endpoints;
     let open = |s: EndpointState| list.hosts.values().filter(|k| k.state == s).count();
     let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
     let cold = list
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -4,12 +4,13 @@
 //! - `input`, `output`, `event`: what goes in and comes out, and the events that say what led to what; `reported_load`,
 //!   `time`: parts of them. `recorded_debug`: their `Debug` texts, which are on the wire.
 //! - `core`: the state machine as its surroundings see it.
-//! - `state`, `decisions`: inputs are applied to the decisions, and what these decide is carried out.
+//! - `state`, `apply`, `timers`, `decisions`: the state; inputs and timers are applied to the decisions, and what these
+//!   decide is carried out.
 //! - `endpoint_list`: the hosts as the file and the operators have them.
 //! - `dns_state`, `dns_events`: proxies that take their tables from the DNS server; the inputs and timers of these.
 //! - `table_assignments`: the tables as they were decided, and as proxies are to hold them.
 //! - `update_queue`: how much may be sent to proxies, and when.
-//! - `peer`: one proxy and its connection.
+//! - `peer`, `peer_events`: one proxy and its connection; what happens on it.
 //! - `weight_planner`, `weight_events`: weights that a solver sets, between the endpoint list and the decisions.
 //! - `pushed_reports`, `report_events`: reports that proxies and hosts push; the inputs and intervals of these.
 //! - `outcome_aggregator`: outcomes of all proxies, summed up by host over a report interval.
@@ -19,6 +20,7 @@
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines, missing_docs)]
 
+mod apply;
 mod core;
 mod decisions;
 mod dns_events;
@@ -31,6 +33,7 @@
 mod outcome_aggregator;
 mod output;
 mod peer;
+mod peer_events;
 mod pushed_reports;
 mod recorded_debug;
 mod recovered_state;
@@ -40,6 +43,7 @@
 mod state;
 mod table_assignments;
 mod time;
+mod timers;
 mod update_queue;
 mod weight_events;
 mod weight_planner;
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -88,10 +88,8 @@
                 });
             all.oldest_at = all.oldest_at.min(at);
             let all = &mut all.outcomes;
-            let (done, more) = (
-                all.attempts - all.failures,
-                outcomes.attempts - outcomes.failures,
-            );
+            let done = all.attempts - all.failures;
+            let more = outcomes.attempts - outcomes.failures;
             if more > 0.0 {
                 let sum = all.mean_latency.micros() as f64 * done
                     + outcomes.mean_latency.micros() as f64 * more;
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -103,13 +103,16 @@
     /// The connection is gone: when to dial again. Doubling waits with jitter, so that proxies that were lost
     /// together do not come back together.
     pub(crate) fn on_disconnected(&mut self, now: Time, links: &Links, random: &mut fastrand::Rng) {
-        let (least, most) = (links.redial_least.0, links.redial_most.0);
+        let least = links.redial_least.0;
+        let most = links.redial_most.0;
         let doubled = least
             .scaled(f64::from(1u32 << self.failed_dials.min(16)))
             .min(most);
         self.failed_dials = self.failed_dials.saturating_add(1);
         self.link = Link::Down(now + doubled.scaled(0.5 + random.f64()));
         self.bindings.clear();
-        (self.pending_update, self.blocked_until, self.silent_since) = (None, None, None);
+        self.pending_update = None;
+        self.blocked_until = None;
+        self.silent_since = None;
     }
 }
--- /dev/null
+++ b/crates/daemon-core/src/peer_events.rs
@@ -0,0 +1,130 @@
+//! What happens on the connections to proxies.
+
+use crate::event::Event;
+use crate::output::Output;
+use crate::peer::{Link, Peer};
+use crate::state::DaemonState;
+use pondarch_controller::DurationExt;
+use pondarch_proxy_session::Told;
+use std::time::Duration;
+
+impl DaemonState {
+    /// The peer, if this is still its connection: what comes late for an older one says nothing any more.
+    pub(crate) fn peer(&mut self, proxy: u16, connection: u64) -> Option<&mut Peer> {
+        let current =
+            |peer: &&mut Peer| peer.connection == connection && !matches!(peer.link, Link::Down(_));
+        self.peers.get_mut(proxy as usize).filter(current)
+    }
+
+    pub(crate) fn on_connected(&mut self, proxy: u16, connection: u64) {
+        let now = self.now;
+        if let Some(peer) = self.peer(proxy, connection) {
+            peer.link = Link::ReadingState;
+            peer.silent_since = Some(now);
+            let lines = peer.session.begin();
+            self.outputs.push_back(Output::Write {
+                proxy,
+                connection,
+                lines,
+            });
+        }
+    }
+
+    pub(crate) fn on_answer(&mut self, proxy: u16, connection: u64, text: &str) {
+        let now = self.now;
+        let Some(peer) = self
+            .peer(proxy, connection)
+            .filter(|peer| peer.is_connected())
+        else {
+            return;
+        };
+        let (told, lines) = match peer.session.answered(now, text) {
+            Ok(result) => result,
+            Err(error) => return self.hang_up(proxy, &error.to_string()),
+        };
+        peer.silent_since = (!peer.session.is_quiet() || !lines.is_empty()).then_some(now);
+        if !lines.is_empty() {
+            self.outputs.push_back(Output::Write {
+                proxy,
+                connection,
+                lines,
+            });
+        }
+        match told {
+            None => {}
+            Some(Told::Learned { fresh }) => {
+                let peer = &mut self.peers[proxy as usize];
+                if peer.link == Link::ReadingState {
+                    peer.link = Link::Waiting { fresh };
+                } else {
+                    // It looked again after a refusal: what is still different is due.
+                    peer.require_update(now, &self.cause);
+                }
+            }
+            Some(Told::Applied { took, refused }) => self.on_acknowledged(proxy, took, refused),
+            Some(Told::Sums(look)) => {
+                let id = self.peers[proxy as usize].id;
+                self.record_counters(id, look, now);
+            }
+        }
+    }
+
+    pub(crate) fn on_acknowledged(&mut self, proxy: u16, took: Duration, refused: Vec<String>) {
+        let now = self.now;
+        let cause = self.cause.clone();
+        let peer = &mut self.peers[proxy as usize];
+        self.update_queue
+            .record_acknowledged(std::mem::take(&mut peer.in_flight));
+        peer.failed_dials = 0;
+        peer.commands_rejected += refused.len() as u64;
+        // There may be a second part that waited for this one.
+        peer.require_update(now, &cause);
+        peer.blocked_until = None;
+        let name = peer.name.clone();
+        for error in refused {
+            self.log_error(format!("{name}: refused: {error}"));
+            self.log_event(Event::UpdateRejected {
+                proxy: name.clone(),
+                error,
+            });
+        }
+        self.log_event(Event::UpdateAcknowledged {
+            proxy: name,
+            took_us: took.micros(),
+        });
+    }
+
+    pub(crate) fn hang_up(&mut self, proxy: u16, reason: &str) {
+        let connection = self.peers[proxy as usize].connection;
+        self.outputs.push_back(Output::HangUp { proxy, connection });
+        self.on_disconnected(proxy, reason);
+    }
+
+    pub(crate) fn on_disconnected(&mut self, proxy: u16, reason: &str) {
+        let peer = &mut self.peers[proxy as usize];
+        let joined = peer.is_joined();
+        let dialled = peer.is_connected();
+        self.update_queue
+            .record_acknowledged(std::mem::take(&mut peer.in_flight));
+        peer.on_disconnected(self.now, &self.links, &mut self.random);
+        let id = peer.id;
+        let name = peer.name.clone();
+        let again = peer.failed_dials > 1;
+        self.outcomes.proxy_lost(proxy);
+        self.pushed_reports.silence.left(id);
+        if joined {
+            if let Some(weigher) = &mut self.weight_planner {
+                weigher.estimates().left(id);
+            }
+            self.controller.proxy_left(self.now, id);
+        }
+        // A proxy that is simply not there is told of once, not at every dial.
+        if dialled || !again {
+            self.log_error(format!("{name}: {reason}"));
+            self.log_event(Event::ProxyLeft {
+                proxy: name,
+                reason: reason.to_string(),
+            });
+        }
+    }
+}
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -94,7 +94,8 @@
 
     /// Gives up what figures are checked by until so many bytes are free, the largest first; gives of how many senders.
     pub(crate) fn drop_histories(&mut self, bytes: u64) -> u64 {
-        let (mut freed, mut times) = (0, 0);
+        let mut freed = 0;
+        let mut times = 0;
         let mut largest: Vec<&mut SenderHistory> = self.histories.values_mut().collect();
         largest.sort_by_key(|known| std::cmp::Reverse(known.last_counts.len()));
         for known in largest {
@@ -103,7 +104,8 @@
             }
             let before = known.bytes();
             known.last_counts.clear();
-            (freed, times) = (freed + before - known.bytes(), times + 1);
+            freed += before - known.bytes();
+            times += 1;
         }
         times
     }
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -20,7 +20,8 @@
     }
 
     pub(crate) fn recover(&mut self, old: RecoveredState) {
-        let (now, last) = (self.now, Time::from_micros(old.at_us));
+        let now = self.now;
+        let last = Time::from_micros(old.at_us);
         if let Some(names) = &mut self.dns {
             names.recover(now, last, old.dns_serial, &old.list.hosts);
         }
@@ -33,11 +34,9 @@
                 .filter(|known| known.state == wanted)
                 .count()
         };
-        let (ready, draining, gone) = (
-            count(EndpointState::Ready),
-            count(EndpointState::Draining),
-            count(EndpointState::Removed),
-        );
+        let ready = count(EndpointState::Ready);
+        let draining = count(EndpointState::Draining);
+        let gone = count(EndpointState::Removed);
         self.log_event(Event::Recovered {
             ready,
             draining,
@@ -57,7 +56,8 @@
             .iter()
             .filter(|(_, known)| known.state != EndpointState::Ready)
         {
-            let (mut holding, mut unknown) = (Vec::new(), 0);
+            let mut holding = Vec::new();
+            let mut unknown = 0;
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
                 match peer.session.holds(host) {
                     Some(true) => holding.push(peer.name.as_str()),
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -111,13 +111,12 @@
             reports: 1,
             at_us: micros(now),
         });
-        let (known, counts) = (
-            self.pushed_reports
-                .histories
-                .entry(name.clone())
-                .or_default(),
-            &mut self.pushed_reports.counters,
-        );
+        let known = self
+            .pushed_reports
+            .histories
+            .entry(name.clone())
+            .or_default();
+        let counts = &mut self.pushed_reports.counters;
         counts.received += 1;
         match known.order.came(incarnation, report.number) {
             Verdict::Newest { missing } => counts.missing += missing,
@@ -186,7 +185,8 @@
         else {
             return;
         };
-        let (id, at) = (peer.id, sent.unwrap_or(now));
+        let id = peer.id;
+        let at = sent.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
         let Some(look) = peer.session.counted(at, &rows) else {
             return;
@@ -278,7 +278,8 @@
 
     /// A round is over: its lines go to the module, within the budget, each with how old it is.
     pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
-        let (now, every) = (self.now, self.report_interval);
+        let now = self.now;
+        let every = self.report_interval;
         let stale = gathered
             .iter()
             .filter(|(_, of)| now - of.oldest_at >= age::STALE)
@@ -336,7 +337,8 @@
             lines.entry(host).or_insert(outcomes);
         }
         if !lines.is_empty() || kept > 0 {
-            let (hosts, oldest_us) = (lines.len(), oldest.micros());
+            let hosts = lines.len();
+            let oldest_us = oldest.micros();
             self.outputs.push_back(Output::LoadReportsApplied {
                 hosts,
                 deferred: kept,
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -10,7 +10,8 @@
 impl DaemonState {
     /// Weights for a list that has just come; the listed ones where nobody solves.
     pub(crate) fn plan_listed_weights(&mut self) {
-        let (now, list) = (self.now, &mut self.endpoints);
+        let now = self.now;
+        let list = &mut self.endpoints;
         let Some(weigher) = &mut self.weight_planner else {
             return;
         };
@@ -84,7 +85,8 @@
         };
         let listed = weigher.planner_hosts(now, &self.endpoints);
         let stepped = weigher.planner.step(now, &listed);
-        let (source, admitted_rates) = (weigher.planner.source(), weigher.planner.let_in());
+        let source = weigher.planner.source();
+        let admitted_rates = weigher.planner.let_in();
         let source_changed = std::mem::replace(&mut weigher.last_source, source) != source;
         self.controller.apply_capacity_plan(now, admitted_rates);
         if source_changed {
@@ -119,7 +121,8 @@
         over: Duration,
     ) {
         let peer = &self.peers[proxy as usize];
-        let (id, zone) = (peer.id, peer.zone);
+        let id = peer.id;
+        let zone = peer.zone;
         if let Some(weigher) = &mut self.weight_planner {
             weigher.estimates().asked(id, zone, kind, many, over);
         }
