--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -13,7 +13,8 @@
 //! - `peer`, `peer_events`: one proxy and its connection; what happens on it.
 //! - `weight_planner`, `weight_events`: weights that a solver sets, between the endpoint list and the decisions.
 //! - `pushed_reports`, `report_events`: reports that proxies and hosts push; the inputs and intervals of these.
-//! - `outcome_aggregator`: outcomes of all proxies, summed up by host over a report interval.
+//! - `outcome_aggregator`, `outcome_events`: outcomes of all proxies, summed up by host over a report interval; how they
+//!   are applied.
 //! - `recovered_state`, `recovery`: what a controller that starts again must still know; taken over and given out.
 //! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the map that operators set.
 
@@ -31,6 +32,7 @@
 mod input;
 mod operator;
 mod outcome_aggregator;
+mod outcome_events;
 mod output;
 mod peer;
 mod peer_events;
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -1,15 +1,14 @@
 //! Reports in the course of things: what is pushed or read goes to a round, and each round to the module.
 
 use crate::event::Event;
-use crate::outcome_aggregator::AggregatedOutcomes;
 use crate::output::Output;
 use crate::pushed_reports::{REPORT_CREDIT, Sender, odd, row};
 use crate::reported_load::ReportedLoad;
-use crate::state::{DaemonState, MAX_LOAD_REPORT_PERIODS};
+use crate::state::DaemonState;
 use crate::time::micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
-use pondarch_load_ingestion::{Candidate, Purpose, Verdict, age};
+use pondarch_load_ingestion::{Verdict, age};
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
@@ -275,129 +274,4 @@
             });
         }
     }
-
-    /// A round is over: its lines go to the module, within the budget, each with how old it is.
-    pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
-        let now = self.now;
-        let every = self.report_interval;
-        let stale = gathered
-            .iter()
-            .filter(|(_, of)| now - of.oldest_at >= age::STALE)
-            .count();
-        let mut gathered: Vec<(HostId, AggregatedOutcomes)> = gathered
-            .into_iter()
-            .filter(|(_, of)| now - of.oldest_at < age::STALE)
-            .collect();
-        let budget = self.max_outcomes_per_second.map_or(usize::MAX, |lines| {
-            (lines * every.seconds()).max(1.0) as usize
-        });
-        let mut kept = 0;
-        if gathered.len() > budget {
-            let candidates: Vec<Candidate> = gathered
-                .iter()
-                .map(|(host, of)| self.candidate(host, of))
-                .collect();
-            let chosen = self.selection.among(now, every, &candidates, budget);
-            let mut n = 0;
-            let told = |_: &mut (HostId, AggregatedOutcomes)| {
-                n += 1;
-                chosen.binary_search(&(n - 1)).is_err()
-            };
-            let rest: Vec<_> = gathered.extract_if(.., told).collect();
-            kept = rest.len();
-            let fades = age::faded(every);
-            for (host, of) in rest {
-                let outcomes = AttemptOutcomes {
-                    attempts: of.outcomes.attempts * fades,
-                    failures: of.outcomes.failures * fades,
-                    ..of.outcomes
-                };
-                let outcomes = AttemptOutcomes {
-                    period: outcomes.period + every,
-                    ..outcomes
-                };
-                self.outcomes
-                    .defer(host, AggregatedOutcomes { outcomes, ..of });
-            }
-        }
-        let oldest = gathered
-            .iter()
-            .map(|(_, of)| now - of.oldest_at)
-            .max()
-            .unwrap_or(Duration::ZERO);
-        let mut lines: BTreeMap<HostId, AttemptOutcomes> = gathered
-            .into_iter()
-            .map(|(host, of)| (host, of.outcomes))
-            .collect();
-        for (host, outcomes) in self
-            .self_reported_outcomes()
-            .into_iter()
-            .chain(self.unobservable_hosts())
-        {
-            lines.entry(host).or_insert(outcomes);
-        }
-        if !lines.is_empty() || kept > 0 {
-            let hosts = lines.len();
-            let oldest_us = oldest.micros();
-            self.outputs.push_back(Output::LoadReportsApplied {
-                hosts,
-                deferred: kept,
-                oldest_us,
-                dropped: stale,
-            });
-        }
-        let fresh = self
-            .load_interval
-            .unwrap_or(Duration::ZERO)
-            .max(every)
-            .scaled(MAX_LOAD_REPORT_PERIODS);
-        for (host, outcomes) in lines {
-            let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
-            let load = load.map(|(_, told)| told.host_load());
-            let outcomes = AttemptOutcomes { load, ..outcomes };
-            self.controller.record_outcomes(now, &host, outcomes);
-            self.outcomes_applied_at.insert(host.clone(), now);
-            self.last_outcomes.insert(host, outcomes);
-        }
-        self.record_observations(fresh);
-        self.log_rejected_reports();
-        let reports =
-            self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
-        if !self.memory.takes(Purpose::Reports, reports) {
-            let times = self
-                .pushed_reports
-                .drop_histories(reports - Purpose::Reports.cap());
-            self.memory.capped(Purpose::Reports, times);
-        }
-        let tables = self.tables.bytes()
-            + self
-                .peers
-                .iter()
-                .map(|peer| peer.session.bytes())
-                .sum::<u64>();
-        if !self.memory.takes(Purpose::Tables, tables) {
-            let used = self
-                .peers
-                .iter()
-                .flat_map(|peer| peer.bindings.values().copied())
-                .collect();
-            let times = self.tables.drop_unused(&used);
-            self.memory.capped(Purpose::Tables, times);
-        }
-    }
-
-    fn candidate(&self, host: &HostId, of: &AggregatedOutcomes) -> Candidate {
-        Candidate {
-            host: host.clone(),
-            told: self
-                .outcomes_applied_at
-                .get(host)
-                .copied()
-                .unwrap_or_default(),
-            tries: of.outcomes.attempts,
-            errored: of.outcomes.failures,
-            changing: self.endpoints.is_warming_up(host, self.now)
-                || self.endpoints.must_drain(host),
-        }
-    }
 }
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -1,5 +1,5 @@
-//! The course of things: each input is noted, and the decision module told. What follows from its decisions stands
-//! in `follow`. The order within an input is always the same: note it, ask the module, bring proxies up to date.
+//! The state of the controller. `apply` applies inputs to it, `timers` what is due by time, and `decisions` carries out
+//! what was decided. The order within an input is always the same: note it, ask for decisions, bring proxies up to date.
 
 use crate::dns_state::{self, DnsState};
 use crate::endpoint_list::EndpointList;
@@ -29,45 +29,75 @@
 /// Load reports older than this many of their periods are not passed on: the module weighs them as new.
 pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
 
+/// All that the controller knows.
 pub(crate) struct DaemonState {
+    /// Name of the controller, from the settings.
     pub(crate) name: String,
+    /// Names of the request classes, by their numbers.
     pub(crate) request_classes: Vec<String>,
+    /// Limits of the connections to proxies.
     pub(crate) links: Links,
+    /// How often the loads of hosts are read; none: never.
     pub(crate) load_interval: Option<Duration>,
+    /// How often counters of proxies are read, and outcomes applied.
     pub(crate) report_interval: Duration,
+    /// Whether proxies admit requests by rate rather than by fraction.
     pub(crate) admits_by_rate: bool,
+    /// The process number that `show info` gives.
     pub(crate) process: u32,
+    /// When this run began.
     pub(crate) started: Time,
+    /// Time of the latest input.
     pub(crate) now: Time,
+    /// The decisions.
     pub(crate) controller: Controller,
+    /// The hosts as the file and the operators have them.
     pub(crate) endpoints: EndpointList,
+    /// The zone map that operators set.
     pub(crate) zones: ZoneMap,
     /// None: listed weights are used as they are.
     pub(crate) weight_planner: Option<WeightPlanner>,
-    /// None: no DNS front.
+    /// None: no DNS server.
     pub(crate) dns: Option<DnsState>,
+    /// The tables as they were decided.
     pub(crate) tables: TableAssignments,
+    /// The proxies, by their numbers; those that stand for unknown proxies are last.
     pub(crate) peers: Vec<Peer>,
+    /// How much may be sent to proxies.
     pub(crate) update_queue: UpdateQueue,
+    /// Outcomes of the report interval that is open.
     pub(crate) outcomes: OutcomeAggregator,
+    /// Source of all jitter of this run.
     pub(crate) random: fastrand::Rng,
+    /// When the decisions asked to be called.
     pub(crate) timer_at: Option<Time>,
+    /// The latest reported load of each host, and of when it is.
     pub(crate) loads: BTreeMap<HostId, (Time, ReportedLoad)>,
+    /// The outcomes of each host that were applied last.
     pub(crate) last_outcomes: BTreeMap<HostId, AttemptOutcomes>,
+    /// When loads are read next.
     pub(crate) next_load_read_at: Option<Time>,
-    /// When a host's line went to the module last.
+    /// When outcomes of a host were last applied.
     pub(crate) outcomes_applied_at: BTreeMap<HostId, Time>,
-    /// Lines of hosts that the module is told in a second; none: all.
+    /// Hosts whose outcomes are applied, a second; none: all.
     pub(crate) max_outcomes_per_second: Option<f64>,
+    /// Chooses the hosts whose outcomes are applied where not all may be.
     pub(crate) selection: Choice,
+    /// Senders of reports.
     pub(crate) pushed_reports: PushedReports,
+    /// Memory by purpose.
     pub(crate) memory: Account,
     /// None: nothing is recorded.
     pub(crate) event_log: Option<EventLogState>,
+    /// Inputs so far.
     pub(crate) input_count: u64,
+    /// The input that is applied now, as events name it.
     pub(crate) cause: String,
+    /// The latest events, for `show events`.
     pub(crate) events: VecDeque<(Time, Event)>,
+    /// The latest errors, for `show errors`.
     pub(crate) errors: VecDeque<(Time, String)>,
+    /// What was not yet given out.
     pub(crate) outputs: VecDeque<Output>,
 }
 
