--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -89,7 +89,7 @@
         let Some(interval) = self.load_interval else {
             return;
         };
-        if !self.next_load_read_at.is_some_and(|at| at <= now) {
+        if self.next_load_read_at.is_none_or(|at| at > now) {
             return;
         }
         self.next_load_read_at = Some(now + interval);
