--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -32,10 +32,12 @@
         self.state.state_to_recover()
     }
 
+    /// Applies one input; its outputs are given by `next_output`.
     pub fn handle(&mut self, now: Time, input: Input) {
         self.state.apply_input(now, input, operator::answer);
     }
 
+    /// The next thing to be done, in order; none: all is given out.
     pub fn next_output(&mut self) -> Option<Output> {
         self.state.next_output()
     }
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -19,7 +19,7 @@
 //! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the map that operators set.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, missing_docs)]
+#![allow(clippy::too_many_lines)]
 
 mod apply;
 mod core;
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -76,6 +76,7 @@
         self
     }
 
+    /// The hosts of the endpoint list.
     pub fn hosts(&self) -> &[RecoveredHost] {
         &self.list.hosts
     }
