--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -1,6 +1,7 @@
 //! `show info`: the controller's own figures.
 
 use crate::dns_state::DnsState;
+use crate::input::EventLogState;
 use crate::state::DaemonState;
 use crate::weight_planner::WeightPlanner;
 use pondarch_controller::DurationExt;
@@ -58,46 +59,14 @@
             .and_then(WeightPlanner::failed)
             .unwrap_or("-"),
     );
-    if let Some(names) = &core.dns {
-        let too_long: Vec<&str> = names
-            .holds_too_long()
-            .filter_map(|id| core.peers.get(id.0 as usize).map(|peer| peer.name.as_str()))
-            .collect();
-        info.put("NamesAsking", names.members());
-        info.put("NamesStrangersAsking", names.unknown_proxies_asking());
-        info.put("NamesSerial", names.view().serial);
-        info.put(
-            "NamesHoldTooLong",
-            if too_long.is_empty() {
-                "-".into()
-            } else {
-                too_long.join(" ")
-            },
-        );
+    if let Some(dns) = &core.dns {
+        put_dns(&mut info, core, dns);
     }
-    if let Some(records) = &core.event_log {
-        info.put(
-            "Records",
-            records
-                .stopped_reason
-                .as_ref()
-                .map_or("written".into(), |reason| format!("stopped: {reason}")),
-        );
-        info.put("RecordsLost", records.lost_inputs);
+    if let Some(event_log) = &core.event_log {
+        put_event_log(&mut info, event_log);
     }
     if core.pushed_reports.enabled {
-        let counts = &core.pushed_reports.counters;
-        info.put("Senders", core.pushed_reports.senders());
-        info.put("Reports", counts.received);
-        info.put("ReportsLate", counts.late);
-        info.put("ReportsDoubled", counts.duplicate);
-        info.put("ReportsMissing", counts.missing);
-        info.put("ReportsRestarted", counts.restarted);
-        info.put("ReportsStale", counts.stale);
-        info.put("ReportsRefused", counts.rejected);
-        info.put("ReportsOfStrangers", counts.unknown_senders);
-        info.put("ReportsUnlisted", counts.unlisted_hosts);
-        info.put("ClockJumps", counts.clock_jumps);
+        put_reports(&mut info, core);
     }
     for purpose in pondarch_load_ingestion::account::PURPOSES {
         let word = purpose.word();
@@ -120,3 +89,47 @@
     );
     info
 }
+
+fn put_dns(info: &mut Info, core: &DaemonState, dns: &DnsState) {
+    let too_long: Vec<&str> = dns
+        .holds_too_long()
+        .filter_map(|id| core.peers.get(id.0 as usize).map(|peer| peer.name.as_str()))
+        .collect();
+    info.put("NamesAsking", dns.members());
+    info.put("NamesStrangersAsking", dns.unknown_proxies_asking());
+    info.put("NamesSerial", dns.view().serial);
+    info.put(
+        "NamesHoldTooLong",
+        if too_long.is_empty() {
+            "-".into()
+        } else {
+            too_long.join(" ")
+        },
+    );
+}
+
+fn put_event_log(info: &mut Info, event_log: &EventLogState) {
+    info.put(
+        "Records",
+        event_log
+            .stopped_reason
+            .as_ref()
+            .map_or("written".into(), |reason| format!("stopped: {reason}")),
+    );
+    info.put("RecordsLost", event_log.lost_inputs);
+}
+
+fn put_reports(info: &mut Info, core: &DaemonState) {
+    let counts = &core.pushed_reports.counters;
+    info.put("Senders", core.pushed_reports.senders());
+    info.put("Reports", counts.received);
+    info.put("ReportsLate", counts.late);
+    info.put("ReportsDoubled", counts.duplicate);
+    info.put("ReportsMissing", counts.missing);
+    info.put("ReportsRestarted", counts.restarted);
+    info.put("ReportsStale", counts.stale);
+    info.put("ReportsRefused", counts.rejected);
+    info.put("ReportsOfStrangers", counts.unknown_senders);
+    info.put("ReportsUnlisted", counts.unlisted_hosts);
+    info.put("ClockJumps", counts.clock_jumps);
+}
