--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -1,56 +1,59 @@
 //! The core as its surroundings see it.
 
-use crate::course::Course;
-use crate::names::Names;
+use crate::dns_state::DnsState;
+use crate::input::Input;
 use crate::operator;
-use crate::remembered::Remembered;
-use crate::wire::{Input, Output};
+use crate::output::Output;
+use crate::recovered_state::RecoveredState;
+use crate::state::DaemonState;
 use pondarch_config::Site;
 use pondarch_controller::Time;
 use pondarch_dns_server::View;
 use std::sync::Arc;
 
-/// A steward without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
-/// `Input::Tick` is given at `wake_at`.
+/// The controller without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
+/// `Input::TimerExpired` is given at `wake_at`.
 pub struct Core {
-    course: Course,
+    state: DaemonState,
 }
 
 impl Core {
-    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the steward's own. The
-    /// mark that joined proxies get tells this start of this steward from any other: `epoch` must be higher than that of
+    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
+    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
     pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
         Core {
-            course: Course::new(site, seed, process, epoch, now),
+            state: DaemonState::new(site, seed, process, epoch, now),
         }
     }
 
-    /// What a steward that starts again must still know, for `Input::Recovered`.
-    pub fn remembered(&self) -> Remembered {
-        self.course.remembered()
+    /// What a controller that starts again must still know, for `Input::Recovered`.
+    pub fn state_to_recover(&self) -> RecoveredState {
+        self.state.state_to_recover()
     }
 
+    /// Applies one input; its outputs are given by `next_output`.
     pub fn handle(&mut self, now: Time, input: Input) {
-        self.course.handle(now, input, operator::answer);
+        self.state.apply_input(now, input, operator::answer);
     }
 
+    /// The next thing to be done, in order; none: all is given out.
     pub fn next_output(&mut self) -> Option<Output> {
-        self.course.next_output()
+        self.state.next_output()
     }
 
-    /// What the DNS front is to answer from, after `Output::ViewChanged`.
+    /// What the DNS front is to answer from, after `Output::DnsViewChanged`.
     pub fn view(&self) -> Arc<View> {
-        self.course
-            .names
+        self.state
+            .dns
             .as_ref()
-            .map(Names::view)
+            .map(DnsState::view)
             .unwrap_or_default()
     }
 
-    /// When the next `Input::Tick` is due. What is overdue already waits for some other input, and is looked at
+    /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
     /// with each.
     pub fn wake_at(&self) -> Time {
-        self.course.wake_at()
+        self.state.wake_at()
     }
 }
--- /dev/null
+++ b/crates/daemon-core/src/state.rs
@@ -0,0 +1,253 @@
+//! The state of the controller. `apply` applies inputs to it, `timers` what is due by time, and `decisions` carries out
+//! what was decided. The order within an input is always the same: note it, ask for decisions, bring proxies up to date.
+
+use crate::dns_state::{self, DnsState};
+use crate::endpoint_list::EndpointList;
+use crate::event::Event;
+use crate::input::EventLogState;
+use crate::outcome_aggregator::OutcomeAggregator;
+use crate::output::Output;
+use crate::peer::Peer;
+use crate::pushed_reports::PushedReports;
+use crate::reported_load::ReportedLoad;
+use crate::table_assignments::TableAssignments;
+use crate::update_queue::UpdateQueue;
+use crate::weight_planner::WeightPlanner;
+use crate::zone_map::ZoneMap;
+use pondarch_config::Site;
+use pondarch_config::site::{Links, Weights};
+use pondarch_controller::Controller;
+use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
+use pondarch_load_ingestion::{Account, Choice};
+use pondarch_proxy_session::{Front, FrontKind};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Events that are kept for `show events`, the newest; and errors for `show errors`.
+const MAX_EVENTS: usize = 256;
+/// Load reports older than this many of their periods are not passed on: the module weighs them as new.
+pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
+
+/// All that the controller knows.
+pub(crate) struct DaemonState {
+    /// Name of the controller, from the settings.
+    pub(crate) name: String,
+    /// Names of the request classes, by their numbers.
+    pub(crate) request_classes: Vec<String>,
+    /// Limits of the connections to proxies.
+    pub(crate) links: Links,
+    /// How often the loads of hosts are read; none: never.
+    pub(crate) load_interval: Option<Duration>,
+    /// How often counters of proxies are read, and outcomes applied.
+    pub(crate) report_interval: Duration,
+    /// Whether proxies admit requests by rate rather than by fraction.
+    pub(crate) admits_by_rate: bool,
+    /// The process number that `show info` gives.
+    pub(crate) process: u32,
+    /// When this run began.
+    pub(crate) started: Time,
+    /// Time of the latest input.
+    pub(crate) now: Time,
+    /// The decisions.
+    pub(crate) controller: Controller,
+    /// The hosts as the file and the operators have them.
+    pub(crate) endpoints: EndpointList,
+    /// The zone map that operators set.
+    pub(crate) zones: ZoneMap,
+    /// None: listed weights are used as they are.
+    pub(crate) weight_planner: Option<WeightPlanner>,
+    /// None: no DNS server.
+    pub(crate) dns: Option<DnsState>,
+    /// The tables as they were decided.
+    pub(crate) tables: TableAssignments,
+    /// The proxies, by their numbers; those that stand for unknown proxies are last.
+    pub(crate) peers: Vec<Peer>,
+    /// How much may be sent to proxies.
+    pub(crate) update_queue: UpdateQueue,
+    /// Outcomes of the report interval that is open.
+    pub(crate) outcomes: OutcomeAggregator,
+    /// Source of all jitter of this run.
+    pub(crate) random: fastrand::Rng,
+    /// When the decisions asked to be called.
+    pub(crate) timer_at: Option<Time>,
+    /// The latest reported load of each host, and of when it is.
+    pub(crate) loads: BTreeMap<HostId, (Time, ReportedLoad)>,
+    /// The outcomes of each host that were applied last.
+    pub(crate) last_outcomes: BTreeMap<HostId, AttemptOutcomes>,
+    /// When loads are read next.
+    pub(crate) next_load_read_at: Option<Time>,
+    /// When outcomes of a host were last applied.
+    pub(crate) outcomes_applied_at: BTreeMap<HostId, Time>,
+    /// Hosts whose outcomes are applied, a second; none: all.
+    pub(crate) max_outcomes_per_second: Option<f64>,
+    /// Chooses the hosts whose outcomes are applied where not all may be.
+    pub(crate) selection: Choice,
+    /// Senders of reports.
+    pub(crate) pushed_reports: PushedReports,
+    /// Memory by purpose.
+    pub(crate) memory: Account,
+    /// None: nothing is recorded.
+    pub(crate) event_log: Option<EventLogState>,
+    /// Inputs so far.
+    pub(crate) input_count: u64,
+    /// The input that is applied now, as events name it.
+    pub(crate) cause: String,
+    /// The latest events, for `show events`.
+    pub(crate) events: VecDeque<(Time, Event)>,
+    /// The latest errors, for `show errors`.
+    pub(crate) errors: VecDeque<(Time, String)>,
+    /// What was not yet given out.
+    pub(crate) outputs: VecDeque<Output>,
+}
+
+impl DaemonState {
+    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
+    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
+    /// any start before, or proxies refuse its orders as older ones.
+    pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
+        let deployment = site.ticket();
+        let mark = format!("{}:{epoch}", site.name);
+        let front = Arc::new(front(site, &mark));
+        let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
+        let peer = |(n, p): (usize, &pondarch_config::site::Proxy)| {
+            Peer::new(n, p, zone(&p.zone), front.clone(), now)
+        };
+        let of = &site.channel;
+        let channel = UpdateQueue::new(
+            of.lines_per_second,
+            of.lines_per_message,
+            of.most_waiting,
+            of.message_cap,
+            of.message_window.0,
+            now,
+        );
+        let load_every = site
+            .probes
+            .as_ref()
+            .and_then(|probes| probes.load_every)
+            .map(|every| every.0);
+        DaemonState {
+            name: site.name.clone(),
+            request_classes: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
+            links: site.links.clone(),
+            load_interval: load_every,
+            report_interval: site.reports.every.0,
+            admits_by_rate: deployment.admission == AdmissionMode::Rate,
+            process,
+            started: now,
+            now,
+            endpoints: EndpointList::new(site.zones.clone(), deployment.slow_start_window),
+            zones: ZoneMap::default(),
+            weight_planner: (site.weights == Weights::Solved)
+                .then(|| WeightPlanner::new(site, now)),
+            dns: DnsState::new(site),
+            tables: TableAssignments::default(),
+            peers: site
+                .proxies
+                .iter()
+                .chain(&dns_state::unknown_proxies(site))
+                .enumerate()
+                .map(peer)
+                .collect(),
+            update_queue: channel,
+            outcomes: OutcomeAggregator::new(site.reports.every.0, now),
+            random: fastrand::Rng::with_seed(seed),
+            controller: Controller::new(deployment, seed, now),
+            timer_at: None,
+            loads: BTreeMap::new(),
+            last_outcomes: BTreeMap::new(),
+            next_load_read_at: load_every.map(|every| now + every),
+            outcomes_applied_at: BTreeMap::new(),
+            max_outcomes_per_second: site.reports.lines_per_second,
+            selection: Choice::new(seed),
+            pushed_reports: PushedReports::new(site.reports.push.is_some()),
+            memory: Account::default(),
+            event_log: None,
+            input_count: 0,
+            cause: String::new(),
+            events: VecDeque::new(),
+            errors: VecDeque::new(),
+            outputs: VecDeque::new(),
+        }
+    }
+
+    pub(crate) fn next_output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
+    }
+
+    pub(crate) fn apply_endpoints(&mut self, mut endpoints: Vec<Endpoint>) {
+        self.plan_listed_weights();
+        for listing in &mut endpoints {
+            listing.weight = self
+                .endpoints
+                .planned_weights
+                .get(&listing.host)
+                .copied()
+                .unwrap_or(listing.weight);
+        }
+        let count = |wanted| {
+            self.endpoints
+                .hosts
+                .values()
+                .filter(|k| k.state == wanted)
+                .count()
+        };
+        use pondarch_controller::EndpointState::{Draining, Ready, Removed};
+        let open = count(Ready);
+        let draining = count(Draining);
+        let gone = count(Removed);
+        let version = self.endpoints.generation;
+        self.log_event(Event::EndpointListApplied {
+            generation: version,
+            ready: open,
+            draining,
+            removed: gone,
+        });
+        self.controller.apply_endpoint_list(
+            self.now,
+            pondarch_controller::EndpointList {
+                generation: version,
+                complete: true,
+                endpoints,
+            },
+        );
+        self.mark_dns_view_outdated();
+        self.update_exclusions();
+        for table in self.tables.refresh_addresses(&self.endpoints) {
+            self.require_table_update(table);
+        }
+        self.loads
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
+        self.last_outcomes
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
+        self.outcomes_applied_at
+            .retain(|host, _| self.endpoints.hosts.contains_key(host));
+    }
+
+    pub(crate) fn log_event(&mut self, event: Event) {
+        if self.events.len() == MAX_EVENTS {
+            self.events.pop_front();
+        }
+        self.events.push_back((self.now, event.clone()));
+        self.outputs.push_back(Output::Event(event));
+    }
+
+    pub(crate) fn log_error(&mut self, text: String) {
+        if self.errors.len() == MAX_EVENTS {
+            self.errors.pop_front();
+        }
+        self.errors.push_back((self.now, text));
+    }
+}
+
+fn front(site: &Site, mark: &str) -> Front {
+    let kind = |kind: &pondarch_config::site::Kind| FrontKind {
+        name: kind.name.clone(),
+        backend: kind.backend().to_string(),
+    };
+    Front {
+        mark: mark.to_string(),
+        kinds: site.kinds.iter().map(kind).collect(),
+    }
+}
--- a/crates/daemon-core/tests/in_memory/town.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -39,7 +39,7 @@
     lines: VecDeque<(u64, String)>,
 }
 
-pub(crate) struct Town {
+pub(crate) struct SimulatedFleet {
     pub core: Core,
     pub now: u64,
     pub fronts: Vec<Front>,
@@ -145,8 +145,8 @@
     }
 }
 
-impl Town {
-    pub(crate) fn open(site: &Site, hosts: usize) -> Town {
+impl SimulatedFleet {
+    pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
         let front = |(n, proxy): (usize, &site::Proxy)| {
             let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &KINDS);
             // Standing tables: two hosts each.
@@ -167,7 +167,7 @@
         };
         let fronts = site.proxies.iter().enumerate().map(front).collect();
         let core = Core::new(site, 7, 1, START, Time::from_micros(START));
-        let mut town = Town {
+        let mut fleet = SimulatedFleet {
             core,
             now: START,
             fronts,
@@ -179,14 +179,14 @@
             solver: Solver::Answers,
             callers: 0,
         };
-        town.list((0..hosts).map(host).collect());
-        town
+        fleet.list((0..hosts).map(host).collect());
+        fleet
     }
 
     pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
         self.version += 1;
-        self.give(Input::List {
-            version: Some(self.version),
+        self.give(Input::EndpointList {
+            generation: Some(self.version),
             hosts,
         });
     }
@@ -202,26 +202,39 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial { proxy, conn } => {
+            Output::Dial {
+                proxy,
+                connection: conn,
+            } => {
                 let front = &mut self.fronts[proxy as usize];
                 front.conn = front.up.then_some(conn);
                 front.lines.clear();
                 let input = match front.conn {
-                    Some(conn) => Input::Connected { proxy, conn },
-                    None => Input::Lost {
+                    Some(conn) => Input::Connected {
                         proxy,
-                        conn,
-                        why: "refused".into(),
+                        connection: conn,
+                    },
+                    None => Input::Disconnected {
+                        proxy,
+                        connection: conn,
+                        reason: "refused".into(),
                     },
                 };
                 self.give(input);
             }
-            Output::Write { proxy, conn, lines } => {
+            Output::Write {
+                proxy,
+                connection: conn,
+                lines,
+            } => {
                 self.fronts[proxy as usize]
                     .lines
                     .extend(lines.into_iter().map(|line| (conn, line)));
             }
-            Output::Hangup { proxy, conn } => {
+            Output::HangUp {
+                proxy,
+                connection: conn,
+            } => {
                 let front = &mut self.fronts[proxy as usize];
                 front.conn = front.conn.filter(|held| *held != conn);
                 front.lines.clear();
@@ -243,12 +256,12 @@
                     plan: answer,
                 });
             }
-            Output::Probe { .. }
-            | Output::ViewChanged { .. }
-            | Output::SayChanged { .. }
-            | Output::Credit { .. }
-            | Output::RefuseSender { .. }
-            | Output::Looked { .. } => {}
+            Output::CheckHealth { .. }
+            | Output::DnsViewChanged { .. }
+            | Output::NotifySecondary { .. }
+            | Output::GrantCredit { .. }
+            | Output::RejectSender { .. }
+            | Output::LoadReportsApplied { .. } => {}
         }
     }
 
@@ -296,7 +309,11 @@
                 continue;
             }
             for text in answers {
-                self.give(Input::Answer { proxy, conn, text });
+                self.give(Input::Answer {
+                    proxy,
+                    connection: conn,
+                    text,
+                });
             }
         }
     }
@@ -305,10 +322,10 @@
     pub(crate) fn drop_link(&mut self, n: usize) {
         self.fronts[n].lines.clear();
         if let Some(conn) = self.fronts[n].conn.take() {
-            self.give(Input::Lost {
+            self.give(Input::Disconnected {
                 proxy: n as u16,
-                conn,
-                why: "broke".into(),
+                connection: conn,
+                reason: "broke".into(),
             });
         }
     }
@@ -325,7 +342,7 @@
                 break;
             }
             self.now = wake;
-            self.give(Input::Tick);
+            self.give(Input::TimerExpired);
             self.deliver();
         }
         self.now = end;
