--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -3,7 +3,10 @@
 use crate::failed;
 use clap::Subcommand;
 use pondarch_config::read_site;
-use pondarch_event_log::{Folder, Keep, Keeping, log};
+use pondarch_event_log::{
+    Folder, LogFile, LogPolicy, RetentionConfig, UNLIMITED, list_file_names, list_segments,
+    remove_old_segments,
+};
 use pondarch_replay::play::{Played, play};
 use pondarch_replay::replay::{Replayed, Span, replay};
 use pondarch_replay::runs::{Flaw, places};
@@ -77,7 +80,7 @@
             let fits =
                 |own: &Option<String>, wanted: &Option<String>| wanted.is_none() || own == wanted;
             let mut out = std::io::stdout().lock();
-            let flaws = export::rows(&Folder::look(&folder), |row| {
+            let flaws = export::rows(&Folder::read_only(&folder), |row| {
                 let named = what
                     .as_ref()
                     .is_none_or(|what| row.what.eq_ignore_ascii_case(what));
@@ -101,7 +104,7 @@
             Ok(true)
         }
         What::Verify { folder } => {
-            let disk = Folder::look(&folder);
+            let disk = Folder::read_only(&folder);
             let (places, _) = places(&disk).map_err(|wrong| of_folder(&folder, wrong))?;
             let mut rows = 0u64;
             let mut numbers = pondarch_replay::runs::Numbers::default();
@@ -138,7 +141,7 @@
             Ok(flaws.is_empty() && missing.is_empty())
         }
         What::Export { folder, file } => {
-            let (count, flaws) = export::export(&Folder::look(&folder), &file)
+            let (count, flaws) = export::export(&Folder::read_only(&folder), &file)
                 .map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
             println!("{}: {count} rows", file.display());
@@ -147,28 +150,29 @@
         What::Trim { folder, bytes } => {
             let mut disk = Folder::lock(&folder).map_err(|wrong| wrong.to_string())?;
             let io = |wrong: std::io::Error| format!("{}: {wrong}", folder.display());
-            let keep = Keep {
+            let retention = RetentionConfig {
                 segment_bytes: bytes,
-                all_bytes: bytes,
-                age: pondarch_event_log::keeping::ALWAYS,
-                sure_within: pondarch_event_log::keeping::ALWAYS,
+                total_bytes: bytes,
+                max_age: UNLIMITED,
+                sync_within: UNLIMITED,
             };
-            let held = log::held(&disk).map_err(io)?;
-            let newest = log::files(&disk)
+            let held = list_segments(&disk).map_err(io)?;
+            let newest = list_file_names(&disk)
                 .map_err(io)?
-                .1
+                .snapshots
                 .pop()
-                .and_then(|name| log::number_of(&name));
+                .and_then(|name| LogFile::parse(&name));
             // What the newest snapshot needs begins with the segment that was open when it was taken.
-            let needed = newest.map_or(0, |(number, _)| {
+            let needed = newest.map_or(0, |snapshot| {
                 held.iter()
                     .map(|segment| segment.number)
-                    .filter(|n| *n < number)
+                    .filter(|n| *n < snapshot.number())
                     .max()
                     .unwrap_or(0)
             });
-            let now = pondarch_controller::Time::from_micros(pondarch_event_log::disk::now_us());
-            let dropped = log::trim(&mut disk, &Keeping::new(keep), now, needed).map_err(io)?;
+            let now = pondarch_controller::Time::from_micros(pondarch_event_log::now_us());
+            let dropped = remove_old_segments(&mut disk, &LogPolicy::new(retention), now, needed)
+                .map_err(io)?;
             println!(
                 "{}: {dropped} of {} segments dropped",
                 folder.display(),
@@ -181,8 +185,8 @@
             file,
             epoch,
         } => {
-            let (scene, flaws) =
-                of_run(&Folder::look(&folder), epoch).map_err(|wrong| of_folder(&folder, wrong))?;
+            let (scene, flaws) = of_run(&Folder::read_only(&folder), epoch)
+                .map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
             let text = serde_json::to_string(&scene).map_err(|wrong| wrong.to_string())?;
             std::fs::write(&file, text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
@@ -221,7 +225,7 @@
 
 fn replayed(folder: &Path, span: Span) -> Result<bool, String> {
     let (runs, flaws) =
-        replay(&Folder::look(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
+        replay(&Folder::read_only(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
     say(folder, &flaws);
     let mut same = true;
     for run in runs {
@@ -261,7 +265,7 @@
             .map_err(|wrong| format!("{}: {wrong}", from.display()))?;
         serde_json::from_str(&text).map_err(|wrong| format!("{}: {wrong}", from.display()))?
     } else {
-        of_run(&Folder::look(from), None)
+        of_run(&Folder::read_only(from), None)
             .map_err(|wrong| of_folder(from, wrong))?
             .0
     };
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -10,8 +10,7 @@
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
 use pondarch_daemon_core::{Core, Input, Output, wire::micros};
-use pondarch_event_log::disk::Trouble;
-use pondarch_event_log::{Disk, Folder, Keep, Log, frame, keeping};
+use pondarch_event_log::{Disk, DiskFault, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_proxy_core::holding::Holding;
 use pondarch_replay::replay::{Span, replay};
 use pondarch_replay::{Decision, Record, Start, recover};
@@ -162,8 +161,8 @@
     let records: Option<Records> = site.records.clone().filter(|_| name != "off");
     let mut recorder = records.map(|records| {
         let opens = move || {
-            let mut disk = Trouble::over(Folder::lock(&path).map_err(|wrong| wrong.to_string())?);
-            disk.slow = slow.unwrap_or_default();
+            let mut disk = DiskFault::new(Folder::lock(&path).map_err(|wrong| wrong.to_string())?);
+            disk.sync_delay = slow.unwrap_or_default();
             Ok(disk)
         };
         Recorder::start(opens, &records, start(&text, clock.now()), clock, to_core)
@@ -228,9 +227,9 @@
 }
 
 fn bytes_of(folder: &Path) -> u64 {
-    Folder::look(folder)
+    Folder::read_only(folder)
         .list()
-        .map(|files| files.iter().map(|(_, bytes, _)| bytes).sum())
+        .map(|files| files.iter().map(|file| file.bytes).sum())
         .unwrap_or(0)
 }
 
@@ -240,15 +239,15 @@
     let text = settings(folder.path());
     let site = site_from_text(&text).expect("settings");
     let at = Clock::start().now();
-    let keep = Keep {
+    let retention = RetentionConfig {
         segment_bytes: 16 << 20,
-        all_bytes: 4 << 30,
-        age: keeping::ALWAYS,
-        sure_within: keeping::ALWAYS,
+        total_bytes: 4 << 30,
+        max_age: UNLIMITED,
+        sync_within: UNLIMITED,
     };
-    let mut log = Log::new(
+    let mut log = EventLog::new(
         Folder::lock(folder.path()).expect("a lock"),
-        keep,
+        retention,
         micros(at),
     )
     .expect("a log");
@@ -293,9 +292,9 @@
             .for_each(|output| town.carry_out(output));
     }
     let spans = Duration::from_micros(town.now - micros(at));
-    log.end(at);
+    log.end();
     let begun = Instant::now();
-    let found = recover(&Folder::look(folder.path()), &site).expect("recovered");
+    let found = recover(&Folder::read_only(folder.path()), &site).expect("recovered");
     let took = begun.elapsed();
     println!(
         "{} MB of records: {records} of {:.0} bytes in the file ({:.0} as they are), {:.0} a second written; \
@@ -309,7 +308,7 @@
         found.inputs
     );
     let begun = Instant::now();
-    let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("replayed");
+    let (runs, _) = replay(&Folder::read_only(folder.path()), Span::default()).expect("replayed");
     let took = begun.elapsed().as_secs_f64();
     let same = runs.iter().all(|run| run.differs.is_none());
     println!(
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -6,9 +6,7 @@
 use pondarch_config::site::Records;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Input, Output, RecordsState, Remembered, wire::micros};
-use pondarch_event_log::disk::LockError;
-use pondarch_event_log::keeping::State;
-use pondarch_event_log::{Disk, Folder, Keep, Log, frame};
+use pondarch_event_log::{Disk, DiskState, EventLog, Folder, LockError, RetentionConfig, frame};
 use pondarch_io_util::Clock;
 use pondarch_replay::{Boot, Decision, Record, Snapshot, Start, recover};
 use std::path::PathBuf;
@@ -147,11 +145,11 @@
         let (words, queue) = sync_channel(WAITING_MOST);
         let (written_to, written) = watch::channel(0);
         let waiting: Arc<AtomicUsize> = Arc::default();
-        let keep = Keep {
+        let retention = RetentionConfig {
             segment_bytes: records.segment_bytes,
-            all_bytes: records.all_bytes,
-            age: Duration::from_micros((records.kept_days * 86_400e6) as u64),
-            sure_within: records.sure_within.0,
+            total_bytes: records.all_bytes,
+            max_age: Duration::from_micros((records.kept_days * 86_400e6) as u64),
+            sync_within: records.sure_within.0,
         };
         let (epoch, at, every) = (
             start.epoch,
@@ -161,7 +159,7 @@
         let mut writer = Writer {
             opens: Box::new(opens),
             log: None,
-            keep,
+            retention,
             start,
             started: false,
             clock,
@@ -291,8 +289,8 @@
 
 struct Writer<D> {
     opens: Opens<D>,
-    log: Option<Log<D>>,
-    keep: Keep,
+    log: Option<EventLog<D>>,
+    retention: RetentionConfig,
     start: Start,
     /// The start stands in the log.
     started: bool,
@@ -312,7 +310,7 @@
     fn run(&mut self) {
         loop {
             let now = self.clock.now();
-            let due = self.log.as_ref().and_then(|log| log.keeping().sure_at());
+            let due = self.log.as_ref().and_then(|log| log.policy().sync_at());
             let wait = due.map_or(Duration::from_millis(500), |at| at - now);
             let mut words = match self.queue.recv_timeout(wait.max(Duration::from_millis(1))) {
                 Ok(word) => vec![word],
@@ -328,12 +326,12 @@
             self.write(words);
             let now = self.clock.now();
             if let Some(log) = &mut self.log {
-                log.make_sure(now);
+                log.sync_if_due(now);
             }
             self.tell();
         }
         if let Some(log) = self.log.take() {
-            log.end(self.clock.now());
+            log.end();
         }
     }
 
@@ -343,7 +341,7 @@
             return;
         }
         let opened = (self.opens)().and_then(|disk| {
-            Log::new(disk, self.keep, self.start.epoch).map_err(|wrong| wrong.to_string())
+            EventLog::new(disk, self.retention, self.start.epoch).map_err(|wrong| wrong.to_string())
         });
         match opened {
             Ok(log) => self.log = Some(log),
@@ -406,7 +404,7 @@
         let may = self
             .log
             .as_ref()
-            .is_some_and(|log| log.keeping().may_write(now));
+            .is_some_and(|log| log.policy().may_write(now));
         let mut done = false;
         if may {
             let mut before = Vec::new();
@@ -436,9 +434,9 @@
             let stopped = self
                 .log
                 .as_ref()
-                .and_then(|log| match log.keeping().state() {
-                    State::Stopped { why, .. } => Some(why.clone()),
-                    State::Writes => None,
+                .and_then(|log| match log.policy().disk_state() {
+                    DiskState::Failed { reason, .. } => Some(reason.clone()),
+                    DiskState::Working => None,
                 });
             self.state.stopped = stopped
                 .or(self.state.stopped.take())
@@ -455,10 +453,10 @@
         let now = self.clock.now();
         // With a gap before it that is not on record yet, it is all the more wanted.
         if let Some(log) = &mut self.log
-            && !log.snapshot(now, &snapshot.bytes())
-            && let State::Stopped { why, .. } = log.keeping().state()
+            && !log.write_snapshot(now, &snapshot.bytes())
+            && let DiskState::Failed { reason, .. } = log.policy().disk_state()
         {
-            self.state.stopped = Some(why.clone());
+            self.state.stopped = Some(reason.clone());
         }
     }
 
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,23 +1,27 @@
-//! An append-only log of records in segments, snapshots beside it, and what is kept of both. What a record means is not
-//! known here.
+//! An append-only log of records in segments, the snapshots beside it, and the rules by which both are retained. What a
+//! record means is not known here.
 //!
-//! - `frame`: one record as bytes, with its length and checksum.
-//! - `segment`: a file of records: its head, and reading it up to where it is torn.
-//! - `keeping`: what to write out when, when to begin a new segment, what to drop, when to try a disk again. No I/O.
-//! - `disk`: the folder: its lock, files that are replaced whole, and a stand-in that is slow, full or read-only.
-//! - `log`: writing, by what `keeping` says.
-
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
+//! - [`frame`]: one record as bytes, with its length and checksum.
+//! - [`segment`]: a file of records: its header, and reading it up to where it is damaged.
+//! - [`policy`]: when to sync, when to begin a new segment, which segments to remove, when to retry a failed disk. No
+//!   I/O and no clock.
+//! - [`disk`]: the folder: its lock, files that are appended to, files that are replaced as a whole.
+//! - [`disk_fault`]: a disk with injected faults, for tests, rehearsals and measurements.
+//! - [`files`]: the names of the files of a log, and listing them.
+//! - [`log`]: writing, by what [`policy`] decides.
 
 pub mod disk;
+pub mod disk_fault;
+pub mod files;
 pub mod frame;
-pub mod keeping;
 pub mod log;
+pub mod policy;
 pub mod segment;
 
-pub use disk::{Disk, Folder};
-pub use frame::FrameError;
-pub use keeping::{Keep, Keeping};
-pub use log::{Log, LogError};
-pub use segment::{End, Head, Segment, SegmentError};
+pub use disk::{Disk, FileEntry, Folder, LockError, now_us};
+pub use disk_fault::DiskFault;
+pub use files::{FileNames, LogFile, list_file_names, list_segments, remove_old_segments};
+pub use frame::{Frame, FrameError};
+pub use log::{EventLog, LogError};
+pub use policy::{DiskState, LogPolicy, RetentionConfig, SegmentInfo, UNLIMITED};
+pub use segment::{SegmentEnd, SegmentError, SegmentHeader, SegmentReader};
--- a/crates/event-log/src/log.rs
+++ b/crates/event-log/src/log.rs
@@ -1,206 +1,184 @@
-//! The log of a run: records go to segments `<number>.rec`, snapshots to `<number>.snap`, both numbered in one row over all
-//! runs, so that what belongs together stands together.
+//! Writing the log of a run: its segments and snapshots, as [`crate::policy`] decides.
 
 use crate::disk::Disk;
+use crate::files::{LogFile, SNAPSHOT_SUFFIX, remove_old_segments};
 use crate::frame;
-use crate::keeping::{Held, Keep, Keeping, State};
-use crate::segment::{self, Head};
+use crate::policy::{DiskState, LogPolicy, RetentionConfig};
+use crate::segment::{self, SegmentHeader};
 use pondarch_controller::Time;
 use std::io;
 use thiserror::Error;
 
-/// Snapshots that are kept: the newest, and one more in case that is broken.
-const SNAPSHOTS: usize = 2;
-const RECORDS: &str = ".rec";
-const SNAPSHOT: &str = ".snap";
+/// Snapshots that are retained: the newest, and one more in case that is damaged.
+const RETAINED_SNAPSHOTS: usize = 2;
 
+/// Why a log cannot be opened.
 #[derive(Debug, Error)]
+#[non_exhaustive]
 pub enum LogError {
+    /// The folder cannot be read.
     #[error("the folder of records: {0}")]
     Folder(#[from] io::Error),
 }
 
-/// A log that is written.
-pub struct Log<D> {
+/// A log that a run writes.
+#[derive(Debug)]
+pub struct EventLog<D> {
     disk: D,
-    keeping: Keeping,
-    epoch: u64,
-    /// Number of the file that comes next.
-    next: u64,
-    open: bool,
+    policy: LogPolicy,
+    incarnation: u64,
+    /// Number of the next file.
+    next_number: u64,
+    /// Whether the last segment of this run is open.
+    is_segment_open: bool,
     /// Number of the last segment of this run.
-    segment: u64,
+    segment_number: u64,
     /// Segments from here on are needed by the newest snapshot, or by a run that has none yet.
-    needed: u64,
+    first_needed: u64,
 }
 
-impl<D: Disk> Log<D> {
-    /// A log in this folder, for a run of this epoch; nothing is written yet.
+impl<D: Disk> EventLog<D> {
+    /// A log in this folder, for this incarnation; nothing is written yet.
     ///
-    /// Errors: the folder cannot be read.
-    pub fn new(disk: D, keep: Keep, epoch: u64) -> Result<Log<D>, LogError> {
+    /// # Errors
+    ///
+    /// The folder cannot be read.
+    pub fn new(
+        disk: D,
+        config: RetentionConfig,
+        incarnation: u64,
+    ) -> Result<EventLog<D>, LogError> {
         let numbers = disk
             .list()?
             .into_iter()
-            .filter_map(|(name, ..)| number_of(&name).map(|(n, _)| n));
-        let next = numbers.max().map_or(1, |last| last + 1);
-        Ok(Log {
+            .filter_map(|file| LogFile::parse(&file.name).map(LogFile::number));
+        let next_number = numbers.max().map_or(1, |last| last + 1);
+        Ok(EventLog {
             disk,
-            keeping: Keeping::new(keep),
-            epoch,
-            next,
-            open: false,
-            segment: next,
-            needed: next,
+            policy: LogPolicy::new(config),
+            incarnation,
+            next_number,
+            is_segment_open: false,
+            segment_number: next_number,
+            first_needed: next_number,
         })
     }
 
-    pub fn keeping(&self) -> &Keeping {
-        &self.keeping
+    /// Whether the disk works, and when it is synced.
+    #[must_use]
+    pub fn policy(&self) -> &LogPolicy {
+        &self.policy
     }
 
-    pub fn disk(&mut self) -> &mut D {
+    /// The disk that it is written to.
+    pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Writes records that stand in one buffer of frames, of which the first is of the input of this number. Gives
-    /// whether it was written: if not, the log is stopped and tries again when `keeping` says so.
-    pub fn write(&mut self, now: Time, first: u64, frames: &[u8]) -> bool {
-        if !self.keeping.may_write(now) {
+    /// Writes a buffer of frames, of which the first belongs to the input of this number. Gives whether it was
+    /// written: if not, the log has stopped and retries when its policy says so.
+    pub fn write(&mut self, now: Time, first_input: u64, frames: &[u8]) -> bool {
+        if !self.policy.may_write(now) {
             return false;
         }
-        match self.append(now, first, frames) {
+        match self.append(now, first_input, frames) {
             Ok(()) => true,
-            Err(wrong) => {
-                self.stop(now, &wrong);
+            Err(error) => {
+                self.stop(now, &error);
                 false
             }
         }
     }
 
-    fn append(&mut self, now: Time, first: u64, frames: &[u8]) -> io::Result<()> {
-        if !self.open {
-            // After a failure the last segment may be torn: never written to again.
-            self.disk.create(&format!("{:08}{RECORDS}", self.next))?;
-            self.segment = self.next;
-            self.next += 1;
-            self.open = true;
-            self.keeping.opened();
-            self.disk.append(&segment::write_head(&Head {
-                epoch: self.epoch,
-                first,
-            }))?;
+    fn append(&mut self, now: Time, first_input: u64, frames: &[u8]) -> io::Result<()> {
+        if !self.is_segment_open {
+            self.open_segment(first_input)?;
         }
         self.disk.append(frames)?;
-        if self.keeping.wrote(now, frames.len() as u64) {
+        if self.policy.record_written(now, frames.len() as u64) {
             self.sync()?;
-            self.open = false;
-            trim(&mut self.disk, &self.keeping, now, self.needed)?;
+            self.is_segment_open = false;
+            remove_old_segments(&mut self.disk, &self.policy, now, self.first_needed)?;
         }
         Ok(())
     }
 
-    /// Makes sure of what was written, if that is due.
-    pub fn make_sure(&mut self, now: Time) {
-        if self.keeping.sure_at().is_some_and(|at| at <= now)
-            && let Err(wrong) = self.sync()
+    /// Begins a new segment. After a failure the last one may be torn: it is never written to again.
+    fn open_segment(&mut self, first_input: u64) -> io::Result<()> {
+        self.disk
+            .create(&LogFile::Segment(self.next_number).name())?;
+        self.segment_number = self.next_number;
+        self.next_number += 1;
+        self.is_segment_open = true;
+        self.policy.record_opened();
+        self.disk.append(&segment::write_header(&SegmentHeader {
+            incarnation: self.incarnation,
+            first_input,
+        }))
+    }
+
+    /// Syncs what was written, if that is due.
+    pub fn sync_if_due(&mut self, now: Time) {
+        if self.policy.sync_at().is_some_and(|at| at <= now)
+            && let Err(error) = self.sync()
         {
-            self.stop(now, &wrong);
+            self.stop(now, &error);
         }
     }
 
     fn sync(&mut self) -> io::Result<()> {
         self.disk.sync()?;
-        self.keeping.made_sure();
+        self.policy.record_synced();
         Ok(())
     }
 
-    fn stop(&mut self, now: Time, wrong: &io::Error) {
-        self.open = false;
-        self.keeping.failed(now, wrong.to_string());
+    fn stop(&mut self, now: Time, error: &io::Error) {
+        self.is_segment_open = false;
+        self.policy.record_failed(now, error.to_string());
     }
 
-    /// A snapshot of what is known after all that was written. Gives whether it stands.
-    pub fn snapshot(&mut self, now: Time, record: &[u8]) -> bool {
-        if *self.keeping.state() != State::Writes {
+    /// Writes a snapshot of the state after all that was written. Gives whether it was written.
+    pub fn write_snapshot(&mut self, now: Time, record: &[u8]) -> bool {
+        if *self.policy.disk_state() != DiskState::Working {
             return false;
         }
         let mut bytes = Vec::new();
         frame::write(&mut bytes, record);
-        let name = format!("{:08}{SNAPSHOT}", self.next);
-        // What it stands for is made sure of before it is.
+        let name = LogFile::Snapshot(self.next_number).name();
+        // The records that it stands for are synced before it is written.
         let written = self.sync().and_then(|()| self.disk.replace(&name, &bytes));
-        if let Err(wrong) = written {
-            self.stop(now, &wrong);
+        if let Err(error) = written {
+            self.stop(now, &error);
             return false;
         }
-        // The segment that is open goes on; what comes after the snapshot begins in it or in the next.
-        self.needed = if self.open { self.segment } else { self.next };
-        self.next += 1;
-        // Dropping is no part of it: what could not be dropped is next time.
-        self.drop_snapshots().ok();
+        // The open segment goes on: what follows the snapshot begins in it or in the next one.
+        self.first_needed = if self.is_segment_open {
+            self.segment_number
+        } else {
+            self.next_number
+        };
+        self.next_number += 1;
+        // The error is dropped on purpose: what could not be removed now is removed after the next snapshot.
+        self.remove_old_snapshots().ok();
         true
     }
 
-    fn drop_snapshots(&mut self) -> io::Result<()> {
+    fn remove_old_snapshots(&mut self) -> io::Result<()> {
         let files = self.disk.list()?;
-        let snapshots: Vec<String> = files
-            .into_iter()
-            .map(|(name, ..)| name)
-            .filter(|name| name.ends_with(SNAPSHOT))
-            .collect();
-        for name in snapshots.iter().rev().skip(SNAPSHOTS) {
-            self.disk.remove(name)?;
+        let snapshots = files
+            .iter()
+            .filter(|file| file.name.ends_with(SNAPSHOT_SUFFIX));
+        for snapshot in snapshots.rev().skip(RETAINED_SNAPSHOTS) {
+            self.disk.remove(&snapshot.name)?;
         }
         Ok(())
     }
 
-    /// The end of a run: all that was written is made sure of.
-    pub fn end(mut self, now: Time) {
-        if self.open && self.sync().is_err() {
-            self.keeping
-                .failed(now, "the end could not be made sure of".into());
+    /// Ends the run: all that was written is synced.
+    pub fn end(mut self) {
+        if self.is_segment_open {
+            // The error is dropped on purpose: the run is over, and nobody reads the state of this log any more.
+            self.sync().ok();
         }
     }
 }
-
-/// A file's number, and whether it is a snapshot; none: it is neither.
-pub fn number_of(name: &str) -> Option<(u64, bool)> {
-    let (number, is_snapshot) = match name.strip_suffix(SNAPSHOT) {
-        Some(number) => (number, true),
-        None => (name.strip_suffix(RECORDS)?, false),
-    };
-    number.parse().ok().map(|number| (number, is_snapshot))
-}
-
-/// Drops the segments that are over what is kept, but none from `needed` on; gives how many.
-pub fn trim<D: Disk>(disk: &mut D, keeping: &Keeping, now: Time, needed: u64) -> io::Result<usize> {
-    let drops = keeping.drops(now, &held(disk)?, needed);
-    for number in &drops {
-        disk.remove(&format!("{number:08}{RECORDS}"))?;
-    }
-    Ok(drops.len())
-}
-
-/// The segments of a folder, oldest first.
-pub fn held<D: Disk>(disk: &D) -> io::Result<Vec<Held>> {
-    let of = |(name, bytes, written): (String, u64, u64)| match number_of(&name) {
-        Some((number, false)) => Some(Held {
-            number,
-            bytes,
-            written: Time::from_micros(written),
-        }),
-        _ => None,
-    };
-    Ok(disk.list()?.into_iter().filter_map(of).collect())
-}
-
-/// Names of the segments and of the snapshots of a folder, oldest first.
-pub fn files<D: Disk>(disk: &D) -> io::Result<(Vec<String>, Vec<String>)> {
-    let names = disk
-        .list()?
-        .into_iter()
-        .map(|(name, ..)| name)
-        .filter(|name| number_of(name).is_some());
-    Ok(names.partition(|name| name.ends_with(RECORDS)))
-}
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -1,173 +1,170 @@
-//! A segment: a file of records with a head that says which run wrote it and where it stands in the run.
+//! A segment: a file of records with a header that says which run wrote it and where in the run it begins.
 //!
 //! `magic 8 | format u16 | zero u16 | epoch u64 | first u64 | crc32 u32`, numbers little-endian.
 
-use crate::frame::{self, FrameError};
+use crate::frame::{self, Frame, FrameError};
 use thiserror::Error;
 
 const MAGIC: [u8; 8] = *b"PONDREC\n";
 /// Rises when older programs could not read what is written. Fields that are added do not change it: records name
 /// their fields.
 pub const FORMAT: u16 = 1;
-pub const HEAD: usize = 32;
+/// Length of the header.
+pub const HEADER_BYTES: usize = 32;
+/// Bytes of the header that its checksum is over.
+const CHECKED_BYTES: usize = HEADER_BYTES - 4;
 
-/// What a segment is of.
+/// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// The run that wrote it.
-    pub epoch: u64,
-    /// Number of its first input.
-    pub first: u64,
+pub struct SegmentHeader {
+    /// The incarnation of the program that wrote it; `epoch` in the file.
+    pub incarnation: u64,
+    /// Number of its first input within the run.
+    pub first_input: u64,
 }
 
+/// Why a segment cannot be read at all.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[non_exhaustive]
 pub enum SegmentError {
+    /// It does not begin as a segment does.
     #[error("it is no file of records")]
     Foreign,
+    /// A newer program wrote it.
     #[error(
         "it has format {0}, and this program reads {FORMAT}: use the program that wrote it, or a newer one"
     )]
     Newer(u16),
+    /// Its header is torn or damaged.
     #[error("its head is torn or its checksum does not fit")]
-    Head,
+    Header,
 }
 
 /// Why reading a segment ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// At its end.
-    Whole,
-    /// At a record that is torn or broken: so many bytes from there on were dropped.
-    At {
+pub enum SegmentEnd {
+    /// All of it was read.
+    Complete,
+    /// At a record that is torn or damaged.
+    Damaged {
+        /// Where that record begins.
         offset: u64,
-        dropped: u64,
-        why: FrameError,
+        /// Bytes from there to the end of the file, which were not read.
+        dropped_bytes: u64,
+        /// What is wrong with the record.
+        error: FrameError,
     },
 }
 
-pub fn write_head(head: &Head) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD);
+/// The bytes of a header.
+#[must_use]
+pub fn write_header(header: &SegmentHeader) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend(MAGIC);
     bytes.extend(FORMAT.to_le_bytes());
     bytes.extend([0, 0]);
-    bytes.extend(head.epoch.to_le_bytes());
-    bytes.extend(head.first.to_le_bytes());
+    bytes.extend(header.incarnation.to_le_bytes());
+    bytes.extend(header.first_input.to_le_bytes());
     bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
     bytes
 }
 
-/// Errors: as `SegmentError`.
-pub fn read_head(bytes: &[u8]) -> Result<Head, SegmentError> {
+/// Reads the header at the start of `bytes`.
+///
+/// # Errors
+///
+/// There is none that this program can read.
+pub fn read_header(bytes: &[u8]) -> Result<SegmentHeader, SegmentError> {
     if !bytes.starts_with(&MAGIC) {
         return Err(if MAGIC.starts_with(bytes) {
-            SegmentError::Head
+            SegmentError::Header
         } else {
             SegmentError::Foreign
         });
     }
-    let Some(head) = bytes.first_chunk::<HEAD>() else {
-        return Err(SegmentError::Head);
+    let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
+        return Err(SegmentError::Header);
     };
-    let crc = u32::from_le_bytes([head[28], head[29], head[30], head[31]]);
-    if crc32fast::hash(&head[..28]) != crc {
-        return Err(SegmentError::Head);
+    let checksum = u32::from_le_bytes([header[28], header[29], header[30], header[31]]);
+    if crc32fast::hash(&header[..CHECKED_BYTES]) != checksum {
+        return Err(SegmentError::Header);
     }
-    let format = u16::from_le_bytes([head[8], head[9]]);
+    let format = u16::from_le_bytes([header[8], header[9]]);
     if format > FORMAT {
         return Err(SegmentError::Newer(format));
     }
-    let long = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| head[at + n]));
-    Ok(Head {
-        epoch: long(12),
-        first: long(20),
+    let u64_at = |offset: usize| u64::from_le_bytes(std::array::from_fn(|n| header[offset + n]));
+    Ok(SegmentHeader {
+        incarnation: u64_at(12),
+        first_input: u64_at(20),
     })
 }
 
-/// The records of a segment, one by one, up to its end or where it is torn.
-pub struct Segment<'a> {
-    pub head: Head,
+/// The records of a segment one by one, up to its end or to where it is damaged.
+#[derive(Debug)]
+pub struct SegmentReader<'a> {
+    /// Its header.
+    pub header: SegmentHeader,
     bytes: &'a [u8],
-    at: usize,
-    end: Option<End>,
+    offset: usize,
+    end: Option<SegmentEnd>,
 }
 
-impl Segment<'_> {
-    /// Errors: the head is not one that can be read.
-    pub fn open(bytes: &[u8]) -> Result<Segment<'_>, SegmentError> {
-        Ok(Segment {
-            head: read_head(bytes)?,
+impl SegmentReader<'_> {
+    /// Reads the header of a segment; the records are read by iterating.
+    ///
+    /// # Errors
+    ///
+    /// The header cannot be read.
+    pub fn open(bytes: &[u8]) -> Result<SegmentReader<'_>, SegmentError> {
+        Ok(SegmentReader {
+            header: read_header(bytes)?,
             bytes,
-            at: HEAD,
+            offset: HEADER_BYTES,
             end: None,
         })
     }
 
-    /// Why it ended; none: it has not yet.
-    pub fn end(&self) -> Option<&End> {
+    /// Why reading ended; none: it has not yet.
+    #[must_use]
+    pub fn end(&self) -> Option<&SegmentEnd> {
         self.end.as_ref()
     }
 
     /// Where the next record begins.
+    #[must_use]
     pub fn offset(&self) -> u64 {
-        self.at as u64
+        self.offset as u64
     }
 }
 
-impl Iterator for Segment<'_> {
+impl Iterator for SegmentReader<'_> {
     type Item = Vec<u8>;
 
     fn next(&mut self) -> Option<Vec<u8>> {
         if self.end.is_some() {
             return None;
         }
-        match frame::read(&self.bytes[self.at..]) {
-            Ok(Some((record, len))) => {
-                self.at += len;
+        match frame::read(&self.bytes[self.offset..]) {
+            Ok(Some(Frame {
+                record,
+                frame_bytes,
+            })) => {
+                self.offset += frame_bytes;
                 Some(record)
             }
             Ok(None) => {
-                self.end = Some(End::Whole);
+                self.end = Some(SegmentEnd::Complete);
                 None
             }
-            Err(why) => {
-                let dropped = (self.bytes.len() - self.at) as u64;
-                self.end = Some(End::At {
-                    offset: self.at as u64,
-                    dropped,
-                    why,
+            Err(error) => {
+                self.end = Some(SegmentEnd::Damaged {
+                    offset: self.offset as u64,
+                    dropped_bytes: (self.bytes.len() - self.offset) as u64,
+                    error,
                 });
                 None
             }
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn heads_are_told_apart() {
-        let head = Head {
-            epoch: 7,
-            first: 99,
-        };
-        let bytes = write_head(&head);
-        assert_eq!(read_head(&bytes), Ok(head));
-        assert_eq!(
-            read_head(b"nonsense that is long enough for a head"),
-            Err(SegmentError::Foreign)
-        );
-        for cut in 0..HEAD {
-            assert_eq!(read_head(&bytes[..cut]), Err(SegmentError::Head));
-        }
-        let mut newer = bytes[..28].to_vec();
-        newer[8] = 2;
-        let crc = crc32fast::hash(&newer);
-        newer.extend(crc.to_le_bytes());
-        assert_eq!(read_head(&newer), Err(SegmentError::Newer(2)));
-        let mut flipped = bytes;
-        flipped[14] ^= 1;
-        assert_eq!(read_head(&flipped), Err(SegmentError::Head));
-    }
-}
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/flood.rs
@@ -275,7 +275,7 @@
 /// The age of the oldest figure of each round within a span, in milliseconds; lines kept back, and dropped.
 fn ages(folder: &Path, from_us: u64, to_us: u64) -> Result<(Vec<f64>, u64, u64), RehearsalError> {
     let (mut ages, mut kept, mut dropped) = (Vec::new(), 0, 0);
-    let read = export::rows(&Folder::look(folder), |row| {
+    let read = export::rows(&Folder::read_only(folder), |row| {
         if row.what == "Looked" && (from_us..=to_us).contains(&row.at_us) {
             let fields: serde_json::Value = serde_json::from_str(&row.text).unwrap_or_default();
             ages.push(fields["oldest_us"].as_f64().unwrap_or(0.0) / 1e3);
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -6,7 +6,7 @@
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, Time};
 use pondarch_daemon_core::{Core, Input, LoadTold, Output, RecordsState};
-use pondarch_event_log::{Folder, Keep, Log, frame};
+use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
 use pondarch_proxy_core::holding::{Holding, Server};
 use pondarch_replay::{Boot, Decision, Record, Snapshot, Start, recover};
@@ -48,7 +48,7 @@
 
 struct Run {
     core: Core,
-    log: Log<Folder>,
+    log: EventLog<Folder>,
     epoch: u64,
     n: u64,
     now: u64,
@@ -70,8 +70,8 @@
     first.snapshot();
     first.hosts_change();
     let now = first.now;
-    first.log.end(Time::from_micros(now));
-    let found = recover(&Folder::look(folder), &site_from_text(&settings())?)?;
+    first.log.end();
+    let found = recover(&Folder::read_only(folder), &site_from_text(&settings())?)?;
     let at = now + 2_000_000;
     let known = found
         .known
@@ -86,8 +86,7 @@
     second.command("set server hosts/host-1 state drain; set server hosts/host-2 weight 3");
     second.run(200);
     second.command("show info");
-    let now = second.now;
-    second.log.end(Time::from_micros(now));
+    second.log.end();
     Ok(())
 }
 
@@ -110,15 +109,15 @@
 impl Run {
     fn start(folder: &Path, epoch: u64, now: u64) -> Result<Run, Box<dyn Error>> {
         let site = site_from_text(&settings())?;
-        let sure_within = Duration::from_millis(100);
-        let age = pondarch_event_log::keeping::ALWAYS;
-        let keep = Keep {
+        let sync_within = Duration::from_millis(100);
+        let max_age = UNLIMITED;
+        let retention = RetentionConfig {
             segment_bytes: SEGMENT_BYTES,
-            all_bytes: 1 << 30,
-            age,
-            sure_within,
+            total_bytes: 1 << 30,
+            max_age,
+            sync_within,
         };
-        let log = Log::new(Folder::lock(folder)?, keep, epoch)?;
+        let log = EventLog::new(Folder::lock(folder)?, retention, epoch)?;
         let front = |n: usize| {
             let mut holding =
                 Holding::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
@@ -293,7 +292,7 @@
         };
         assert!(
             self.log
-                .snapshot(Time::from_micros(at_us), &snapshot.bytes()),
+                .write_snapshot(Time::from_micros(at_us), &snapshot.bytes()),
             "the disk works"
         );
     }
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -44,7 +44,7 @@
     let (mut names, mut last_us) = (Vec::new(), 0);
     let mut failed = None;
     for place in &places {
-        let epoch = place.head.epoch;
+        let epoch = place.head.incarnation;
         runs::read(disk, place, &mut flaws, |_, record| {
             for row in of(epoch, &mut last_us, &mut names, record) {
                 if let Err(wrong) = take(row) {
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -6,7 +6,7 @@
 use pondarch_config::Site;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, Remembered};
-use pondarch_event_log::{Disk, frame, log};
+use pondarch_event_log::{Disk, frame, list_file_names};
 
 /// What was found.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     };
     found.epoch = places
         .iter()
-        .map(|place| place.head.epoch)
+        .map(|place| place.head.incarnation)
         .max()
         .unwrap_or(0);
     let snapshot = newest_snapshot(disk, &mut found)?;
@@ -60,7 +60,7 @@
     let mut serial = None;
     let mut boot_at: Option<(Boot, u64)> = found.boot.clone().map(|boot| (boot, found.last_us));
     for place in after(&places, from) {
-        let (epoch, name) = (place.head.epoch, place.name.clone());
+        let (epoch, name) = (place.head.incarnation, place.name.clone());
         let mut torn = Vec::new();
         let mut missing = Vec::new();
         runs::read(disk, place, &mut torn, |_, record| {
@@ -136,10 +136,10 @@
     disk: &impl Disk,
     found: &mut Recovery,
 ) -> Result<Option<Snapshot>, HistoryError> {
-    for name in log::files(disk)?.1.into_iter().rev() {
+    for name in list_file_names(disk)?.snapshots.into_iter().rev() {
         let read = frame::read(&disk.read(&name)?);
         let snapshot = match read {
-            Ok(Some((record, _))) => {
+            Ok(Some(frame::Frame { record, .. })) => {
                 Snapshot::read(&record).ok_or("it is of no kind that this program knows".into())
             }
             Ok(None) => Err("it is empty".to_string()),
@@ -161,10 +161,11 @@
     let is_over = move |(n, place): (usize, &Place)| {
         let next = places.get(n + 1);
         // Wholly before it: of an older run, or the next one of the run begins by then.
-        place.head.epoch < from.0
-            || place.head.epoch == from.0
-                && next
-                    .is_some_and(|next| next.head.epoch == from.0 && next.head.first <= from.1 + 1)
+        place.head.incarnation < from.0
+            || place.head.incarnation == from.0
+                && next.is_some_and(|next| {
+                    next.head.incarnation == from.0 && next.head.first_input <= from.1 + 1
+                })
     };
     places
         .iter()
--- a/crates/replay/src/replay.rs
+++ b/crates/replay/src/replay.rs
@@ -75,7 +75,7 @@
     let mut wrong = None;
     let mut without = None;
     for place in &places {
-        let epoch = place.head.epoch;
+        let epoch = place.head.incarnation;
         let torn_before = flaws.len();
         runs::read(disk, place, &mut flaws, |_, record| {
             if let Record::Start(start) = record {
--- a/crates/replay/src/runs.rs
+++ b/crates/replay/src/runs.rs
@@ -1,8 +1,10 @@
 //! The records of a folder in order, run by run. What is torn, missing or foreign is named, and reading goes on behind it.
 
 use crate::record::Record;
-use pondarch_event_log::segment::{self, End, Segment};
-use pondarch_event_log::{Disk, Head, log};
+use pondarch_event_log::segment;
+use pondarch_event_log::{
+    Disk, FileEntry, SegmentEnd, SegmentHeader, SegmentReader, list_file_names,
+};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -26,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     pub name: String,
-    pub head: Head,
+    pub head: SegmentHeader,
     pub bytes: u64,
 }
 
@@ -44,12 +46,12 @@
     let sizes: BTreeMap<String, u64> = disk
         .list()?
         .into_iter()
-        .map(|(name, bytes, _)| (name, bytes))
+        .map(|FileEntry { name, bytes, .. }| (name, bytes))
         .collect();
     let (mut places, mut flaws) = (Vec::new(), Vec::new());
-    for name in log::files(disk)?.0 {
+    for name in list_file_names(disk)?.segments {
         let bytes = sizes.get(&name).copied().unwrap_or(0);
-        match segment::read_head(&disk.read_head(&name, segment::HEAD)?) {
+        match segment::read_header(&disk.read_start(&name, segment::HEADER_BYTES)?) {
             Ok(head) => places.push(Place { name, head, bytes }),
             Err(wrong) => flaws.push(Flaw {
                 name,
@@ -70,8 +72,8 @@
     mut take: impl FnMut(u64, Record) -> bool,
 ) -> Result<(), HistoryError> {
     let bytes = disk.read(&place.name)?;
-    let mut segment =
-        Segment::open(&bytes).map_err(|wrong| HistoryError::Segment(place.name.clone(), wrong))?;
+    let mut segment = SegmentReader::open(&bytes)
+        .map_err(|wrong| HistoryError::Segment(place.name.clone(), wrong))?;
     let mut unknown = 0;
     loop {
         let offset = segment.offset();
@@ -92,14 +94,15 @@
             what,
         });
     }
-    if let Some(End::At {
+    if let Some(SegmentEnd::Damaged {
         offset,
-        dropped,
-        why,
+        dropped_bytes,
+        error,
     }) = segment.end()
     {
-        let what =
-            format!("{why}, at byte {offset}: the {dropped} bytes from there on are not read");
+        let what = format!(
+            "{error}, at byte {offset}: the {dropped_bytes} bytes from there on are not read"
+        );
         flaws.push(Flaw {
             name: place.name.clone(),
             what,
--- a/crates/replay/src/scene.rs
+++ b/crates/replay/src/scene.rs
@@ -85,11 +85,14 @@
 pub fn of_run(disk: &impl Disk, epoch: Option<u64>) -> Result<(Scene, Vec<Flaw>), HistoryError> {
     let (places, mut flaws) = runs::places(disk)?;
     let epoch = epoch
-        .or(places.iter().map(|place| place.head.epoch).max())
+        .or(places.iter().map(|place| place.head.incarnation).max())
         .ok_or(HistoryError::Nothing)?;
     let mut scene: Option<Scene> = None;
     let (mut counters, mut up): (BTreeMap<u16, Counters>, BTreeMap<u16, bool>) = Default::default();
-    for place in places.iter().filter(|place| place.head.epoch == epoch) {
+    for place in places
+        .iter()
+        .filter(|place| place.head.incarnation == epoch)
+    {
         runs::read(disk, place, &mut flaws, |_, record| {
             match (record, &mut scene) {
                 (Record::Start(start), _) => {
--- a/crates/replay/tests/recovery.rs
+++ b/crates/replay/tests/recovery.rs
@@ -4,8 +4,10 @@
 use pondarch_config::{Site, site_from_text};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Remembered};
-use pondarch_event_log::disk::Trouble;
-use pondarch_event_log::{Disk, Folder, Keep, Log, frame};
+use pondarch_event_log::DiskFault;
+use pondarch_event_log::{
+    Disk, EventLog, FileNames, Folder, RetentionConfig, UNLIMITED, frame, list_file_names,
+};
 use pondarch_replay::replay::{Span, replay};
 use pondarch_replay::scene::of_run;
 use pondarch_replay::{Decision, Record, Snapshot, Start, play, recover};
@@ -51,7 +53,7 @@
 /// A run that is recorded: a core, and the log of it.
 struct Run<D: Disk> {
     core: Core,
-    log: Log<D>,
+    log: EventLog<D>,
     epoch: u64,
     n: u64,
     now: u64,
@@ -61,21 +63,21 @@
     gap: Option<(u64, u64)>,
 }
 
-fn keep(segment_bytes: u64) -> Keep {
+fn retention(segment_bytes: u64) -> RetentionConfig {
     // Times here are not those of the files.
-    let age = pondarch_event_log::keeping::ALWAYS;
-    Keep {
+    let max_age = UNLIMITED;
+    RetentionConfig {
         segment_bytes,
-        all_bytes: 1 << 30,
-        age,
-        sure_within: std::time::Duration::from_millis(100),
+        total_bytes: 1 << 30,
+        max_age,
+        sync_within: std::time::Duration::from_millis(100),
     }
 }
 
 impl<D: Disk> Run<D> {
     fn start(disk: D, segment_bytes: u64, dns: bool, epoch: u64, now: u64) -> Run<D> {
         let core = Core::new(&site(dns), 7, 1, epoch, Time::from_micros(now));
-        let log = Log::new(disk, keep(segment_bytes), epoch).expect("a folder");
+        let log = EventLog::new(disk, retention(segment_bytes), epoch).expect("a folder");
         let mut run = Run {
             core,
             log,
@@ -157,7 +159,7 @@
             known,
         };
         self.log
-            .snapshot(Time::from_micros(self.now), &snapshot.bytes());
+            .write_snapshot(Time::from_micros(self.now), &snapshot.bytes());
     }
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
@@ -258,14 +260,14 @@
 }
 
 fn found(folder: &Path, dns: bool) -> pondarch_replay::Recovery {
-    recover(&Folder::look(folder), &site(dns)).expect("the folder can be read")
+    recover(&Folder::read_only(folder), &site(dns)).expect("the folder can be read")
 }
 
 /// The newest segment of a folder.
 fn last_segment(folder: &Path) -> std::path::PathBuf {
-    let name = pondarch_event_log::log::files(&Folder::look(folder))
+    let name = list_file_names(&Folder::read_only(folder))
         .expect("files")
-        .0
+        .segments
         .pop()
         .expect("a segment");
     folder.join(name)
@@ -284,7 +286,7 @@
         let mut run = Run::start(Folder::lock(folder.path()).expect("a lock"), segment, dns, START, START);
         course(&mut run, &steps);
         let known = std::mem::take(&mut run.known);
-        run.log.end(Time::from_micros(run.now));
+        run.log.end();
         let last = last_segment(folder.path());
         let bytes = std::fs::read(&last).expect("it can be read");
         std::fs::write(&last, &bytes[..cut.index(bytes.len() + 1)]).expect("written");
@@ -304,7 +306,7 @@
         // The next run begins with it, and is killed before it wrote anything but that.
         let mut next = Run::start(Folder::lock(folder.path()).expect("a lock"), segment, dns, START + 1, at + 1_000);
         next.give(Input::Recovered(Box::new(same.clone())));
-        next.log.end(Time::from_micros(next.now));
+        next.log.end();
         let again = found(folder.path(), dns).known.expect("known");
         prop_assert_eq!((again.at_us, &again.list), (at + 1_000, &same.list));
         prop_assert!(again.serial >= same.serial);
@@ -319,9 +321,9 @@
         let mut run = Run::start(Folder::lock(folder.path()).expect("a lock"), 2_000, false, START, START);
         course(&mut run, &steps);
         let known = std::mem::take(&mut run.known);
-        run.log.end(Time::from_micros(run.now));
-        let (records, snapshots) = pondarch_event_log::log::files(&Folder::look(folder.path())).expect("files");
-        let names: Vec<String> = records.into_iter().chain(snapshots).collect();
+        run.log.end();
+        let FileNames { segments, snapshots } = list_file_names(&Folder::read_only(folder.path())).expect("files");
+        let names: Vec<String> = segments.into_iter().chain(snapshots).collect();
         let file = folder.path().join(&names[file.index(names.len())]);
         let mut bytes = std::fs::read(&file).expect("it can be read");
         let at = byte.index(bytes.len());
@@ -333,7 +335,7 @@
             let lists: Vec<_> = known.iter().flat_map(|then| then.hosts().iter().map(|host| &host.entry.name)).collect();
             prop_assert!(back.hosts().iter().all(|host| lists.contains(&&host.entry.name)));
         }
-        replay(&Folder::look(folder.path()), Span::default()).ok();
+        replay(&Folder::read_only(folder.path()), Span::default()).ok();
     }
 
     /// What was recorded, played again, is the same; and one decision changed is found.
@@ -343,11 +345,11 @@
         let mut run = Run::start(Folder::lock(folder.path()).expect("a lock"), 3_000, dns, START, START);
         course(&mut run, &steps);
         let inputs = run.n;
-        run.log.end(Time::from_micros(run.now));
-        let (runs, flaws) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+        run.log.end();
+        let (runs, flaws) = replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
         prop_assert!(flaws.is_empty(), "{:?}", flaws);
         prop_assert_eq!((runs.len(), runs[0].inputs, &runs[0].differs, &runs[0].stopped), (1, inputs, &None, &None));
-        let (scene, _) = of_run(&Folder::look(folder.path()), None).expect("a scene");
+        let (scene, _) = of_run(&Folder::read_only(folder.path()), None).expect("a scene");
         let played = play::play(&scene, None, 3).expect("played");
         prop_assert_eq!(&played, &play::play(&scene, None, 3).expect("played"));
         prop_assert!(played.messages_most <= 12);
@@ -368,11 +370,11 @@
         &mut run,
         &[Step::Wait(2_000), Step::Standing(3, HostState::Drain)],
     );
-    run.log.end(Time::from_micros(run.now));
+    run.log.end();
     let segment = last_segment(folder.path());
     let bytes = std::fs::read(&segment).expect("it can be read");
-    let mut changed = bytes[..pondarch_event_log::segment::HEAD].to_vec();
-    for record in pondarch_event_log::Segment::open(&bytes).expect("a segment") {
+    let mut changed = bytes[..pondarch_event_log::segment::HEADER_BYTES].to_vec();
+    for record in pondarch_event_log::SegmentReader::open(&bytes).expect("a segment") {
         let record = match Record::read(&record).expect("a record") {
             Record::Decided {
                 n: 3,
@@ -386,12 +388,13 @@
         frame::write(&mut changed, &record.bytes());
     }
     std::fs::write(&segment, changed).expect("written");
-    let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+    let (runs, _) =
+        replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
     let difference = runs[0].differs.clone().expect("a difference");
     assert_eq!(difference.n, 3);
     assert!(matches!(difference.input, Input::List { .. }) && difference.now.is_some());
     let (runs, _) =
-        replay(&Folder::look(folder.path()), Span { from: 4, to: 9 }).expect("it can be read");
+        replay(&Folder::read_only(folder.path()), Span { from: 4, to: 9 }).expect("it can be read");
     assert_eq!(runs[0].differs, None, "not asked for");
 }
 
@@ -407,8 +410,10 @@
     );
     course(&mut run, &[const { Step::Noise(300) }; 30]);
     run.command("set server hosts/host-5 state drain");
-    run.log.end(Time::from_micros(run.now));
-    let (names, _) = pondarch_event_log::log::files(&Folder::look(folder.path())).expect("files");
+    run.log.end();
+    let names = list_file_names(&Folder::read_only(folder.path()))
+        .expect("files")
+        .segments;
     assert!(names.len() > 3, "{names:?}");
     std::fs::remove_file(folder.path().join(&names[1])).expect("removed");
     let mut newer = std::fs::read(folder.path().join(&names[2])).expect("read");
@@ -443,7 +448,8 @@
             .count(),
         1
     );
-    let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+    let (runs, _) =
+        replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
     assert!(
         runs[0]
             .stopped
@@ -467,10 +473,10 @@
 #[test]
 fn a_full_disk_is_a_gap_that_is_named_and_writing_resumes() {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = Trouble::over(Folder::lock(folder.path()).expect("a lock"));
+    let disk = DiskFault::new(Folder::lock(folder.path()).expect("a lock"));
     let mut run = Run::start(disk, 1 << 20, false, START, START);
     course(&mut run, &[Step::Wait(100)]);
-    run.log.disk().room = Some(700);
+    run.log.disk_mut().remaining_bytes = Some(700);
     let full_from = run.n + 1;
     for n in 0..6 {
         run.now += 100_000;
@@ -483,19 +489,20 @@
             .is_some_and(|known| known.hosts()[5].standing == HostState::Drain),
         "deciding goes on"
     );
-    run.log.disk().room = None;
+    run.log.disk_mut().remaining_bytes = None;
     run.now += 2_000_000;
     run.command("set server hosts/host-6 state drain");
     run.snapshot();
     let known = run.known.last().cloned().expect("known");
-    run.log.end(Time::from_micros(run.now));
+    run.log.end();
     let recovery = found(folder.path(), false);
     assert_eq!(
         recovery.known.expect("known").list,
         known.list,
         "the snapshot after the gap has it all"
     );
-    let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+    let (runs, _) =
+        replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
     let stopped = runs[0].stopped.clone().expect("it stops");
     assert!(
         runs[0].inputs < full_from + 6 && runs[0].differs.is_none(),
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -32,7 +32,7 @@
 
 /// The settings as the first run recorded them.
 fn site(folder: &Path) -> Site {
-    let (scene, _) = of_run(&Folder::look(folder), Some(FIRST)).expect("the first run");
+    let (scene, _) = of_run(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
     site_from_text(&scene.settings).expect("settings")
 }
 
@@ -42,7 +42,7 @@
 
 /// What was recovered, in the names under which it is stored.
 fn recovered(folder: &Path) -> Value {
-    let found = recover(&Folder::look(folder), &site(folder)).expect("it can be read");
+    let found = recover(&Folder::read_only(folder), &site(folder)).expect("it can be read");
     let flaws: Vec<String> = found
         .flaws
         .iter()
@@ -114,7 +114,7 @@
 fn both_runs_replay_to_the_same_decisions() {
     let folder = copy(&[]);
     let (runs, flaws) =
-        replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
+        replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
     assert!(flaws.is_empty());
     let told: Vec<Value> = runs
         .iter()
@@ -155,7 +155,7 @@
 fn rows_of_the_records_have_the_same_names_and_values() {
     let folder = copy(&[]);
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
-    let flaws = export::rows(&Folder::look(folder.path()), |row| {
+    let flaws = export::rows(&Folder::read_only(folder.path()), |row| {
         *counts
             .entry(format!("{} {}", row.of, row.what))
             .or_default() += 1;
@@ -179,7 +179,7 @@
 fn the_columnar_file_has_every_row() {
     let folder = copy(&[]);
     let file = folder.path().join("rows.arrow");
-    let (rows, _) = export::export(&Folder::look(folder.path()), &file).expect("written");
+    let (rows, _) = export::export(&Folder::read_only(folder.path()), &file).expect("written");
     let bytes = std::fs::read(&file).expect("read");
     let due: u64 = text("rows.txt")
         .lines()
@@ -203,7 +203,8 @@
     let folder = copy(&[]);
     let mut told = Vec::new();
     for epoch in [FIRST, FIRST + 1] {
-        let (scene, flaws) = of_run(&Folder::look(folder.path()), Some(epoch)).expect("a scene");
+        let (scene, flaws) =
+            of_run(&Folder::read_only(folder.path()), Some(epoch)).expect("a scene");
         assert!(flaws.is_empty());
         let scene_value = stored(&scene);
         let course = scene_value["course"].as_array().expect("a course").len();
