--- a/crates/daemon/src/desk.rs
+++ b/crates/daemon/src/desk.rs
@@ -2,7 +2,7 @@
 
 use pondarch_daemon_core::Input;
 use pondarch_runtime_api::Level;
-use pondarch_transport::Desk;
+use pondarch_transport::CommandHandler;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{mpsc, oneshot};
@@ -51,7 +51,7 @@
     }
 }
 
-impl Desk for Callers {
+impl CommandHandler for Callers {
     /// The core needs no connections' numbers: each line is asked by itself.
     fn opened(&self) -> u64 {
         0
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -2,7 +2,7 @@
 
 use pondarch_config::site::Probes;
 use pondarch_daemon_core::{Input, LoadTold};
-use pondarch_io_util::{Answer, get};
+use pondarch_io_util::{GetResponse, get};
 use pondarch_load_report::{HEADER, Report};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
     }
 }
 
-fn load_of(answer: &Answer) -> Report {
+fn load_of(answer: &GetResponse) -> Report {
     let told = answer
         .headers
         .get(HEADER)
--- a/crates/io-util/src/clock.rs
+++ b/crates/io-util/src/clock.rs
@@ -1,34 +1,38 @@
-//! Time that never goes back: the wall clock at the start, and from there on the machine's steady one.
+//! Time that never goes back: the wall clock at the start, and from there on the machine's monotonic clock.
 
 use pondarch_controller::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Copies tell the same time.
+/// The monotonic clock of a program. All copies give the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    at_start: u64,
+    start_us: u64,
     start: Instant,
 }
 
 impl Clock {
+    /// A clock that agrees with the wall clock at this moment.
+    #[must_use]
     pub fn start() -> Clock {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            at_start: since.as_micros() as u64,
+            start_us: since_epoch.as_micros() as u64,
             start: Instant::now(),
         }
     }
 
-    /// Microseconds since 1970.
+    /// The time now, in microseconds since 1970.
+    #[must_use]
     pub fn now(&self) -> Time {
-        Time::from_micros(self.at_start + self.start.elapsed().as_micros() as u64)
+        Time::from_micros(self.start_us + self.start.elapsed().as_micros() as u64)
     }
 
-    /// The steady clock's word for a point in time.
+    /// The same point in time on the monotonic clock of the machine.
+    #[must_use]
     pub fn instant(&self, at: Time) -> Instant {
-        let since_start = at - Time::from_micros(self.at_start);
+        let since_start = at - Time::from_micros(self.start_us);
         self.start + since_start
     }
 }
--- a/crates/io-util/src/lib.rs
+++ b/crates/io-util/src/lib.rs
@@ -1,13 +1,10 @@
-//! What every edge of a steward needs.
+//! What the programs around a core have in common.
 //!
-//! - `clock`: time that never goes back.
-//! - `get`: an HTTP question to a host, with a bound on the answer.
+//! - [`clock`]: time that never goes back.
+//! - [`http_get`]: an HTTP GET request, with a bound on the response.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
-
-mod clock;
-mod get;
+pub mod clock;
+pub mod http_get;
 
 pub use clock::Clock;
-pub use get::{Answer, AskError, ask, get};
+pub use http_get::{ConnectionOption, GetError, GetResponse, StreamedResponse, get, start_get};
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::word::{Told, Word};
 use bytes::BytesMut;
 use http_body_util::BodyExt;
-use pondarch_io_util::{ask, get};
+use pondarch_io_util::{ConnectionOption, StreamedResponse, get, start_get};
 use pondarch_platform_protocol::registry::{self, LIST_MOST, Listed};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -62,11 +62,14 @@
     }
     let watching = async {
         let path = format!("{PATH}?follow=1&since={}", since.unwrap_or(0));
-        ask(dial(to).await?, to, &path, "keep-alive")
+        start_get(dial(to).await?, to, &path, ConnectionOption::KeepAlive)
             .await
             .map_err(|wrong| wrong.to_string())
     };
-    let (answer, _connection) = match timeout(ANSWER_LIMIT, watching).await {
+    let StreamedResponse {
+        response: answer,
+        connection: _connection,
+    } = match timeout(ANSWER_LIMIT, watching).await {
         Ok(Ok(watching)) => watching,
         Ok(Err(why)) => return why,
         Err(_) => return "no answer".into(),
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -3,7 +3,7 @@
 use crate::shared::Together;
 use pondarch_runtime_api::Level;
 use pondarch_runtime_api::codec::framed_answer;
-use pondarch_transport::Desk;
+use pondarch_transport::CommandHandler;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use tracing::{info, warn};
@@ -14,7 +14,7 @@
     pub(crate) connections: Arc<AtomicU64>,
 }
 
-impl Desk for ProxyDesk {
+impl CommandHandler for ProxyDesk {
     fn opened(&self) -> u64 {
         self.connections.fetch_add(1, Relaxed) + 1
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,10 +1,10 @@
-//! Unix and TCP streams, and the server end of the runtime API on them: whoever answers is a `Desk`.
+//! Unix and TCP streams, and the server end of the runtime API on them, where a [`CommandHandler`] answers.
+//!
+//! - [`socket`]: a stream or a listener that is a Unix or a TCP one.
+//! - [`server`]: accepts connections, reads lines, keeps to the prompt mode of each connection.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
-
-pub mod listen;
+pub mod server;
 pub mod socket;
 
-pub use listen::{Desk, serve};
+pub use server::{CommandHandler, serve};
 pub use socket::{Listener, Stream};
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! The server end of the runtime API: accepts, reads lines, keeps to the mode of each connection.
+//! The server end of the runtime API: accepts connections, reads lines, keeps to the prompt mode of each connection.
 
 use crate::socket::{Listener, Stream};
 use futures_util::{SinkExt, StreamExt};
@@ -9,21 +9,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
+use tokio::task::JoinSet;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
 /// Operators' connections at one time; the next one waits until one ends (the guide's `stats maxconn`, 10 there).
-const CONNECTIONS_MOST: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 /// A connection that sends nothing, or half a line and then nothing, is closed after this (the guide's `stats
-/// timeout` is 10 s; a person at a prompt wants longer).
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// Writing an answer must not take longer than this: a peer that does not read is cut off.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
+/// timeout` is 10 s; a person at a prompt needs longer).
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Writing an answer must not take longer than this: the connection of a peer that does not read is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Wait after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Whoever answers what comes by these connections. Each connection has a number of its own, rising as they open.
-pub trait Desk: Clone + Send + Sync + 'static {
+/// Answers the lines of these connections. Each connection has a number of its own, rising as they open.
+pub trait CommandHandler: Clone + Send + Sync + 'static {
+    /// A connection has opened; gives its number.
     fn opened(&self) -> u64;
 
+    /// The connection of this number has ended.
     fn closed(&self, connection: u64);
 
     /// The answers to one line, as they are to be written; none: the connection ends.
@@ -35,12 +40,12 @@
     ) -> impl Future<Output = Option<String>> + Send;
 }
 
-/// Accepts until it is dropped.
-pub async fn serve(listener: Listener, level: Level, desk: impl Desk) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
-    let mut connections = tokio::task::JoinSet::new();
+/// Accepts connections until the future is dropped, which ends them all.
+pub async fn serve(listener: Listener, level: Level, handler: impl CommandHandler) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut connections = JoinSet::new();
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let stream = tokio::select! {
@@ -48,86 +53,113 @@
             Some(_) = connections.join_next() => continue,
         };
         let Ok(stream) = stream else {
-            // Out of files, say: try again in a moment rather than in circles.
-            tokio::time::sleep(Duration::from_millis(100)).await;
+            // Out of file descriptors, say: waiting avoids a busy loop.
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let desk = desk.clone();
+        let handler = handler.clone();
         connections.spawn(async move {
-            let _place = place;
-            let connection = Open {
-                number: desk.opened(),
-                desk,
+            let _permit = permit;
+            let connection = OpenConnection {
+                number: handler.opened(),
+                handler,
             };
-            // A connection that breaks ends; there is nobody left to tell.
-            talk(stream, level, &connection).await.ok();
+            // The error is dropped on purpose: a connection that fails ends, and its peer is not there to read why.
+            connection.serve(stream, level).await.ok();
         });
     }
 }
 
-/// An open connection; its desk is told of its end, however it ends.
-struct Open<D: Desk> {
+/// An open connection; its handler is notified of its end, however it ends.
+struct OpenConnection<H: CommandHandler> {
     number: u64,
-    desk: D,
+    handler: H,
 }
 
-impl<D: Desk> Drop for Open<D> {
+impl<H: CommandHandler> Drop for OpenConnection<H> {
     fn drop(&mut self) {
-        self.desk.closed(self.number);
+        self.handler.closed(self.number);
     }
 }
 
-async fn talk(stream: Stream, level: Level, of: &Open<impl Desk>) -> Result<(), CodecError> {
-    let mut wire = Framed::new(stream, ServerCodec::default());
-    let mut mode = PromptMode::Closing;
-    loop {
-        let frame = match timeout(IDLE_LIMIT, wire.next()).await {
-            Ok(Some(Ok(frame))) => frame,
-            Ok(Some(Err(wrong))) => {
-                write(&mut wire, framed_answer(&format!("{wrong}."))).await?;
-                return Ok(());
+/// What a line asks of the connection itself.
+struct ConnectionMode {
+    prompt: PromptMode,
+    /// Whether it has asked for the end of the connection.
+    quit: bool,
+}
+
+impl ConnectionMode {
+    /// Follows the commands of a line that concern the connection itself. A command that cannot be parsed is answered
+    /// by the handler.
+    fn apply_line(&mut self, line: &str) {
+        for command in command::parse_line(line).into_iter().flatten() {
+            match command {
+                Command::Quit => self.quit = true,
+                Command::Prompt(requested) => self.prompt = prompt_mode(self.prompt, requested),
+                _ => {}
             }
-            Ok(None) | Err(_) => return Ok(()),
+        }
+    }
+}
+
+impl<H: CommandHandler> OpenConnection<H> {
+    async fn serve(&self, stream: Stream, level: Level) -> Result<(), CodecError> {
+        let mut framed = Framed::new(stream, ServerCodec::default());
+        let mut mode = ConnectionMode {
+            prompt: PromptMode::Closing,
+            quit: false,
         };
-        let mut quit = false;
-        let mut text = match frame {
-            ServerFrame::Garbled => framed_answer("The line is not UTF-8."),
-            ServerFrame::Line(line) => {
-                for command in command::parse_line(&line).into_iter().flatten() {
-                    match command {
-                        Command::Quit => quit = true,
-                        Command::Prompt(asked) => mode = changed(mode, asked),
-                        _ => {}
-                    }
-                }
-                match of.desk.answer(of.number, level, line).await {
-                    Some(text) => text,
-                    None => return Ok(()),
+        loop {
+            let frame = match timeout(IDLE_TIMEOUT, framed.next()).await {
+                Ok(Some(Ok(frame))) => frame,
+                Ok(Some(Err(error))) => {
+                    return write(&mut framed, framed_answer(&format!("{error}."))).await;
                 }
+                Ok(None) | Err(_) => return Ok(()),
+            };
+            let Some(mut answer) = self.answer_frame(frame, level, &mut mode).await else {
+                return Ok(());
+            };
+            if mode.prompt == PromptMode::Prompting {
+                answer.push_str("> ");
+            }
+            write(&mut framed, answer).await?;
+            if mode.quit || mode.prompt == PromptMode::Closing {
+                return Ok(());
             }
-        };
-        if mode == PromptMode::Prompting {
-            text.push_str("> ");
         }
-        write(&mut wire, text).await?;
-        if quit || mode == PromptMode::Closing {
-            return Ok(());
+    }
+
+    /// The answer to a frame; none: the connection ends.
+    async fn answer_frame(
+        &self,
+        frame: ServerFrame,
+        level: Level,
+        mode: &mut ConnectionMode,
+    ) -> Option<String> {
+        match frame {
+            ServerFrame::Garbled => Some(framed_answer("The line is not UTF-8.")),
+            ServerFrame::Line(line) => {
+                mode.apply_line(&line);
+                self.handler.answer(self.number, level, line).await
+            }
         }
     }
 }
 
 /// The guide's rules: bare `prompt` goes between prompting and closing, the words name a mode.
-fn changed(mode: PromptMode, asked: PromptMode) -> PromptMode {
-    match (asked, mode) {
+fn prompt_mode(current: PromptMode, requested: PromptMode) -> PromptMode {
+    match (requested, current) {
         (PromptMode::Toggle, PromptMode::Prompting) => PromptMode::Closing,
         (PromptMode::Toggle, _) => PromptMode::Prompting,
         (named, _) => named,
     }
 }
 
-async fn write(wire: &mut Framed<Stream, ServerCodec>, text: String) -> Result<(), CodecError> {
-    match timeout(WRITE_LIMIT, wire.send(text)).await {
-        Ok(done) => done,
+async fn write(framed: &mut Framed<Stream, ServerCodec>, answer: String) -> Result<(), CodecError> {
+    match timeout(WRITE_TIMEOUT, framed.send(answer)).await {
+        Ok(result) => result,
         Err(_) => Err(CodecError::Io(std::io::ErrorKind::TimedOut.into())),
     }
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -8,15 +8,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 
+/// A connected stream.
 #[derive(Debug)]
 pub enum Stream {
+    /// Over a Unix socket.
     Unix(UnixStream),
+    /// Over TCP, without Nagle's algorithm.
     Tcp(TcpStream),
 }
 
 impl Stream {
-    pub async fn connect(to: &Endpoint) -> io::Result<Stream> {
-        match to {
+    /// Connects to an endpoint.
+    ///
+    /// # Errors
+    ///
+    /// Nobody listens there, or the socket cannot be set up.
+    pub async fn connect(endpoint: &Endpoint) -> io::Result<Stream> {
+        match endpoint {
             Endpoint::Unix(path) => UnixStream::connect(path).await.map(Stream::Unix),
             Endpoint::Tcp(addr) => {
                 let stream = TcpStream::connect(addr).await?;
@@ -30,19 +38,23 @@
 /// A listener; a Unix one removes its file when it ends.
 #[derive(Debug)]
 pub enum Listener {
+    /// At a socket file, with its path.
     Unix(UnixListener, PathBuf),
+    /// At a TCP port.
     Tcp(TcpListener),
 }
 
 impl Listener {
-    /// Listens there. A socket file that nobody answers at is left over from a killed process and is replaced.
+    /// Listens at an endpoint. A socket file that nobody listens at is left over from a killed process and is replaced.
+    ///
+    /// # Errors
     ///
-    /// Errors: the address is in use, or cannot be had.
-    pub async fn bind(at: &Endpoint) -> io::Result<Listener> {
-        match at {
+    /// The address is in use, or cannot be bound.
+    pub async fn bind(endpoint: &Endpoint) -> io::Result<Listener> {
+        match endpoint {
             Endpoint::Tcp(addr) => TcpListener::bind(addr).await.map(Listener::Tcp),
             Endpoint::Unix(path) => {
-                if is_left_over(path).await {
+                if is_stale(path).await {
                     std::fs::remove_file(path)?;
                 }
                 Ok(Listener::Unix(UnixListener::bind(path)?, path.clone()))
@@ -50,6 +62,11 @@
         }
     }
 
+    /// Waits for the next connection.
+    ///
+    /// # Errors
+    ///
+    /// The system cannot accept one, such as without free file descriptors.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Unix(listener, _) => listener
@@ -68,13 +85,14 @@
 impl Drop for Listener {
     fn drop(&mut self) {
         if let Listener::Unix(_, path) = self {
-            // If it is gone already, there is nothing left to do.
+            // The error is dropped on purpose: a file that was removed already needs no removal.
             std::fs::remove_file(path).ok();
         }
     }
 }
 
-async fn is_left_over(path: &Path) -> bool {
+/// Whether a socket file exists that nobody listens at.
+async fn is_stale(path: &Path) -> bool {
     path.exists() && UnixStream::connect(path).await.is_err()
 }
 
