--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -171,7 +171,7 @@
                 against,
                 seeds,
             } => {
-                let span = pondarch_replay::replay::Span {
+                let span = pondarch_replay::run_replay::ComparedInputs {
                     from: first,
                     to: last,
                 };
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -7,11 +7,12 @@
     Folder, LogFile, LogPolicy, RetentionConfig, UNLIMITED, list_file_names, list_segments,
     remove_old_segments,
 };
-use pondarch_replay::play::{Played, play};
-use pondarch_replay::replay::{Replayed, Span, replay};
-use pondarch_replay::runs::{Flaw, places};
-use pondarch_replay::scene::{Scene, of_run};
-use pondarch_replay::{HistoryError, export};
+use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, RunReplay, replay};
+use pondarch_replay::segments::{InputNumbers, InputSequence, list};
+use pondarch_replay::what_if::{
+    ExtractedScenario, Scenario, WhatIfResult, extract_scenario, replay_scenario,
+};
+use pondarch_replay::{ReplayError, ReplayFault, export};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -83,19 +84,19 @@
             let flaws = export::rows(&Folder::read_only(&folder), |row| {
                 let named = what
                     .as_ref()
-                    .is_none_or(|what| row.what.eq_ignore_ascii_case(what));
+                    .is_none_or(|what| row.name.eq_ignore_ascii_case(what));
                 if fits(&row.proxy, &proxy)
                     && fits(&row.host, &host)
                     && named
-                    && (from..=to).contains(&row.n)
+                    && (from..=to).contains(&row.number)
                 {
                     let of = row.proxy.as_deref().or(row.host.as_deref()).unwrap_or("");
                     let at = row.at_us as f64 / 1e6;
-                    let more = if verbose { row.text.as_str() } else { "" };
+                    let more = if verbose { row.fields.as_str() } else { "" };
                     writeln!(
                         out,
                         "{at:.6} #{} {} {} {of} {more}",
-                        row.n, row.of, row.what
+                        row.number, row.category, row.name
                     )?;
                 }
                 Ok(())
@@ -105,34 +106,40 @@
         }
         What::Verify { folder } => {
             let disk = Folder::read_only(&folder);
-            let (places, _) = places(&disk).map_err(|wrong| of_folder(&folder, wrong))?;
+            let segments = list(&disk)
+                .map_err(|wrong| of_folder(&folder, wrong))?
+                .segments;
             let mut rows = 0u64;
-            let mut numbers = pondarch_replay::runs::Numbers::default();
+            let mut numbers = InputSequence::default();
             let mut missing = Vec::new();
             let flaws = export::rows(&disk, |row| {
                 rows += 1;
-                if row.of == "input"
-                    && let Some((first, last)) = numbers.missing(row.epoch, row.n)
+                if row.category == export::RowCategory::Input
+                    && let Some(InputNumbers { first, last }) =
+                        numbers.record_input(row.incarnation, row.number)
                 {
                     missing.push(format!(
                         "run {}: inputs {first} to {last} are missing",
-                        row.epoch
+                        row.incarnation
                     ));
                 }
-                if row.of == "gap" {
+                if row.category == export::RowCategory::Gap {
                     let fields: serde_json::Value =
-                        serde_json::from_str(&row.text).unwrap_or_default();
-                    numbers.gap(row.epoch, fields["last"].as_u64().unwrap_or(row.n));
-                    missing.push(format!("run {}: a gap: {}", row.epoch, row.text));
+                        serde_json::from_str(&row.fields).unwrap_or_default();
+                    numbers.record_gap(
+                        row.incarnation,
+                        fields["last"].as_u64().unwrap_or(row.number),
+                    );
+                    missing.push(format!("run {}: a gap: {}", row.incarnation, row.fields));
                 }
                 Ok(())
             });
             let flaws = flaws.map_err(|wrong| of_folder(&folder, wrong))?;
-            let bytes: u64 = places.iter().map(|place| place.bytes).sum();
+            let bytes: u64 = segments.iter().map(|segment| segment.bytes).sum();
             println!(
                 "{}: {} segments, {bytes} bytes, {rows} rows",
                 folder.display(),
-                places.len()
+                segments.len()
             );
             say(&folder, &flaws);
             missing
@@ -141,7 +148,10 @@
             Ok(flaws.is_empty() && missing.is_empty())
         }
         What::Export { folder, file } => {
-            let (count, flaws) = export::export(&Folder::read_only(&folder), &file)
+            let export::Export {
+                rows: count,
+                faults: flaws,
+            } = export::export(&Folder::read_only(&folder), &file)
                 .map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
             println!("{}: {count} rows", file.display());
@@ -185,33 +195,41 @@
             file,
             epoch,
         } => {
-            let (scene, flaws) = of_run(&Folder::read_only(&folder), epoch)
+            let ExtractedScenario {
+                scenario: scene,
+                faults: flaws,
+            } = extract_scenario(&Folder::read_only(&folder), epoch)
                 .map_err(|wrong| of_folder(&folder, wrong))?;
             say(&folder, &flaws);
             let text = serde_json::to_string(&scene).map_err(|wrong| wrong.to_string())?;
             std::fs::write(&file, text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
-            println!("{}: {} moments", file.display(), scene.course.len());
+            println!("{}: {} moments", file.display(), scene.events.len());
             Ok(true)
         }
     }
 }
 
-fn of_folder(folder: &Path, wrong: HistoryError) -> String {
+fn of_folder(folder: &Path, wrong: ReplayError) -> String {
     format!("{}: {wrong}", folder.display())
 }
 
-fn say(folder: &Path, flaws: &[Flaw]) {
+fn say(folder: &Path, flaws: &[ReplayFault]) {
     for flaw in flaws {
         eprintln!(
             "pondarch: {}: {}",
-            folder.join(&flaw.name).display(),
-            flaw.what
+            folder.join(&flaw.file).display(),
+            flaw.cause
         );
     }
 }
 
 /// Plays a folder's runs again, or a scene, by its own settings and by others.
-pub(crate) fn again(from: &Path, span: Span, against: Option<&Path>, seeds: u64) -> ExitCode {
+pub(crate) fn again(
+    from: &Path,
+    span: ComparedInputs,
+    against: Option<&Path>,
+    seeds: u64,
+) -> ExitCode {
     let done = match (against, from.is_file()) {
         (None, false) => replayed(from, span),
         (against, _) => compared(from, against, seeds),
@@ -223,20 +241,22 @@
     }
 }
 
-fn replayed(folder: &Path, span: Span) -> Result<bool, String> {
-    let (runs, flaws) =
-        replay(&Folder::read_only(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
+fn replayed(folder: &Path, span: ComparedInputs) -> Result<bool, String> {
+    let FolderReplay {
+        runs,
+        faults: flaws,
+    } = replay(&Folder::read_only(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
     say(folder, &flaws);
     let mut same = true;
     for run in runs {
-        let Replayed {
-            epoch,
+        let RunReplay {
+            incarnation: epoch,
             program,
             inputs,
             decisions,
-            spans,
-            took,
-            differs,
+            recorded_duration: spans,
+            replay_duration: took,
+            difference: differs,
             stopped,
         } = run;
         let (spans, took) = (spans.as_secs_f64(), took.as_secs_f64());
@@ -246,10 +266,13 @@
         match (differs, stopped) {
             (Some(difference), _) => {
                 same = false;
-                println!("differs at #{} by {:?}", difference.n, difference.input);
+                println!(
+                    "differs at #{} by {:?}",
+                    difference.number, difference.input
+                );
                 println!(
                     "  then: {:?}\n  now:  {:?}",
-                    difference.then, difference.now
+                    difference.recorded, difference.replayed
                 );
             }
             (None, Some(why)) => println!("same, up to where {why}"),
@@ -260,23 +283,24 @@
 }
 
 fn compared(from: &Path, against: Option<&Path>, seeds: u64) -> Result<bool, String> {
-    let scene: Scene = if from.is_file() {
+    let scene: Scenario = if from.is_file() {
         let text = std::fs::read_to_string(from)
             .map_err(|wrong| format!("{}: {wrong}", from.display()))?;
         serde_json::from_str(&text).map_err(|wrong| format!("{}: {wrong}", from.display()))?
     } else {
-        of_run(&Folder::read_only(from), None)
+        extract_scenario(&Folder::read_only(from), None)
             .map_err(|wrong| of_folder(from, wrong))?
-            .0
+            .scenario
     };
     let other = against
         .map(read_site)
         .transpose()
         .map_err(|wrong| wrong.to_string())?;
-    let mut rows: Vec<(Played, Option<Played>)> = Vec::new();
+    let mut rows: Vec<(WhatIfResult, Option<WhatIfResult>)> = Vec::new();
     for seed in 1..=seeds {
         let played = |site: Option<&pondarch_config::Site>| {
-            play(&scene, site, seed).map_err(|wrong| format!("{}: {wrong}", from.display()))
+            replay_scenario(&scene, site, seed)
+                .map_err(|wrong| format!("{}: {wrong}", from.display()))
         };
         let own = played(None)?;
         rows.push((
@@ -284,18 +308,18 @@
             other.as_ref().map(|site| played(Some(site))).transpose()?,
         ));
     }
-    type Figure = (&'static str, fn(&Played) -> u64);
+    type Figure = (&'static str, fn(&WhatIfResult) -> u64);
     let figures: [Figure; 10] = [
         ("table changes", |p| p.table_changes),
         ("lines changed", |p| p.lines_changed),
         ("binds", |p| p.binds),
-        ("level changes", |p| p.level_changes),
+        ("level changes", |p| p.admission_changes),
         ("messages", |p| p.messages),
         ("commands", |p| p.commands),
-        ("messages to one proxy, most", |p| p.messages_most),
-        ("cold hosts held back", |p| p.held_back),
-        ("nothing to pick, longest ms", |p| p.bare_longest_ms),
-        ("drain, longest ms", |p| p.drain_longest_ms),
+        ("messages to one proxy, most", |p| p.max_messages),
+        ("cold hosts held back", |p| p.hosts_held_back),
+        ("nothing to pick, longest ms", |p| p.max_without_host_ms),
+        ("drain, longest ms", |p| p.max_drain_ms),
     ];
     println!(
         "{:<30}{:>16}{:>16}",
@@ -331,7 +355,7 @@
         let tables: std::collections::BTreeSet<_> =
             own.tables.keys().chain(other.tables.keys()).collect();
         for table in tables {
-            let names = |played: &Played| {
+            let names = |played: &WhatIfResult| {
                 let lines = played.tables.get(table).cloned().unwrap_or_default();
                 lines
                     .iter()
--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -12,8 +12,8 @@
 use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_event_log::{Disk, DiskFault, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_proxy_core::holding::Holding;
-use pondarch_replay::replay::{Span, replay};
-use pondarch_replay::{Decision, Record, Start, recover};
+use pondarch_replay::run_replay::{ComparedInputs, replay};
+use pondarch_replay::{Decision, Record, RunStart, recover};
 use std::collections::VecDeque;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -148,13 +148,13 @@
     }
 }
 
-fn start(text: &str, at: Time) -> Start {
-    Start {
+fn start(text: &str, at: Time) -> RunStart {
+    RunStart {
         program: "bench".into(),
         settings: text.into(),
         seed: 7,
         process: 1,
-        epoch: micros(at),
+        incarnation: micros(at),
         at_us: micros(at),
         boot: None,
     }
@@ -267,7 +267,7 @@
     let mut frames = Vec::new();
     frame::write(
         &mut frames,
-        &Record::Start(Box::new(start(&text, at))).bytes(),
+        &Record::Start(Box::new(start(&text, at))).to_bytes(),
     );
     while written < bytes {
         n += 1;
@@ -276,18 +276,18 @@
         let outputs: Vec<Output> = std::iter::from_fn(|| town.core.next_output()).collect();
         let one = Instant::now();
         let mut put = |record: Record| {
-            let record = record.bytes();
+            let record = record.to_bytes();
             (records, unpacked) = (records + 1, unpacked + record.len() as u64);
             frame::write(&mut frames, &record);
         };
         put(Record::Input {
-            n,
+            number: n,
             at_us: micros(at),
             input,
         });
         if !outputs.is_empty() {
             put(Record::Decided {
-                n,
+                number: n,
                 decisions: outputs.iter().cloned().map(Decision::of).collect(),
             });
         }
@@ -318,9 +318,10 @@
         found.inputs
     );
     let begun = Instant::now();
-    let (runs, _) = replay(&Folder::read_only(folder.path()), Span::default()).expect("replayed");
+    let (runs, _) =
+        replay(&Folder::read_only(folder.path()), ComparedInputs::default()).expect("replayed");
     let took = begun.elapsed().as_secs_f64();
-    let same = runs.iter().all(|run| run.differs.is_none());
+    let same = runs.iter().all(|run| run.difference.is_none());
     println!(
         "  replayed in {took:.1} s, {:.1} times as fast as it was; the same: {same}",
         spans.as_secs_f64() / took
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -11,7 +11,7 @@
 use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_io_util::Clock;
 use pondarch_load_report_protocol::ToSender;
-use pondarch_replay::Start;
+use pondarch_replay::RunStart;
 use pondarch_transport::{Listener, serve};
 use pondarch_weight_solver::Warm;
 use pondarch_weight_solver::planner::SOLVE_LIMIT;
@@ -53,12 +53,12 @@
     // Above that of any run before, whatever the clock says: proxies refuse the orders of an older one.
     let epoch = micros(now).max(before.epoch + 1);
     let process = std::process::id();
-    let start = Start {
+    let start = RunStart {
         program: env!("CARGO_PKG_VERSION").into(),
         settings: text,
         seed,
         process,
-        epoch,
+        incarnation: epoch,
         at_us: micros(now),
         boot: recorder::boot(),
     };
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -8,7 +8,7 @@
 use pondarch_daemon_core::{EventLogState, Input, Output, RecoveredState, micros};
 use pondarch_event_log::{Disk, DiskState, EventLog, Folder, LockError, RetentionConfig, frame};
 use pondarch_io_util::Clock;
-use pondarch_replay::{Boot, Decision, Record, Snapshot, Start, recover};
+use pondarch_replay::{Boot, Decision, Record, RunStart, Snapshot, recover};
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -71,18 +71,22 @@
     };
     match recover(&folder, site) {
         Ok(found) => {
-            for flaw in &found.flaws {
+            for fault in &found.faults {
                 warn!(
-                    file = flaw.name,
-                    what = flaw.what,
+                    file = fault.file,
+                    what = fault.cause.to_string(),
                     "dropped from the records"
                 );
             }
-            info!(inputs = found.inputs, epoch = found.epoch, "records read");
+            info!(
+                inputs = found.inputs,
+                epoch = found.incarnation,
+                "records read"
+            );
             let now_us = micros(now);
             let passed = passed(found.boot.as_ref(), boot().as_ref(), found.last_us, now_us);
-            before.epoch = found.epoch;
-            before.known = found.known.map(|known| known.by_clock(now_us, passed));
+            before.epoch = found.incarnation;
+            before.known = found.state.map(|known| known.by_clock(now_us, passed));
         }
         Err(wrong) => warn!(%wrong, "nothing recovered"),
     }
@@ -94,7 +98,9 @@
 /// its clock, as far as that went on.
 fn passed(then: Option<&Boot>, now: Option<&Boot>, last_us: u64, now_us: u64) -> u64 {
     match (then, now) {
-        (Some(then), Some(now)) if then.id == now.id => now.up_us.saturating_sub(then.up_us),
+        (Some(then), Some(now)) if then.id == now.id => {
+            now.uptime_us.saturating_sub(then.uptime_us)
+        }
         _ => now_us.saturating_sub(last_us),
     }
 }
@@ -106,7 +112,7 @@
     let seconds: f64 = up.split_whitespace().next()?.parse().ok()?;
     Some(Boot {
         id: id.trim().into(),
-        up_us: (seconds * 1e6) as u64,
+        uptime_us: (seconds * 1e6) as u64,
     })
 }
 
@@ -138,7 +144,7 @@
     pub fn start<D: Disk + Send + 'static>(
         opens: impl FnMut() -> Result<D, String> + Send + 'static,
         records: &Records,
-        start: Start,
+        start: RunStart,
         clock: Clock,
         inputs: mpsc::Sender<Input>,
     ) -> Recorder {
@@ -152,7 +158,7 @@
             sync_within: records.sure_within.0,
         };
         let (epoch, at, every) = (
-            start.epoch,
+            start.incarnation,
             Time::from_micros(start.at_us),
             records.snapshot_every.0,
         );
@@ -247,11 +253,11 @@
         // Without room there is none this time.
         self.send(
             Word::Snapshot(Box::new(Snapshot {
-                epoch,
-                n,
+                incarnation: epoch,
+                number: n,
                 at_us,
                 boot: boot(),
-                known,
+                state: known,
             })),
             0,
         );
@@ -292,7 +298,7 @@
     opens: Opens<D>,
     log: Option<EventLog<D>>,
     retention: RetentionConfig,
-    start: Start,
+    start: RunStart,
     /// The start stands in the log.
     started: bool,
     clock: Clock,
@@ -342,7 +348,8 @@
             return;
         }
         let opened = (self.opens)().and_then(|disk| {
-            EventLog::new(disk, self.retention, self.start.epoch).map_err(|wrong| wrong.to_string())
+            EventLog::new(disk, self.retention, self.start.incarnation)
+                .map_err(|wrong| wrong.to_string())
         });
         match opened {
             Ok(log) => self.log = Some(log),
@@ -360,7 +367,7 @@
                     (
                         n,
                         Record::Input {
-                            n,
+                            number: n,
                             at_us: micros(at),
                             input: *input,
                         },
@@ -368,7 +375,13 @@
                 }
                 Word::Decided { n, outputs } => {
                     let decisions = outputs.into_iter().map(Decision::of).collect();
-                    (n, Record::Decided { n, decisions })
+                    (
+                        n,
+                        Record::Decided {
+                            number: n,
+                            decisions,
+                        },
+                    )
                 }
                 Word::Gap { first, last } => {
                     self.state.lost_inputs += last - first + 1;
@@ -377,7 +390,7 @@
                         Record::Gap {
                             first,
                             last,
-                            why: "there was no room to wait in".into(),
+                            reason: "there was no room to wait in".into(),
                         },
                     )
                 }
@@ -390,7 +403,7 @@
             };
             first.get_or_insert(n);
             last = Some(n);
-            frame::write(&mut frames, &record.bytes());
+            frame::write(&mut frames, &record.to_bytes());
         }
         self.put(&mut frames, &mut first, &mut last);
     }
@@ -412,16 +425,16 @@
             if !self.started {
                 frame::write(
                     &mut before,
-                    &Record::Start(Box::new(self.start.clone())).bytes(),
+                    &Record::Start(Box::new(self.start.clone())).to_bytes(),
                 );
             }
             if let Some((first, last, why)) = &self.gap {
                 let gap = Record::Gap {
                     first: *first,
                     last: *last,
-                    why: why.clone(),
+                    reason: why.clone(),
                 };
-                frame::write(&mut before, &gap.bytes());
+                frame::write(&mut before, &gap.to_bytes());
             }
             before.extend(&frames);
             done = self
@@ -454,7 +467,7 @@
         let now = self.clock.now();
         // With a gap before it that is not on record yet, it is all the more wanted.
         if let Some(log) = &mut self.log
-            && !log.write_snapshot(now, &snapshot.bytes())
+            && !log.write_snapshot(now, &snapshot.to_bytes())
             && let DiskState::Failed { reason, .. } = log.policy().disk_state()
         {
             self.state.stopped_reason = Some(reason.clone());
@@ -480,10 +493,10 @@
 
     #[test]
     fn a_clock_that_jumped_is_not_believed_while_the_machine_counts_on() {
-        let boot = |id: &str, up_us| {
+        let boot = |id: &str, uptime_us| {
             Some(Boot {
                 id: id.into(),
-                up_us,
+                uptime_us,
             })
         };
         let passed = |then: Option<Boot>, now: Option<Boot>, last, at| {
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/flood.rs
@@ -276,15 +276,15 @@
 fn ages(folder: &Path, from_us: u64, to_us: u64) -> Result<(Vec<f64>, u64, u64), RehearsalError> {
     let (mut ages, mut kept, mut dropped) = (Vec::new(), 0, 0);
     let read = export::rows(&Folder::read_only(folder), |row| {
-        if row.what == "Looked" && (from_us..=to_us).contains(&row.at_us) {
-            let fields: serde_json::Value = serde_json::from_str(&row.text).unwrap_or_default();
+        if row.name == "Looked" && (from_us..=to_us).contains(&row.at_us) {
+            let fields: serde_json::Value = serde_json::from_str(&row.fields).unwrap_or_default();
             ages.push(fields["oldest_us"].as_f64().unwrap_or(0.0) / 1e3);
             kept += fields["kept"].as_u64().unwrap_or(0);
             dropped += fields["dropped"].as_u64().unwrap_or(0);
         }
         Ok(())
     });
-    let wrong = |wrong: pondarch_replay::HistoryError| RehearsalError::Io {
+    let wrong = |wrong: pondarch_replay::ReplayError| RehearsalError::Io {
         what: "the records cannot be read".into(),
         wrong: std::io::Error::other(wrong.to_string()),
     };
--- a/crates/replay/examples/write_fixture.rs
+++ b/crates/replay/examples/write_fixture.rs
@@ -2,9 +2,6 @@
 //! in memory; `write_fixture encode FILE` adds the recorded bytes, in hexadecimal, to lines that lack them. What is
 //! committed is never written anew: it stands for what older programs wrote.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines)]
-
 #[path = "write_fixture/run.rs"]
 mod run;
 #[path = "write_fixture/site.rs"]
@@ -29,8 +26,8 @@
     for line in std::fs::read_to_string(file)?.lines() {
         let words: Vec<&str> = line.split('\t').collect();
         let bytes = match words[..] {
-            ["record", json] => serde_json::from_str::<Record>(json)?.bytes(),
-            ["snapshot", json] => serde_json::from_str::<Snapshot>(json)?.bytes(),
+            ["record", json] => serde_json::from_str::<Record>(json)?.to_bytes(),
+            ["snapshot", json] => serde_json::from_str::<Snapshot>(json)?.to_bytes(),
             _ => {
                 out += &format!("{line}\n");
                 continue;
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -9,7 +9,7 @@
 use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
 use pondarch_proxy_core::holding::{Holding, Server};
-use pondarch_replay::{Boot, Decision, Record, Snapshot, Start, recover};
+use pondarch_replay::{Boot, Decision, Record, RunStart, Snapshot, recover};
 use pondarch_runtime_api::{AdminState, command};
 use std::collections::VecDeque;
 use std::error::Error;
@@ -74,10 +74,10 @@
     let found = recover(&Folder::read_only(folder), &site_from_text(&settings())?)?;
     let at = now + 2_000_000;
     let known = found
-        .known
+        .state
         .ok_or("nothing was known")?
         .by_clock(at, 2_000_000);
-    let mut second = Run::start(folder, found.epoch + 1, at)?;
+    let mut second = Run::start(folder, found.incarnation + 1, at)?;
     second.version = first.version;
     second.give(Input::Recovered(Box::new(known)));
     second.list(changed());
@@ -102,7 +102,7 @@
 fn boot(at: u64) -> Option<Boot> {
     Some(Boot {
         id: "machine".into(),
-        up_us: at - START + 1_000,
+        uptime_us: at - START + 1_000,
     })
 }
 
@@ -144,12 +144,12 @@
             refuses: false,
         };
         let (program, settings) = ("pondarch before the renaming".into(), settings());
-        let start = Start {
+        let start = RunStart {
             program,
             settings,
             seed: 7,
             process: 1,
-            epoch,
+            incarnation: epoch,
             at_us: now,
             boot: boot(now),
         };
@@ -161,7 +161,7 @@
         let mut frames = Vec::new();
         records
             .iter()
-            .for_each(|record| frame::write(&mut frames, &record.bytes()));
+            .for_each(|record| frame::write(&mut frames, &record.to_bytes()));
         assert!(
             self.log
                 .write(Time::from_micros(self.now), self.n.max(1), &frames),
@@ -175,9 +175,16 @@
         self.core.handle(Time::from_micros(at_us), input.clone());
         let outputs: Vec<Output> = std::iter::from_fn(|| self.core.next_output()).collect();
         let decisions: Vec<Decision> = outputs.iter().cloned().map(Decision::of).collect();
-        let mut records = vec![Record::Input { n, at_us, input }];
+        let mut records = vec![Record::Input {
+            number: n,
+            at_us,
+            input,
+        }];
         if !decisions.is_empty() {
-            records.push(Record::Decided { n, decisions });
+            records.push(Record::Decided {
+                number: n,
+                decisions,
+            });
         }
         self.record(&records);
         outputs
@@ -298,15 +305,15 @@
     fn snapshot(&mut self) {
         let (epoch, n, at_us) = (self.epoch, self.n, self.now);
         let snapshot = Snapshot {
-            epoch,
-            n,
+            incarnation: epoch,
+            number: n,
             at_us,
             boot: boot(at_us),
-            known: self.core.state_to_recover(),
+            state: self.core.state_to_recover(),
         };
         assert!(
             self.log
-                .write_snapshot(Time::from_micros(at_us), &snapshot.bytes()),
+                .write_snapshot(Time::from_micros(at_us), &snapshot.to_bytes()),
             "the disk works"
         );
     }
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,196 +1,331 @@
-//! Records as rows: one for each input and each thing decided, for people and as a columnar file (Arrow IPC).
+//! Records as rows, one for each input and each decision: for people, and as a columnar file (Arrow IPC).
 
-use crate::record::{Decision, Record};
-use crate::runs::{self, Flaw, HistoryError};
+use crate::error::{ReplayError, ReplayFault};
+use crate::record::{Decision, Record, RunStart};
+use crate::segments::{self, SegmentList};
 use arrow_array::{ArrayRef, RecordBatch, StringArray, UInt64Array};
 use arrow_ipc::writer::FileWriter;
 use arrow_schema::{DataType, Field, Schema};
+use pondarch_daemon_core::Output;
 use pondarch_event_log::Disk;
 use serde::Serialize;
 use serde_json::Value;
+use std::fmt;
 use std::fs::File;
+use std::ops::ControlFlow;
 use std::path::Path;
 use std::sync::Arc;
 
 /// Rows of one batch in the file.
-const BATCH: usize = 8_192;
+const BATCH_ROWS: usize = 8_192;
 
-/// One row. `n` is the input that it is, or that led to it.
+/// What a row is of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum RowCategory {
+    /// The start of a run.
+    Start,
+    /// An input.
+    Input,
+    /// An output that is no event.
+    Decided,
+    /// An event.
+    Event,
+    /// Inputs that were not recorded.
+    Gap,
+}
+
+impl RowCategory {
+    /// As it stands in the file.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
+            RowCategory::Start => "start",
+            RowCategory::Input => "input",
+            RowCategory::Decided => "decided",
+            RowCategory::Event => "event",
+            RowCategory::Gap => "gap",
+        }
+    }
+}
+
+impl fmt::Display for RowCategory {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
+}
+
+/// One row. The names of its columns are pinned: they never follow a name in the code.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    pub epoch: u64,
-    pub n: u64,
+    /// The run.
+    #[serde(rename = "epoch")]
+    pub incarnation: u64,
+    /// Number of the input that it is, or that led to it.
+    #[serde(rename = "n")]
+    pub number: u64,
+    /// Time of that input.
     pub at_us: u64,
-    /// `start`, `input`, `decided`, `event` or `gap`.
-    pub of: &'static str,
-    pub what: String,
+    /// What it is of.
+    #[serde(rename = "of")]
+    pub category: RowCategory,
+    /// Name of the input, output or event.
+    #[serde(rename = "what")]
+    pub name: String,
+    /// The proxy that it concerns.
     pub proxy: Option<String>,
+    /// The host that it concerns.
     pub host: Option<String>,
-    /// All of it, as JSON.
-    pub text: String,
+    /// All of its fields, as JSON.
+    #[serde(rename = "text")]
+    pub fields: String,
+}
+
+/// The rows of a folder that were written.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Export {
+    /// How many.
+    pub rows: u64,
+    /// What could not be read.
+    pub faults: Vec<ReplayFault>,
 }
 
-/// Reads a folder row by row. `names` of proxies come from each run's own settings.
+/// Reads a folder row by row; gives what could not be read. Names of proxies come from each run's own settings.
+///
+/// # Errors
 ///
-/// Errors: the folder cannot be read.
+/// The folder cannot be read, or `visit` failed.
 pub fn rows(
     disk: &impl Disk,
-    mut take: impl FnMut(Row) -> Result<(), HistoryError>,
-) -> Result<Vec<Flaw>, HistoryError> {
-    let (places, mut flaws) = runs::places(disk)?;
-    if places.is_empty() && flaws.is_empty() {
-        return Err(HistoryError::Nothing);
+    mut visit: impl FnMut(Row) -> Result<(), ReplayError>,
+) -> Result<Vec<ReplayFault>, ReplayError> {
+    let SegmentList {
+        segments,
+        mut faults,
+    } = segments::list(disk)?;
+    if segments.is_empty() && faults.is_empty() {
+        return Err(ReplayError::NoRecords);
     }
-    let (mut names, mut last_us) = (Vec::new(), 0);
-    let mut failed = None;
-    for place in &places {
-        let epoch = place.head.incarnation;
-        runs::read(disk, place, &mut flaws, |_, record| {
-            for row in of(epoch, &mut last_us, &mut names, record) {
-                if let Err(wrong) = take(row) {
-                    failed = Some(wrong);
-                    return false;
-                }
+    let mut reader = RowReader::default();
+    for segment in &segments {
+        reader.incarnation = segment.header.incarnation;
+        let mut result = Ok(());
+        segments::read(disk, segment, &mut faults, |record| {
+            result = reader.rows(record).into_iter().try_for_each(&mut visit);
+            match result {
+                Ok(()) => ControlFlow::Continue(()),
+                Err(_) => ControlFlow::Break(()),
             }
-            true
         })?;
-        if let Some(wrong) = failed {
-            return Err(wrong);
-        }
+        result?;
     }
-    Ok(flaws)
+    Ok(faults)
+}
+
+/// Makes rows of records.
+#[derive(Default)]
+struct RowReader {
+    incarnation: u64,
+    /// Time of the last input.
+    at_us: u64,
+    /// Names of the proxies by the settings of the run.
+    proxies: Vec<String>,
 }
 
-fn of(epoch: u64, last_us: &mut u64, names: &mut Vec<String>, record: Record) -> Vec<Row> {
-    let row = |n, at_us, of, value: Value| {
-        let (what, fields) = parts(value);
+impl RowReader {
+    fn rows(&mut self, record: Record) -> Vec<Row> {
+        match record {
+            Record::Start(start) => vec![self.start(&start)],
+            Record::Input {
+                number,
+                at_us,
+                input,
+            } => {
+                self.at_us = at_us;
+                vec![self.row(number, RowCategory::Input, to_json(&input))]
+            }
+            Record::Decided { number, decisions } => decisions
+                .iter()
+                .map(|decision| self.decision(number, decision))
+                .collect(),
+            Record::Gap {
+                first,
+                last,
+                reason,
+            } => {
+                let value =
+                    serde_json::json!({"Gap": {"first": first, "last": last, "why": reason}});
+                vec![self.row(first, RowCategory::Gap, value)]
+            }
+        }
+    }
+
+    fn start(&mut self, start: &RunStart) -> Row {
+        self.at_us = start.at_us;
+        let settings: Value = serde_json::from_str(&start.settings).unwrap_or_default();
+        let proxies = settings["proxies"].as_array().cloned().unwrap_or_default();
+        self.proxies = proxies
+            .iter()
+            .filter_map(|proxy| proxy["name"].as_str().map(str::to_string))
+            .collect();
+        let fields = serde_json::json!({"program": start.program, "seed": start.seed, "process": start.process});
+        Row {
+            incarnation: self.incarnation,
+            number: 0,
+            at_us: start.at_us,
+            category: RowCategory::Start,
+            name: "Start".into(),
+            proxy: None,
+            host: None,
+            fields: fields.to_string(),
+        }
+    }
+
+    fn decision(&self, number: u64, decision: &Decision) -> Row {
+        let (category, value) = match decision {
+            Decision::Output(Output::Event(event)) => (RowCategory::Event, to_json(event)),
+            Decision::Output(output) => (RowCategory::Decided, to_json(output)),
+            other => (RowCategory::Decided, to_json(other)),
+        };
+        self.row(number, category, value)
+    }
+
+    fn row(&self, number: u64, category: RowCategory, value: Value) -> Row {
+        let NamedFields { name, fields } = NamedFields::of(value);
         let text = |key: &str| fields.get(key).and_then(Value::as_str).map(str::to_string);
         let proxy = match fields.get("proxy") {
-            Some(Value::Number(place)) => {
-                place.as_u64().and_then(|n| names.get(n as usize)).cloned()
-            }
+            Some(Value::Number(number)) => number
+                .as_u64()
+                .and_then(|number| self.proxies.get(number as usize))
+                .cloned(),
             _ => text("proxy"),
         };
         Row {
-            epoch,
-            n,
-            at_us,
-            of,
-            what,
+            incarnation: self.incarnation,
+            number,
+            at_us: self.at_us,
+            category,
+            name,
             proxy,
             host: text("host"),
-            text: fields.to_string(),
-        }
-    };
-    match record {
-        Record::Start(start) => {
-            *last_us = start.at_us;
-            let settings: Value = serde_json::from_str(&start.settings).unwrap_or_default();
-            let proxies = settings["proxies"].as_array().cloned().unwrap_or_default();
-            let text = serde_json::json!({"program": start.program, "seed": start.seed, "process": start.process});
-            let row = Row {
-                epoch,
-                n: 0,
-                at_us: start.at_us,
-                of: "start",
-                what: "Start".into(),
-                proxy: None,
-                host: None,
-                text: text.to_string(),
-            };
-            *names = proxies
-                .iter()
-                .filter_map(|p| p["name"].as_str().map(str::to_string))
-                .collect();
-            vec![row]
-        }
-        Record::Input { n, at_us, input } => {
-            *last_us = at_us;
-            vec![row(n, at_us, "input", json(&input))]
-        }
-        Record::Decided { n, decisions } => {
-            let at_us = *last_us;
-            let one = |decision: &Decision| match decision {
-                Decision::Output(pondarch_daemon_core::Output::Event(event)) => {
-                    row(n, at_us, "event", json(event))
-                }
-                Decision::Output(output) => row(n, at_us, "decided", json(output)),
-                other => row(n, at_us, "decided", json(other)),
-            };
-            decisions.iter().map(one).collect()
-        }
-        Record::Gap { first, last, why } => {
-            let value = serde_json::json!({"Gap": {"first": first, "last": last, "why": why}});
-            vec![row(first, *last_us, "gap", value)]
+            fields: fields.to_string(),
         }
     }
 }
 
-fn json(value: &impl Serialize) -> Value {
+/// Null if it cannot be encoded, which does not happen: keys are texts.
+fn to_json(value: &impl Serialize) -> Value {
     serde_json::to_value(value).unwrap_or_default()
 }
 
 /// A variant's name and its fields.
-fn parts(value: Value) -> (String, Value) {
-    match value {
-        Value::String(name) => (name, Value::Null),
-        Value::Object(mut fields) if fields.len() == 1 => {
-            let name = fields.keys().next().cloned().unwrap_or_default();
-            let inner = fields.remove(&name).unwrap_or_default();
-            (name, inner)
+struct NamedFields {
+    name: String,
+    fields: Value,
+}
+
+impl NamedFields {
+    fn of(value: Value) -> NamedFields {
+        match value {
+            Value::String(name) => NamedFields {
+                name,
+                fields: Value::Null,
+            },
+            Value::Object(mut variant) if variant.len() == 1 => {
+                let name = variant.keys().next().cloned().unwrap_or_default();
+                let fields = variant.remove(&name).unwrap_or_default();
+                NamedFields { name, fields }
+            }
+            fields => NamedFields {
+                name: String::new(),
+                fields,
+            },
         }
-        other => (String::new(), other),
     }
 }
 
-/// Writes all rows of a folder to a columnar file; gives how many, and what was wrong in the folder.
+/// Writes all rows of a folder to a columnar file.
+///
+/// # Errors
 ///
-/// Errors: the folder cannot be read, or the file not written.
-pub fn export(disk: &impl Disk, file: &Path) -> Result<(u64, Vec<Flaw>), HistoryError> {
-    let field = |name: &str, kind: DataType, empty| Field::new(name, kind, empty);
-    let schema = Arc::new(Schema::new(vec![
-        field("epoch", DataType::UInt64, false),
-        field("n", DataType::UInt64, false),
-        field("at_us", DataType::UInt64, false),
-        field("of", DataType::Utf8, false),
-        field("what", DataType::Utf8, false),
-        field("proxy", DataType::Utf8, true),
-        field("host", DataType::Utf8, true),
-        field("text", DataType::Utf8, false),
-    ]));
-    let mut out = FileWriter::try_new(File::create(file)?, &schema)?;
-    let (mut batch, mut count) = (Vec::with_capacity(BATCH), 0);
-    let mut write = |rows: &mut Vec<Row>| -> Result<(), HistoryError> {
-        let long = |of: fn(&Row) -> u64| -> ArrayRef {
-            Arc::new(rows.iter().map(of).collect::<UInt64Array>())
+/// The folder cannot be read, or the file cannot be written.
+pub fn export(disk: &impl Disk, file: &Path) -> Result<Export, ReplayError> {
+    let mut writer = ColumnarWriter::create(file)?;
+    let mut count = 0;
+    let faults = rows(disk, |row| {
+        count += 1;
+        writer.push(row)
+    })?;
+    writer.finish()?;
+    Ok(Export {
+        rows: count,
+        faults,
+    })
+}
+
+/// Writes rows in batches.
+struct ColumnarWriter {
+    schema: Arc<Schema>,
+    file: FileWriter<File>,
+    batch: Vec<Row>,
+}
+
+impl ColumnarWriter {
+    fn create(file: &Path) -> Result<ColumnarWriter, ReplayError> {
+        let required = |name: &str, data_type| Field::new(name, data_type, false);
+        let optional = |name: &str, data_type| Field::new(name, data_type, true);
+        let schema = Arc::new(Schema::new(vec![
+            required("epoch", DataType::UInt64),
+            required("n", DataType::UInt64),
+            required("at_us", DataType::UInt64),
+            required("of", DataType::Utf8),
+            required("what", DataType::Utf8),
+            optional("proxy", DataType::Utf8),
+            optional("host", DataType::Utf8),
+            required("text", DataType::Utf8),
+        ]));
+        Ok(ColumnarWriter {
+            file: FileWriter::try_new(File::create(file)?, &schema)?,
+            schema,
+            batch: Vec::with_capacity(BATCH_ROWS),
+        })
+    }
+
+    fn push(&mut self, row: Row) -> Result<(), ReplayError> {
+        self.batch.push(row);
+        if self.batch.len() == BATCH_ROWS {
+            self.write_batch()?;
+        }
+        Ok(())
+    }
+
+    fn write_batch(&mut self) -> Result<(), ReplayError> {
+        let rows = &self.batch;
+        let numbers = |value: fn(&Row) -> u64| -> ArrayRef {
+            Arc::new(rows.iter().map(value).collect::<UInt64Array>())
         };
-        let text = |of: fn(&Row) -> Option<&str>| -> ArrayRef {
-            Arc::new(rows.iter().map(of).collect::<StringArray>())
+        let texts = |value: fn(&Row) -> Option<&str>| -> ArrayRef {
+            Arc::new(rows.iter().map(value).collect::<StringArray>())
         };
         let columns = vec![
-            long(|row| row.epoch),
-            long(|row| row.n),
-            long(|row| row.at_us),
-            text(|row| Some(row.of)),
-            text(|row| Some(&row.what)),
-            text(|row| row.proxy.as_deref()),
-            text(|row| row.host.as_deref()),
-            text(|row| Some(&row.text)),
+            numbers(|row| row.incarnation),
+            numbers(|row| row.number),
+            numbers(|row| row.at_us),
+            texts(|row| Some(row.category.as_str())),
+            texts(|row| Some(&row.name)),
+            texts(|row| row.proxy.as_deref()),
+            texts(|row| row.host.as_deref()),
+            texts(|row| Some(&row.fields)),
         ];
-        out.write(&RecordBatch::try_new(schema.clone(), columns)?)?;
-        rows.clear();
+        self.file
+            .write(&RecordBatch::try_new(self.schema.clone(), columns)?)?;
+        self.batch.clear();
         Ok(())
-    };
-    let flaws = rows(disk, |row| {
-        count += 1;
-        batch.push(row);
-        if batch.len() == BATCH {
-            write(&mut batch)
-        } else {
-            Ok(())
-        }
-    })?;
-    write(&mut batch)?;
-    out.finish()?;
-    Ok((count, flaws))
+    }
+
+    fn finish(mut self) -> Result<(), ReplayError> {
+        self.write_batch()?;
+        self.file.finish()?;
+        Ok(())
+    }
 }
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -1,177 +1,277 @@
-//! What a steward that starts again must know: the newest snapshot that is whole, and what was recorded after it. The
-//! remembered inputs of that tail go through a core, as they did then; nothing of its outputs is carried out.
+//! What a controller that starts again must know: the newest snapshot that is whole, and the inputs that were recorded
+//! after it. Those of them that outlive a run go through a core, as they did then; its outputs are not carried out.
 
+use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::{Boot, Decision, Record, Snapshot};
-use crate::runs::{self, Flaw, HistoryError, Numbers, Place};
+use crate::segments::{self, InputNumbers, InputSequence, SegmentList, StoredSegment};
 use pondarch_config::Site;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, RecoveredState};
-use pondarch_event_log::{Disk, frame, list_file_names};
+use pondarch_event_log::{Disk, Frame, frame, list_file_names};
+use std::ops::ControlFlow;
 
 /// What was found.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// The highest of any run; the next one's must be higher.
-    pub epoch: u64,
-    /// Time of the last record, and the machine's own count at it.
+    /// The highest incarnation of any run; that of the next one must be higher.
+    pub incarnation: u64,
+    /// Time of the last record.
     pub last_us: u64,
+    /// The machine's own count at that time.
     pub boot: Option<Boot>,
-    /// None: nothing was known.
-    pub known: Option<RecoveredState>,
-    /// Inputs of the tail that were taken.
+    /// The recovered state; none: nothing was recorded.
+    pub state: Option<RecoveredState>,
+    /// How many inputs after the snapshot were taken.
     pub inputs: usize,
-    /// What was dropped, and why.
-    pub flaws: Vec<Flaw>,
+    /// What could not be read, and why.
+    pub faults: Vec<ReplayFault>,
 }
 
-/// Reads a folder for a site with these settings.
+/// Reads a folder for a deployment with these settings.
 ///
-/// Errors: the folder cannot be read at all. What is torn or missing is told in `flaws`.
-pub fn recover(disk: &impl Disk, site: &Site) -> Result<Recovery, HistoryError> {
-    let (places, flaws) = runs::places(disk)?;
-    let mut found = Recovery {
-        flaws,
-        ..Recovery::default()
-    };
-    found.epoch = places
-        .iter()
-        .map(|place| place.head.incarnation)
-        .max()
-        .unwrap_or(0);
-    let snapshot = newest_snapshot(disk, &mut found)?;
-    let from = snapshot
-        .as_ref()
-        .map_or((0, 0), |snapshot| (snapshot.epoch, snapshot.n));
-    let at = Time::from_micros(snapshot.as_ref().map_or(0, |snapshot| snapshot.at_us));
-    // Its own chance and marks are nobody's: what it decides is not carried out.
-    let mut core = Core::new(site, 0, 0, 0, at);
-    let mut knows = false;
-    if let Some(Snapshot {
-        at_us, boot, known, ..
-    }) = snapshot
-    {
-        (found.last_us, found.boot, knows) = (at_us, boot, true);
-        give(&mut core, at, Input::Recovered(Box::new(known)));
-    }
-    let mut numbers = Numbers::default();
-    if from != (0, 0) {
-        numbers.gap(from.0, from.1);
+/// # Errors
+///
+/// The folder cannot be read at all. What is torn or missing is named in `faults`.
+pub fn recover(disk: &impl Disk, site: &Site) -> Result<Recovery, ReplayError> {
+    let SegmentList {
+        segments,
+        mut faults,
+    } = segments::list(disk)?;
+    let highest = segments.iter().map(|segment| segment.header.incarnation);
+    let mut incarnation = highest.max().unwrap_or(0);
+    let snapshot = newest_snapshot(disk, &mut faults)?;
+    if let Some(snapshot) = &snapshot {
+        incarnation = incarnation.max(snapshot.incarnation);
     }
-    let mut serial = None;
-    let mut boot_at: Option<(Boot, u64)> = found.boot.clone().map(|boot| (boot, found.last_us));
-    for place in after(&places, from) {
-        let (epoch, name) = (place.head.incarnation, place.name.clone());
-        let mut torn = Vec::new();
-        let mut missing = Vec::new();
-        runs::read(disk, place, &mut torn, |_, record| {
-            match record {
-                // That of the snapshot's own run is older than the snapshot.
-                Record::Start(start) if (epoch, 1) > from => {
-                    boot_at = start.boot.map(|boot| (boot, start.at_us));
-                    found.last_us = start.at_us;
-                }
-                Record::Input { n, at_us, input } if (epoch, n) > from => {
-                    if let Some((first, last)) = numbers.missing(epoch, n) {
-                        let what =
-                            format!("inputs {first} to {last} of the run before it are missing");
-                        missing.push(Flaw {
-                            name: name.clone(),
-                            what,
-                        });
-                    }
-                    found.last_us = at_us;
-                    if input.changes_recovered_state() {
-                        if matches!(input, Input::Recovered(_)) {
-                            // Another run began with all that was known: what a scratch core had is in it.
-                            core = Core::new(site, 0, 0, 0, Time::from_micros(at_us));
-                        }
-                        (found.inputs, knows) = (found.inputs + 1, true);
-                        give(&mut core, Time::from_micros(at_us), input);
-                    }
-                }
-                // The zone's serial is what the run gave out, not what a scratch core comes to.
-                Record::Decided { n, decisions } if (epoch, n) > from => {
-                    let mut views = decisions
-                        .iter()
-                        .rev()
-                        .filter_map(|decision| match decision {
-                            Decision::Output(Output::DnsViewChanged { serial }) => Some(*serial),
-                            _ => None,
-                        });
-                    serial = views.next().or(serial);
-                }
-                Record::Gap { first, last, why } if (epoch, last) > from => {
-                    numbers.gap(epoch, last);
-                    let what = format!("inputs {first} to {last} were not recorded: {why}");
-                    missing.push(Flaw {
-                        name: name.clone(),
-                        what,
-                    });
-                }
-                _ => {}
-            }
-            true
+    let mut recoverer = Recoverer::start(site, snapshot);
+    let from = recoverer.from;
+    for segment in segments_after(&segments, from) {
+        let mut damaged = Vec::new();
+        segments::read(disk, segment, &mut damaged, |record| {
+            recoverer.apply(segment, record);
+            ControlFlow::Continue(())
         })?;
-        found.flaws.extend(missing);
-        found.flaws.extend(torn);
+        faults.append(&mut recoverer.missing);
+        faults.append(&mut damaged);
     }
-    found.boot = boot_at.map(|(boot, at_us)| {
-        let up_us = boot.up_us + found.last_us.saturating_sub(at_us);
-        Boot { up_us, ..boot }
-    });
-    found.known = knows
-        .then(|| core.state_to_recover())
-        .map(|known| RecoveredState {
-            at_us: found.last_us,
-            dns_serial: serial.unwrap_or(known.dns_serial).max(known.dns_serial),
-            ..known
-        });
-    Ok(found)
-}
-
-fn give(core: &mut Core, at: Time, input: Input) {
-    core.handle(at, input);
-    while core.next_output().is_some() {}
+    Ok(recoverer.finish(incarnation, faults))
 }
 
+/// The newest snapshot that is whole; those that are not are added to `faults`.
 fn newest_snapshot(
     disk: &impl Disk,
-    found: &mut Recovery,
-) -> Result<Option<Snapshot>, HistoryError> {
-    for name in list_file_names(disk)?.snapshots.into_iter().rev() {
-        let read = frame::read(&disk.read(&name)?);
-        let snapshot = match read {
-            Ok(Some(frame::Frame { record, .. })) => {
-                Snapshot::read(&record).ok_or("it is of no kind that this program knows".into())
-            }
-            Ok(None) => Err("it is empty".to_string()),
-            Err(wrong) => Err(wrong.to_string()),
+    faults: &mut Vec<ReplayFault>,
+) -> Result<Option<Snapshot>, ReplayError> {
+    for file in list_file_names(disk)?.snapshots.into_iter().rev() {
+        let cause = match frame::read(&disk.read(&file)?) {
+            Ok(Some(Frame { record, .. })) => match Snapshot::from_bytes(&record) {
+                Some(snapshot) => return Ok(Some(snapshot)),
+                None => ReplayFaultCause::UnknownSnapshot,
+            },
+            Ok(None) => ReplayFaultCause::EmptySnapshot,
+            Err(error) => ReplayFaultCause::DamagedSnapshot(error),
         };
-        match snapshot {
-            Ok(snapshot) => {
-                found.epoch = found.epoch.max(snapshot.epoch);
-                return Ok(Some(snapshot));
-            }
-            Err(what) => found.flaws.push(Flaw { name, what }),
-        }
+        faults.push(ReplayFault { file, cause });
     }
     Ok(None)
 }
 
-/// The segments that may hold records after this input of this run.
-fn after(places: &[Place], from: (u64, u64)) -> impl Iterator<Item = &Place> {
-    let is_over = move |(n, place): (usize, &Place)| {
-        let next = places.get(n + 1);
+/// An input of some run. In order of time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct InputPosition {
+    incarnation: u64,
+    number: u64,
+}
+
+/// The segments that may hold records after this input.
+fn segments_after(
+    segments: &[StoredSegment],
+    from: InputPosition,
+) -> impl Iterator<Item = &StoredSegment> {
+    let is_over = move |index: usize, header: &pondarch_event_log::SegmentHeader| {
         // Wholly before it: of an older run, or the next one of the run begins by then.
-        place.head.incarnation < from.0
-            || place.head.incarnation == from.0
-                && next.is_some_and(|next| {
-                    next.head.incarnation == from.0 && next.head.first_input <= from.1 + 1
-                })
+        let next_begins_by_then = || {
+            segments.get(index + 1).is_some_and(|next| {
+                next.header.incarnation == from.incarnation
+                    && next.header.first_input <= from.number + 1
+            })
+        };
+        header.incarnation < from.incarnation
+            || header.incarnation == from.incarnation && next_begins_by_then()
     };
-    places
+    segments
         .iter()
         .enumerate()
-        .filter(move |of| !is_over(*of))
-        .map(|(_, place)| place)
+        .filter(move |(index, segment)| !is_over(*index, &segment.header))
+        .map(|(_, segment)| segment)
+}
+
+/// Takes the records after a snapshot one by one.
+struct Recoverer<'a> {
+    site: &'a Site,
+    /// Takes the inputs; nothing that it decides is carried out.
+    core: Core,
+    /// The last input that is in the snapshot.
+    from: InputPosition,
+    /// Whether there is any state.
+    has_state: bool,
+    last_us: u64,
+    /// The machine's own count, and the time at which it was read.
+    boot_at: Option<(Boot, u64)>,
+    inputs: usize,
+    sequence: InputSequence,
+    /// The serial of the zone as the runs last gave it out.
+    serial: Option<u32>,
+    /// What is missing in the segment that is read.
+    missing: Vec<ReplayFault>,
+}
+
+impl<'a> Recoverer<'a> {
+    fn start(site: &'a Site, snapshot: Option<Snapshot>) -> Recoverer<'a> {
+        let at_us = snapshot.as_ref().map_or(0, |snapshot| snapshot.at_us);
+        let mut recoverer = Recoverer {
+            site,
+            core: scratch_core(site, at_us),
+            from: InputPosition::default(),
+            has_state: false,
+            last_us: 0,
+            boot_at: None,
+            inputs: 0,
+            sequence: InputSequence::default(),
+            serial: None,
+            missing: Vec::new(),
+        };
+        if let Some(snapshot) = snapshot {
+            recoverer.from = InputPosition {
+                incarnation: snapshot.incarnation,
+                number: snapshot.number,
+            };
+            recoverer.has_state = true;
+            recoverer.last_us = at_us;
+            recoverer.boot_at = snapshot.boot.map(|boot| (boot, at_us));
+            recoverer.give(at_us, Input::Recovered(Box::new(snapshot.state)));
+            if recoverer.from != InputPosition::default() {
+                recoverer
+                    .sequence
+                    .record_gap(snapshot.incarnation, snapshot.number);
+            }
+        }
+        recoverer
+    }
+
+    fn give(&mut self, at_us: u64, input: Input) {
+        self.core.handle(Time::from_micros(at_us), input);
+        while self.core.next_output().is_some() {}
+    }
+
+    fn apply(&mut self, segment: &StoredSegment, record: Record) {
+        let incarnation = segment.header.incarnation;
+        let is_new = |number| {
+            let position = InputPosition {
+                incarnation,
+                number,
+            };
+            position > self.from
+        };
+        match record {
+            // That of the snapshot's own run is older than the snapshot.
+            Record::Start(start) if is_new(1) => {
+                self.boot_at = start.boot.map(|boot| (boot, start.at_us));
+                self.last_us = start.at_us;
+            }
+            Record::Input {
+                number,
+                at_us,
+                input,
+            } if is_new(number) => {
+                if let Some(InputNumbers { first, last }) =
+                    self.sequence.record_input(incarnation, number)
+                {
+                    self.add_missing(segment, ReplayFaultCause::MissingInputs { first, last });
+                }
+                self.apply_input(at_us, input);
+            }
+            Record::Decided { number, decisions } if is_new(number) => {
+                self.apply_decisions(&decisions);
+            }
+            Record::Gap {
+                first,
+                last,
+                reason,
+            } if is_new(last) => {
+                self.sequence.record_gap(incarnation, last);
+                self.add_missing(
+                    segment,
+                    ReplayFaultCause::NotRecorded {
+                        first,
+                        last,
+                        reason,
+                    },
+                );
+            }
+            _ => {}
+        }
+    }
+
+    fn add_missing(&mut self, segment: &StoredSegment, cause: ReplayFaultCause) {
+        self.missing.push(ReplayFault {
+            file: segment.file.clone(),
+            cause,
+        });
+    }
+
+    fn apply_input(&mut self, at_us: u64, input: Input) {
+        self.last_us = at_us;
+        if !input.changes_recovered_state() {
+            return;
+        }
+        if matches!(input, Input::Recovered(_)) {
+            // Another run began with all that was known: what this core had is in it.
+            self.core = scratch_core(self.site, at_us);
+        }
+        self.inputs += 1;
+        self.has_state = true;
+        self.give(at_us, input);
+    }
+
+    /// The zone's serial is what the run gave out, not what this core comes to.
+    fn apply_decisions(&mut self, decisions: &[Decision]) {
+        let mut serials = decisions
+            .iter()
+            .rev()
+            .filter_map(|decision| match decision {
+                Decision::Output(Output::DnsViewChanged { serial }) => Some(*serial),
+                _ => None,
+            });
+        self.serial = serials.next().or(self.serial);
+    }
+
+    fn finish(self, incarnation: u64, faults: Vec<ReplayFault>) -> Recovery {
+        let last_us = self.last_us;
+        let boot = self.boot_at.map(|(boot, at_us)| Boot {
+            uptime_us: boot.uptime_us + last_us.saturating_sub(at_us),
+            id: boot.id,
+        });
+        let state = self.has_state.then(|| self.core.state_to_recover());
+        Recovery {
+            incarnation,
+            last_us,
+            boot,
+            state: state.map(|state| RecoveredState {
+                at_us: last_us,
+                dns_serial: self
+                    .serial
+                    .unwrap_or(state.dns_serial)
+                    .max(state.dns_serial),
+                ..state
+            }),
+            inputs: self.inputs,
+            faults,
+        }
+    }
+}
+
+/// A core whose outputs are dropped: its seed, process and incarnation are nobody's.
+fn scratch_core(site: &Site, at_us: u64) -> Core {
+    Core::new(site, 0, 0, 0, Time::from_micros(at_us))
 }
--- /dev/null
+++ b/crates/replay/src/what_if/simulated_proxy.rs
@@ -0,0 +1,102 @@
+//! A proxy that does what it is ordered, in memory.
+
+use super::scenario::HostAttempts;
+use pondarch_proxy_core::holding::{Backend, Holding, Server};
+use pondarch_runtime_api::command;
+use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
+
+/// A command line that was sent to a proxy.
+pub(super) struct SentLine {
+    pub(super) connection: u64,
+    pub(super) line: String,
+}
+
+/// One proxy.
+pub(super) struct SimulatedProxy {
+    /// What it holds.
+    pub(super) holding: Holding,
+    /// Whether it can be connected to.
+    pub(super) reachable: bool,
+    /// The connection that is open.
+    pub(super) connection: Option<u64>,
+    /// Lines that it has not answered yet.
+    pub(super) lines: VecDeque<SentLine>,
+    /// Times of the messages with updates within the window of the settings.
+    pub(super) messages: VecDeque<u64>,
+    /// Since when some backend of it serves from no host.
+    pub(super) without_host_since: Option<u64>,
+}
+
+impl SimulatedProxy {
+    pub(super) fn new(holding: Holding) -> SimulatedProxy {
+        SimulatedProxy {
+            holding,
+            reachable: false,
+            connection: None,
+            lines: VecDeque::new(),
+            messages: VecDeque::new(),
+            without_host_since: None,
+        }
+    }
+
+    /// Closes the connection of this number, if it is open.
+    pub(super) fn hang_up(&mut self, connection: u64) {
+        self.connection = self.connection.filter(|open| *open != connection);
+        self.lines.clear();
+    }
+
+    /// Counts what its clients sent and its hosts did; of a host that it no longer has, nothing.
+    pub(super) fn apply_traffic(&mut self, requests: &[(String, u64)], attempts: &[HostAttempts]) {
+        for (name, count) in requests {
+            if let Some(backend) = self.holding.backends.get_mut(name) {
+                backend.reqs += count;
+            }
+        }
+        for host in attempts {
+            let backend = self.holding.backends.get_mut(&host.backend);
+            let Some(server) = backend.and_then(|backend| backend.servers.get_mut(&host.host))
+            else {
+                continue;
+            };
+            server.total += host.succeeded + host.failed;
+            server.sums.done += host.succeeded;
+            server.sums.errored += host.failed;
+            server.sums.done_time += Duration::from_millis(host.succeeded_ms);
+        }
+    }
+
+    /// Counts a line as a message if it has updates. Gives how many messages there were within the window.
+    pub(super) fn record_message(&mut self, now_us: u64, line: &str, window_us: u64) -> u64 {
+        let has_updates = command::parse_line(line)
+            .iter()
+            .flatten()
+            .any(Holding::is_order);
+        if has_updates {
+            self.messages.push_back(now_us);
+            self.messages.retain(|at| now_us - at <= window_us);
+        }
+        self.messages.len() as u64
+    }
+
+    /// Whether it has been sent updates on the connection that is open.
+    pub(super) fn has_joined(&self) -> bool {
+        self.connection.is_some() && !self.messages.is_empty()
+    }
+
+    /// Whether each of its backends has a host that serves.
+    pub(super) fn all_backends_serve(&self) -> bool {
+        let serves = |backend: &Backend| backend.servers.values().any(Server::serves);
+        self.holding.backends.values().all(serves)
+    }
+
+    /// Names of the hosts that it serves from.
+    pub(super) fn serving_hosts(&self) -> BTreeSet<&String> {
+        let backends = self.holding.backends.values();
+        backends
+            .flat_map(|backend| backend.servers.iter())
+            .filter(|(_, server)| server.serves())
+            .map(|(name, _)| name)
+            .collect()
+    }
+}
--- a/crates/replay/tests/stored_data/entries.rs
+++ b/crates/replay/tests/stored_data/entries.rs
@@ -38,8 +38,10 @@
     let mut wrong = Vec::new();
     for Entry { sort, value, bytes } in entries() {
         let read = match sort.as_str() {
-            "record" => Record::read(&bytes).map(|entry| (stored(&entry), entry.bytes())),
-            "snapshot" => Snapshot::read(&bytes).map(|entry| (stored(&entry), entry.bytes())),
+            "record" => Record::from_bytes(&bytes).map(|entry| (stored(&entry), entry.to_bytes())),
+            "snapshot" => {
+                Snapshot::from_bytes(&bytes).map(|entry| (stored(&entry), entry.to_bytes()))
+            }
             _ => panic!("no sort of entry: {sort}"),
         };
         match read {
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -3,9 +3,10 @@
 use crate::{fixtures, stored, text};
 use pondarch_config::{Site, site_from_text};
 use pondarch_event_log::Folder;
-use pondarch_replay::replay::{Span, replay};
-use pondarch_replay::scene::of_run;
-use pondarch_replay::{export, play, recover};
+use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
+use pondarch_replay::what_if::replay_scenario;
+use pondarch_replay::what_if::{ExtractedScenario, extract_scenario};
+use pondarch_replay::{export, recover};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -32,7 +33,9 @@
 
 /// The settings as the first run recorded them.
 fn site(folder: &Path) -> Site {
-    let (scene, _) = of_run(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
+    let ExtractedScenario {
+        scenario: scene, ..
+    } = extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
     site_from_text(&scene.settings).expect("settings")
 }
 
@@ -44,13 +47,13 @@
 fn recovered(folder: &Path) -> Value {
     let found = recover(&Folder::read_only(folder), &site(folder)).expect("it can be read");
     let flaws: Vec<String> = found
-        .flaws
+        .faults
         .iter()
-        .map(|flaw| format!("{}: {}", flaw.name, flaw.what))
+        .map(|flaw| format!("{}: {}", flaw.file, flaw.cause))
         .collect();
     assert!(flaws.is_empty(), "{flaws:?}");
-    json!({"epoch": found.epoch, "last_us": found.last_us, "boot": stored(&found.boot),
-        "inputs": found.inputs, "known": stored(&found.known)})
+    json!({"epoch": found.incarnation, "last_us": found.last_us, "boot": stored(&found.boot),
+        "inputs": found.inputs, "known": stored(&found.state)})
 }
 
 #[test]
@@ -113,17 +116,20 @@
 #[test]
 fn both_runs_replay_to_the_same_decisions() {
     let folder = copy(&[]);
-    let (runs, flaws) =
-        replay(&Folder::read_only(folder.path()), Span::default()).expect("it can be read");
+    let FolderReplay {
+        runs,
+        faults: flaws,
+    } = replay(&Folder::read_only(folder.path()), ComparedInputs::default())
+        .expect("it can be read");
     assert!(flaws.is_empty());
     let told: Vec<Value> = runs
         .iter()
         .map(|run| {
-            let differs = run.differs.as_ref().map(|differs| {
-                json!({"n": differs.n, "input": stored(&differs.input), "then": stored(&differs.then), "now": stored(&differs.now)})
+            let differs = run.difference.as_ref().map(|differs| {
+                json!({"n": differs.number, "input": stored(&differs.input), "then": stored(&differs.recorded), "now": stored(&differs.replayed)})
             });
-            json!({"epoch": run.epoch, "program": run.program, "inputs": run.inputs, "decisions": run.decisions,
-                "spans_us": run.spans.as_micros() as u64, "differs": differs, "stopped": run.stopped})
+            json!({"epoch": run.incarnation, "program": run.program, "inputs": run.inputs, "decisions": run.decisions,
+                "spans_us": run.recorded_duration.as_micros() as u64, "differs": differs, "stopped": run.stopped})
         })
         .collect();
     assert_eq!(json!(told), expected("replayed.json"));
@@ -157,11 +163,11 @@
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
     let flaws = export::rows(&Folder::read_only(folder.path()), |row| {
         *counts
-            .entry(format!("{} {}", row.of, row.what))
+            .entry(format!("{} {}", row.category, row.name))
             .or_default() += 1;
-        let value: Value = serde_json::from_str(&row.text).expect("JSON");
+        let value: Value = serde_json::from_str(&row.fields).expect("JSON");
         let whose = [row.proxy.unwrap_or_default(), row.host.unwrap_or_default()].join(" ");
-        let (epoch, n, at_us) = (row.epoch, row.n, row.at_us);
+        let (epoch, n, at_us) = (row.incarnation, row.number, row.at_us);
         checksum.update(format!("{epoch} {n} {at_us} {whose} {}\n", in_order(&value)).as_bytes());
         Ok(())
     })
@@ -179,7 +185,8 @@
 fn the_columnar_file_has_every_row() {
     let folder = copy(&[]);
     let file = folder.path().join("rows.arrow");
-    let (rows, _) = export::export(&Folder::read_only(folder.path()), &file).expect("written");
+    let export::Export { rows, .. } =
+        export::export(&Folder::read_only(folder.path()), &file).expect("written");
     let bytes = std::fs::read(&file).expect("read");
     let due: u64 = text("rows.txt")
         .lines()
@@ -203,13 +210,15 @@
     let folder = copy(&[]);
     let mut told = Vec::new();
     for epoch in [FIRST, FIRST + 1] {
-        let (scene, flaws) =
-            of_run(&Folder::read_only(folder.path()), Some(epoch)).expect("a scene");
+        let ExtractedScenario {
+            scenario: scene,
+            faults: flaws,
+        } = extract_scenario(&Folder::read_only(folder.path()), Some(epoch)).expect("a scene");
         assert!(flaws.is_empty());
         let scene_value = stored(&scene);
         let course = scene_value["course"].as_array().expect("a course").len();
         let checksum = crc32fast::hash(in_order(&scene_value).as_bytes());
-        let played = play::play(&scene, None, 3).expect("played");
+        let played = replay_scenario(&scene, None, 3).expect("played");
         told.push(json!({"course": course, "checksum": checksum, "played": stored(&played)}));
     }
     assert_eq!(json!(told), expected("scenes.json"));
