--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -1,13 +1,13 @@
-//! Two runs of a core, recorded: the first ends without a word, the second begins with what it knew.
+//! Two runs of a core, recorded: the first is killed, the second begins with the state recovered from it.
+
+mod inputs;
 
 use crate::site::{host, hosts, settings};
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::site_from_text;
-use pondarch_controller::DurationExt;
-use pondarch_controller::{ProxyId, RequestClassId, Time};
-use pondarch_daemon_core::{Core, EventLogState, Input, Output, ReportedLoad};
+use pondarch_controller::{DurationExt, Time};
+use pondarch_daemon_core::{Core, Input, Output, ReportedLoad};
 use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED, frame};
-use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
 use pondarch_proxy_core::holding::{Holding, Server};
 use pondarch_replay::{Boot, Decision, Record, RunStart, Snapshot, recover};
 use pondarch_runtime_api::{AdminState, command};
@@ -18,43 +18,24 @@
 
 const START: u64 = 1_800_000_000_000_000;
 const SEGMENT_BYTES: u64 = 24_000;
-/// What operators say, so that each answer's checksum stands in the records.
-const SHOWN: [&str; 18] = [
-    "help",
-    "show info",
-    "show stat",
-    "show stat json",
-    "show backend",
-    "show servers state",
-    "show servers conn",
-    "show events",
-    "show errors",
-    "show map",
-    "show map weights",
-    "show map proxies",
-    "show map zones",
-    "show map levels",
-    "show memory",
-    "get weight hosts/host-1",
-    "bogus word",
-    "set server hosts/nobody weight 3",
-];
 
-struct Front {
+/// A proxy in memory.
+struct SimulatedProxy {
     holding: Holding,
     conn: Option<u64>,
     lines: VecDeque<(u64, String)>,
 }
 
+/// A core whose inputs and decisions are recorded.
 struct Run {
     core: Core,
     log: EventLog<Folder>,
-    epoch: u64,
-    n: u64,
+    incarnation: u64,
+    number: u64,
     now: u64,
-    version: u64,
-    fronts: Vec<Front>,
-    refuses: bool,
+    generation: u64,
+    proxies: Vec<SimulatedProxy>,
+    rejects_updates: bool,
 }
 
 /// Records both runs in this folder.
@@ -66,7 +47,7 @@
     first.solves();
     first.pushes();
     first.names();
-    first.troubles();
+    first.faults();
     first.snapshot();
     first.hosts_change();
     let now = first.now;
@@ -78,7 +59,7 @@
         .ok_or("nothing was known")?
         .by_clock(at, 2_000_000);
     let mut second = Run::start(folder, found.incarnation + 1, at)?;
-    second.version = first.version;
+    second.generation = first.generation;
     second.give(Input::Recovered(Box::new(known)));
     second.list(changed());
     second.run(3_000);
@@ -107,7 +88,7 @@
 }
 
 impl Run {
-    fn start(folder: &Path, epoch: u64, now: u64) -> Result<Run, Box<dyn Error>> {
+    fn start(folder: &Path, incarnation: u64, now: u64) -> Result<Run, Box<dyn Error>> {
         let site = site_from_text(&settings())?;
         let sync_within = Duration::from_millis(100);
         let max_age = UNLIMITED;
@@ -117,31 +98,31 @@
             max_age,
             sync_within,
         };
-        let log = EventLog::new(Folder::lock(folder)?, retention, epoch)?;
-        let front = |n: usize| {
+        let log = EventLog::new(Folder::lock(folder)?, retention, incarnation)?;
+        let proxy_state = |n: usize| {
             let mut holding =
                 Holding::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
             for backend in holding.backends.values_mut() {
                 let server = Server::new(host(n).address, 100, AdminState::Ready);
                 backend.servers.insert(format!("host-{n}"), server);
             }
-            Front {
+            SimulatedProxy {
                 holding,
                 conn: None,
                 lines: VecDeque::new(),
             }
         };
-        let core = Core::new(&site, 7, 1, epoch, Time::from_micros(now));
-        let fronts = (0..2).map(front).collect();
+        let core = Core::new(&site, 7, 1, incarnation, Time::from_micros(now));
+        let proxies = (0..2).map(proxy_state).collect();
         let mut run = Run {
             core,
             log,
-            epoch,
-            n: 0,
+            incarnation,
+            number: 0,
             now,
-            version: 0,
-            fronts,
-            refuses: false,
+            generation: 0,
+            proxies,
+            rejects_updates: false,
         };
         let (program, settings) = ("pondarch before the renaming".into(), settings());
         let start = RunStart {
@@ -149,7 +130,7 @@
             settings,
             seed: 7,
             process: 1,
-            incarnation: epoch,
+            incarnation,
             at_us: now,
             boot: boot(now),
         };
@@ -164,14 +145,14 @@
             .for_each(|record| frame::write(&mut frames, &record.to_bytes()));
         assert!(
             self.log
-                .write(Time::from_micros(self.now), self.n.max(1), &frames),
+                .write(Time::from_micros(self.now), self.number.max(1), &frames),
             "the disk works"
         );
     }
 
     fn give(&mut self, input: Input) {
-        self.n += 1;
-        let (n, at_us) = (self.n, self.now);
+        self.number += 1;
+        let (n, at_us) = (self.number, self.now);
         self.core.handle(Time::from_micros(at_us), input.clone());
         let outputs: Vec<Output> = std::iter::from_fn(|| self.core.next_output()).collect();
         let decisions: Vec<Decision> = outputs.iter().cloned().map(Decision::of).collect();
@@ -198,7 +179,7 @@
                 proxy,
                 connection: conn,
             } => {
-                self.fronts[usize::from(proxy)].conn = Some(conn);
+                self.proxies[usize::from(proxy)].conn = Some(conn);
                 self.give(Input::Connected {
                     proxy,
                     connection: conn,
@@ -210,9 +191,9 @@
                 lines,
             } => {
                 let lines = lines.into_iter().map(|line| (conn, line));
-                self.fronts[usize::from(proxy)].lines.extend(lines);
+                self.proxies[usize::from(proxy)].lines.extend(lines);
             }
-            Output::HangUp { proxy, .. } => self.fronts[usize::from(proxy)].conn = None,
+            Output::HangUp { proxy, .. } => self.proxies[usize::from(proxy)].conn = None,
             Output::CheckHealth { host, for_load, .. } => {
                 let load = for_load.then_some(ReportedLoad {
                     utilization: Some(0.4),
@@ -240,22 +221,22 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(n) = (0..2).find(|&n| !self.fronts[n].lines.is_empty()) {
-            let front = &mut self.fronts[n];
-            let Some((conn, line)) = front.lines.pop_front() else {
+        while let Some(n) = (0..2).find(|&n| !self.proxies[n].lines.is_empty()) {
+            let proxy_state = &mut self.proxies[n];
+            let Some((conn, line)) = proxy_state.lines.pop_front() else {
                 continue;
             };
-            if front.conn != Some(conn) {
+            if proxy_state.conn != Some(conn) {
                 continue;
             }
             let mut answers = Vec::new();
             for command in command::parse_line(&line).into_iter().flatten() {
-                let refused = self.refuses && Holding::is_order(&command);
-                self.refuses &= !refused;
-                answers.push(if refused {
+                let rejected = self.rejects_updates && Holding::is_order(&command);
+                self.rejects_updates &= !rejected;
+                answers.push(if rejected {
                     "Not now.\n".into()
                 } else {
-                    front.holding.command(command)
+                    proxy_state.holding.command(command)
                 });
             }
             let proxy = n as u16;
@@ -287,25 +268,25 @@
     }
 
     fn list(&mut self, hosts: Vec<HostEntry>) {
-        self.version += 1;
+        self.generation += 1;
         self.give(Input::EndpointList {
-            generation: Some(self.version),
+            generation: Some(self.generation),
             hosts,
         });
     }
 
     fn command(&mut self, line: &str) {
         self.give(Input::Command {
-            caller: self.n,
+            caller: self.number,
             level: 2,
             line: line.into(),
         });
     }
 
     fn snapshot(&mut self) {
-        let (epoch, n, at_us) = (self.epoch, self.n, self.now);
+        let (incarnation, n, at_us) = (self.incarnation, self.number, self.now);
         let snapshot = Snapshot {
-            incarnation: epoch,
+            incarnation,
             number: n,
             at_us,
             boot: boot(at_us),
@@ -317,194 +298,4 @@
             "the disk works"
         );
     }
-
-    fn operators(&mut self) {
-        SHOWN.iter().for_each(|line| self.command(line));
-        self.give(Input::Command {
-            caller: 1,
-            level: 0,
-            line: "show servers state".into(),
-        });
-        self.command(
-            "add server hosts/extra 127.0.0.99:80 weight 2; set server hosts/extra state ready",
-        );
-        self.command("prepare map zones; add map @1 zones extra arnhem; commit map @1 zones");
-        self.command("set server hosts/host-2 addr 127.0.0.77 port 80");
-        self.command("set server hosts/host-1 state drain");
-        self.run(300);
-        self.command("set server hosts/host-1 state ready");
-        self.run(300);
-    }
-
-    /// Traffic in which one host is slow.
-    fn solves(&mut self) {
-        for _ in 0..8 {
-            for front in &mut self.fronts {
-                for backend in front.holding.backends.values_mut() {
-                    for (name, server) in backend
-                        .servers
-                        .iter_mut()
-                        .filter(|(_, server)| server.serves())
-                    {
-                        let ms = if name == "host-3" { 60 } else { 20 };
-                        (server.total, server.sums.done) =
-                            (server.total + 10, server.sums.done + 10);
-                        server.sums.done_time += Duration::from_millis(10 * ms);
-                        backend.reqs += 10;
-                    }
-                }
-            }
-            self.run(1_000);
-        }
-        self.give(Input::Solved {
-            number: 999,
-            plan: Err("no plan".into()),
-        });
-    }
-
-    fn pushes(&mut self) {
-        let (conn, run) = (51, 5);
-        self.give(Input::SenderConnected {
-            connection: conn,
-            name: "front-0".into(),
-            role: SenderIs::Proxy,
-            incarnation: run,
-        });
-        self.give(Input::SenderConnected {
-            connection: 52,
-            name: "host-1".into(),
-            role: SenderIs::Host,
-            incarnation: run,
-        });
-        self.give(Input::SenderConnected {
-            connection: 53,
-            name: "nobody".into(),
-            role: SenderIs::Proxy,
-            incarnation: run,
-        });
-        for number in 1..4 {
-            let server = Some("host-0".to_string());
-            let (done, done_us) = (number * 9, number * 90_000);
-            let counted = Counted {
-                backend: "proof".into(),
-                server,
-                done,
-                done_us,
-                ..Counted::default()
-            };
-            let reqs = Counted {
-                backend: "proof".into(),
-                reqs: done,
-                ..Counted::default()
-            };
-            let own = Own {
-                busy: Some(0.5),
-                rate: Some(if number == 3 { -1.0 } else { 9.0 }),
-                ..Own::default()
-            };
-            let report = |body| {
-                Box::new(Report {
-                    number,
-                    sent_us: self.now,
-                    body,
-                    ..Report::default()
-                })
-            };
-            let of_proxy = report(Body {
-                counted: vec![counted, reqs],
-                own: None,
-            });
-            let of_host = report(Body {
-                counted: Vec::new(),
-                own: Some(own),
-            });
-            self.give(Input::ReportReceived {
-                connection: conn,
-                report: of_proxy,
-            });
-            self.give(Input::ReportReceived {
-                connection: 52,
-                report: of_host,
-            });
-            self.run(1_000);
-        }
-        self.give(Input::SenderDisconnected { connection: conn });
-    }
-
-    fn names(&mut self) {
-        use pondarch_dns_core::Heard;
-        for round in 0..3 {
-            let view = self.core.view();
-            let table = view
-                .table_of(Some(ProxyId(2)), RequestClassId(0), 1)
-                .map(|table| table.0);
-            self.give(Input::DnsQueried {
-                proxy: Some(2),
-                table,
-                serial: view.serial,
-            });
-            if round == 1 {
-                for heard in [
-                    Heard::Acknowledged,
-                    Heard::Asks(None),
-                    Heard::Fetched(view.serial),
-                ] {
-                    self.give(Input::SecondaryObserved {
-                        index: 0,
-                        observation: heard,
-                    });
-                }
-            }
-            self.run(500);
-        }
-    }
-
-    fn troubles(&mut self) {
-        self.give(Input::EventLog(EventLogState {
-            stopped_reason: Some("no space".into()),
-            lost_inputs: 0,
-        }));
-        self.give(Input::EventLog(EventLogState {
-            stopped_reason: None,
-            lost_inputs: 3,
-        }));
-        self.give(Input::MemoryUsage {
-            queued_bytes: 10,
-            event_log_bytes: 20,
-            connection_bytes: 30,
-            rejected_connections: 1,
-        });
-        self.give(Input::EndpointListRejected {
-            error: "hosts:3: it ends".into(),
-        });
-        self.give(Input::HealthCheckCompleted {
-            host: "host-0".into(),
-            for_load: false,
-            healthy: false,
-            load: None,
-        });
-        if let Some(conn) = self.fronts[1].conn.take() {
-            self.fronts[1].lines.clear();
-            self.give(Input::Disconnected {
-                proxy: 1,
-                connection: conn,
-                reason: "broke".into(),
-            });
-        }
-        self.run(1_500);
-    }
-
-    /// A drain, a host gone, one that started anew, a new one, and a proxy that refuses a command.
-    fn hosts_change(&mut self) {
-        self.refuses = true;
-        self.list(changed());
-        self.run(1_000);
-        // Changes come faster than messages may.
-        for n in 0..4 {
-            let state = if n % 2 == 0 { "drain" } else { "ready" };
-            self.command(&format!("set server hosts/host-1 state {state}"));
-            self.run(300);
-        }
-        self.command("show events");
-    }
 }
