--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -213,7 +213,7 @@
                 let plan = pondarch_weight_solver::solve(&fleet, Default::default());
                 self.give(Input::Solved {
                     number,
-                    plan: plan.map_err(|wrong| wrong.to_string()),
+                    plan: plan.map_err(|error| error.to_string()),
                 });
             }
             _ => {}
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -33,10 +33,9 @@
 
 /// The settings as the first run recorded them.
 fn site(folder: &Path) -> Site {
-    let ExtractedScenario {
-        scenario: scene, ..
-    } = extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
-    site_from_text(&scene.settings).expect("settings")
+    let ExtractedScenario { scenario, .. } =
+        extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
+    site_from_text(&scenario.settings).expect("settings")
 }
 
 fn expected(name: &str) -> Value {
@@ -46,12 +45,12 @@
 /// What was recovered, in the names under which it is stored.
 fn recovered(folder: &Path) -> Value {
     let found = recover(&Folder::read_only(folder), &site(folder)).expect("it can be read");
-    let flaws: Vec<String> = found
+    let faults: Vec<String> = found
         .faults
         .iter()
-        .map(|flaw| format!("{}: {}", flaw.file, flaw.cause))
+        .map(|fault| format!("{}: {}", fault.file, fault.cause))
         .collect();
-    assert!(flaws.is_empty(), "{flaws:?}");
+    assert!(faults.is_empty(), "{faults:?}");
     json!({"epoch": found.incarnation, "last_us": found.last_us, "boot": stored(&found.boot),
         "inputs": found.inputs, "known": stored(&found.state)})
 }
@@ -116,12 +115,10 @@
 #[test]
 fn both_runs_replay_to_the_same_decisions() {
     let folder = copy(&[]);
-    let FolderReplay {
-        runs,
-        faults: flaws,
-    } = replay(&Folder::read_only(folder.path()), ComparedInputs::default())
-        .expect("it can be read");
-    assert!(flaws.is_empty());
+    let FolderReplay { runs, faults } =
+        replay(&Folder::read_only(folder.path()), ComparedInputs::default())
+            .expect("it can be read");
+    assert!(faults.is_empty());
     let told: Vec<Value> = runs
         .iter()
         .map(|run| {
@@ -161,7 +158,7 @@
 fn rows_of_the_records_have_the_same_names_and_values() {
     let folder = copy(&[]);
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
-    let flaws = export::rows(&Folder::read_only(folder.path()), |row| {
+    let faults = export::rows(&Folder::read_only(folder.path()), |row| {
         *counts
             .entry(format!("{} {}", row.category, row.name))
             .or_default() += 1;
@@ -172,7 +169,7 @@
         Ok(())
     })
     .expect("rows");
-    assert!(flaws.is_empty());
+    assert!(faults.is_empty());
     let mut told: String = counts
         .iter()
         .map(|(name, many)| format!("{name} {many}\n"))
@@ -210,15 +207,13 @@
     let folder = copy(&[]);
     let mut told = Vec::new();
     for epoch in [FIRST, FIRST + 1] {
-        let ExtractedScenario {
-            scenario: scene,
-            faults: flaws,
-        } = extract_scenario(&Folder::read_only(folder.path()), Some(epoch)).expect("a scene");
-        assert!(flaws.is_empty());
-        let scene_value = stored(&scene);
-        let course = scene_value["course"].as_array().expect("a course").len();
-        let checksum = crc32fast::hash(in_order(&scene_value).as_bytes());
-        let played = replay_scenario(&scene, None, 3).expect("played");
+        let ExtractedScenario { scenario, faults } =
+            extract_scenario(&Folder::read_only(folder.path()), Some(epoch)).expect("a scenario");
+        assert!(faults.is_empty());
+        let scenario_value = stored(&scenario);
+        let course = scenario_value["course"].as_array().expect("a course").len();
+        let checksum = crc32fast::hash(in_order(&scenario_value).as_bytes());
+        let played = replay_scenario(&scenario, None, 3).expect("played");
         told.push(json!({"course": course, "checksum": checksum, "played": stored(&played)}));
     }
     assert_eq!(json!(told), expected("scenes.json"));
