--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -318,7 +318,7 @@
         found.inputs
     );
     let begun = Instant::now();
-    let (runs, _) =
+    let pondarch_replay::run_replay::FolderReplay { runs, .. } =
         replay(&Folder::read_only(folder.path()), ComparedInputs::default()).expect("replayed");
     let took = begun.elapsed().as_secs_f64();
     let same = runs.iter().all(|run| run.difference.is_none());
