--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -171,7 +171,7 @@
     let records: Option<Records> = site.records.clone().filter(|_| name != "off");
     let mut recorder = records.map(|records| {
         let opens = move || {
-            let mut disk = DiskFault::new(Folder::lock(&path).map_err(|wrong| wrong.to_string())?);
+            let mut disk = DiskFault::new(Folder::lock(&path)?);
             disk.sync_delay = slow.unwrap_or_default();
             Ok(disk)
         };
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -1,13 +1,11 @@
-//! The DNS front's sockets: UDP, and TCP with its two bytes of length (RFC 1035, section 4.2.2; RFC 7766).
+//! The DNS server's sockets: UDP, and TCP with its two bytes of length (RFC 1035, section 4.2.2; RFC 7766).
 
-use crate::error::DaemonError;
+use crate::error::{DaemonError, DnsError, SecretError};
 use futures_util::{SinkExt, StreamExt};
-use pondarch_config::site::{Dns, Secondary};
+use pondarch_config::site::{Dns, Proxy, Secondary};
 use pondarch_config::{Endpoint, Site};
-use pondarch_controller::DurationExt;
-use pondarch_controller::{ProxyId, Time};
-use pondarch_daemon_core::DNS_QUERY_REPORT_INTERVAL;
-use pondarch_daemon_core::Input;
+use pondarch_controller::{DurationExt, ProxyId, Time};
+use pondarch_daemon_core::{DNS_QUERY_REPORT_INTERVAL, Input};
 use pondarch_dns_core::Limits;
 use pondarch_dns_server::{Answerer, Copies, Key, Reply, Transport, View, Zone, rows};
 use pondarch_io_util::Clock;
@@ -18,116 +16,130 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tracing::warn;
 
-/// Connections at one time; whoever comes beyond waits in the system's own queue.
-const CONNECTIONS_MOST: usize = 64;
-/// A connection that asks nothing for this long is closed.
-const IDLE: Duration = Duration::from_secs(10);
+/// Connections at one time; whoever connects beyond them waits in the system's own queue.
+const MAX_CONNECTIONS: usize = 64;
+/// A connection without a query for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Sources whose answers are counted apart.
-const SOURCES_MOST: usize = 20_000;
-/// Largest packet that is read.
-const PACKET_MOST: usize = 4_096;
+const MAX_SOURCES: usize = 20_000;
+/// Largest packet that is read, in bytes.
+const MAX_PACKET: usize = 4_096;
+/// The pause after an error of the UDP socket.
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The pause after an error of the TCP listener.
+const LISTENER_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Queries are reported again within this part of the time that the core reckons with.
+const REPORT_INTERVAL_PART: f64 = 0.5;
 
-/// When the core was last told of a proxy and a table: as many as there are of both at most.
-type Told = BTreeMap<(Option<ProxyId>, u16), (Time, u32)>;
+/// The proxy that a query was of, and the table it was given.
+type QueryKey = (Option<ProxyId>, u16);
 
-/// Shared by all sockets of the front.
+/// When queries were reported to the core last.
+#[derive(Clone, Copy)]
+struct QueryReport {
+    at: Time,
+    serial: u32,
+}
+
+/// The DNS server, shared by all of its sockets.
 #[derive(Clone)]
-pub(crate) struct Names {
+pub(crate) struct DnsServer {
     answerer: Arc<Mutex<Answerer>>,
     view: Arc<RwLock<Arc<View>>>,
-    told: Arc<Mutex<Told>>,
+    /// The last reports of each proxy and table: as many as there are of both at most.
+    reported: Arc<Mutex<BTreeMap<QueryKey, QueryReport>>>,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
     socket: Arc<UdpSocket>,
     secondaries: Arc<[SocketAddr]>,
 }
 
-/// Opens both sockets; the tasks end with the set. None without a DNS front.
+/// Opens both sockets; the tasks end with the set. None if the settings have no DNS server.
+///
+/// # Errors
 ///
-/// Errors: an address cannot be had, or a name of the settings cannot be one.
+/// An address cannot be had, or a name of the settings cannot be one.
 pub(crate) async fn open(
     site: &Site,
     seed: u64,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
     tasks: &mut JoinSet<()>,
-) -> Result<Option<Names>, DaemonError> {
+) -> Result<Option<DnsServer>, DaemonError> {
     let Some(dns) = &site.dns else {
         return Ok(None);
     };
-    let wrong = |text: String| DaemonError::Dns(text);
-    let lifetime = dns.lifetime().map_err(|e| wrong(e.to_string()))?;
-    let kinds: Vec<String> = site.kinds.iter().map(|kind| kind.name.clone()).collect();
-    let proxies: Vec<String> = site
-        .proxies
-        .iter()
-        .map(|proxy| proxy.name.clone())
-        .collect();
-    let of = |(n, proxy): (usize, &pondarch_config::site::Proxy)| {
-        let net = |net: &ipnet::IpNet| (net.network(), net.prefix_len(), ProxyId(n as u16));
-        proxy.sources.iter().map(net).collect::<Vec<_>>()
-    };
-    let sources = site.proxies.iter().enumerate().flat_map(of).collect();
-    let mut zone = Zone::new(
-        &dns.zone,
-        dns.listen.ip(),
-        lifetime,
-        &kinds,
-        &proxies,
-        sources,
-    )
-    .map_err(|e| wrong(e.to_string()))?;
-    zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
+    let zone = zone(site, dns)?;
     let copies = Copies::new(keys(dns)?);
-    let limits = Limits::new(dns.answers_per_second, SOURCES_MOST, clock.now());
-    let listen = |wrong| DaemonError::Listen {
-        at: Endpoint::Tcp(dns.listen),
-        wrong,
-    };
-    let udp = UdpSocket::bind(dns.listen).await.map_err(listen)?;
-    let tcp = TcpListener::bind(dns.listen).await.map_err(listen)?;
-    let names = Names {
+    let limits = Limits::new(dns.answers_per_second, MAX_SOURCES, clock.now());
+    let endpoint = Endpoint::Tcp(dns.listen);
+    let udp = UdpSocket::bind(dns.listen)
+        .await
+        .map_err(DaemonError::listen(&endpoint))?;
+    let tcp = TcpListener::bind(dns.listen)
+        .await
+        .map_err(DaemonError::listen(&endpoint))?;
+    let secondaries = dns.secondaries.iter();
+    let server = DnsServer {
         answerer: Arc::new(Mutex::new(Answerer::new(zone, limits, copies, seed))),
         view: Arc::default(),
-        told: Arc::default(),
+        reported: Arc::default(),
         clock,
         inputs,
         socket: Arc::new(udp),
-        secondaries: dns
-            .secondaries
-            .iter()
-            .map(|secondary| secondary.address)
-            .collect(),
+        secondaries: secondaries.map(|secondary| secondary.address).collect(),
     };
-    tasks.spawn(by_udp(names.clone()));
-    tasks.spawn(by_tcp(tcp, names.clone()));
-    Ok(Some(names))
+    tasks.spawn(serve_udp(server.clone()));
+    tasks.spawn(serve_tcp(tcp, server.clone()));
+    Ok(Some(server))
+}
+
+/// The zone that the settings describe.
+fn zone(site: &Site, dns: &Dns) -> Result<Zone, DnsError> {
+    let lifetime = dns.lifetime()?;
+    let classes: Vec<String> = site.kinds.iter().map(|class| class.name.clone()).collect();
+    let proxies: Vec<String> = site
+        .proxies
+        .iter()
+        .map(|proxy| proxy.name.clone())
+        .collect();
+    let sources = site.proxies.iter().enumerate().flat_map(sources).collect();
+    let server = dns.listen.ip();
+    let mut zone = Zone::new(&dns.zone, server, lifetime, &classes, &proxies, sources)?;
+    zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
+    Ok(zone)
+}
+
+/// The networks that a proxy's queries come from.
+fn sources((index, proxy): (usize, &Proxy)) -> Vec<(IpAddr, u8, ProxyId)> {
+    let source = |net: &ipnet::IpNet| (net.network(), net.prefix_len(), ProxyId(index as u16));
+    proxy.sources.iter().map(source).collect()
 }
 
 /// The secondaries' keys, from the files that hold their secrets.
-fn keys(dns: &Dns) -> Result<Vec<Key>, DaemonError> {
-    let key = |of: &Secondary| {
-        let file = of.secret_file.display();
-        let text = std::fs::read_to_string(&of.secret_file).map_err(|e| format!("{file}: {e}"))?;
-        let secret = data_encoding::BASE64
-            .decode(text.trim().as_bytes())
-            .map_err(|e| format!("{file}: {e}"))?;
-        Key::new(&of.key, secret).map_err(|e| format!("{file}: {e}"))
+fn keys(dns: &Dns) -> Result<Vec<Key>, DnsError> {
+    let key = |secondary: &Secondary| {
+        read_key(secondary).map_err(|source| DnsError::Secret {
+            file: secondary.secret_file.clone(),
+            source,
+        })
     };
-    dns.secondaries
-        .iter()
-        .map(key)
-        .collect::<Result<_, String>>()
-        .map_err(DaemonError::Dns)
+    dns.secondaries.iter().map(key).collect()
 }
 
-impl Names {
-    /// What is answered from now on.
-    pub(crate) fn set(&self, view: Arc<View>) {
+fn read_key(secondary: &Secondary) -> Result<Key, SecretError> {
+    let text = std::fs::read_to_string(&secondary.secret_file)?;
+    let secret = data_encoding::BASE64.decode(text.trim().as_bytes())?;
+    Ok(Key::new(&secondary.key, secret)?)
+}
+
+impl DnsServer {
+    /// Answers from this view from now on.
+    pub(crate) fn set_view(&self, view: Arc<View>) {
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = view.clone();
         if !self.secondaries.is_empty() {
             let zone = self.answerer().zone().clone();
@@ -137,11 +149,12 @@
         }
     }
 
-    /// Tells a secondary that the zone has changed. Not heard, it is told again: the core sees to that.
-    pub(crate) fn say_changed(&self, n: u16) {
-        let word = self.answerer().word(self.clock.now(), n);
-        if let (Some(word), Some(to)) = (word, self.secondaries.get(usize::from(n))) {
-            self.socket.try_send_to(&word, *to).ok();
+    /// Notifies a secondary that the zone has changed. If that is lost, the core has it notified again.
+    pub(crate) fn notify(&self, index: u16) {
+        let message = self.answerer().word(self.clock.now(), index);
+        let address = self.secondaries.get(usize::from(index));
+        if let (Some(message), Some(address)) = (message, address) {
+            self.socket.try_send_to(&message, *address).ok();
         }
     }
 
@@ -149,127 +162,133 @@
         self.answerer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn answer(&self, from: IpAddr, over: Transport, packet: &[u8]) -> Reply {
-        let (now, view) = (
-            self.clock.now(),
-            self.view
-                .read()
-                .unwrap_or_else(PoisonError::into_inner)
-                .clone(),
-        );
-        let reply = self.answerer().answer(now, from, over, packet, &view);
-        self.tell(now, &reply, view.serial);
+    fn view(&self) -> Arc<View> {
+        self.view
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
+    }
+
+    fn reported(&self) -> MutexGuard<'_, BTreeMap<QueryKey, QueryReport>> {
+        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn answer(&self, from: IpAddr, transport: Transport, packet: &[u8]) -> Reply {
+        let now = self.clock.now();
+        let view = self.view();
+        let reply = self.answerer().answer(now, from, transport, packet, &view);
+        self.report_query(now, &reply, view.serial);
         reply
     }
 
-    /// All of a reply was sent: what it says of a secondary is so. Untold it would be told again.
-    async fn sent(&self, reply: Reply) {
-        for (n, heard) in reply.heard {
-            self.inputs
-                .send(Input::SecondaryObserved {
-                    index: n,
-                    observation: heard,
-                })
-                .await
-                .ok();
+    /// All of a reply was sent: the core is notified of what that says of a secondary.
+    async fn report_sent(&self, reply: Reply) {
+        for (index, observation) in reply.heard {
+            let input = Input::SecondaryObserved { index, observation };
+            // If the daemon is gone, nobody needs to know.
+            self.inputs.send(input).await.ok();
         }
     }
 
-    /// The core hears of each proxy and table once in a while, not of each answer.
-    fn tell(&self, now: Time, reply: &Reply, serial: u32) {
-        let Some(table) = reply
-            .given
-            .map(|table| table.0)
-            .or(reply.asked.map(|_| u16::MAX))
-        else {
+    /// Notifies the core of each proxy and table once in a while, not of each answer.
+    fn report_query(&self, now: Time, reply: &Reply, serial: u32) {
+        let proxy = reply.asked.map(|id| id.0);
+        let table = reply.given.map(|table| table.0);
+        let Some(counted) = table.or(proxy.map(|_| u16::MAX)) else {
             return;
         };
-        {
-            let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            let last = told.get(&(reply.asked, table)).copied();
-            // Told again well within the time that the core reckons with, and at once of another serial.
-            if last.is_some_and(|(at, of)| {
-                of == serial && now - at < DNS_QUERY_REPORT_INTERVAL.scaled(0.5)
-            }) {
-                return;
-            }
-            told.insert((reply.asked, table), (now, serial));
+        let key = (reply.asked, counted);
+        if !self.is_report_due(key, QueryReport { at: now, serial }) {
+            return;
         }
-        let (proxy, given) = (reply.asked.map(|id| id.0), reply.given.map(|table| table.0));
         let input = Input::DnsQueried {
             proxy,
-            table: given,
+            table,
             serial,
         };
         if self.inputs.try_send(input).is_err() {
-            // The next answer tells it again.
-            let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            told.remove(&(reply.asked, table));
+            // The next answer reports it again.
+            self.reported().remove(&key);
+        }
+    }
+
+    /// Whether a report is to be made now; if so it counts as made.
+    fn is_report_due(&self, key: QueryKey, report: QueryReport) -> bool {
+        let mut reported = self.reported();
+        // Again well within the time that the core reckons with, and at once with another serial.
+        let recent = reported.get(&key).is_some_and(|last| {
+            last.serial == report.serial
+                && report.at - last.at < DNS_QUERY_REPORT_INTERVAL.scaled(REPORT_INTERVAL_PART)
+        });
+        if !recent {
+            reported.insert(key, report);
         }
+        !recent
     }
 }
 
-async fn by_udp(names: Names) {
-    let mut packet = vec![0; PACKET_MOST];
+async fn serve_udp(server: DnsServer) {
+    let mut packet = vec![0; MAX_PACKET];
     loop {
-        match names.socket.recv_from(&mut packet).await {
-            Ok((len, from)) => {
-                let reply = names.answer(from.ip(), Transport::Udp, &packet[..len]);
+        match server.socket.recv_from(&mut packet).await {
+            Ok((length, from)) => {
+                let reply = server.answer(from.ip(), Transport::Udp, &packet[..length]);
                 for answer in &reply.packets {
-                    // An asker that is gone needs no answer.
-                    names.socket.send_to(answer, from).await.ok();
+                    // A resolver that is gone needs no answer.
+                    server.socket.send_to(answer, from).await.ok();
                 }
-                names.sent(reply).await;
+                server.report_sent(reply).await;
             }
             // What the system says of an earlier answer is no reason to stop.
-            Err(wrong) => {
-                warn!(%wrong, "DNS socket");
-                tokio::time::sleep(Duration::from_millis(10)).await;
+            Err(error) => {
+                warn!(%error, "DNS socket failed");
+                sleep(SOCKET_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn by_tcp(listener: TcpListener, names: Names) {
-    let (places, mut connections) = (Arc::new(Semaphore::new(CONNECTIONS_MOST)), JoinSet::new());
+async fn serve_tcp(listener: TcpListener, server: DnsServer) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((stream, from)) => {
-                let names = names.clone();
+                let server = server.clone();
                 connections.spawn(async move {
-                    talk(stream, from.ip(), names).await;
-                    drop(place);
+                    serve_connection(stream, from.ip(), server).await;
+                    drop(permit);
                 });
             }
-            Err(wrong) => {
-                warn!(%wrong, "DNS listener");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+            Err(error) => {
+                warn!(%error, "DNS listener failed");
+                sleep(LISTENER_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn talk(stream: TcpStream, from: IpAddr, names: Names) {
+async fn serve_connection(stream: TcpStream, from: IpAddr, server: DnsServer) {
     let codec = LengthDelimitedCodec::builder()
         .length_field_type::<u16>()
         .max_frame_length(usize::from(u16::MAX))
         .new_codec();
-    let mut wire = Framed::new(stream, codec);
-    while let Ok(Some(Ok(packet))) = timeout(IDLE, wire.next()).await {
-        let reply = names.answer(from, Transport::Tcp, &packet);
+    let mut framed = Framed::new(stream, codec);
+    while let Ok(Some(Ok(packet))) = timeout(IDLE_TIMEOUT, framed.next()).await {
+        let reply = server.answer(from, Transport::Tcp, &packet);
         if reply.packets.is_empty() {
             return;
         }
         for answer in &reply.packets {
-            let sent = timeout(IDLE, SinkExt::<&[u8]>::send(&mut wire, answer)).await;
+            let sent = timeout(IDLE_TIMEOUT, SinkExt::<&[u8]>::send(&mut framed, answer)).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return;
             }
         }
-        names.sent(reply).await;
+        server.report_sent(reply).await;
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,29 +1,31 @@
-//! A steward's edge: sockets, files and clocks around the core, which decides and remembers all.
+//! The daemon of the stand-alone controller: sockets, files, clocks and signals around `daemon-core`, which decides.
 //!
-//! - `daemon`: the loop that feeds the core and carries out what it gives.
+//! - `daemon`: start-up, and the loop that feeds the core.
+//! - `output_handler`: carries out what the core gives.
+//! - `memory`: reports the memory in use to the core.
 //! - `dial`: the connections to proxies' runtime sockets.
-//! - `desk`: operators at the steward's sockets, and the answers they wait for.
-//! - `hosts_file`: follows the list of hosts.
-//! - `probe`: asks hosts over HTTP.
-//! - `push`: proxies and hosts that push reports.
-//! - `recorder`: records on the way to the disk, and what was found there.
+//! - `command_handler`: operators' commands, and the replies they wait for.
+//! - `hosts_file`: follows the endpoint list.
+//! - `probe`: health checks over HTTP.
+//! - `push`: proxies and hosts that push load reports.
+//! - `dns`: the DNS server's sockets.
+//! - `recorder`: the event log's way to the disk, and what was found there at the start.
 //! - `log`: events as structured logs.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, missing_docs)]
-
+mod command_handler;
 mod daemon;
-mod desk;
 mod dial;
 mod dns;
 mod error;
 mod hosts_file;
 mod log;
+mod memory;
+mod output_handler;
 mod probe;
 mod push;
 mod recorder;
 
 pub use daemon::{Options, run};
-pub use error::DaemonError;
+pub use error::{DaemonError, DnsError, SecretError};
 pub use pondarch_io_util::Clock;
 pub use recorder::Recorder;
