--- a/crates/daemon/benches/recording.rs
+++ b/crates/daemon/benches/recording.rs
@@ -10,11 +10,10 @@
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
 use pondarch_daemon_core::{Core, Input, Output, micros};
-use pondarch_event_log::disk::Trouble;
-use pondarch_event_log::{Disk, Folder, Keep, Log, frame, keeping};
+use pondarch_event_log::{Disk, DiskFault, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_proxy_core::proxy_state::ProxyState;
-use pondarch_replay::replay::{Span, replay};
-use pondarch_replay::{Decision, Record, Start, recover};
+use pondarch_replay::run_replay::{ComparedInputs, replay};
+use pondarch_replay::{Decision, Record, RunStart, recover};
 use std::collections::VecDeque;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -127,15 +126,15 @@
             } => {
                 let front = &mut self.fronts[usize::from(proxy)];
                 for backend in front.backends.values_mut() {
-                    backend.requests += 3;
+                    backend.reqs += 3;
                     backend.servers.values_mut().for_each(|server| {
-                        server.attempts += 1;
-                        server.results.done += 1;
+                        server.total += 1;
+                        server.sums.done += 1;
                     });
                 }
                 let texts = lines
                     .iter()
-                    .flat_map(|line| front.execute_line(line))
+                    .flat_map(|line| front.line(line))
                     .collect::<Vec<_>>();
                 self.waits
                     .extend(texts.into_iter().map(|text| Input::Answer {
@@ -149,13 +148,13 @@
     }
 }
 
-fn start(text: &str, at: Time) -> Start {
-    Start {
+fn start(text: &str, at: Time) -> RunStart {
+    RunStart {
         program: "bench".into(),
         settings: text.into(),
         seed: 7,
         process: 1,
-        epoch: micros(at),
+        incarnation: micros(at),
         at_us: micros(at),
         boot: None,
     }
@@ -172,8 +171,8 @@
     let records: Option<Records> = site.records.clone().filter(|_| name != "off");
     let mut recorder = records.map(|records| {
         let opens = move || {
-            let mut disk = Trouble::over(Folder::lock(&path).map_err(|wrong| wrong.to_string())?);
-            disk.slow = slow.unwrap_or_default();
+            let mut disk = DiskFault::new(Folder::lock(&path)?);
+            disk.sync_delay = slow.unwrap_or_default();
             Ok(disk)
         };
         Recorder::start(opens, &records, start(&text, clock.now()), clock, to_core)
@@ -238,9 +237,9 @@
 }
 
 fn bytes_of(folder: &Path) -> u64 {
-    Folder::look(folder)
+    Folder::read_only(folder)
         .list()
-        .map(|files| files.iter().map(|(_, bytes, _)| bytes).sum())
+        .map(|files| files.iter().map(|file| file.bytes).sum())
         .unwrap_or(0)
 }
 
@@ -250,15 +249,15 @@
     let text = settings(folder.path());
     let site = site_from_text(&text).expect("settings");
     let at = Clock::start().now();
-    let keep = Keep {
+    let retention = RetentionConfig {
         segment_bytes: 16 << 20,
-        all_bytes: 4 << 30,
-        age: keeping::ALWAYS,
-        sure_within: keeping::ALWAYS,
+        total_bytes: 4 << 30,
+        max_age: UNLIMITED,
+        sync_within: UNLIMITED,
     };
-    let mut log = Log::new(
+    let mut log = EventLog::new(
         Folder::lock(folder.path()).expect("a lock"),
-        keep,
+        retention,
         micros(at),
     )
     .expect("a log");
@@ -268,7 +267,7 @@
     let mut frames = Vec::new();
     frame::write(
         &mut frames,
-        &Record::Start(Box::new(start(&text, at))).bytes(),
+        &Record::Start(Box::new(start(&text, at))).to_bytes(),
     );
     while written < bytes {
         n += 1;
@@ -277,18 +276,18 @@
         let outputs: Vec<Output> = std::iter::from_fn(|| town.core.next_output()).collect();
         let one = Instant::now();
         let mut put = |record: Record| {
-            let record = record.bytes();
+            let record = record.to_bytes();
             (records, unpacked) = (records + 1, unpacked + record.len() as u64);
             frame::write(&mut frames, &record);
         };
         put(Record::Input {
-            n,
+            number: n,
             at_us: micros(at),
             input,
         });
         if !outputs.is_empty() {
             put(Record::Decided {
-                n,
+                number: n,
                 decisions: outputs.iter().cloned().map(Decision::of).collect(),
             });
         }
@@ -303,9 +302,9 @@
             .for_each(|output| town.carry_out(output));
     }
     let spans = Duration::from_micros(town.now - micros(at));
-    log.end(at);
+    log.end();
     let begun = Instant::now();
-    let found = recover(&Folder::look(folder.path()), &site).expect("recovered");
+    let found = recover(&Folder::read_only(folder.path()), &site).expect("recovered");
     let took = begun.elapsed();
     println!(
         "{} MB of records: {records} of {:.0} bytes in the file ({:.0} as they are), {:.0} a second written; \
@@ -319,9 +318,10 @@
         found.inputs
     );
     let begun = Instant::now();
-    let (runs, _) = replay(&Folder::look(folder.path()), Span::default()).expect("replayed");
+    let pondarch_replay::run_replay::FolderReplay { runs, .. } =
+        replay(&Folder::read_only(folder.path()), ComparedInputs::default()).expect("replayed");
     let took = begun.elapsed().as_secs_f64();
-    let same = runs.iter().all(|run| run.differs.is_none());
+    let same = runs.iter().all(|run| run.difference.is_none());
     println!(
         "  replayed in {took:.1} s, {:.1} times as fast as it was; the same: {same}",
         spans.as_secs_f64() / took
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -5,7 +5,7 @@
 use crate::events::{UpstreamEvent, UpstreamEvents};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
-use pondarch_io_util::{ask, get};
+use pondarch_io_util::{ConnectionOption, StreamedResponse, get, start_get};
 use pondarch_platform_protocol::registry::{self, MAX_LIST_BYTES, RegistryList};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -50,9 +50,13 @@
         let path = format!("{PATH}?follow=1&since={}", self.generation.unwrap_or(0));
         let request = async {
             let stream = dial(self.registry).await?;
-            Ok::<_, ConnectionError>(ask(stream, self.registry, &path, "keep-alive").await?)
+            let response = start_get(stream, self.registry, &path, ConnectionOption::KeepAlive);
+            Ok::<_, ConnectionError>(response.await?)
         };
-        let (answer, _connection) = timeout(ANSWER_TIMEOUT, request)
+        let StreamedResponse {
+            response: answer,
+            connection: _connection,
+        } = timeout(ANSWER_TIMEOUT, request)
             .await
             .map_err(|_| ConnectionError::AnswerTimeout)??;
         let mut body = answer.into_body();
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the program and of its connections.
 
-use pondarch_io_util::AskError;
+use pondarch_io_util::GetError;
 use pondarch_platform_protocol::config::ConfigError;
 use pondarch_platform_protocol::registry::EndpointListError;
 use std::io;
@@ -60,7 +60,7 @@
     Io(#[from] io::Error),
     /// The registry's answer is no HTTP, or has another status.
     #[error(transparent)]
-    Request(#[from] AskError),
+    Request(#[from] GetError),
     /// The registry's answer ended with an error.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -3,9 +3,10 @@
 use crate::{fixtures, stored, text};
 use pondarch_config::{Site, site_from_text};
 use pondarch_event_log::Folder;
-use pondarch_replay::replay::{Span, replay};
-use pondarch_replay::scene::of_run;
-use pondarch_replay::{export, play, recover};
+use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
+use pondarch_replay::what_if::replay_scenario;
+use pondarch_replay::what_if::{ExtractedScenario, extract_scenario};
+use pondarch_replay::{export, recover};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -32,8 +33,9 @@
 
 /// The settings as the first run recorded them.
 fn site(folder: &Path) -> Site {
-    let (scene, _) = of_run(&Folder::look(folder), Some(FIRST)).expect("the first run");
-    site_from_text(&scene.settings).expect("settings")
+    let ExtractedScenario { scenario, .. } =
+        extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
+    site_from_text(&scenario.settings).expect("settings")
 }
 
 fn expected(name: &str) -> Value {
@@ -42,15 +44,15 @@
 
 /// What was recovered, in the names under which it is stored.
 fn recovered(folder: &Path) -> Value {
-    let found = recover(&Folder::look(folder), &site(folder)).expect("it can be read");
-    let flaws: Vec<String> = found
-        .flaws
+    let found = recover(&Folder::read_only(folder), &site(folder)).expect("it can be read");
+    let faults: Vec<String> = found
+        .faults
         .iter()
-        .map(|flaw| format!("{}: {}", flaw.name, flaw.what))
+        .map(|fault| format!("{}: {}", fault.file, fault.cause))
         .collect();
-    assert!(flaws.is_empty(), "{flaws:?}");
-    json!({"epoch": found.epoch, "last_us": found.last_us, "boot": stored(&found.boot),
-        "inputs": found.inputs, "known": stored(&found.known)})
+    assert!(faults.is_empty(), "{faults:?}");
+    json!({"epoch": found.incarnation, "last_us": found.last_us, "boot": stored(&found.boot),
+        "inputs": found.inputs, "known": stored(&found.state)})
 }
 
 #[test]
@@ -113,17 +115,18 @@
 #[test]
 fn both_runs_replay_to_the_same_decisions() {
     let folder = copy(&[]);
-    let (runs, flaws) =
-        replay(&Folder::look(folder.path()), Span::default()).expect("it can be read");
-    assert!(flaws.is_empty());
+    let FolderReplay { runs, faults } =
+        replay(&Folder::read_only(folder.path()), ComparedInputs::default())
+            .expect("it can be read");
+    assert!(faults.is_empty());
     let told: Vec<Value> = runs
         .iter()
         .map(|run| {
-            let differs = run.differs.as_ref().map(|differs| {
-                json!({"n": differs.n, "input": stored(&differs.input), "then": stored(&differs.then), "now": stored(&differs.now)})
+            let differs = run.difference.as_ref().map(|differs| {
+                json!({"n": differs.number, "input": stored(&differs.input), "then": stored(&differs.recorded), "now": stored(&differs.replayed)})
             });
-            json!({"epoch": run.epoch, "program": run.program, "inputs": run.inputs, "decisions": run.decisions,
-                "spans_us": run.spans.as_micros() as u64, "differs": differs, "stopped": run.stopped})
+            json!({"epoch": run.incarnation, "program": run.program, "inputs": run.inputs, "decisions": run.decisions,
+                "spans_us": run.recorded_duration.as_micros() as u64, "differs": differs, "stopped": run.stopped})
         })
         .collect();
     assert_eq!(json!(told), expected("replayed.json"));
@@ -155,18 +158,18 @@
 fn rows_of_the_records_have_the_same_names_and_values() {
     let folder = copy(&[]);
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
-    let flaws = export::rows(&Folder::look(folder.path()), |row| {
+    let faults = export::rows(&Folder::read_only(folder.path()), |row| {
         *counts
-            .entry(format!("{} {}", row.of, row.what))
+            .entry(format!("{} {}", row.category, row.name))
             .or_default() += 1;
-        let value: Value = serde_json::from_str(&row.text).expect("JSON");
+        let value: Value = serde_json::from_str(&row.fields).expect("JSON");
         let whose = [row.proxy.unwrap_or_default(), row.host.unwrap_or_default()].join(" ");
-        let (epoch, n, at_us) = (row.epoch, row.n, row.at_us);
+        let (epoch, n, at_us) = (row.incarnation, row.number, row.at_us);
         checksum.update(format!("{epoch} {n} {at_us} {whose} {}\n", in_order(&value)).as_bytes());
         Ok(())
     })
     .expect("rows");
-    assert!(flaws.is_empty());
+    assert!(faults.is_empty());
     let mut told: String = counts
         .iter()
         .map(|(name, many)| format!("{name} {many}\n"))
@@ -179,7 +182,8 @@
 fn the_columnar_file_has_every_row() {
     let folder = copy(&[]);
     let file = folder.path().join("rows.arrow");
-    let (rows, _) = export::export(&Folder::look(folder.path()), &file).expect("written");
+    let export::Export { rows, .. } =
+        export::export(&Folder::read_only(folder.path()), &file).expect("written");
     let bytes = std::fs::read(&file).expect("read");
     let due: u64 = text("rows.txt")
         .lines()
@@ -203,12 +207,13 @@
     let folder = copy(&[]);
     let mut told = Vec::new();
     for epoch in [FIRST, FIRST + 1] {
-        let (scene, flaws) = of_run(&Folder::look(folder.path()), Some(epoch)).expect("a scene");
-        assert!(flaws.is_empty());
-        let scene_value = stored(&scene);
-        let course = scene_value["course"].as_array().expect("a course").len();
-        let checksum = crc32fast::hash(in_order(&scene_value).as_bytes());
-        let played = play::play(&scene, None, 3).expect("played");
+        let ExtractedScenario { scenario, faults } =
+            extract_scenario(&Folder::read_only(folder.path()), Some(epoch)).expect("a scenario");
+        assert!(faults.is_empty());
+        let scenario_value = stored(&scenario);
+        let course = scenario_value["course"].as_array().expect("a course").len();
+        let checksum = crc32fast::hash(in_order(&scenario_value).as_bytes());
+        let played = replay_scenario(&scenario, None, 3).expect("played");
         told.push(json!({"course": course, "checksum": checksum, "played": stored(&played)}));
     }
     assert_eq!(json!(told), expected("scenes.json"));
