--- a/crates/controller/src/admission_control.rs
+++ b/crates/controller/src/admission_control.rs
@@ -185,8 +185,8 @@
         self.planned_part = part.filter(|part| (0.0..=1.0).contains(part));
     }
 
-    /// The admitted rate and the peak were of the proxies joined before. Held fast while those of a controller that
-    /// restarts come over, they would have twice the requests shed.
+    /// The admitted rate and the peak grow and shrink with demand: left unchanged while the proxies of a controller that
+    /// restarts join here, they would shed twice what is needed.
     pub(crate) fn on_demand_change(&mut self, before: f64, after: f64) {
         let ratio = after / before;
         if ratio.is_normal() {
--- a/crates/controller/src/assignment.rs
+++ b/crates/controller/src/assignment.rs
@@ -11,8 +11,8 @@
 
 /// Usage per weight, in parts of the mean, from which a table is clearly the busiest: connections are worth less.
 const CLEARLY_BUSIEST: f64 = 1.25;
-/// Usage per weight, in parts of the mean, that a table in the proxy's zone may have more: a crossing costs a little, a
-/// jam a lot.
+/// Usage per weight, in parts of the mean, that a table in the proxy's zone may have more: crossing zones costs a little, an
+/// overload a lot.
 const ZONE_PREFERENCE: f64 = 0.5;
 /// Stands in for a weight of zero as a divisor.
 const EPSILON: f64 = 1e-9;
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -9,7 +9,7 @@
     pub request_classes: Vec<RequestClass>,
     /// Proxies of the whole deployment, those of other controllers too.
     pub proxy_count: u64,
-    /// Whether tables are dealt in partitions, which this controller leaves alone.
+    /// Whether tables are assigned in partitions. Such deployments are not supported: the controller takes no decisions.
     pub partitioned: bool,
     /// Zones that the deployment names.
     pub zone_count: u16,
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -69,7 +69,7 @@
 /// assert!(decisions.iter().any(|decision| matches!(decision, Decision::BindProxy { .. })));
 /// ```
 pub struct Controller {
-    /// Whether tables are dealt in partitions, which this controller leaves alone.
+    /// Whether the deployment is partitioned, which is not supported: no decisions are taken.
     partitioned: bool,
     random: fastrand::Rng,
     now: Time,
@@ -87,7 +87,7 @@
     endpoint_poll: EndpointPoll,
     /// Whether anything has come that decisions may depend on.
     inputs_pending: bool,
-    /// Whether lost hosts wait for an answer: more hosts do not.
+    /// Whether a round is due before the next timer: a host in use was lost, or the last batch was full.
     expedite: bool,
     timer_fired: bool,
     timer_handled_at: Time,
--- a/crates/controller/src/controller/inputs.rs
+++ b/crates/controller/src/controller/inputs.rs
@@ -20,11 +20,12 @@
         }
         self.note_input(now);
         self.hosts.apply(now, &list);
-        self.expedite |= self.has_lost_hosts();
+        self.expedite |= self.needs_immediate_round();
     }
 
-    /// Whether a table that is in use holds a removed or cold host, or none does at all: that waits for no timer.
-    fn has_lost_hosts(&self) -> bool {
+    /// Whether a table in use holds a host that is not ready (draining or removed) or not warm, or no table is in use at all:
+    /// that waits for no timer.
+    fn needs_immediate_round(&self) -> bool {
         let mut any_in_use = false;
         for host in self.hosts.iter() {
             let is_in_use = host.memberships.iter().any(|membership| {
--- a/crates/controller/src/load_reports.rs
+++ b/crates/controller/src/load_reports.rs
@@ -53,7 +53,7 @@
 
     /// Attempts a second that ended at some hosts, for our proxies.
     pub(crate) fn throughput<'a>(&self, hosts: impl Iterator<Item = &'a Host>) -> Throughput {
-        // Sums that have only begun hold less than their due.
+        // The averages start at zero and read low at first.
         let first_at = self.first_at.unwrap_or(self.newest_at);
         let covered = self.newest_at - first_at + self.interval;
         let per_second = std::f64::consts::LN_2
--- a/crates/controller/src/memberships.rs
+++ b/crates/controller/src/memberships.rs
@@ -2,8 +2,8 @@
 
 /// Part by which a weight is off before it is sent: less is not noticed.
 const MIN_WEIGHT_CHANGE: f64 = 0.1;
-/// Multiple of its target from which a sent weight is a hazard.
-const HAZARD_RATIO: f64 = 1.5;
+/// Multiple of its target from which a sent weight is far too heavy.
+const FAR_TOO_HEAVY_RATIO: f64 = 1.5;
 
 /// A host's weight in one table.
 #[derive(Clone, Copy, Default)]
@@ -41,7 +41,7 @@
 
     /// Whether the weight that was sent is far above its target.
     pub(crate) fn is_far_too_heavy(&self) -> bool {
-        self.sent_weight > self.target_weight * HAZARD_RATIO
+        self.sent_weight > self.target_weight * FAR_TOO_HEAVY_RATIO
     }
 
     /// Whether an update is worth its line.
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -13,16 +13,16 @@
 use crate::tables::TableLayout;
 use crate::time::Time;
 
-/// Part of its work from which a member of a table needs no stand-in.
-pub(crate) const MIN_STRONG_PART: f64 = 0.5;
+/// Warm part from which a usable host counts as warm enough: a member of a table needs no stand-in then.
+pub(crate) const MIN_WARM_ENOUGH_PART: f64 = 0.5;
 /// Usage per weight, in parts of the mean, from which a table borrows hosts.
-const BORROWING_PRESSURE: f64 = 1.15;
+const BORROWING_USAGE: f64 = 1.15;
 /// Load per working part that a warming host may get, in parts of the peak per weight: it falls over at twice its capacity
 /// or more.
 const MAX_WARMING_LOAD: f64 = 1.5;
 /// Part of a table's attempts that succeed, under which a warming host waits.
 const MIN_SUCCESS_RATIO: f64 = 0.85;
-/// A warming host waits only where this part of the table is warm: a few warm hosts alone would jam for sure.
+/// A warming host waits only where this part of the table is warm: a few warm hosts alone would be overloaded for sure.
 const MIN_WARM_PART: f64 = 0.5;
 /// Stands in for a weight or a rate of zero as a divisor.
 const EPSILON: f64 = 1e-9;
@@ -57,8 +57,8 @@
 }
 
 impl Fleet {
-    fn is_strong(&self, host: usize) -> bool {
-        self.usable[host] && self.warm_part[host] >= MIN_STRONG_PART
+    fn is_warm_enough(&self, host: usize) -> bool {
+        self.usable[host] && self.warm_part[host] >= MIN_WARM_ENOUGH_PART
     }
 
     fn is_warm(&self, host: usize) -> bool {
@@ -66,13 +66,16 @@
     }
 
     /// The part of the listed hosts that is strong.
-    fn strong_part(&self) -> f64 {
-        let strong = self.listed.iter().filter(|&&host| self.is_strong(host));
+    fn warm_enough_part(&self) -> f64 {
+        let strong = self
+            .listed
+            .iter()
+            .filter(|&&host| self.is_warm_enough(host));
         strong.count() as f64 / self.listed.len().max(1) as f64
     }
 
     /// How many hosts more a table may take.
-    fn places_left(&self, shard: &Shard) -> usize {
+    fn slots_left(&self, shard: &Shard) -> usize {
         self.max_table_hosts.saturating_sub(shard.len())
     }
 }
@@ -199,21 +202,20 @@
     /// A draining, removed, failed or still cold member gives way to the host in fewest tables, as far as the fleet has
     /// that many for each table.
     fn add_stand_ins(&self, assignment: &mut ShardAssignment) {
-        let strong_part = self.fleet.strong_part();
+        let warm_enough_part = self.fleet.warm_enough_part();
         for (table, drawn) in self.drawn.iter().enumerate() {
             let rank = |host: usize, tables: usize| self.stand_in_rank(host, table, tables);
             let shard = assignment.shard(table);
-            let is_strong = |host: &usize| self.fleet.is_strong(*host);
+            let is_warm_enough = |host: &usize| self.fleet.is_warm_enough(*host);
             let strong = shard
                 .iter()
-                .filter(|member| is_strong(&member.host))
+                .filter(|member| is_warm_enough(&member.host))
                 .count();
-            let due = ((drawn.len() as f64 * strong_part).ceil() as usize).max(MIN_TABLE_HOSTS);
-            let missing = due
-                .saturating_sub(strong)
-                .min(self.fleet.places_left(shard));
+            let due =
+                ((drawn.len() as f64 * warm_enough_part).ceil() as usize).max(MIN_TABLE_HOSTS);
+            let missing = due.saturating_sub(strong).min(self.fleet.slots_left(shard));
             for _ in 0..missing {
-                let candidates = self.fleet.listed.iter().copied().filter(is_strong);
+                let candidates = self.fleet.listed.iter().copied().filter(is_warm_enough);
                 let found = assignment.find_stand_in(table, candidates, MAX_SHARED_HOSTS, rank);
                 let Some(host) = found else { break };
                 assignment.assign(table, host);
@@ -248,30 +250,30 @@
     /// Heavy proxies that share a table overload it while others idle: it borrows hosts within the bounds, and a host in
     /// two tables leans to the one with more usage for its weight.
     fn lend_hosts(&self, assignment: &mut ShardAssignment, usage: &[f64]) {
-        let pressure = assignment.settle(usage, &self.fleet.weight);
+        let relative_usage = assignment.balance_weights(usage, &self.fleet.weight);
         let is_idle = |host: usize| {
             let mut tables = assignment.tables_of(host).iter();
-            self.fleet.is_strong(host) && tables.all(|&table| pressure[table] < 1.0)
+            self.fleet.is_warm_enough(host) && tables.all(|&table| relative_usage[table] < 1.0)
         };
         let listed = self.fleet.listed.iter().copied();
         let lenders: Vec<usize> = listed.filter(|&host| is_idle(host)).collect();
-        for table in (0..usage.len()).filter(|&table| pressure[table] > 1.0) {
+        for table in (0..usage.len()).filter(|&table| relative_usage[table] > 1.0) {
             let rank = |host: usize, tables: usize| self.stand_in_rank(host, table, tables);
             // A borrowed host stays until the table needs it no more: each change costs connections.
             let may_stay = |&host: &usize| {
                 let is_member = self.hosts.at(host).memberships.is_sent_in(table);
-                pressure[table] > BORROWING_PRESSURE || is_member
+                relative_usage[table] > BORROWING_USAGE || is_member
             };
             let shard = assignment.shard(table);
-            let due = (shard.len() as f64 * (pressure[table] - 1.0)).ceil() as usize;
-            for _ in 0..due.min(self.fleet.places_left(shard)) {
+            let due = (shard.len() as f64 * (relative_usage[table] - 1.0)).ceil() as usize;
+            for _ in 0..due.min(self.fleet.slots_left(shard)) {
                 let candidates = lenders.iter().copied().filter(may_stay);
                 let found = assignment.find_stand_in(table, candidates, MAX_SHARED_HOSTS, rank);
                 let Some(host) = found else { break };
                 assignment.assign(table, host);
             }
         }
-        assignment.settle(usage, &self.fleet.weight);
+        assignment.balance_weights(usage, &self.fleet.weight);
     }
 
     /// Weights of the shared tables. Proxies avoid hosts that fail them: in a table whose attempts mostly fail, a warming
--- a/crates/controller/src/publishing.rs
+++ b/crates/controller/src/publishing.rs
@@ -15,7 +15,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which differences gather before they are sent (the design's).
+/// Time for which differences gather before they are sent (docs/design.md).
 pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The same for expedited updates.
 pub(crate) const EXPEDITED_INTERVAL: Duration = Duration::from_millis(200);
@@ -23,7 +23,7 @@
 const ORDINARY_CAP_PART: f64 = 0.75;
 /// Part of the message cap that expedited updates may use.
 const EXPEDITED_CAP_PART: f64 = 0.8;
-/// Messages of the cap that are for drains alone: no drain may wait.
+/// Messages of the cap that are for drains alone: they wait for the whole cap only.
 pub(crate) const DRAIN_MESSAGES: usize = 2;
 
 /// What the deployment states of updates.
@@ -65,20 +65,20 @@
 pub(crate) enum UpdateScope {
     /// All of them.
     All,
-    /// Those alone that put a host at risk: the rest waits for room in the queue.
-    Risks,
-    /// And who comes into a short table: all that its proxies bring fell to the few left, and pushed cold ones over.
-    RisksAndNewcomers,
+    /// Lines that are far too heavy or unconfirmed, whatever the update's reason: the rest waits for room in the queue.
+    UnsafeLines,
+    /// And hosts that are added to a short table: all that its proxies send fell to the few left, and pushed cold ones over.
+    UnsafeAndAddedLines,
 }
 
 impl UpdateScope {
     fn includes(self, membership: &TableMembership) -> bool {
-        let is_risk = membership.is_unconfirmed() || membership.is_far_too_heavy();
-        let is_newcomer = membership.sent_weight() == 0.0;
+        let is_unsafe = membership.is_unconfirmed() || membership.is_far_too_heavy();
+        let is_added = membership.sent_weight() == 0.0;
         let is_in_scope = match self {
             UpdateScope::All => true,
-            UpdateScope::Risks => is_risk,
-            UpdateScope::RisksAndNewcomers => is_risk || is_newcomer,
+            UpdateScope::UnsafeLines => is_unsafe,
+            UpdateScope::UnsafeAndAddedLines => is_unsafe || is_added,
         };
         membership.differs() && is_in_scope
     }
@@ -227,9 +227,9 @@
         if serving == 0 || !self.queue.is_half_full() {
             UpdateScope::All
         } else if serving < MIN_TABLE_HOSTS {
-            UpdateScope::RisksAndNewcomers
+            UpdateScope::UnsafeAndAddedLines
         } else {
-            UpdateScope::Risks
+            UpdateScope::UnsafeLines
         }
     }
 
@@ -241,7 +241,7 @@
             .count();
         match scope {
             UpdateScope::All => hosts + self.tables[table].changed_fractions(self.fractions),
-            UpdateScope::Risks | UpdateScope::RisksAndNewcomers => hosts,
+            UpdateScope::UnsafeLines | UpdateScope::UnsafeAndAddedLines => hosts,
         }
     }
 
--- a/crates/controller/src/shards.rs
+++ b/crates/controller/src/shards.rs
@@ -4,20 +4,20 @@
 use crate::ids::ZoneId;
 use crate::statistics::stable_hash;
 
-/// Hosts that a table needs (the design's bound).
+/// Hosts that a table needs (docs/design.md, What was kept).
 pub(crate) const MIN_TABLE_HOSTS: usize = 4;
-/// Hosts that two tables share at most (the design's bound).
+/// Hosts that two tables share at most (docs/design.md, What was kept).
 pub(crate) const MAX_SHARED_HOSTS: usize = 2;
-/// Tables that a host is in at most (the design's bound).
+/// Tables that a host is in at most (docs/design.md, What was kept).
 pub(crate) const MAX_TABLES_PER_HOST: usize = 2;
-/// Places that a table must find, its stand-ins too.
-const PLACES_PER_TABLE: usize = 7;
-/// Times over that more tables than before must find their places: each change draws all anew and tears connections.
+/// Hosts that a table must find room for, its stand-ins too.
+const SLOTS_PER_TABLE: usize = 7;
+/// A growing number of tables needs this many times the usual slots, since each change draws all anew and tears connections.
 const GROWTH_MARGIN: usize = 2;
 /// Tables among which a host's hash lets it choose: more is evener, fewer moves less.
 const HASH_CHOICES: usize = 4;
-/// Rounds in which weights settle between tables.
-const SETTLE_ROUNDS: usize = 12;
+/// Rounds in which weights balance_weights between tables.
+const BALANCING_ROUNDS: usize = 12;
 /// Least part of its weight that a host keeps in each of its tables, which keeps connections warm.
 const MIN_SHARED_PART: f64 = 0.05;
 /// Least weight of a table as a divisor.
@@ -90,44 +90,45 @@
             .min_by_key(|&host| rank(host, self.tables_of(host).len()))
     }
 
-    /// Splits hosts in several tables so that usage per weight comes as even as it can; gives that, mean 1.
-    pub(crate) fn settle(&mut self, usage: &[f64], weights: &[f64]) -> Vec<f64> {
+    /// Splits hosts in several tables so that usage per weight comes as even as it can; gives each table's relative usage: its
+    /// usage per weight, mean 1.
+    pub(crate) fn balance_weights(&mut self, usage: &[f64], weights: &[f64]) -> Vec<f64> {
         let total_usage: f64 = usage.iter().sum();
-        let mut pressure = vec![1.0; self.shards.len()];
-        let mut pressure_sums = vec![0.0; self.tables_of_host.len()];
-        for _ in 0..SETTLE_ROUNDS {
-            self.sum_pressure(&pressure, &mut pressure_sums);
-            let shard_weights = self.split_parts(&pressure, &pressure_sums, weights);
+        let mut relative_usage = vec![1.0; self.shards.len()];
+        let mut relative_usage_sums = vec![0.0; self.tables_of_host.len()];
+        for _ in 0..BALANCING_ROUNDS {
+            self.sum_relative_usage(&relative_usage, &mut relative_usage_sums);
+            let shard_weights = self.split_parts(&relative_usage, &relative_usage_sums, weights);
             if total_usage > 0.0 {
                 let total_weight: f64 = shard_weights.iter().sum();
                 let even = usage
                     .iter()
                     .zip(shard_weights)
                     .map(|(used, weight)| used / total_usage * total_weight / weight);
-                pressure = even
+                relative_usage = even
                     .map(|ratio| ratio.clamp(MIN_SHARED_PART, 1.0 / MIN_SHARED_PART))
                     .collect();
             }
         }
-        pressure
+        relative_usage
     }
 
-    /// The pressure of all tables of each host, by its parts in them.
-    fn sum_pressure(&self, pressure: &[f64], sums: &mut [f64]) {
+    /// The relative_usage of all tables of each host, by its parts in them.
+    fn sum_relative_usage(&self, relative_usage: &[f64], sums: &mut [f64]) {
         sums.fill(0.0);
-        for (shard, pressure) in self.shards.iter().zip(pressure) {
+        for (shard, relative_usage) in self.shards.iter().zip(relative_usage) {
             for member in shard {
-                sums[member.host] += member.part * pressure;
+                sums[member.host] += member.part * relative_usage;
             }
         }
     }
 
-    /// Splits each host by the pressure of its tables; gives the tables' weights.
-    fn split_parts(&mut self, pressure: &[f64], sums: &[f64], weights: &[f64]) -> Vec<f64> {
-        let mut shard_weights = Vec::with_capacity(pressure.len());
-        for (shard, pressure) in self.shards.iter_mut().zip(pressure) {
+    /// Splits each host by the relative_usage of its tables; gives the tables' weights.
+    fn split_parts(&mut self, relative_usage: &[f64], sums: &[f64], weights: &[f64]) -> Vec<f64> {
+        let mut shard_weights = Vec::with_capacity(relative_usage.len());
+        for (shard, relative_usage) in self.shards.iter_mut().zip(relative_usage) {
             for member in shard.iter_mut() {
-                let part = member.part * pressure / sums[member.host];
+                let part = member.part * relative_usage / sums[member.host];
                 member.part = part.max(MIN_SHARED_PART);
             }
             let weight: f64 = shard
@@ -165,7 +166,7 @@
         });
         let mut tables = max_tables;
         while tables > 1 {
-            let places = places_needed(tables, current_tables);
+            let places = slots_needed(tables, current_tables);
             if let Some(shards) = self.try_draw(&order, tables, places) {
                 return shards;
             }
@@ -254,13 +255,13 @@
 
 /// Places that each table must find. Each change draws all anew and tears connections: more tables only with much room,
 /// fewer with none.
-fn places_needed(tables: usize, current_tables: usize) -> usize {
+fn slots_needed(tables: usize, current_tables: usize) -> usize {
     if current_tables == tables {
         return MIN_TABLE_HOSTS;
     }
     let grows = (1..tables).contains(&current_tables);
     let margin = if grows { GROWTH_MARGIN } else { 1 };
-    margin * PLACES_PER_TABLE
+    margin * SLOTS_PER_TABLE
 }
 
 /// How much a host's hash likes a table: least first.
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -5,7 +5,7 @@
 use crate::host_policy::HostPolicy;
 use crate::ids::HostId;
 use crate::load_reports::LoadReports;
-use crate::placement::MIN_STRONG_PART;
+use crate::placement::MIN_WARM_ENOUGH_PART;
 use crate::proxy::ProxyRegistry;
 use crate::statistics::median;
 use crate::time::Time;
@@ -146,7 +146,7 @@
         ejected: sources.hosts_where(|host| host.ejection.is_ejected()),
         on_probation: sources.hosts_where(|host| host.ejection.is_on_probation()),
         weight_reduced: sources
-            .hosts_where(|host| host.weight_reduction.lost() > 1.0 - MIN_STRONG_PART),
+            .hosts_where(|host| host.weight_reduction.lost() > 1.0 - MIN_WARM_ENOUGH_PART),
         failing: sources.failing_hosts(),
         admitted_fractions: sources.admission.fractions().to_vec(),
         overload: sources.admission.overload(),
--- a/crates/controller/src/tables.rs
+++ b/crates/controller/src/tables.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Proxies that a table needs (the design's bound).
+/// Proxies that a table needs (docs/design.md, What was kept).
 const PROXIES_PER_TABLE: u64 = 5;
 
 /// Which tables there are: the shared ones first, then one for each zone if classes are confined to zones.
--- a/crates/controller/src/update_queue.rs
+++ b/crates/controller/src/update_queue.rs
@@ -20,11 +20,12 @@
 const ACK_INTERVAL: Duration = Duration::from_millis(500);
 const UNACKNOWLEDGED_PART: f64 = 0.05;
 /// Parts of the limit up to which each update may fill the queue. Ordinary and expedited ones can wait. The rest is left to
-/// drains and bindings: the limit holds what cannot wait twice over, with all proxies at one controller.
+/// drains and bindings: the limit has room for twice the drains and bindings that can be due at once, with all proxies at one
+/// controller.
 const ORDINARY_PART: f64 = 0.25;
 const EXPEDITED_PART: f64 = 0.5;
 const HAZARD_PART: f64 = 0.75;
-const URGENT_PART: f64 = 0.95;
+const DRAIN_PART: f64 = 0.95;
 /// Part of the grace period for drains that a message may take to its proxy while updates that can wait still go out, as a
 /// drain waits behind all that went before it; hazards go out for this many times that.
 const DELAY_PART: f64 = 0.4;
@@ -35,8 +36,8 @@
 const USED_WINDOW_FACTOR: f64 = 2.0;
 /// Without any acknowledgement for this long, one update goes out however full the queue seems, as acknowledgements may
 /// have been lost with their proxies or with the events; the wait doubles up to its maximum until one comes.
-const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
-const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(30_000);
+const BLIND_UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
+const MAX_BLIND_UPDATE_INTERVAL: Duration = Duration::from_millis(30_000);
 /// Lines under which the queue counts as empty.
 const MIN_QUEUED_LINES: f64 = 1.0;
 /// Lines of the smallest message, besides its overhead.
@@ -92,7 +93,7 @@
     ack_requested_up_to: f64,
     /// The last acknowledgement, or the last update that went out for want of one.
     quiet_since: Time,
-    probe_interval: Duration,
+    blind_update_interval: Duration,
     acks_received: u64,
     last_ack_delay: Duration,
 }
@@ -124,7 +125,7 @@
             ack_requested_at: None,
             ack_requested_up_to: 0.0,
             quiet_since: now,
-            probe_interval: PROBE_INTERVAL,
+            blind_update_interval: BLIND_UPDATE_INTERVAL,
             acks_received: 0,
             last_ack_delay: Duration::ZERO,
         };
@@ -216,9 +217,9 @@
                 self.has_room(lines, HAZARD_PART)
                     && self.keeps_drains_in_time(now, lines, HAZARD_DELAYS)
             }
-            UpdateReason::Drain => self.has_room(lines, URGENT_PART),
+            UpdateReason::Drain => self.has_room(lines, DRAIN_PART),
         };
-        let is_admitted = fits || self.takes_probe(now);
+        let is_admitted = fits || self.takes_blind_update(now);
         if !is_admitted {
             *count_of(&mut self.held_back_for, reason) += 1.0;
         }
@@ -228,7 +229,7 @@
     /// Whether the queue has room to send one proxy its whole table.
     pub(crate) fn admits_binding(&mut self, now: Time, lines: usize) -> bool {
         let lines = self.with_overhead(lines as f64, 1.0);
-        let is_admitted = self.has_room(lines, URGENT_PART) || self.takes_probe(now);
+        let is_admitted = self.has_room(lines, DRAIN_PART) || self.takes_blind_update(now);
         if !is_admitted {
             self.held_back_for.bindings += 1.0;
         }
@@ -241,12 +242,13 @@
     }
 
     /// Whether one update goes out for want of an acknowledgement.
-    fn takes_probe(&mut self, now: Time) -> bool {
-        if !self.acks_supported || now - self.quiet_since < self.probe_interval {
+    fn takes_blind_update(&mut self, now: Time) -> bool {
+        if !self.acks_supported || now - self.quiet_since < self.blind_update_interval {
             return false;
         }
         self.quiet_since = now;
-        self.probe_interval = (self.probe_interval + self.probe_interval).min(MAX_PROBE_INTERVAL);
+        self.blind_update_interval = (self.blind_update_interval + self.blind_update_interval)
+            .min(MAX_BLIND_UPDATE_INTERVAL);
         self.ack_requested_at = None;
         true
     }
@@ -324,7 +326,7 @@
         self.confirmed_lines = self.confirmed_lines.max(progress.confirmed_lines);
         self.acks_received += 1;
         self.quiet_since = now;
-        self.probe_interval = PROBE_INTERVAL;
+        self.blind_update_interval = BLIND_UPDATE_INTERVAL;
         if let Some(first) = progress.first {
             self.last_ack_delay = first.delay;
             self.adapt_window(first.delay, first.queued_before);
@@ -354,7 +356,7 @@
         self.undecided.updates = self.undecided.updates.saturating_sub(updates);
         match result {
             // Perhaps none of it is queued: that is to be found out as soon as calls are answered again.
-            UpdateResult::Unknown => self.probe_interval = PROBE_INTERVAL,
+            UpdateResult::Unknown => self.blind_update_interval = BLIND_UPDATE_INTERVAL,
             UpdateResult::Rejected => self.take_back(lines),
             UpdateResult::Applied | UpdateResult::StoppedAt(_) => {}
         }
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -92,13 +92,13 @@
                     for (name, server) in backend
                         .servers
                         .iter_mut()
-                        .filter(|(_, server)| server.serves())
+                        .filter(|(_, server)| server.is_serving())
                     {
                         let ms = if name == "host-3" { 60 } else { 20 };
-                        (server.total, server.sums.done) =
-                            (server.total + 10, server.sums.done + 10);
-                        server.sums.done_time += Duration::from_millis(10 * ms);
-                        backend.reqs += 10;
+                        (server.attempts, server.results.done) =
+                            (server.attempts + 10, server.results.done + 10);
+                        server.results.done_time += Duration::from_millis(10 * ms);
+                        backend.requests += 10;
                     }
                 }
             }
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -231,12 +231,12 @@
             }
             let mut answers = Vec::new();
             for command in command::parse_line(&line).into_iter().flatten() {
-                let rejected = self.rejects_updates && ProxyState::is_order(&command);
+                let rejected = self.rejects_updates && ProxyState::is_update(&command);
                 self.rejects_updates &= !rejected;
                 answers.push(if rejected {
                     "Not now.\n".into()
                 } else {
-                    proxy_state.proxy_state.command(command)
+                    proxy_state.proxy_state.execute(command)
                 });
             }
             let proxy = n as u16;
