--- a/crates/daemon-core/src/apply.rs
+++ b/crates/daemon-core/src/apply.rs
@@ -5,6 +5,7 @@
 use crate::output::Output;
 use crate::reported_load::ReportedLoad;
 use crate::state::DaemonState;
+use pondarch_config::HostEntry;
 use pondarch_controller::{HostId, Time};
 use pondarch_load_ingestion::Purpose;
 
@@ -19,31 +20,31 @@
         self.now = now.max(self.now);
         self.input_count += 1;
         self.cause = format!("#{} {}", self.input_count, self.describe_input(&input));
+        if let Input::Command {
+            caller,
+            level,
+            line,
+        } = input
+        {
+            let text = answer(self, level, &line);
+            self.outputs.push_back(Output::Reply { caller, text });
+        } else {
+            self.dispatch_input(input);
+        }
+        self.run_timers();
+        self.follow_up();
+    }
+
+    fn dispatch_input(&mut self, input: Input) {
         match input {
-            Input::TimerExpired => {}
+            // Commands are answered by `apply_input`; timers run after each input.
+            Input::TimerExpired | Input::Command { .. } => {}
             Input::Recovered(known) => self.recover(*known),
-            Input::EventLog(state) => {
-                let EventLogState {
-                    stopped_reason: stopped,
-                    lost_inputs: lost,
-                } = state.clone();
-                self.event_log = Some(state);
-                self.log_event(Event::EventLogChanged {
-                    stopped_reason: stopped,
-                    lost_inputs: lost,
-                });
-            }
-            Input::EndpointList {
-                generation: version,
-                hosts,
-            } => match self.endpoints.apply_file(self.now, version, hosts) {
-                Ok(endpoints) => self.apply_endpoints(endpoints),
-                Err(error) => self.reject_endpoint_list(error.to_string()),
-            },
-            Input::EndpointListRejected { error } => {
-                self.endpoints.rejected_reason = Some(error.clone());
-                self.reject_endpoint_list(error);
+            Input::EventLog(state) => self.on_event_log(state),
+            Input::EndpointList { generation, hosts } => {
+                self.on_endpoint_list(generation, hosts);
             }
+            Input::EndpointListRejected { error } => self.on_endpoint_list_rejected(error),
             Input::Connected { proxy, connection } => self.on_connected(proxy, connection),
             Input::Answer {
                 proxy,
@@ -54,11 +55,7 @@
                 proxy,
                 connection,
                 reason,
-            } => {
-                if self.peer(proxy, connection).is_some() {
-                    self.on_disconnected(proxy, &reason);
-                }
-            }
+            } => self.on_connection_lost(proxy, connection, &reason),
             Input::HealthCheckCompleted {
                 host,
                 for_load,
@@ -70,10 +67,9 @@
                 table,
                 serial,
             } => self.on_dns_query(proxy, table, serial),
-            Input::SecondaryObserved {
-                index: n,
-                observation: heard,
-            } => self.on_secondary(n, heard),
+            Input::SecondaryObserved { index, observation } => {
+                self.on_secondary(index, observation);
+            }
             Input::SenderConnected {
                 connection,
                 name,
@@ -83,28 +79,49 @@
             Input::ReportReceived { connection, report } => self.on_report(connection, *report),
             Input::SenderDisconnected { connection } => self.on_sender_disconnected(connection),
             Input::MemoryUsage {
-                queued_bytes: waiting,
-                event_log_bytes: records,
-                connection_bytes: connections,
-                rejected_connections: capped,
+                queued_bytes,
+                event_log_bytes,
+                connection_bytes,
+                rejected_connections,
             } => {
-                self.memory.takes(Purpose::Waiting, waiting);
-                self.memory.takes(Purpose::Records, records);
-                self.memory.takes(Purpose::Connections, connections);
-                self.memory.capped(Purpose::Connections, capped);
+                self.memory.takes(Purpose::Waiting, queued_bytes);
+                self.memory.takes(Purpose::Records, event_log_bytes);
+                self.memory.takes(Purpose::Connections, connection_bytes);
+                self.memory
+                    .capped(Purpose::Connections, rejected_connections);
             }
             Input::Solved { number, plan } => self.on_plan(number, plan),
-            Input::Command {
-                caller,
-                level,
-                line,
-            } => {
-                let text = answer(self, level, &line);
-                self.outputs.push_back(Output::Reply { caller, text });
-            }
         }
-        self.run_timers();
-        self.follow_up();
+    }
+
+    fn on_endpoint_list(&mut self, generation: Option<u64>, hosts: Vec<HostEntry>) {
+        match self.endpoints.apply_file(self.now, generation, hosts) {
+            Ok(endpoints) => self.apply_endpoints(endpoints),
+            Err(error) => self.reject_endpoint_list(error.to_string()),
+        }
+    }
+
+    fn on_endpoint_list_rejected(&mut self, error: String) {
+        self.endpoints.rejected_reason = Some(error.clone());
+        self.reject_endpoint_list(error);
+    }
+
+    fn on_event_log(&mut self, state: EventLogState) {
+        let EventLogState {
+            stopped_reason,
+            lost_inputs,
+        } = state.clone();
+        self.event_log = Some(state);
+        self.log_event(Event::EventLogChanged {
+            stopped_reason,
+            lost_inputs,
+        });
+    }
+
+    fn on_connection_lost(&mut self, proxy: u16, connection: u64, reason: &str) {
+        if self.peer(proxy, connection).is_some() {
+            self.on_disconnected(proxy, reason);
+        }
     }
 
     pub(crate) fn describe_input(&self, input: &Input) -> String {
--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -5,10 +5,20 @@
 use crate::peer::{Link, Peer};
 use crate::state::DaemonState;
 use crate::update_queue::QueueCapacity;
-use pondarch_controller::{Decision, RequestClassId, TableId};
-use pondarch_proxy_session::{Urgency, Wanted, table};
+use pondarch_controller::{Decision, HostId, RequestClassId, RetryPolicy, TableId, Time};
+use pondarch_proxy_session::{Batch, Urgency, Wanted, table};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A difference that one proxy is to get.
+struct DueUpdate {
+    /// When it became due.
+    since: Option<Time>,
+    /// Number of the proxy.
+    proxy: usize,
+    batch: Batch,
+}
+
 impl DaemonState {
     /// Joins those there is room for, pulls decisions, and brings proxies up to date.
     pub(crate) fn follow_up(&mut self) {
@@ -93,50 +103,67 @@
                 Decision::BindProxy {
                     proxy,
                     table,
-                    classes: kinds,
-                } => self.bind_proxy(proxy.0, table, &kinds),
+                    classes,
+                } => self.bind_proxy(proxy.0, table, &classes),
                 Decision::SetAdmissionRate {
                     table,
-                    class: kind,
+                    class,
                     quota,
-                    retry_policy: tries,
+                    retry_policy,
                 } => {
-                    self.tables.set_admission(table, kind, quota, tries);
+                    self.tables.set_admission(table, class, quota, retry_policy);
                     touched.insert(table);
-                    let kind = self.request_classes[kind.0 as usize].clone();
-                    let tries = table::tries_word(tries).into();
-                    let cause = self.cause.clone();
-                    self.log_event(Event::AdmissionChanged {
-                        table: table.0,
-                        class: kind,
-                        quota,
-                        retry_policy: tries,
-                        cause,
-                    });
-                }
-                Decision::CheckHealth(host) => {
-                    if let Some(addr) = self.endpoints.address(&host) {
-                        let host = host.0.to_string();
-                        self.outputs.push_back(Output::CheckHealth {
-                            host,
-                            address: addr,
-                            for_load: false,
-                        });
-                    }
+                    self.log_admission_change(table, class, quota, retry_policy);
                 }
+                Decision::CheckHealth(host) => self.request_health_check(&host),
                 // The list is followed by the edge at all times; a session knows by itself what its proxy has applied.
                 Decision::WatchEndpoints | Decision::RequestAck(_) => {}
                 Decision::SetTimer(span) => self.timer_at = Some(self.now + span),
             }
         }
-        for (table, lines) in lines {
+        self.log_weight_changes(lines);
+        self.require_touched_updates(touched);
+    }
+
+    fn log_admission_change(
+        &mut self,
+        table: TableId,
+        class: RequestClassId,
+        quota: f64,
+        retry_policy: RetryPolicy,
+    ) {
+        let event = Event::AdmissionChanged {
+            table: table.0,
+            class: self.request_classes[class.0 as usize].clone(),
+            quota,
+            retry_policy: table::tries_word(retry_policy).into(),
+            cause: self.cause.clone(),
+        };
+        self.log_event(event);
+    }
+
+    fn request_health_check(&mut self, host: &HostId) {
+        if let Some(address) = self.endpoints.address(host) {
+            self.outputs.push_back(Output::CheckHealth {
+                host: host.0.to_string(),
+                address,
+                for_load: false,
+            });
+        }
+    }
+
+    fn log_weight_changes(&mut self, weights: BTreeMap<TableId, Vec<(String, f64)>>) {
+        for (table, weights) in weights {
             let cause = self.cause.clone();
             self.log_event(Event::TableChanged {
                 table: table.0,
-                weights: lines,
+                weights,
                 cause,
             });
         }
+    }
+
+    fn require_touched_updates(&mut self, touched: BTreeSet<TableId>) {
         for table in touched {
             self.require_table_update(table);
             for host in self
@@ -152,7 +179,7 @@
         }
     }
 
-    fn bind_proxy(&mut self, proxy: u16, table: TableId, kinds: &[RequestClassId]) {
+    fn bind_proxy(&mut self, proxy: u16, table: TableId, classes: &[RequestClassId]) {
         let now = self.now;
         let cause = self.cause.clone();
         let all: Vec<RequestClassId> = (0..self.request_classes.len())
@@ -161,9 +188,9 @@
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
         };
-        let kinds = if kinds.is_empty() { &all } else { kinds };
+        let classes = if classes.is_empty() { &all } else { classes };
         peer.bindings
-            .extend(kinds.iter().map(|kind| (*kind, table)));
+            .extend(classes.iter().map(|class| (*class, table)));
         peer.require_update(now, &cause);
         let proxy = peer.name.clone();
         self.log_event(Event::ProxyBound {
@@ -203,70 +230,17 @@
     /// Writes the differences that are due: drains first, then joins, then the longest waiting.
     fn send_updates(&mut self) {
         let now = self.now;
-        let may = |peer: &Peer| {
-            let waits = peer.blocked_until.is_some_and(|until| until > now);
-            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_quiet()
-        };
-        let ready: Vec<usize> = (0..self.peers.len())
-            .filter(|&n| may(&self.peers[n]))
-            .collect();
-        let mut due = Vec::new();
-        for n in ready {
-            let wanted = self.wanted_state(n);
-            let list = &self.endpoints;
-            let peer = &mut self.peers[n];
-            match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
-                Some(batch) => due.push((
-                    batch.urgency,
-                    peer.pending_update.as_ref().map(|d| d.0),
-                    n,
-                    batch,
-                )),
-                // Nothing to do, unless a refused line is left for later.
-                None if peer.session.next_due().is_none() => peer.pending_update = None,
-                None => {}
-            }
-        }
-        due.sort_by_key(|(urgency, since, n, _)| (std::cmp::Reverse(*urgency), *since, *n));
         let mut full = false;
-        for (urgency, _, n, batch) in due {
-            let peer = &mut self.peers[n];
-            match self.update_queue.capacity(
-                now,
-                &mut peer.sent_messages,
-                batch.steps.len() + 1,
-                urgency,
-            ) {
+        for DueUpdate { proxy, batch, .. } in self.due_updates() {
+            let peer = &mut self.peers[proxy];
+            let urgency = batch.urgency;
+            let commands = batch.steps.len() + 1;
+            match self
+                .update_queue
+                .capacity(now, &mut peer.sent_messages, commands, urgency)
+            {
                 QueueCapacity::Available if !full || urgency == Urgency::Drain => {
-                    // The version is one more.
-                    let commands = batch.steps.len() + 1;
-                    peer.in_flight =
-                        self.update_queue
-                            .record_sent(now, &mut peer.sent_messages, commands);
-                    peer.silent_since = Some(now);
-                    peer.blocked_until = None;
-                    peer.commands_sent += commands as u64;
-                    let cause = peer
-                        .pending_update
-                        .take()
-                        .map(|dirty| dirty.1)
-                        .unwrap_or_default();
-                    let proxy = peer.id.0;
-                    let connection = peer.connection;
-                    let lines = peer.session.order(now, batch);
-                    self.outputs.push_back(Output::Write {
-                        proxy,
-                        connection,
-                        lines,
-                    });
-                    let proxy = peer.name.clone();
-                    let urgency = urgency_word(urgency).into();
-                    self.log_event(Event::UpdateSent {
-                        proxy,
-                        commands,
-                        urgency,
-                        cause,
-                    });
+                    self.send_update(proxy, batch);
                 }
                 QueueCapacity::AvailableAt(at, reason) => {
                     peer.blocked_until = Some(at);
@@ -283,6 +257,68 @@
             }
         }
     }
+
+    /// The differences that may be written now, in the order in which they are to be.
+    fn due_updates(&mut self) -> Vec<DueUpdate> {
+        let now = self.now;
+        let may = |peer: &Peer| {
+            let waits = peer.blocked_until.is_some_and(|until| until > now);
+            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_quiet()
+        };
+        let ready: Vec<usize> = (0..self.peers.len())
+            .filter(|&n| may(&self.peers[n]))
+            .collect();
+        let mut due = Vec::new();
+        for proxy in ready {
+            let wanted = self.wanted_state(proxy);
+            let list = &self.endpoints;
+            let peer = &mut self.peers[proxy];
+            match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
+                Some(batch) => due.push(DueUpdate {
+                    since: peer.pending_update.as_ref().map(|pending| pending.0),
+                    proxy,
+                    batch,
+                }),
+                // Nothing to do, unless a refused line is left for later.
+                None if peer.session.next_due().is_none() => peer.pending_update = None,
+                None => {}
+            }
+        }
+        due.sort_by_key(|update| (Reverse(update.batch.urgency), update.since, update.proxy));
+        due
+    }
+
+    fn send_update(&mut self, proxy: usize, batch: Batch) {
+        let now = self.now;
+        let peer = &mut self.peers[proxy];
+        let urgency = urgency_word(batch.urgency).into();
+        // The version is one more.
+        let commands = batch.steps.len() + 1;
+        peer.in_flight = self
+            .update_queue
+            .record_sent(now, &mut peer.sent_messages, commands);
+        peer.silent_since = Some(now);
+        peer.blocked_until = None;
+        peer.commands_sent += commands as u64;
+        let cause = peer
+            .pending_update
+            .take()
+            .map(|pending| pending.1)
+            .unwrap_or_default();
+        let lines = peer.session.order(now, batch);
+        self.outputs.push_back(Output::Write {
+            proxy: peer.id.0,
+            connection: peer.connection,
+            lines,
+        });
+        let proxy = peer.name.clone();
+        self.log_event(Event::UpdateSent {
+            proxy,
+            commands,
+            urgency,
+            cause,
+        });
+    }
 }
 
 fn urgency_word(urgency: Urgency) -> &'static str {
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -6,13 +6,13 @@
 use crate::output::Output;
 use crate::peer::Link;
 use crate::state::DaemonState;
-use crate::time::micros;
 use pondarch_controller::DurationExt;
-use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
-use pondarch_dns_core::{Asked, Heard, Named};
-use pondarch_dns_server::{Line, STANDING, View};
+use pondarch_controller::{
+    AttemptOutcomes, EndpointState, HostId, ProxyId, RequestClassId, TableId,
+};
+use pondarch_dns_core::{Asked, Heard};
+use pondarch_dns_server::STANDING;
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
 
 impl DaemonState {
     /// A table was answered as it was at this serial, to a proxy if it is known which.
@@ -190,115 +190,65 @@
         }
     }
 
-    /// What is to be answered from now on, if it changed.
+    /// Changes what is answered from now on, if it is to be changed.
     pub(crate) fn update_dns_view(&mut self) {
+        if !self.dns.as_ref().is_some_and(|dns| dns.view_outdated) {
+            return;
+        }
         let now = self.now;
-        let Some(names) = self.dns.as_mut().filter(|names| names.view_outdated) else {
+        let bound = self.dns_bindings();
+        let weights = self.dns_weights(&bound);
+        let Some(dns) = &mut self.dns else { return };
+        dns.view_outdated = false;
+        let view = dns.build_view(now, bound, &weights, &self.endpoints);
+        if view == *dns.view {
             return;
-        };
-        names.view_outdated = false;
-        let list = &self.endpoints;
-        let by_name = self
-            .peers
+        }
+        let serial = dns.publish_view(now, view, &self.endpoints);
+        self.outputs.push_back(Output::DnsViewChanged { serial });
+        // After the view, so that what they fetch is it.
+        dns.secondaries.changed(now, serial);
+        for secondary in dns.secondaries.say(now) {
+            self.outputs
+                .push_back(Output::NotifySecondary { secondary });
+        }
+    }
+
+    /// The tables of joined proxies that ask by name.
+    fn dns_bindings(&self) -> BTreeMap<(ProxyId, RequestClassId), TableId> {
+        self.peers
             .iter()
-            .filter(|peer| matches!(peer.link, Link::Dns { joined: true }));
-        let bound: BTreeMap<_, TableId> = by_name
+            .filter(|peer| matches!(peer.link, Link::Dns { joined: true }))
             .flat_map(|peer| {
                 peer.bindings
                     .iter()
-                    .map(|(kind, table)| ((peer.id, *kind), *table))
+                    .map(|(class, table)| ((peer.id, *class), *table))
             })
-            .collect();
+            .collect()
+    }
+
+    /// The weights that are to be answered from, in the order of their tables; the list's own come last.
+    fn dns_weights(
+        &self,
+        bound: &BTreeMap<(ProxyId, RequestClassId), TableId>,
+    ) -> Vec<(TableId, BTreeMap<HostId, f64>)> {
         let used: BTreeSet<TableId> = bound.values().copied().collect();
+        let list = &self.endpoints;
         // Where nobody is bound the list itself is all there is; cold hosts of it come with a table alone.
-        let listed = list
-            .hosts
-            .iter()
-            .filter(|(host, k)| k.state == EndpointState::Ready && !list.is_warming_up(host, now));
-        let listed: BTreeMap<HostId, f64> = listed
-            .map(|(host, k)| (host.clone(), k.entry.weight))
-            .collect();
-        let weights = |table: &TableId| {
-            self.tables
-                .by_id
-                .get(table)
-                .map(|assignment| (*table, &assignment.weights))
-        };
-        let mut tables = BTreeMap::new();
-        let mut last = BTreeSet::new();
-        names.last_answer_until = None;
-        for (table, weights) in used.iter().filter_map(weights).chain([(STANDING, &listed)]) {
-            let (lines, until) = names.lines(now, weights, table, list);
-            if let Some(until) = until {
-                last.insert(table);
-                names.last_answer_until = Some(
-                    names
-                        .last_answer_until
-                        .map_or(until, |other| other.min(until)),
-                );
-            }
-            tables.insert(table, lines);
-        }
-        let hosts = list
+        let listed: BTreeMap<HostId, f64> = list
             .hosts
             .iter()
-            .map(|(host, known)| (host.clone(), known.entry.address))
+            .filter(|(host, known)| {
+                known.state == EndpointState::Ready && !list.is_warming_up(host, self.now)
+            })
+            .map(|(host, known)| (host.clone(), known.entry.weight))
             .collect();
-        let old = &names.view;
-        let unknown_proxies = names.unknown_proxies.clone();
-        let view = View {
-            serial: old.serial,
-            tables,
-            bound,
-            hosts,
-            last,
-            strangers: unknown_proxies,
-        };
-        if view == **old {
-            return;
-        }
-        // Seconds since 1970, so that a controller that starts again never goes back.
-        let serial = old
-            .serial
-            .wrapping_add(1)
-            .max((micros(now) / 1_000_000) as u32);
-        for (table, lines) in &view.tables {
-            if old.tables.get(table) != Some(lines) {
-                let all: f64 = lines.iter().map(|line| line.weight).sum();
-                let named = |line: &Line| {
-                    let started = list
-                        .hosts
-                        .get(&line.host)
-                        .map(|known| known.started)
-                        .unwrap_or_default();
-                    (
-                        line.host.clone(),
-                        Named {
-                            part: line.weight / all.max(1e-9),
-                            addr: line.addr,
-                            started,
-                        },
-                    )
-                };
-                names
-                    .held
-                    .changed(now, serial, *table, lines.iter().map(named).collect());
-            }
-        }
-        for table in old
-            .tables
-            .keys()
-            .filter(|table| !view.tables.contains_key(table))
-        {
-            names.held.changed(now, serial, *table, BTreeMap::new());
-        }
-        names.view = Arc::new(View { serial, ..view });
-        self.outputs.push_back(Output::DnsViewChanged { serial });
-        // After the view, so that what they fetch is it.
-        names.secondaries.changed(now, serial);
-        for secondary in names.secondaries.say(now) {
-            self.outputs
-                .push_back(Output::NotifySecondary { secondary });
-        }
+        used.into_iter()
+            .filter_map(|table| {
+                let assignment = self.tables.by_id.get(&table)?;
+                Some((table, assignment.weights.clone()))
+            })
+            .chain([(STANDING, listed)])
+            .collect()
     }
 }
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -3,12 +3,13 @@
 
 use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
+use crate::time::micros;
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
-use pondarch_controller::{EndpointState, HostId, ProxyId, TableId, Time};
+use pondarch_controller::{EndpointState, HostId, ProxyId, RequestClassId, TableId, Time};
 use pondarch_dns_core::{Held, Lifetime, Members, Named, Secondaries};
 use pondarch_dns_server::{Line, View};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -244,6 +245,67 @@
             .collect()
     }
 
+    /// What is to be answered from these weights; its serial is that of the present view.
+    pub(crate) fn build_view(
+        &mut self,
+        now: Time,
+        bound: BTreeMap<(ProxyId, RequestClassId), TableId>,
+        weights: &[(TableId, BTreeMap<HostId, f64>)],
+        list: &EndpointList,
+    ) -> View {
+        let mut tables = BTreeMap::new();
+        let mut last = BTreeSet::new();
+        self.last_answer_until = None;
+        for (table, weights) in weights {
+            let (lines, until) = self.lines(now, weights, *table, list);
+            if let Some(until) = until {
+                last.insert(*table);
+                self.last_answer_until = Some(
+                    self.last_answer_until
+                        .map_or(until, |other| other.min(until)),
+                );
+            }
+            tables.insert(*table, lines);
+        }
+        View {
+            serial: self.view.serial,
+            tables,
+            bound,
+            hosts: list
+                .hosts
+                .iter()
+                .map(|(host, known)| (host.clone(), known.entry.address))
+                .collect(),
+            last,
+            strangers: self.unknown_proxies.clone(),
+        }
+    }
+
+    /// Replaces the view, and notes what caches may hold of each table that changed; gives the new serial.
+    pub(crate) fn publish_view(&mut self, now: Time, view: View, list: &EndpointList) -> u32 {
+        let old = &self.view;
+        // Seconds since 1970, so that a controller that starts again never goes back.
+        let serial = old
+            .serial
+            .wrapping_add(1)
+            .max((micros(now) / 1_000_000) as u32);
+        for (table, lines) in &view.tables {
+            if old.tables.get(table) != Some(lines) {
+                self.held
+                    .changed(now, serial, *table, named_lines(lines, list));
+            }
+        }
+        for table in old
+            .tables
+            .keys()
+            .filter(|table| !view.tables.contains_key(table))
+        {
+            self.held.changed(now, serial, *table, BTreeMap::new());
+        }
+        self.view = Arc::new(View { serial, ..view });
+        serial
+    }
+
     /// A table's lines as they are to be answered, and whether they are only what it last had.
     pub(crate) fn lines(
         &self,
@@ -286,3 +348,26 @@
         (last, ends)
     }
 }
+
+/// The lines of a table as caches may hold them.
+fn named_lines(lines: &[Line], list: &EndpointList) -> BTreeMap<HostId, Named> {
+    let all: f64 = lines.iter().map(|line| line.weight).sum();
+    lines
+        .iter()
+        .map(|line| {
+            let started = list
+                .hosts
+                .get(&line.host)
+                .map(|known| known.started)
+                .unwrap_or_default();
+            (
+                line.host.clone(),
+                Named {
+                    part: line.weight / all.max(1e-9),
+                    addr: line.addr,
+                    started,
+                },
+            )
+        })
+        .collect()
+}
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -8,22 +8,32 @@
 use pondarch_controller::EndpointState;
 use pondarch_runtime_api::info::Info;
 
+/// All figures, in the order in which operators read them.
 pub(crate) fn info(core: &DaemonState) -> Info {
     let mut info = Info::default();
+    put_process(&mut info, core);
+    put_endpoints(&mut info, core);
+    put_proxies(&mut info, core);
+    put_weights(&mut info, core);
+    if let Some(dns) = &core.dns {
+        put_dns(&mut info, core, dns);
+    }
+    if let Some(event_log) = &core.event_log {
+        put_event_log(&mut info, event_log);
+    }
+    if core.pushed_reports.enabled {
+        put_reports(&mut info, core);
+    }
+    for purpose in pondarch_load_ingestion::account::PURPOSES {
+        let word = purpose.word();
+        info.put(&format!("Memory_{word}"), core.memory.of(purpose).bytes);
+    }
+    put_updates(&mut info, core);
+    info
+}
+
+fn put_process(info: &mut Info, core: &DaemonState) {
     let now = core.now;
-    let list = &core.endpoints;
-    let open = |s: EndpointState| list.hosts.values().filter(|k| k.state == s).count();
-    let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
-    let cold = list
-        .hosts
-        .keys()
-        .filter(|host| list.is_warming_up(host, now))
-        .count();
-    let behind = core
-        .peers
-        .iter()
-        .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
-        .count();
     info.put("Name", "pondarch");
     info.put("Version", env!("CARGO_PKG_VERSION"));
     info.put("Pid", core.process);
@@ -33,20 +43,47 @@
         crate::time::micros(core.started) / 1_000_000,
     );
     info.put("Node", &core.name);
+}
+
+fn put_endpoints(info: &mut Info, core: &DaemonState) {
+    let list = &core.endpoints;
+    let count = |state: EndpointState| {
+        list.hosts
+            .values()
+            .filter(|known| known.state == state)
+            .count()
+    };
+    let cold = list
+        .hosts
+        .keys()
+        .filter(|host| list.is_warming_up(host, core.now))
+        .count();
     info.put("ListVersion", list.generation);
     info.put(
         "ListRefused",
         list.rejected_reason.as_deref().unwrap_or("-"),
     );
-    info.put("HostsReady", open(EndpointState::Ready));
-    info.put("HostsDraining", open(EndpointState::Draining));
-    info.put("HostsGone", open(EndpointState::Removed));
+    info.put("HostsReady", count(EndpointState::Ready));
+    info.put("HostsDraining", count(EndpointState::Draining));
+    info.put("HostsGone", count(EndpointState::Removed));
     info.put("HostsCold", cold);
+}
+
+fn put_proxies(info: &mut Info, core: &DaemonState) {
+    let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
+    let behind = core
+        .peers
+        .iter()
+        .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
+        .count();
     let unknown_proxies = core.dns.as_ref().map_or(0, DnsState::unknown_proxies);
     info.put("Proxies", core.peers.len() - unknown_proxies);
     info.put("ProxiesJoined", joined);
     info.put("ProxiesBehind", behind);
     info.put("Tables", core.tables.by_id.len());
+}
+
+fn put_weights(info: &mut Info, core: &DaemonState) {
     let source = core
         .weight_planner
         .as_ref()
@@ -59,19 +96,9 @@
             .and_then(WeightPlanner::failed)
             .unwrap_or("-"),
     );
-    if let Some(dns) = &core.dns {
-        put_dns(&mut info, core, dns);
-    }
-    if let Some(event_log) = &core.event_log {
-        put_event_log(&mut info, event_log);
-    }
-    if core.pushed_reports.enabled {
-        put_reports(&mut info, core);
-    }
-    for purpose in pondarch_load_ingestion::account::PURPOSES {
-        let word = purpose.word();
-        info.put(&format!("Memory_{word}"), core.memory.of(purpose).bytes);
-    }
+}
+
+fn put_updates(info: &mut Info, core: &DaemonState) {
     info.put("LinesWaiting", core.update_queue.waiting().round() as u64);
     info.put(
         "LinesOrdered",
@@ -87,7 +114,6 @@
             .map(|peer| peer.commands_rejected)
             .sum::<u64>(),
     );
-    info
 }
 
 fn put_dns(info: &mut Info, core: &DaemonState, dns: &DnsState) {
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -18,9 +18,6 @@
 //! - `recovered_state`, `recovery`: what a controller that starts again must still know; taken over and given out.
 //! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the map that operators set.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines)]
-
 mod apply;
 mod core;
 mod decisions;
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -13,7 +13,7 @@
     /// A round is over: its lines go to the module, within the budget, each with how old it is.
     pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
         let now = self.now;
-        let every = self.report_interval;
+        let interval = self.report_interval;
         let stale = gathered
             .iter()
             .filter(|(_, of)| now - of.oldest_at >= age::STALE)
@@ -22,38 +22,7 @@
             .into_iter()
             .filter(|(_, of)| now - of.oldest_at < age::STALE)
             .collect();
-        let budget = self.max_outcomes_per_second.map_or(usize::MAX, |lines| {
-            (lines * every.seconds()).max(1.0) as usize
-        });
-        let mut kept = 0;
-        if gathered.len() > budget {
-            let candidates: Vec<Candidate> = gathered
-                .iter()
-                .map(|(host, of)| self.candidate(host, of))
-                .collect();
-            let chosen = self.selection.among(now, every, &candidates, budget);
-            let mut n = 0;
-            let told = |_: &mut (HostId, AggregatedOutcomes)| {
-                n += 1;
-                chosen.binary_search(&(n - 1)).is_err()
-            };
-            let rest: Vec<_> = gathered.extract_if(.., told).collect();
-            kept = rest.len();
-            let fades = age::faded(every);
-            for (host, of) in rest {
-                let outcomes = AttemptOutcomes {
-                    attempts: of.outcomes.attempts * fades,
-                    failures: of.outcomes.failures * fades,
-                    ..of.outcomes
-                };
-                let outcomes = AttemptOutcomes {
-                    period: outcomes.period + every,
-                    ..outcomes
-                };
-                self.outcomes
-                    .defer(host, AggregatedOutcomes { outcomes, ..of });
-            }
-        }
+        let deferred = self.defer_beyond_budget(&mut gathered);
         let oldest = gathered
             .iter()
             .map(|(_, of)| now - of.oldest_at)
@@ -70,12 +39,12 @@
         {
             lines.entry(host).or_insert(outcomes);
         }
-        if !lines.is_empty() || kept > 0 {
+        if !lines.is_empty() || deferred > 0 {
             let hosts = lines.len();
             let oldest_us = oldest.micros();
             self.outputs.push_back(Output::LoadReportsApplied {
                 hosts,
-                deferred: kept,
+                deferred,
                 oldest_us,
                 dropped: stale,
             });
@@ -83,18 +52,66 @@
         let fresh = self
             .load_interval
             .unwrap_or(Duration::ZERO)
-            .max(every)
+            .max(interval)
             .scaled(MAX_LOAD_REPORT_PERIODS);
+        self.record_outcomes(lines, fresh);
+        self.record_observations(fresh);
+        self.log_rejected_reports();
+        self.enforce_memory_limits();
+    }
+
+    /// Keeps as many as may be applied now and puts the others off to the next interval; gives how many were put off.
+    fn defer_beyond_budget(&mut self, gathered: &mut Vec<(HostId, AggregatedOutcomes)>) -> usize {
+        let now = self.now;
+        let interval = self.report_interval;
+        let budget = self
+            .max_outcomes_per_second
+            .map_or(usize::MAX, |per_second| {
+                (per_second * interval.seconds()).max(1.0) as usize
+            });
+        if gathered.len() <= budget {
+            return 0;
+        }
+        let candidates: Vec<Candidate> = gathered
+            .iter()
+            .map(|(host, of)| self.candidate(host, of))
+            .collect();
+        let chosen = self.selection.among(now, interval, &candidates, budget);
+        let mut n = 0;
+        let not_chosen = |_: &mut (HostId, AggregatedOutcomes)| {
+            n += 1;
+            chosen.binary_search(&(n - 1)).is_err()
+        };
+        let rest: Vec<_> = gathered.extract_if(.., not_chosen).collect();
+        let deferred = rest.len();
+        let decay = age::faded(interval);
+        for (host, of) in rest {
+            let outcomes = AttemptOutcomes {
+                attempts: of.outcomes.attempts * decay,
+                failures: of.outcomes.failures * decay,
+                period: of.outcomes.period + interval,
+                ..of.outcomes
+            };
+            self.outcomes
+                .defer(host, AggregatedOutcomes { outcomes, ..of });
+        }
+        deferred
+    }
+
+    /// Gives outcomes to the decisions, each with the load of its host if that is recent enough.
+    fn record_outcomes(&mut self, lines: BTreeMap<HostId, AttemptOutcomes>, fresh: Duration) {
+        let now = self.now;
         for (host, outcomes) in lines {
             let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
-            let load = load.map(|(_, told)| told.host_load());
+            let load = load.map(|(_, load)| load.host_load());
             let outcomes = AttemptOutcomes { load, ..outcomes };
             self.controller.record_outcomes(now, &host, outcomes);
             self.outcomes_applied_at.insert(host.clone(), now);
             self.last_outcomes.insert(host, outcomes);
         }
-        self.record_observations(fresh);
-        self.log_rejected_reports();
+    }
+
+    fn enforce_memory_limits(&mut self) {
         let reports =
             self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
         if !self.memory.takes(Purpose::Reports, reports) {
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -1,9 +1,9 @@
 //! Reports that proxies and hosts push: who sends them, what of them counts, and how old it is. A proxy's pushed counters are
 //! the same that `show stat` tells: whichever comes, each count is taken once, and where pushes fall silent it is read again.
 
-use pondarch_controller::Time;
-use pondarch_load_ingestion::{Clocks, Order, Silence};
-use pondarch_load_report_protocol::{Body, Counted, SenderIs};
+use pondarch_controller::{DurationExt, Time};
+use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
+use pondarch_load_report_protocol::{Body, Counted, Report, SenderIs};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -59,6 +59,15 @@
     pub(crate) last_rejected: Option<String>,
 }
 
+/// A report that counts.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AcceptedReport {
+    /// When it was sent, by the controller's clock, as far as that is known.
+    pub(crate) sent_at: Option<Time>,
+    /// Whether it is recent enough to be evidence.
+    pub(crate) fresh: bool,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct PushedReports {
     /// Whether there is anywhere to push to.
@@ -83,6 +92,60 @@
         self.senders.len()
     }
 
+    /// Counts a report of this sender, and decides whether its contents count.
+    pub(crate) fn accept(
+        &mut self,
+        now: Time,
+        name: &str,
+        incarnation: u64,
+        report: &Report,
+    ) -> Option<AcceptedReport> {
+        let history = self.histories.entry(name.to_string()).or_default();
+        let counters = &mut self.counters;
+        counters.received += 1;
+        match history.order.came(incarnation, report.number) {
+            Verdict::Newest { missing } => counters.missing += missing,
+            Verdict::Restarted => {
+                counters.restarted += 1;
+                history.last_counts.clear();
+            }
+            Verdict::Late => {
+                counters.late += 1;
+                return None;
+            }
+            Verdict::Doubled => {
+                counters.duplicate += 1;
+                return None;
+            }
+        }
+        let echo = (report.word_us > 0).then(|| {
+            (
+                Time::from_micros(report.word_us),
+                Duration::from_micros(report.had_us.min(86_400_000_000)),
+            )
+        });
+        let mapped = history.clocks.came(now, report.sent_us, echo);
+        if mapped.jumped {
+            counters.clock_jumps += 1;
+        }
+        let sent_at = mapped.sent();
+        let elapsed = sent_at
+            .map_or(Duration::ZERO, |sent| sent - history.last_at)
+            .max(Duration::from_millis(100));
+        if let Some(odd) = odd(&report.body, history, elapsed.seconds()) {
+            counters.rejected += 1;
+            counters.last_rejected = Some(format!("{name}: {odd}"));
+            return None;
+        }
+        history.last_at = sent_at.unwrap_or(history.last_at);
+        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
+        let fresh = sent_at.is_some_and(|sent| now - sent < age::STALE);
+        if !fresh {
+            counters.stale += 1;
+        }
+        Some(AcceptedReport { sent_at, fresh })
+    }
+
     /// What all of it takes, in bytes, roughly.
     pub(crate) fn bytes(&self) -> u64 {
         self.histories
@@ -135,7 +198,7 @@
 }
 
 /// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-pub(crate) fn odd(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
+fn odd(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
     let within = |what: &str, figure: Option<f64>, most: f64| {
         let odd = figure.filter(|figure| !(0.0..=most).contains(figure))?;
         Some(format!("{what} of {odd}"))
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -2,18 +2,16 @@
 
 use crate::event::Event;
 use crate::output::Output;
-use crate::pushed_reports::{REPORT_CREDIT, Sender, odd, row};
+use crate::pushed_reports::{AcceptedReport, REPORT_CREDIT, Sender, row};
 use crate::reported_load::ReportedLoad;
 use crate::state::DaemonState;
 use crate::time::micros;
-use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
-use pondarch_load_ingestion::{Verdict, age};
+use pondarch_load_ingestion::age;
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
 
 impl DaemonState {
     pub(crate) fn on_sender_connected(
@@ -23,26 +21,7 @@
         role: SenderIs,
         incarnation: u64,
     ) {
-        let refused = match role {
-            SenderIs::Proxy
-                if !self
-                    .peers
-                    .iter()
-                    .any(|peer| peer.has_runtime() && peer.name == name) =>
-            {
-                Some("no proxy of this steward has that name")
-            }
-            SenderIs::Host
-                if !self
-                    .endpoints
-                    .hosts
-                    .contains_key(&HostId(name.as_str().into())) =>
-            {
-                Some("no host of the list has that name")
-            }
-            _ => None,
-        };
-        if let Some(reason) = refused {
+        if let Some(reason) = self.sender_rejection(&name, role) {
             self.pushed_reports.counters.unknown_senders += 1;
             return self.outputs.push_back(Output::RejectSender {
                 connection,
@@ -78,22 +57,31 @@
         });
     }
 
+    /// Why a sender of this name is not accepted, if it is not.
+    fn sender_rejection(&self, name: &str, role: SenderIs) -> Option<&'static str> {
+        match role {
+            SenderIs::Proxy
+                if !self
+                    .peers
+                    .iter()
+                    .any(|peer| peer.has_runtime() && peer.name == name) =>
+            {
+                Some("no proxy of this steward has that name")
+            }
+            SenderIs::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
+                Some("no host of the list has that name")
+            }
+            _ => None,
+        }
+    }
+
     pub(crate) fn on_sender_disconnected(&mut self, connection: u64) {
         self.pushed_reports.senders.remove(&connection);
     }
 
     pub(crate) fn on_report(&mut self, connection: u64, mut report: Report) {
         let now = self.now;
-        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
-        let hosts = &self.endpoints.hosts;
-        let listed = |of: &Counted| {
-            of.server
-                .as_ref()
-                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
-        };
-        let before = report.body.counted.len();
-        report.body.counted.retain(listed);
-        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+        self.retain_listed_hosts(&mut report);
         let Some(Sender {
             name,
             role,
@@ -110,51 +98,17 @@
             reports: 1,
             at_us: micros(now),
         });
-        let known = self
-            .pushed_reports
-            .histories
-            .entry(name.clone())
-            .or_default();
-        let counts = &mut self.pushed_reports.counters;
-        counts.received += 1;
-        match known.order.came(incarnation, report.number) {
-            Verdict::Newest { missing } => counts.missing += missing,
-            Verdict::Restarted => {
-                counts.restarted += 1;
-                known.last_counts.clear();
-            }
-            Verdict::Late => return counts.late += 1,
-            Verdict::Doubled => return counts.duplicate += 1,
-        }
-        let word = (report.word_us > 0).then(|| {
-            (
-                Time::from_micros(report.word_us),
-                Duration::from_micros(report.had_us.min(86_400_000_000)),
-            )
-        });
-        let mapped = known.clocks.came(now, report.sent_us, word);
-        if mapped.jumped {
-            counts.clock_jumps += 1;
-        }
-        let sent = mapped.sent();
-        let over = sent
-            .map_or(Duration::ZERO, |sent| sent - known.last_at)
-            .max(Duration::from_millis(100));
-        if let Some(odd) = odd(&report.body, known, over.seconds()) {
-            counts.rejected += 1;
-            counts.last_rejected = Some(format!("{name}: {odd}"));
+        let Some(AcceptedReport {
+            sent_at: sent,
+            fresh,
+        }) = self.pushed_reports.accept(now, &name, incarnation, &report)
+        else {
             return;
-        }
-        known.last_at = sent.unwrap_or(known.last_at);
-        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
-        let fresh = sent.is_some_and(|sent| now - sent < age::STALE);
-        if !fresh {
-            counts.stale += 1;
-        }
+        };
         match role {
             SenderIs::Host => {
                 if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
-                    let told = ReportedLoad {
+                    let load = ReportedLoad {
                         utilization: own.busy,
                         queue_length: own.waiting,
                         service_time_ms: own.service_ms,
@@ -162,13 +116,26 @@
                         failure_rate: own.errored_rate,
                     };
                     self.loads
-                        .insert(HostId(name.as_str().into()), (sent, told));
+                        .insert(HostId(name.as_str().into()), (sent, load));
                 }
             }
             SenderIs::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counted),
         }
     }
 
+    fn retain_listed_hosts(&mut self, report: &mut Report) {
+        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
+        let hosts = &self.endpoints.hosts;
+        let listed = |of: &Counted| {
+            of.server
+                .as_ref()
+                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
+        };
+        let before = report.body.counted.len();
+        report.body.counted.retain(listed);
+        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+    }
+
     fn on_proxy_report(
         &mut self,
         name: &str,
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -108,21 +108,7 @@
     pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
         let deployment = site.ticket();
         let mark = format!("{}:{epoch}", site.name);
-        let front = Arc::new(front(site, &mark));
-        let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
-        let peer = |(n, p): (usize, &pondarch_config::site::Proxy)| {
-            Peer::new(n, p, zone(&p.zone), front.clone(), now)
-        };
-        let of = &site.channel;
-        let channel = UpdateQueue::new(
-            of.lines_per_second,
-            of.lines_per_message,
-            of.most_waiting,
-            of.message_cap,
-            of.message_window.0,
-            now,
-        );
-        let load_every = site
+        let load_interval = site
             .probes
             .as_ref()
             .and_then(|probes| probes.load_every)
@@ -131,7 +117,7 @@
             name: site.name.clone(),
             request_classes: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
             links: site.links.clone(),
-            load_interval: load_every,
+            load_interval,
             report_interval: site.reports.every.0,
             admits_by_rate: deployment.admission == AdmissionMode::Rate,
             process,
@@ -143,21 +129,15 @@
                 .then(|| WeightPlanner::new(site, now)),
             dns: DnsState::new(site),
             tables: TableAssignments::default(),
-            peers: site
-                .proxies
-                .iter()
-                .chain(&dns_state::unknown_proxies(site))
-                .enumerate()
-                .map(peer)
-                .collect(),
-            update_queue: channel,
+            peers: peers(site, &mark, now),
+            update_queue: update_queue(site, now),
             outcomes: OutcomeAggregator::new(site.reports.every.0, now),
             random: fastrand::Rng::with_seed(seed),
             controller: Controller::new(deployment, seed, now),
             timer_at: None,
             loads: BTreeMap::new(),
             last_outcomes: BTreeMap::new(),
-            next_load_read_at: load_every.map(|every| now + every),
+            next_load_read_at: load_interval.map(|every| now + every),
             outcomes_applied_at: BTreeMap::new(),
             max_outcomes_per_second: site.reports.lines_per_second,
             selection: Choice::new(seed),
@@ -235,6 +215,30 @@
     }
 }
 
+/// The proxies by their numbers: those of the settings, then those that stand for unknown ones.
+fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
+    let front = Arc::new(front(site, mark));
+    let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
+    site.proxies
+        .iter()
+        .chain(&dns_state::unknown_proxies(site))
+        .enumerate()
+        .map(|(n, proxy)| Peer::new(n, proxy, zone(&proxy.zone), front.clone(), now))
+        .collect()
+}
+
+fn update_queue(site: &Site, now: Time) -> UpdateQueue {
+    let limits = &site.channel;
+    UpdateQueue::new(
+        limits.lines_per_second,
+        limits.lines_per_message,
+        limits.most_waiting,
+        limits.message_cap,
+        limits.message_window.0,
+        now,
+    )
+}
+
 fn front(site: &Site, mark: &str) -> Front {
     let kind = |kind: &pondarch_config::site::Kind| FrontKind {
         name: kind.name.clone(),
