--- a/crates/daemon-core/tests/in_memory/dns.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -1,26 +1,27 @@
-//! Proxies that take their tables from the DNS front.
+//! Proxies that take their tables from the DNS server.
+
+mod answers;
+mod restarted_hosts;
+mod secondaries;
 
 use crate::simulated_fleet::*;
 use pondarch_config::Length;
-use pondarch_config::hosts::HostState;
 use pondarch_config::site::{Dns, Secondary};
 use pondarch_controller::{ProxyId, TableId};
-use pondarch_daemon_core::{Event, Input, Output, ReportedLoad};
-use pondarch_dns_core::Heard;
+use pondarch_daemon_core::{Event, Input, ReportedLoad};
 use pondarch_dns_server::STANDING;
-use std::collections::{BTreeMap, VecDeque};
 
-/// Two proxies with a runtime API, and two that ask for names; answers live 4 s, or 3 s with secondaries.
+/// Two proxies with a runtime API, and two that query the DNS server; answers live 4 s, or 3 s with secondaries.
 fn fleet() -> SimulatedFleet {
-    town_with(Vec::new())
+    fleet_with_secondaries(Vec::new())
 }
 
-fn town_with(secondaries: Vec<Secondary>) -> SimulatedFleet {
-    town_of(secondaries, &[2, 3])
+fn fleet_with_secondaries(secondaries: Vec<Secondary>) -> SimulatedFleet {
+    fleet_with_dns_proxies(secondaries, &[2, 3])
 }
 
-/// These of four proxies ask by name.
-fn town_of(secondaries: Vec<Secondary>, by_name: &[usize]) -> SimulatedFleet {
+/// Four proxies, of which these query the DNS server.
+fn fleet_with_dns_proxies(secondaries: Vec<Secondary>, by_name: &[usize]) -> SimulatedFleet {
     let mut site = site(4);
     site.dns = Some(Dns {
         zone: "pond.example".into(),
@@ -40,7 +41,7 @@
     fleet
 }
 
-fn asks(fleet: &mut SimulatedFleet, proxy: u16) {
+fn query(fleet: &mut SimulatedFleet, proxy: u16) {
     let view = fleet.core.view();
     let table = view
         .table_of(
@@ -66,17 +67,17 @@
 }
 
 #[test]
-fn who_asks_is_joined_and_bound_and_who_asks_no_more_has_left() {
+fn a_proxy_that_queries_is_joined_and_bound_and_one_that_stopped_has_left() {
     let mut fleet = fleet();
     assert!(bound(&fleet, 2).is_none());
-    asks(&mut fleet, 2);
+    query(&mut fleet, 2);
     fleet.run(1_000);
     let table = bound(&fleet, 2).expect("bound");
     assert!(!fleet.core.view().lines(table).is_empty());
     assert!(bound(&fleet, 3).is_none());
     for _ in 0..10 {
         fleet.run(3_000);
-        asks(&mut fleet, 2);
+        query(&mut fleet, 2);
     }
     assert_eq!(
         bound(&fleet, 2),
@@ -91,14 +92,14 @@
     assert_eq!(fleet.info("NamesAsking"), 0);
     // Those with a runtime API are not touched by any of it.
     assert_eq!(fleet.info("ProxiesJoined"), 2);
-    asks(&mut fleet, 0);
+    query(&mut fleet, 0);
     assert_eq!(fleet.info("NamesAsking"), 0);
 }
 
-/// A table that the module keeps no longer may name hosts that hang or start cold: strangers are bound like proxies, and
-/// what nobody is bound to is given to nobody.
+/// A table that the decisions keep no longer may name hosts that hang or start cold: unknown proxies are bound like
+/// known ones, and a table that nobody is bound to is answered to nobody.
 #[test]
-fn strangers_are_bound_like_proxies_and_no_other_table_is_given_away() {
+fn unknown_proxies_are_bound_like_proxies_and_no_other_table_is_answered() {
     let mut fleet = fleet();
     let first = fleet.core.view();
     let standing = first
@@ -106,9 +107,9 @@
         .expect("the list itself");
     assert!(standing == STANDING && first.lines(standing).len() == 12);
     for mark in 0..40 {
-        let stranger = first.stranger(mark).map(|id| id.0);
+        let unknown_proxy = first.stranger(mark).map(|id| id.0);
         fleet.give(Input::DnsQueried {
-            proxy: stranger,
+            proxy: unknown_proxy,
             table: Some(STANDING.0),
             serial: first.serial,
         });
@@ -122,7 +123,7 @@
         ),
         (4, 0, 4)
     );
-    asks(&mut fleet, 2);
+    query(&mut fleet, 2);
     fleet.run(500);
     for _ in 0..20 {
         let view = fleet.core.view();
@@ -134,47 +135,32 @@
                 .is_some()
         );
         fleet.run(2_000);
-        asks(&mut fleet, 2);
+        query(&mut fleet, 2);
     }
-    assert_eq!(fleet.info("NamesStrangersAsking"), 0, "they asked no more");
+    assert_eq!(
+        fleet.info("NamesStrangersAsking"),
+        0,
+        "they stopped querying"
+    );
     assert_eq!(fleet.info("NamesAsking"), 1);
 }
 
-/// What hosts say of themselves, where no proxy brings sums: one is as busy as can be, one says nothing.
+/// Load reports of the hosts themselves, where no proxy reports outcomes: one host is fully busy, one is silent.
 #[test]
-fn a_host_that_only_plain_proxies_meet_is_judged_by_its_own_word() {
-    let mut fleet = town_of(Vec::new(), &[0, 1, 2, 3]);
-    let word = |n: usize| ReportedLoad {
-        utilization: Some(if n == 5 { 1.0 } else { 0.3 }),
-        queue_length: Some(if n == 5 { 9.0 } else { 0.0 }),
-        service_time_ms: None,
-        request_rate: Some(8.0),
-        failure_rate: Some(0.0),
-    };
-    let weight = |fleet: &SimulatedFleet, name: &str| {
-        let view = fleet.core.view();
-        let lines = view
-            .tables
-            .iter()
-            .filter(|(table, _)| **table != STANDING)
-            .flat_map(|(_, lines)| lines);
-        lines
-            .filter(|line| *line.host.0 == *name)
-            .map(|line| line.weight)
-            .sum::<f64>()
-    };
+fn a_host_that_only_dns_proxies_use_is_judged_by_its_own_load_report() {
+    let mut fleet = fleet_with_dns_proxies(Vec::new(), &[0, 1, 2, 3]);
     let mut before = (0.0, 0.0);
     for step in 0..60 {
-        (0..4).for_each(|proxy| asks(&mut fleet, proxy));
+        (0..4).for_each(|proxy| query(&mut fleet, proxy));
         for n in (0..12).filter(|n| step < 20 || *n != 7) {
             let load = Some(if step < 20 {
                 ReportedLoad {
                     utilization: Some(0.3),
                     queue_length: Some(0.0),
-                    ..word(n)
+                    ..load_of(n)
                 }
             } else {
-                word(n)
+                load_of(n)
             });
             fleet.give(Input::HealthCheckCompleted {
                 host: format!("host-{n}"),
@@ -184,12 +170,18 @@
             });
         }
         if step == 19 {
-            before = (weight(&fleet, "host-5"), weight(&fleet, "host-7"));
+            before = (
+                weight_outside_list(&fleet, "host-5"),
+                weight_outside_list(&fleet, "host-7"),
+            );
         }
         fleet.run(500);
     }
     assert!(before.0 > 0.0 && before.1 > 0.0);
-    let after = (weight(&fleet, "host-5"), weight(&fleet, "host-7"));
+    let after = (
+        weight_outside_list(&fleet, "host-5"),
+        weight_outside_list(&fleet, "host-7"),
+    );
     assert!(
         after.0 < before.0 * 0.7,
         "busy: {} after {}",
@@ -204,319 +196,27 @@
     );
 }
 
-#[test]
-fn a_drain_leaves_the_answers_at_once_and_lingers_no_longer_than_the_grace() {
-    let mut fleet = fleet();
-    asks(&mut fleet, 2);
-    fleet.run(1_000);
-    asks(&mut fleet, 2);
-    let table = bound(&fleet, 2).expect("bound");
-    let host_of = fleet.core.view().lines(table)[0].host.clone();
-    let serial = fleet.core.view().serial;
-    // The drain is learnt just after an answer.
-    let told = fleet.now;
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts
-        .iter_mut()
-        .filter(|host| *host.name == *host_of.0)
-        .for_each(|host| host.state = HostState::Drain);
-    fleet.list(hosts);
-    let view = fleet.core.view();
-    assert!(view.serial > serial);
-    assert!(
-        view.tables
-            .values()
-            .flatten()
-            .all(|line| line.host != host_of),
-        "it is answered no more"
-    );
-    let lingering = fleet.command(1, "show map lingering");
-    assert!(lingering.contains(&*host_of.0), "{lingering}");
-    fleet.run(6_000);
-    assert!(fleet.now - told <= 6_000_000);
-    assert!(!fleet.command(1, "show map lingering").contains(&*host_of.0));
-}
-
-#[test]
-fn an_emptied_list_and_a_refilled_one() {
-    let mut fleet = fleet();
-    asks(&mut fleet, 2);
-    fleet.run(1_000);
-    let table = bound(&fleet, 2).expect("bound");
-    let before = fleet.core.view().lines(table).to_vec();
-    fleet.list(Vec::new());
-    fleet.run(1_000);
-    // What the table last had is given for as long as it runs out within the grace, and no longer.
-    let view = fleet.core.view();
-    assert!(view.last.contains(&table) && view.lines(table) == before);
-    fleet.run(2_450);
-    assert!(!fleet.core.view().lines(table).is_empty());
-    fleet.run(100);
-    assert!(
-        fleet.core.view().lines(table).is_empty(),
-        "the grace ends in 2.5 s: 0.5 to learn, 1 held, 1 counted"
-    );
-    assert_eq!(bound(&fleet, 2), Some(table), "still bound");
-    let serial = fleet.core.view().serial;
-    fleet.list((0..12).map(host).collect());
-    fleet.run(2_000);
-    asks(&mut fleet, 2);
-    fleet.run(1_000);
-    let view = fleet.core.view();
-    assert!(view.serial > serial && view.last.is_empty());
-    assert!(bound(&fleet, 2).is_some_and(|table| !view.lines(table).is_empty()));
-}
-
-/// A list that names one drained host fewer does not bring it back as a last answer.
-#[test]
-fn a_host_that_drained_long_ago_is_in_no_last_answer() {
-    let mut fleet = fleet();
-    asks(&mut fleet, 2);
-    fleet.run(1_000);
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts
-        .iter_mut()
-        .skip(1)
-        .for_each(|host| host.state = HostState::Drain);
-    fleet.list(hosts);
-    fleet.run(5_000);
-    fleet.list(Vec::new());
-    fleet.run(500);
-    let view = fleet.core.view();
-    let named: Vec<_> = view
-        .tables
-        .values()
-        .flatten()
-        .map(|line| &*line.host.0)
-        .collect();
-    assert!(
-        !named.is_empty() && named.iter().all(|name| *name == "host-0"),
-        "{named:?}"
-    );
-}
-
-/// Reqs a second of each proxy, and what a warm host can do, so that the fleet is at 0.6.
-const EACH: f64 = 1.8;
-const FALL_MULTIPLE: f64 = 2.5;
-
-/// What all proxies bring a host a second: those with a runtime API by what they hold, those that ask by what their
-/// caches hold.
-struct Load {
-    /// By proxy: until when its answer is held, and each host's part in it.
-    caches: BTreeMap<u16, (u64, BTreeMap<String, f64>)>,
-}
-
-impl Load {
-    fn at(&mut self, fleet: &mut SimulatedFleet, host: &str) -> f64 {
-        for proxy in [2, 3] {
-            if self
-                .caches
-                .get(&proxy)
-                .is_none_or(|(until, _)| *until <= fleet.now)
-            {
-                asks(fleet, proxy);
-                let view = fleet.core.view();
-                let table = view.table_of(
-                    Some(ProxyId(proxy)),
-                    pondarch_controller::RequestClassId(0),
-                    1,
-                );
-                let lines = table
-                    .map(|table| view.lines(table).to_vec())
-                    .unwrap_or_default();
-                let all: f64 = lines.iter().map(|line| line.weight).sum();
-                let parts = lines
-                    .iter()
-                    .map(|line| (line.host.0.to_string(), line.weight / all))
-                    .collect();
-                // The worst that a cache does: it counts whole seconds.
-                self.caches.insert(proxy, (fleet.now + 5 * SECOND, parts));
-            }
-        }
-        let held = self
-            .caches
-            .values()
-            .filter_map(|(_, parts)| parts.get(host))
-            .sum::<f64>();
-        let by_runtime = [0, 1].map(|n| {
-            let serving = fleet.serving(n, "proof");
-            let all: f64 = serving.values().map(|(_, weight)| f64::from(*weight)).sum();
-            serving
-                .get(host)
-                .map_or(0.0, |(_, weight)| f64::from(*weight) / all)
-        });
-        EACH * (held + by_runtime.iter().sum::<f64>())
-    }
-}
-
-/// A host is replaced under its own name and address: caches hold its old, heavy line, which nobody can take back, while
-/// the other front would bring it its new one on top.
-#[test]
-fn a_cold_host_is_not_pushed_over_by_both_fronts_together() {
-    let mut worst = 0.0f64;
-    for n in 0..12 {
-        let mut fleet = fleet();
-        let mut load = Load {
-            caches: BTreeMap::new(),
-        };
-        let name = format!("host-{n}");
-        for _ in 0..30 {
-            fleet.run(100);
-            load.at(&mut fleet, &name);
-        }
-        let start = fleet.now;
-        let mut hosts: Vec<_> = (0..12).map(host).collect();
-        hosts[n].started = Some(start as f64 / 1e6);
-        fleet.list(hosts);
-        let (mut brought, mut returned) = (VecDeque::new(), None);
-        while fleet.now < start + 18 * SECOND {
-            fleet.run(100);
-            let now = load.at(&mut fleet, &name);
-            brought.push_back(now * 0.1);
-            if brought.len() > 20 {
-                brought.pop_front();
-            }
-            let age = (fleet.now - start) as f64 / 1e6;
-            let share = 0.2 + 0.8 * age / 18.0;
-            // Answers from before the start are no steward's to take back; theirs have run out after 5.2 s.
-            if age > 5.3 {
-                let part = brought.iter().sum::<f64>() / (FALL_MULTIPLE * share * 2.0);
-                worst = worst.max(part);
-            }
-            let own = [0, 1]
-                .iter()
-                .any(|&p| fleet.serving(p, "proof").contains_key(&name));
-            let answered = fleet
-                .core
-                .view()
-                .tables
-                .values()
-                .flatten()
-                .any(|line| *line.host.0 == *name);
-            if age < 2.0
-                && load
-                    .caches
-                    .values()
-                    .any(|(_, parts)| parts.contains_key(&name))
-            {
-                assert!(
-                    !own && !answered,
-                    "{name} is met by old answers, and by new ones at {age} s"
-                );
-            }
-            if own || answered {
-                returned.get_or_insert(age);
-            }
-        }
-        assert!(
-            returned.is_some_and(|age| age < 8.0),
-            "{name} came back at {returned:?}"
-        );
+/// The load of host `n` in the second part: host 5 is fully busy.
+fn load_of(n: usize) -> ReportedLoad {
+    ReportedLoad {
+        utilization: Some(if n == 5 { 1.0 } else { 0.3 }),
+        queue_length: Some(if n == 5 { 9.0 } else { 0.0 }),
+        service_time_ms: None,
+        request_rate: Some(8.0),
+        failure_rate: Some(0.0),
     }
-    assert!(worst < 1.0, "{worst} of what a cold host bears");
 }
 
-#[test]
-fn a_host_that_is_alone_is_not_kept_out() {
-    let mut fleet = fleet();
-    fleet.list(vec![host(0)]);
-    fleet.run(8_000);
-    asks(&mut fleet, 2);
-    fleet.run(300);
-    let mut again = host(0);
-    again.started = Some(fleet.now as f64 / 1e6);
-    fleet.list(vec![again]);
-    fleet.run(300);
+/// The weight of a host over all tables but the list's own.
+fn weight_outside_list(fleet: &SimulatedFleet, name: &str) -> f64 {
     let view = fleet.core.view();
-    assert!(
-        view.tables.values().any(|lines| !lines.is_empty()),
-        "a cold host is better than none"
-    );
-    assert!(fleet.serving(0, "proof").contains_key("host-0"));
-}
-
-fn says(fleet: &mut SimulatedFleet) -> Vec<u16> {
-    let said = fleet.outputs.drain(..).filter_map(|output| match output {
-        Output::NotifySecondary { secondary } => Some(secondary),
-        _ => None,
-    });
-    said.collect()
-}
-
-#[test]
-fn secondaries_are_told_of_changes_and_what_they_still_serve_lingers() {
-    let secondary = |n: u16| Secondary {
-        address: ([127, 0, 0, 1], 5_300 + n).into(),
-        key: format!("second-{n}"),
-        secret_file: "none".into(),
-    };
-    let mut fleet = town_with(vec![secondary(0), secondary(1)]);
-    fleet.run(2_000);
-    let serial = fleet.core.view().serial;
-    for n in [0, 1] {
-        fleet.give(Input::SecondaryObserved {
-            index: n,
-            observation: Heard::Fetched(serial),
-        });
-    }
-    fleet.events.clear();
-    says(&mut fleet);
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts[3].state = HostState::Drain;
-    let told = fleet.now;
-    fleet.list(hosts);
-    assert_eq!(says(&mut fleet), [0, 1]);
-    let serial = fleet.core.view().serial;
-    fleet.give(Input::SecondaryObserved {
-        index: 0,
-        observation: Heard::Acknowledged,
-    });
-    fleet.give(Input::SecondaryObserved {
-        index: 0,
-        observation: Heard::Fetched(serial),
-    });
-    assert!(
-        fleet
-            .command(1, "show map secondaries")
-            .contains("second-1 holds")
-    );
-    // The other is cut off: it is told again, said to be late, and what it serves goes on lingering.
-    fleet.run(9_000);
-    assert!(says(&mut fleet).iter().filter(|n| **n == 1).count() >= 4);
-    let late = |event: &&Event| matches!(event, Event::SecondaryBehind { secondary } if secondary == "second-1");
-    assert_eq!(fleet.events.iter().filter(late).count(), 1);
-    assert!(fleet.command(1, "show map lingering").contains("host-3"));
-    let serial = fleet.core.view().serial;
-    fleet.give(Input::SecondaryObserved {
-        index: 0,
-        observation: Heard::Fetched(serial),
-    });
-    fleet.give(Input::SecondaryObserved {
-        index: 1,
-        observation: Heard::Fetched(serial),
-    });
-    let fetched = fleet.now;
-    while fleet.command(1, "show map lingering").contains("host-3") {
-        fleet.run(50);
-        assert!(
-            fleet.now - fetched < 4_500_000,
-            "answers live 3 s, and 1 for how caches count"
-        );
-    }
-    assert!(fleet.now - told > 12 * SECOND);
-}
-
-#[test]
-fn serials_never_go_back_when_a_steward_starts_again() {
-    let mut first = fleet();
-    for n in 0..8 {
-        let mut hosts: Vec<_> = (0..12).map(host).collect();
-        hosts[n].weight = 4.0;
-        first.list(hosts);
-        first.run(1_500);
-    }
-    let before = first.core.view().serial;
-    assert!(u64::from(before) >= START / SECOND, "seconds since 1970");
-    // Another process starts later than the first was last heard of.
-    assert!(u64::from(before) <= first.now / SECOND + 8, "{before}");
+    let lines = view
+        .tables
+        .iter()
+        .filter(|(table, _)| **table != STANDING)
+        .flat_map(|(_, lines)| lines);
+    lines
+        .filter(|line| *line.host.0 == *name)
+        .map(|line| line.weight)
+        .sum::<f64>()
 }
--- /dev/null
+++ b/crates/daemon-core/tests/in_memory/dns/secondaries.rs
@@ -0,0 +1,68 @@
+//! Secondary DNS servers: notified, fetching, cut off.
+
+use super::fleet_with_secondaries;
+use crate::simulated_fleet::*;
+use pondarch_config::hosts::HostState;
+use pondarch_config::site::Secondary;
+use pondarch_daemon_core::{Event, Input, Output};
+use pondarch_dns_core::Heard;
+
+fn notified(fleet: &mut SimulatedFleet) -> Vec<u16> {
+    let notified = fleet.outputs.drain(..).filter_map(|output| match output {
+        Output::NotifySecondary { secondary } => Some(secondary),
+        _ => None,
+    });
+    notified.collect()
+}
+
+fn observe(fleet: &mut SimulatedFleet, index: u16, observation: Heard) {
+    fleet.give(Input::SecondaryObserved { index, observation });
+}
+
+#[test]
+fn secondaries_are_notified_of_changes_and_hosts_they_still_serve_linger() {
+    let secondary = |n: u16| Secondary {
+        address: ([127, 0, 0, 1], 5_300 + n).into(),
+        key: format!("second-{n}"),
+        secret_file: "none".into(),
+    };
+    let mut fleet = fleet_with_secondaries(vec![secondary(0), secondary(1)]);
+    fleet.run(2_000);
+    let serial = fleet.core.view().serial;
+    for n in [0, 1] {
+        observe(&mut fleet, n, Heard::Fetched(serial));
+    }
+    fleet.events.clear();
+    notified(&mut fleet);
+    let mut hosts: Vec<_> = (0..12).map(host).collect();
+    hosts[3].state = HostState::Drain;
+    let drained_at = fleet.now;
+    fleet.list(hosts);
+    assert_eq!(notified(&mut fleet), [0, 1]);
+    let serial = fleet.core.view().serial;
+    observe(&mut fleet, 0, Heard::Acknowledged);
+    observe(&mut fleet, 0, Heard::Fetched(serial));
+    assert!(
+        fleet
+            .command(1, "show map secondaries")
+            .contains("second-1 holds")
+    );
+    // The other is cut off: it is notified again, logged as late, and what it serves goes on lingering.
+    fleet.run(9_000);
+    assert!(notified(&mut fleet).iter().filter(|n| **n == 1).count() >= 4);
+    let late = |event: &&Event| matches!(event, Event::SecondaryBehind { secondary } if secondary == "second-1");
+    assert_eq!(fleet.events.iter().filter(late).count(), 1);
+    assert!(fleet.command(1, "show map lingering").contains("host-3"));
+    let serial = fleet.core.view().serial;
+    observe(&mut fleet, 0, Heard::Fetched(serial));
+    observe(&mut fleet, 1, Heard::Fetched(serial));
+    let fetched = fleet.now;
+    while fleet.command(1, "show map lingering").contains("host-3") {
+        fleet.run(50);
+        assert!(
+            fleet.now - fetched < 4_500_000,
+            "answers live 3 s, and 1 for how caches count"
+        );
+    }
+    assert!(fleet.now - drained_at > 12 * SECOND);
+}
--- a/crates/daemon-core/tests/in_memory/faults.rs
+++ b/crates/daemon-core/tests/in_memory/faults.rs
@@ -1,8 +1,12 @@
-//! Each test is one hard case of the front towards proxies.
+//! Each test is one hard case of the connections to proxies.
+
+mod connections;
+mod lists;
+mod refusals;
 
 use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
-use pondarch_daemon_core::{Event, Input};
+use pondarch_daemon_core::Event;
 use proptest::prelude::*;
 
 fn settled(proxies: usize, hosts: usize) -> SimulatedFleet {
@@ -12,7 +16,7 @@
     fleet
 }
 
-/// The proxy holds just what the steward's own table says, for every kind.
+/// The proxy holds just what the controller's own table says, for every request class.
 fn holds_its_table(fleet: &mut SimulatedFleet, n: usize) {
     let map = fleet.command(2, &format!("get map proxies front-{n}"));
     let table = map
@@ -26,19 +30,19 @@
         .into_iter()
         .map(|s| (s.server, (s.addr, s.weight)))
         .collect();
-    for kind in KINDS {
-        assert_eq!(fleet.serving(n, kind), wanted, "front-{n}, {kind}");
+    for class in CLASSES {
+        assert_eq!(fleet.serving(n, class), wanted, "front-{n}, {class}");
     }
 }
 
 #[test]
-fn joined_proxies_hold_their_tables_and_only_safe_further_tries_are_ordered() {
+fn joined_proxies_hold_their_tables_and_only_safe_retries_are_ordered() {
     let mut fleet = settled(6, 12);
     for n in 0..6 {
         holds_its_table(&mut fleet, n);
-        for kind in KINDS {
+        for class in CLASSES {
             assert_eq!(
-                fleet.fronts[n].tables.entry("pond_tries", kind),
+                fleet.fronts[n].tables.entry("pond_tries", class),
                 Some("unsent")
             );
         }
@@ -54,7 +58,7 @@
     hosts[5].weight = 3.0;
     fleet.list(hosts);
     fleet.run(4_000);
-    assert_eq!(fleet.fronts[0].fault, Fault::None, "no orders came");
+    assert_eq!(fleet.fronts[0].fault, Fault::None, "no orders arrived");
     holds_its_table(&mut fleet, 0);
     assert_eq!(
         fleet.fronts[0].tables.entry("pond_tries", "release"),
@@ -76,7 +80,7 @@
     #[test]
     fn a_batch_cut_anywhere_is_repaired_by_the_difference(cut in 0..60usize, drained in 0..12usize, rejoin: bool) {
         let mut fleet = if rejoin { settled(1, 12) } else { SimulatedFleet::open(&site(1), 12) };
-        let before = KINDS.map(|kind| fleet.serving(0, kind));
+        let before = CLASSES.map(|class| fleet.serving(0, class));
         let orders = fleet.fronts[0].orders.len();
         fleet.fronts[0].fault = Fault::CutAfter(cut);
         if rejoin {
@@ -85,7 +89,7 @@
             hosts[(drained + 5) % 12].weight = 4.0;
             fleet.list(hosts);
         }
-        // Until the orders came, and not on to the repair.
+        // Until the orders arrived, and not on to the repair.
         for _ in 0..4_000 {
             if fleet.fronts[0].orders.len() > orders {
                 break;
@@ -94,18 +98,18 @@
         }
         prop_assert_eq!(fleet.fronts[0].orders.len(), orders + 1);
         let cut_short = fleet.fronts[0].orders[orders].1.len() > cut;
-        let halfway = KINDS.map(|kind| fleet.serving(0, kind));
+        let halfway = CLASSES.map(|class| fleet.serving(0, class));
         let first: Vec<String> = fleet.fronts[0].orders[orders].1.clone();
         fleet.fronts[0].fault = Fault::None;
         fleet.run(4_000);
         holds_its_table(&mut fleet, 0);
-        for (k, kind) in KINDS.iter().enumerate() {
-            prop_assert!(!halfway[k].is_empty(), "nothing to pick for {kind}");
-            let after = fleet.serving(0, kind);
+        for (k, class) in CLASSES.iter().enumerate() {
+            prop_assert!(!halfway[k].is_empty(), "nothing to pick for {class}");
+            let after = fleet.serving(0, class);
             for (name, line) in &halfway[k] {
                 let known = before[k].get(name).is_some_and(|old| old.0 == line.0 || old.1 == line.1)
                     || after.get(name).is_some_and(|new| new.0 == line.0 || new.1 == line.1);
-                prop_assert!(known, "{name} of {kind} is neither old nor new: {line:?}");
+                prop_assert!(known, "{name} of {class} is neither old nor new: {line:?}");
             }
         }
         if cut_short {
@@ -117,274 +121,6 @@
     }
 }
 
-#[test]
-fn a_proxy_that_answers_nothing_holds_nobody_up_and_is_hung_up() {
-    let mut fleet = settled(8, 12);
-    fleet.fronts[0].fault = Fault::Silent;
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    hosts[2].state = HostState::Drain;
-    fleet.list(hosts);
-    fleet.run(500);
-    for n in 1..8 {
-        assert!(
-            !fleet.serving(n, "proof").contains_key("host-2"),
-            "front-{n} waits for front-0"
-        );
-    }
-    assert!(fleet.info("LinesWaiting") <= 8_000);
-    fleet.run(3_000);
-    let left = |event: &Event| matches!(event, Event::ProxyLeft { proxy, reason: why } if proxy == "front-0" && why.contains("unanswered"));
-    assert!(fleet.events.iter().any(left));
-    assert_eq!(fleet.info("ProxiesJoined"), 7);
-    assert_eq!(fleet.info("LinesWaiting"), 0);
-    // It comes back, and gets what it missed.
-    fleet.fronts[0].fault = Fault::None;
-    fleet.run(12_000);
-    assert_eq!(fleet.info("ProxiesJoined"), 8);
-    assert!(!fleet.serving(0, "proof").contains_key("host-2"));
-}
-
-#[test]
-fn answers_of_an_old_connection_say_nothing() {
-    let mut fleet = settled(1, 8);
-    let old = fleet.fronts[0].conn.expect("connected");
-    fleet.drop_link(0);
-    fleet.give(Input::Answer {
-        proxy: 0,
-        connection: old,
-        text: "1\n# nonsense".into(),
-    });
-    fleet.give(Input::Disconnected {
-        proxy: 0,
-        connection: old,
-        reason: "again".into(),
-    });
-    fleet.run(4_000);
-    fleet.give(Input::Answer {
-        proxy: 0,
-        connection: old,
-        text: "late".into(),
-    });
-    assert_eq!(fleet.info("ProxiesJoined"), 1);
-    holds_its_table(&mut fleet, 0);
-}
-
-#[test]
-fn an_answer_nobody_asked_for_ends_the_connection() {
-    let mut fleet = settled(1, 8);
-    let conn = fleet.fronts[0].conn.expect("connected");
-    // Quiet: all was answered. One answer more means that both ends count differently.
-    fleet.run(100);
-    fleet.give(Input::Answer {
-        proxy: 0,
-        connection: conn,
-        text: String::new(),
-    });
-    assert!(fleet.events.iter().any(
-        |e| matches!(e, Event::ProxyLeft { reason: why, .. } if why.contains("nothing asked for"))
-    ));
-    fleet.run(4_000);
-    assert_eq!(fleet.info("ProxiesJoined"), 1);
-}
-
-#[test]
-fn a_restart_within_a_report_period_is_a_fresh_proxy_and_no_negative_sum() {
-    let mut fleet = settled(1, 8);
-    fleet.traffic(0, 40, 2, 100);
-    fleet.run(2_000);
-    let fresh = pondarch_proxy_core::holding::Holding::new("front-0", 999, &KINDS);
-    fleet.fronts[0].tables = fresh;
-    fleet.drop_link(0);
-    fleet.run(1_000);
-    let joined = fleet.events.iter().rev().find_map(|event| match event {
-        Event::ProxyJoined { fresh, .. } => Some(*fresh),
-        _ => None,
-    });
-    assert_eq!(joined, Some(true));
-    holds_its_table(&mut fleet, 0);
-    fleet.traffic(0, 5, 1, 100);
-    fleet.run(2_500);
-    let stat = fleet.command(0, "show stat");
-    let rows = pondarch_runtime_api::stat::read(stat.trim_end()).expect("stat");
-    let used = rows
-        .iter()
-        .filter(|row| row.backend == "hosts" && row.total + row.ended().done > 0);
-    let sums: Vec<_> = used.map(|row| row.ended()).collect();
-    assert!(!sums.is_empty());
-    // Three kinds' five done and one errored each, counted from 0 and once.
-    assert!(
-        sums.iter().all(|sums| sums.done == 15 && sums.errored == 3),
-        "{sums:?}"
-    );
-}
-
-#[test]
-fn a_refused_command_leaves_the_rest_and_is_not_asked_for_without_end() {
-    let mut fleet = settled(1, 12);
-    let before = fleet.fronts[0].orders.len();
-    fleet.fronts[0].fault = Fault::Refuse(1);
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    (0..12).step_by(2).for_each(|n| hosts[n].weight = 4.0);
-    fleet.list(hosts);
-    fleet.run(2_500);
-    assert!(fleet.events.iter().any(
-        |e| matches!(e, Event::UpdateRejected { error: wrong, .. } if wrong.contains("Not now"))
-    ));
-    let few = fleet.fronts[0].orders.len() - before;
-    assert!(few <= 3, "{few} messages for one refusal");
-    fleet.run(8_000);
-    holds_its_table(&mut fleet, 0);
-}
-
-/// Its standing hosts are in no table of the steward's: taking them away with the adds refused would leave it bare.
-#[test]
-fn refused_lines_do_not_cost_a_proxy_those_it_has() {
-    let mut fleet = SimulatedFleet::open(&site(6), 40);
-    for backend in fleet.fronts[0].tables.backends.values_mut() {
-        backend.servers.clear();
-        let server = pondarch_proxy_core::holding::Server::new(
-            addr(99),
-            50,
-            pondarch_runtime_api::AdminState::Ready,
-        );
-        backend.servers.insert("elsewhere".into(), server);
-    }
-    fleet.fronts[0].fault = Fault::RefuseAdds;
-    fleet.run(20_000);
-    for kind in KINDS {
-        assert!(
-            fleet.serving(0, kind).contains_key("elsewhere"),
-            "nothing to pick for {kind}"
-        );
-    }
-    fleet.fronts[0].fault = Fault::None;
-    fleet.run(10_000);
-    holds_its_table(&mut fleet, 0);
-}
-
-#[test]
-fn a_proxy_that_refuses_everything_gets_no_storm() {
-    let mut fleet = settled(1, 12);
-    // A table without its backends: every order is refused.
-    fleet.fronts[0].tables.backends.clear();
-    let before = fleet.fronts[0].orders.len();
-    let mut hosts: Vec<_> = (0..12).map(host).collect();
-    (0..12).step_by(2).for_each(|n| hosts[n].weight = 4.0);
-    fleet.list(hosts);
-    fleet.run(60_000);
-    let messages = fleet.fronts[0].orders.len() - before;
-    assert!(messages <= 72, "{messages} messages within a minute");
-}
-
-#[test]
-fn two_hosts_that_swap_addresses_are_swapped_at_the_proxies() {
-    let mut fleet = settled(4, 8);
-    let mut hosts: Vec<_> = (0..8).map(host).collect();
-    (hosts[1].address, hosts[2].address) = (hosts[2].address, hosts[1].address);
-    // Known to run on: the list says since when.
-    hosts
-        .iter_mut()
-        .for_each(|host| host.started = Some(1_700_000_000.0));
-    fleet.list(hosts);
-    fleet.run(20_000);
-    for n in 0..4 {
-        for (name, (held, _)) in fleet.serving(n, "order") {
-            let wanted = match name.as_str() {
-                "host-1" => addr(2),
-                "host-2" => addr(1),
-                other => addr(other[5..].parse().expect("a number")),
-            };
-            assert_eq!(held, wanted, "{name} at front-{n}");
-        }
-    }
-}
-
-#[test]
-fn a_host_replaced_under_its_name_is_cold_and_lighter_before_it_is_reached() {
-    let mut fleet = settled(2, 8);
-    let old: Vec<_> = (0..2).map(|n| fleet.serving(n, "proof")).collect();
-    let before: Vec<usize> = fleet
-        .fronts
-        .iter()
-        .map(|front| front.orders.len())
-        .collect();
-    let mut hosts: Vec<_> = (0..8).map(host).collect();
-    hosts[3].address = addr(33);
-    fleet.list(hosts);
-    fleet.run(2_000);
-    for n in 0..2 {
-        let commands: Vec<&String> = fleet.fronts[n].orders[before[n]..]
-            .iter()
-            .flat_map(|(_, c)| c)
-            .collect();
-        let place = |part: &str| {
-            commands
-                .iter()
-                .position(|c| c.starts_with(&format!("set server proof/host-3 {part}")))
-        };
-        if !old[n].contains_key("host-3") {
-            continue;
-        }
-        let now = fleet.serving(n, "proof").get("host-3").copied();
-        if let Some((addr_now, units)) = now {
-            assert_eq!(addr_now, addr(33));
-            assert!(
-                units < old[n]["host-3"].1,
-                "a cold host with a warm one's weight"
-            );
-            assert!(place("weight") < place("addr"), "{commands:?}");
-        }
-    }
-}
-
-#[test]
-fn broken_and_older_lists_leave_the_last_good_one() {
-    let mut fleet = settled(2, 8);
-    fleet.give(Input::EndpointListRejected {
-        error: "hosts.jsonnet:3:1: syntax error".into(),
-    });
-    fleet.give(Input::EndpointList {
-        generation: Some(0),
-        hosts: Vec::new(),
-    });
-    fleet.run(3_000);
-    assert_eq!(fleet.info("HostsReady"), 8);
-    assert!(
-        fleet
-            .command(0, "show info")
-            .contains("ListRefused: the list's version fell")
-    );
-    holds_its_table(&mut fleet, 0);
-    // An empty list of the right version does count.
-    fleet.list(Vec::new());
-    fleet.run(3_000);
-    assert!(fleet.serving(0, "proof").is_empty());
-}
-
-#[test]
-fn before_the_first_list_nothing_is_touched() {
-    let site = site(2);
-    let mut core = pondarch_daemon_core::Core::new(
-        &site,
-        7,
-        1,
-        START,
-        pondarch_controller::Time::from_micros(START),
-    );
-    for n in 1..40u64 {
-        core.handle(
-            pondarch_controller::Time::from_micros(START + n * 250_000),
-            Input::TimerExpired,
-        );
-    }
-    let out: Vec<_> = std::iter::from_fn(|| core.next_output()).collect();
-    assert!(
-        out.iter()
-            .all(|o| !matches!(o, pondarch_daemon_core::Output::Write { .. })),
-        "{out:?}"
-    );
-}
-
 #[test]
 fn a_join_storm_stays_within_the_queue_and_a_drain_reaches_all() {
     let mut site = site(200);
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -109,6 +109,10 @@
     );
     fleet.run(2_000);
     assert_eq!(fleet.info("HostsReady"), 8);
+    refuses_what_is_not_settable(&mut fleet);
+}
+
+fn refuses_what_is_not_settable(fleet: &mut SimulatedFleet) {
     assert!(
         fleet
             .command(2, "set server table-0/host-1 weight 4")
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 pub(crate) const SECOND: u64 = 1_000_000;
-pub(crate) const KINDS: [&str; 3] = ["proof", "order", "release"];
+pub(crate) const CLASSES: [&str; 3] = ["proof", "order", "release"];
 pub(crate) const START: u64 = 1_800_000_000 * SECOND;
 
 /// What a proxy does with the next orders.
@@ -117,7 +117,7 @@
     Site {
         name: "steward".into(),
         zones: vec!["ede".into(), "arnhem".into()],
-        kinds: KINDS.map(kind).into(),
+        kinds: CLASSES.map(kind).into(),
         proxies: (0..proxies).map(proxy).collect(),
         proxies_of_site: None,
         hosts_file: "hosts".into(),
@@ -148,7 +148,7 @@
 impl SimulatedFleet {
     pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
         let front = |(n, proxy): (usize, &site::Proxy)| {
-            let mut tables = Holding::new(&proxy.name, 100 + n as u64, &KINDS);
+            let mut tables = Holding::new(&proxy.name, 100 + n as u64, &CLASSES);
             // Standing tables: two hosts each.
             for backend in tables.backends.values_mut() {
                 for h in [n % hosts.max(1), (n + 1) % hosts.max(1)] {
@@ -200,27 +200,31 @@
         }
     }
 
+    fn dial(&mut self, proxy: u16, conn: u64) {
+        let front = &mut self.fronts[proxy as usize];
+        front.conn = front.up.then_some(conn);
+        front.lines.clear();
+        let input = match front.conn {
+            Some(conn) => Input::Connected {
+                proxy,
+                connection: conn,
+            },
+            None => Input::Disconnected {
+                proxy,
+                connection: conn,
+                reason: "refused".into(),
+            },
+        };
+        self.give(input);
+    }
+
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial {
                 proxy,
                 connection: conn,
             } => {
-                let front = &mut self.fronts[proxy as usize];
-                front.conn = front.up.then_some(conn);
-                front.lines.clear();
-                let input = match front.conn {
-                    Some(conn) => Input::Connected {
-                        proxy,
-                        connection: conn,
-                    },
-                    None => Input::Disconnected {
-                        proxy,
-                        connection: conn,
-                        reason: "refused".into(),
-                    },
-                };
-                self.give(input);
+                self.dial(proxy, conn);
             }
             Output::Write {
                 proxy,
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -163,7 +163,7 @@
         }
         last = now;
         for front in 0..4 {
-            for kind in KINDS {
+            for kind in CLASSES {
                 let lines = fleet.serving(front, kind);
                 assert!(!lines.is_empty(), "nothing to pick for {kind}");
                 assert!(
