--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/orders.rs
@@ -14,13 +14,13 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
 
-/// ReportCounters what is allocated, so that it can be told for each command.
+/// Counts what is allocated, so that it can be given for each command.
 struct Counting;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 static BYTES: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call is passed on to the system's allocator as it came.
+// SAFETY: every call is passed on to the system's allocator unchanged.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Relaxed);
--- a/crates/daemon-core/src/apply.rs
+++ b/crates/daemon-core/src/apply.rs
@@ -9,6 +9,26 @@
 use pondarch_controller::{HostId, Time};
 use pondarch_load_ingestion::Purpose;
 
+/// What a request to a host was for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum CheckPurpose {
+    /// Whether the host serves.
+    Health,
+    /// Its load alone.
+    Load,
+}
+
+impl From<bool> for CheckPurpose {
+    /// From the field `for_load` as it is recorded.
+    fn from(for_load: bool) -> CheckPurpose {
+        if for_load {
+            CheckPurpose::Load
+        } else {
+            CheckPurpose::Health
+        }
+    }
+}
+
 impl DaemonState {
     /// Takes one input; a line of an operator is answered by `answer`, which is given the level and the line.
     pub(crate) fn apply_input(
@@ -61,7 +81,7 @@
                 for_load,
                 healthy,
                 load,
-            } => self.on_health_check(&host, for_load, healthy, load),
+            } => self.on_health_check(&host, for_load.into(), healthy, load),
             Input::DnsQueried {
                 proxy,
                 table,
@@ -165,7 +185,7 @@
     pub(crate) fn on_health_check(
         &mut self,
         host: &str,
-        for_load: bool,
+        purpose: CheckPurpose,
         healthy: bool,
         load: Option<ReportedLoad>,
     ) {
@@ -173,12 +193,12 @@
         if let Some(load) = load {
             self.loads.insert(host.clone(), (self.now, load));
         }
-        if !for_load {
+        if purpose == CheckPurpose::Health {
             self.controller.on_health_check_result(
                 self.now,
                 &host,
                 healthy,
-                load.map(|told| told.host_load()),
+                load.map(|load| load.host_load()),
             );
         }
     }
--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -4,8 +4,9 @@
 use crate::output::Output;
 use crate::peer::{Link, Peer};
 use crate::state::DaemonState;
+use crate::table_assignments::ClassAdmission;
 use crate::update_queue::QueueCapacity;
-use pondarch_controller::{Decision, HostId, RequestClassId, RetryPolicy, TableId, Time};
+use pondarch_controller::{Decision, HostId, RequestClassId, TableId, Time};
 use pondarch_proxy_session::{Batch, Urgency, Wanted, table};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,8 +23,8 @@
 impl DaemonState {
     /// Joins those there is room for, pulls decisions, and brings proxies up to date.
     pub(crate) fn follow_up(&mut self) {
-        // Before the first list the module decides nothing: proxies are looked at, keep what they hold, and are
-        // joined when it comes.
+        // Before the first list nothing is decided: the state of proxies is read, they keep what they hold, and are
+        // joined when the list arrives.
         if self.endpoints.generation == 0 {
             return;
         }
@@ -41,7 +42,7 @@
         {
             return;
         }
-        // Two commands a line and kind for the largest table so far, and the maps.
+        // Two commands a line and request class for the largest table so far, and the maps.
         let largest = self
             .tables
             .by_id
@@ -111,12 +112,16 @@
                     quota,
                     retry_policy,
                 } => {
-                    self.tables.set_admission(table, class, quota, retry_policy);
+                    let admission = ClassAdmission {
+                        quota,
+                        retry_policy,
+                    };
+                    self.tables.set_admission(table, class, admission);
                     touched.insert(table);
-                    self.log_admission_change(table, class, quota, retry_policy);
+                    self.log_admission_change(table, class, admission);
                 }
                 Decision::CheckHealth(host) => self.request_health_check(&host),
-                // The list is followed by the edge at all times; a session knows by itself what its proxy has applied.
+                // The daemon watches the list at all times; a session knows by itself what its proxy has applied.
                 Decision::WatchEndpoints | Decision::RequestAck(_) => {}
                 Decision::SetTimer(span) => self.timer_at = Some(self.now + span),
             }
@@ -129,14 +134,13 @@
         &mut self,
         table: TableId,
         class: RequestClassId,
-        quota: f64,
-        retry_policy: RetryPolicy,
+        admission: ClassAdmission,
     ) {
         let event = Event::AdmissionChanged {
             table: table.0,
             class: self.request_classes[class.0 as usize].clone(),
-            quota,
-            retry_policy: table::tries_word(retry_policy).into(),
+            quota: admission.quota,
+            retry_policy: table::tries_word(admission.retry_policy).into(),
             cause: self.cause.clone(),
         };
         self.log_event(event);
@@ -215,13 +219,15 @@
     /// All that a proxy should hold.
     fn wanted_state(&mut self, n: usize) -> Wanted {
         let mut wanted = Wanted::default();
-        for (&kind, &table) in &self.peers[n].bindings {
+        for (&class, &table) in &self.peers[n].bindings {
             wanted
                 .lines
-                .insert(kind, self.tables.lines(table, &self.endpoints, self.now));
-            if let Some((level, tries)) = self.tables.admission(table, kind, self.admits_by_rate) {
-                wanted.levels.insert(kind, level);
-                wanted.tries.insert(kind, tries);
+                .insert(class, self.tables.lines(table, &self.endpoints, self.now));
+            if let Some((level, retry_policy)) =
+                self.tables.admission(table, class, self.admits_by_rate)
+            {
+                wanted.levels.insert(class, level);
+                wanted.tries.insert(class, retry_policy);
             }
         }
         wanted
@@ -275,7 +281,7 @@
             let peer = &mut self.peers[proxy];
             match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
                 Some(batch) => due.push(DueUpdate {
-                    since: peer.pending_update.as_ref().map(|pending| pending.0),
+                    since: peer.pending_update.as_ref().map(|pending| pending.since),
                     proxy,
                     batch,
                 }),
@@ -303,7 +309,7 @@
         let cause = peer
             .pending_update
             .take()
-            .map(|pending| pending.1)
+            .map(|pending| pending.cause)
             .unwrap_or_default();
         let lines = peer.session.order(now, batch);
         self.outputs.push_back(Output::Write {
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -1,5 +1,5 @@
-//! Proxies that ask by name, in the course of things: who is joined and who has left, what is answered from now on, and what
-//! caches may still hold.
+//! Proxies that query the DNS server: who is joined and who has left, what is answered from now on, and what caches may
+//! still hold.
 
 use crate::dns_state::SECONDARY_ANSWER_INTERVAL;
 use crate::event::Event;
@@ -49,7 +49,7 @@
             let usual = peer.usual_rate;
             let zone = peer.zone;
             let proxy = peer.name.clone();
-            // Nobody can tell a restart: it counts as one that was there before.
+            // A restart cannot be seen: it counts as one that was there before.
             self.controller.proxy_joined(now, id, false, usual, zone);
             self.log_event(Event::ProxyJoined {
                 proxy,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What is due by time: who has left, what caches hold no more, and secondaries that are to be told.
+    /// What is due by time: who has left, what caches hold no more, and secondaries that are to be notified.
     pub(crate) fn run_dns_timers(&mut self) {
         let now = self.now;
         let Some(names) = &mut self.dns else { return };
@@ -67,7 +67,7 @@
             names.secondaries_answered_at = now;
             if let Some(serial) = names.secondaries.oldest(now) {
                 names.held.served(now, serial, names.cache_lifetime);
-                // Who asks a secondary is not seen here: strangers, as far as is known.
+                // Queries to a secondary are not seen here: they count as those of unknown proxies.
                 for unknown_proxy in names.unknown_proxies.clone() {
                     self.join_dns_proxy(unknown_proxy.0, "a secondary serves".into());
                 }
@@ -111,17 +111,17 @@
         }
     }
 
-    /// DNS brings no sums: of hosts that only proxies without a runtime API meet, what they say of themselves is all
-    /// there is, and stands for a look at them. One that says nothing was not seen.
+    /// DNS brings no counters: of hosts that only proxies without a runtime API use, their own load reports are all
+    /// there is, and stand for counters. A host without a report was not observed.
     pub(crate) fn self_reported_outcomes(&mut self) -> BTreeMap<HostId, AttemptOutcomes> {
         let now = self.now;
         let Some(names) = &mut self.dns else {
             return BTreeMap::new();
         };
         let last = std::mem::replace(&mut names.self_reports_taken_at, now);
-        // Where proxies bring sums, those are the evidence: a host that hangs may still answer a short question.
-        let looked_at = self.peers.iter().filter(|peer| peer.is_joined());
-        let tables: BTreeSet<TableId> = looked_at
+        // Where proxies report counters, those are the evidence: a host that hangs may still answer a short question.
+        let observed = self.peers.iter().filter(|peer| peer.is_joined());
+        let tables: BTreeSet<TableId> = observed
             .flat_map(|peer| peer.bindings.values().copied())
             .collect();
         let of = |table: &TableId| {
@@ -131,27 +131,28 @@
                 .into_iter()
                 .flat_map(|assignment| assignment.weights.keys())
         };
-        let looked_at: BTreeSet<&HostId> = tables.iter().flat_map(of).collect();
-        // Each word counts once, for the time since the last ones were taken.
+        let observed: BTreeSet<&HostId> = tables.iter().flat_map(of).collect();
+        // Each report counts once, for the time since the last ones were taken.
         let over = (now - last).min(self.report_interval.scaled(2.0));
-        let told = self
+        let reported = self
             .loads
             .iter()
-            .filter(|(host, (at, _))| !looked_at.contains(host) && *at > last);
-        told.map(|(host, (_, told))| (host.clone(), told.attempt_outcomes(over)))
+            .filter(|(host, (at, _))| !observed.contains(host) && *at > last);
+        reported
+            .map(|(host, (_, load))| (host.clone(), load.attempt_outcomes(over)))
             .collect()
     }
 
-    pub(crate) fn on_secondary(&mut self, n: u16, heard: Heard) {
+    pub(crate) fn on_secondary(&mut self, n: u16, observation: Heard) {
         let now = self.now;
         if let Some(names) = &mut self.dns {
-            names.secondaries.heard(now, usize::from(n), heard);
+            names.secondaries.heard(now, usize::from(n), observation);
         }
     }
 
     /// Hosts that started anew under the same name and address are kept out of all tables, of both fronts, until the
     /// answers of their old, heavy lines have run out: what caches bring such a host cannot be taken back, and with
-    /// its new line on top it could be pushed over.
+    /// its new line on top it could be overloaded.
     pub(crate) fn update_exclusions(&mut self) {
         let now = self.now;
         let Some(names) = &mut self.dns else { return };
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The tables of joined proxies that ask by name.
+    /// The tables of joined proxies that query the DNS server.
     fn dns_bindings(&self) -> BTreeMap<(ProxyId, RequestClassId), TableId> {
         self.peers
             .iter()
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -1,4 +1,4 @@
-//! Proxies that take their tables from the DNS front: joined while they ask, what is answered to them, and what may still
+//! Proxies that take their tables from the DNS server: joined while they query it, what is answered to them, and what may still
 //! be held of it.
 
 use crate::endpoint_list::{EndpointList, ListedHost};
@@ -15,10 +15,10 @@
 
 /// Proxies that are tracked at most: those of the settings.
 const MAX_MEMBERS: usize = 60_000;
-/// How late the edge may tell of an answer: it tells of each table and proxy once in this time.
+/// How late the daemon may report an answer: it reports each table and proxy once in this time.
 pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Whoever is not known is one of so many strangers. Each is bound like a proxy, so that no table is given away that the
-/// module keeps no longer, and strangers do not all meet the same few hosts.
+/// Proxies that are not known count as one of so many unknown proxies. Each is bound like a known one, so that no table is
+/// answered that the decisions keep no longer, and unknown proxies do not all use the same few hosts.
 const UNKNOWN_PROXIES: usize = 4;
 /// Serials that an earlier run may have given out after its last record: some a second, for the seconds that records may
 /// be late.
@@ -35,21 +35,21 @@
     pub(crate) view: Arc<View>,
     /// Tables, bindings or the list may have changed since the view was made.
     pub(crate) view_outdated: bool,
-    /// After its hosts were told away, a table's last answer may be given for so long.
+    /// After its hosts were taken away, a table's last answer may be given for so long.
     pub(crate) last_answer_for: Duration,
     /// When the first such answer must end.
     pub(crate) last_answer_until: Option<Time>,
-    /// Hosts that started anew and are still met by answers from before, with until when.
+    /// Hosts that started anew and still get requests by older answers, with until when.
     pub(crate) excluded_until: BTreeMap<HostId, Time>,
     pub(crate) secondaries: Secondaries,
     pub(crate) secondary_names: Vec<String>,
     pub(crate) secondaries_answered_at: Time,
-    /// When hosts' own words were last taken for looks.
+    /// When the load reports of hosts were last taken for counters.
     pub(crate) self_reports_taken_at: Time,
     pub(crate) unknown_proxies: Vec<ProxyId>,
 }
 
-/// Strangers as proxies of a site: after those of the settings, one after the other from each zone.
+/// Unknown proxies as proxies of a deployment: after those of the settings, one after the other from each zone.
 pub(crate) fn unknown_proxies(site: &Site) -> Vec<pondarch_config::site::Proxy> {
     if site.dns.is_none() {
         return Vec::new();
@@ -66,7 +66,7 @@
 }
 
 impl DnsState {
-    /// None without a DNS front, or with one whose lifetime does not fit its grace, which `check` refuses.
+    /// None without a DNS server, or with one whose lifetime does not fit its grace, which `check` refuses.
     pub(crate) fn new(site: &Site) -> Option<DnsState> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
@@ -122,7 +122,7 @@
         self.view_outdated = true;
     }
 
-    /// Proxies of the settings that ask.
+    /// Proxies of the settings that query.
     pub(crate) fn members(&self) -> usize {
         self.members.len() - self.unknown_proxies_asking()
     }
@@ -131,7 +131,7 @@
         self.unknown_proxies.len()
     }
 
-    /// Of the strangers, those that somebody asked as.
+    /// Of the unknown proxies, those that somebody queried as.
     pub(crate) fn unknown_proxies_asking(&self) -> usize {
         self.unknown_proxies
             .iter()
@@ -141,7 +141,7 @@
 
     /// Proxies that hold answers longer than they may, by their places.
     pub(crate) fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
-        // Strangers are many, each with a cache of its own.
+        // Unknown proxies are many, each with a cache of its own.
         self.members
             .holds_too_long()
             .filter(|id| !self.unknown_proxies.contains(id))
@@ -222,7 +222,7 @@
         );
     }
 
-    /// Hosts of the list that started anew and are still met by answers from before.
+    /// Hosts of the list that started anew and still get requests by older answers.
     pub(crate) fn hosts_to_exclude(
         &self,
         now: Time,
@@ -324,7 +324,7 @@
             })
         };
         let mut lines: Vec<Line> = weights.iter().filter_map(line).collect();
-        // One that is kept out is better than none.
+        // An excluded host is better than none.
         if lines
             .iter()
             .any(|line| !self.excluded_until.contains_key(&line.host))
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The hosts as the file lists them, with what operators said over it.
+//! The hosts as the file lists them, with what operators changed in it.
 
 use crate::recovered_state::{Edit, RecoveredHost, RecoveredList};
 use crate::time::micros;
@@ -43,11 +43,11 @@
     added: BTreeMap<HostId, HostEntry>,
     edits: BTreeMap<HostId, Edit>,
     pub(crate) hosts: BTreeMap<HostId, ListedHost>,
-    /// Weights that go to the module instead of the listed ones.
+    /// Weights that go to the decisions instead of the listed ones.
     pub(crate) planned_weights: BTreeMap<HostId, f64>,
     machine_types: Vec<String>,
     racks: Vec<String>,
-    /// Rises with every change that the module is told of.
+    /// Rises with every change that is given to the decisions.
     pub(crate) generation: u64,
     pub(crate) rejected_reason: Option<String>,
 }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The file's word. A version that falls back is an older copy: it is refused.
+    /// Applies the file. A generation that falls back is an older copy: it is refused.
     pub(crate) fn apply_file(
         &mut self,
         now: Time,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Takes up what was known; gives the complete list for the module. Hosts in zones that the settings no longer have
+    /// Takes up what was known; gives the complete list for the decisions. Hosts in zones that the settings no longer have
     /// are left behind: the file says where they are now. None: no host was known, which is no list. Taken for one, it had
     /// proxies joined to tables without a host.
     pub(crate) fn recover(&mut self, old: RecoveredList) -> Option<Vec<Endpoint>> {
@@ -233,7 +233,7 @@
         (!self.hosts.is_empty()).then(|| self.endpoints())
     }
 
-    /// The same hosts with other weights for the module.
+    /// The same hosts with other weights for the decisions.
     pub(crate) fn set_planned_weights(
         &mut self,
         planned_weights: BTreeMap<HostId, f64>,
@@ -242,7 +242,7 @@
         self.endpoints()
     }
 
-    /// The complete list for the module.
+    /// The complete list for the decisions.
     fn endpoints(&mut self) -> Vec<Endpoint> {
         self.generation += 1;
         let planned_weights = &self.planned_weights;
@@ -309,7 +309,7 @@
     }
 }
 
-/// When a host's process started, as far as can be told. The list's word counts. Without it, a host of the first
+/// When a host's process started, as far as is known. The list's `started` counts. Without it, a host of the first
 /// list has long run; one that is new later, or is back, or has another address, is another process: it starts
 /// cold now.
 fn started(now: Time, first: bool, entry: &HostEntry, before: Option<&ListedHost>) -> Time {
--- a/crates/daemon-core/src/event.rs
+++ b/crates/daemon-core/src/event.rs
@@ -33,7 +33,7 @@
     ProxyJoined {
         /// Name of the proxy.
         proxy: String,
-        /// Whether the proxy came without anything set by this controller.
+        /// Whether the proxy joined without anything set by this controller.
         fresh: bool,
         /// The input that led to it.
         cause: String,
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -25,8 +25,8 @@
         put_reports(&mut info, core);
     }
     for purpose in pondarch_load_ingestion::account::PURPOSES {
-        let word = purpose.word();
-        info.put(&format!("Memory_{word}"), core.memory.of(purpose).bytes);
+        let name = purpose.word();
+        info.put(&format!("Memory_{name}"), core.memory.of(purpose).bytes);
     }
     put_updates(&mut info, core);
     info
--- a/crates/daemon-core/src/input.rs
+++ b/crates/daemon-core/src/input.rs
@@ -39,7 +39,7 @@
     Connected {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
     },
@@ -47,7 +47,7 @@
     Answer {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// The text, as it stands on the wire.
@@ -58,7 +58,7 @@
     Disconnected {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// Why.
@@ -92,7 +92,7 @@
     /// A client that pushes reports has said who it is.
     #[serde(rename = "SenderCame")]
     SenderConnected {
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// Name of the sender.
@@ -107,7 +107,7 @@
     /// A report from a sender.
     #[serde(rename = "Pushed")]
     ReportReceived {
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// What it reported.
@@ -116,7 +116,7 @@
     /// The connection of a sender is gone.
     #[serde(rename = "SenderLeft")]
     SenderDisconnected {
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
     },
--- a/crates/daemon-core/src/operator/maps.rs
+++ b/crates/daemon-core/src/operator/maps.rs
@@ -4,15 +4,15 @@
 use crate::endpoint_list::ListedHost;
 use crate::peer::{Link, Peer};
 use crate::state::DaemonState;
-use crate::table_assignments::TableAssignment;
+use crate::table_assignments::{ClassAdmission, TableAssignment};
 use pondarch_config::HostEntry;
 use pondarch_controller::DurationExt;
-use pondarch_controller::{HostId, RetryPolicy, TableId, Time};
+use pondarch_controller::{HostId, TableId, Time};
 use pondarch_proxy_session::table;
 use pondarch_runtime_api::info::write_map;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Name of the map of hosts' zones; it can be set, as `add server` has no word for a zone.
+/// Name of the map of hosts' zones; it can be set, as `add server` has no argument for a zone.
 const ZONES: &str = "zones";
 
 /// Each map with its description, in the order of `show map`.
@@ -183,9 +183,9 @@
 
 fn entries(state: &DaemonState, map: &str) -> Result<Entries, OperatorError> {
     match map {
-        "levels" => Ok(by_class(state, |(quota, _)| quota.to_string())),
-        "tries" => Ok(by_class(state, |(_, policy)| {
-            table::tries_word(*policy).to_string()
+        "levels" => Ok(by_class(state, |admission| admission.quota.to_string())),
+        "tries" => Ok(by_class(state, |admission| {
+            table::tries_word(admission.retry_policy).to_string()
         })),
         "proxies" => Ok(proxies(state)),
         "lingering" => Ok(lingering(state)),
@@ -201,7 +201,7 @@
     }
 }
 
-fn by_class(state: &DaemonState, value: fn(&(f64, RetryPolicy)) -> String) -> Entries {
+fn by_class(state: &DaemonState, value: fn(&ClassAdmission) -> String) -> Entries {
     let of_table = |(table, assignment): (&TableId, &TableAssignment)| {
         let key = |class: usize| format!("table-{}/{}", table.0, state.request_classes[class]);
         let entries = assignment
--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -3,8 +3,7 @@
 use super::HOSTS;
 use super::error::OperatorError;
 use crate::endpoint_list::ListedHost;
-use crate::event::Event;
-use crate::state::DaemonState;
+use crate::state::{DaemonState, LoggedError, LoggedEvent};
 use crate::table_assignments::TableAssignment;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, TableId, Time};
@@ -61,13 +60,15 @@
 }
 
 pub(super) fn errors(state: &DaemonState) -> String {
-    let line = |(at, text): &(Time, String)| format!("[{:.3}] {text}\n", uptime_s(state, *at));
+    let line =
+        |LoggedError { at, text }: &LoggedError| format!("[{:.3}] {text}\n", uptime_s(state, *at));
     state.errors.iter().map(line).collect()
 }
 
 pub(super) fn events(state: &DaemonState) -> String {
-    let line =
-        |(at, event): &(Time, Event)| format!("<0> [{:.3}] {event:?}\n", uptime_s(state, *at));
+    let line = |LoggedEvent { at, event }: &LoggedEvent| {
+        format!("<0> [{:.3}] {event:?}\n", uptime_s(state, *at))
+    };
     state.events.iter().map(line).collect()
 }
 
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -1,4 +1,4 @@
-//! Sums of all proxies gathered into one look at each host, as the module weighs each line it is told.
+//! Outcomes of all proxies, summed up by host over a report interval: the decisions weigh each record the same.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, Time};
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Part of the report period that a round waits for slow proxies; what comes later counts in the next one.
+/// Part of the report period that an interval waits for slow proxies; later answers count in the next one.
 const WAIT_FRACTION: f64 = 0.4;
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     by_host: BTreeMap<HostId, AggregatedOutcomes>,
 }
 
-/// What was met at a host, and since when the oldest of it is known.
+/// Outcomes of attempts at a host, and of when the oldest of them are.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AggregatedOutcomes {
     pub(crate) outcomes: AttemptOutcomes,
@@ -26,10 +26,10 @@
 }
 
 impl OutcomeAggregator {
-    pub(crate) fn new(every: Duration, now: Time) -> OutcomeAggregator {
+    pub(crate) fn new(interval: Duration, now: Time) -> OutcomeAggregator {
         OutcomeAggregator {
-            interval: every,
-            next_at: now + every,
+            interval,
+            next_at: now + interval,
             closes_at: None,
             awaited: BTreeSet::new(),
             by_host: BTreeMap::new(),
@@ -41,11 +41,11 @@
             .map_or(self.next_at, |at| at.min(self.next_at))
     }
 
-    /// Whether a round is to begin.
+    /// Whether an interval is to begin.
     pub(crate) fn begin_if_due(&mut self, now: Time) -> bool {
         let due = now >= self.next_at;
         if due {
-            // A stop of the machine is not made up for by many rounds at once.
+            // A stop of the machine is not made up for by many intervals at once.
             let next = self.next_at + self.interval;
             self.next_at = if next > now {
                 next
@@ -66,17 +66,17 @@
         self.awaited.remove(&proxy);
     }
 
-    /// One proxy's look, as of then, of which this part counts. Two looks at a host add up; their spans are of the same
-    /// seconds.
-    pub(crate) fn record(&mut self, proxy: u16, look: &Look, counts: f64, at: Time) {
+    /// Adds the counters of one proxy as of then, of which this part counts. Those of several proxies add up; their
+    /// periods are the same.
+    pub(crate) fn record(&mut self, proxy: u16, counters: &Look, part: f64, at: Time) {
         self.awaited.remove(&proxy);
-        if counts <= 0.0 {
+        if part <= 0.0 {
             return;
         }
-        for (host, outcomes) in &look.met {
+        for (host, outcomes) in &counters.met {
             let outcomes = AttemptOutcomes {
-                attempts: outcomes.attempts * counts,
-                failures: outcomes.failures * counts,
+                attempts: outcomes.attempts * part,
+                failures: outcomes.failures * part,
                 ..*outcomes
             };
             let all = self
@@ -114,7 +114,7 @@
         Some(std::mem::take(&mut self.by_host))
     }
 
-    /// What was not told in this round is told in the next, with what comes until then.
+    /// Keeps outcomes that were not applied in this interval for the next one, with what is added until then.
     pub(crate) fn defer(&mut self, host: HostId, gathered: AggregatedOutcomes) {
         self.by_host.insert(host, gathered);
     }
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl DaemonState {
-    /// A round is over: its lines go to the module, within the budget, each with how old it is.
+    /// Applies the outcomes of an interval that has ended, within the budget, each with its age.
     pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
         let now = self.now;
         let interval = self.report_interval;
--- a/crates/daemon-core/src/output.rs
+++ b/crates/daemon-core/src/output.rs
@@ -12,7 +12,7 @@
     Dial {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
     },
@@ -20,7 +20,7 @@
     Write {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// The lines, as they are to be written.
@@ -31,7 +31,7 @@
     HangUp {
         /// Position of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
     },
@@ -55,7 +55,7 @@
     /// A sender may send this many more reports.
     #[serde(rename = "Credit")]
     GrantCredit {
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// How many more reports.
@@ -67,7 +67,7 @@
     /// A sender is rejected, or not accepted any longer.
     #[serde(rename = "RefuseSender")]
     RejectSender {
-        /// Which connection, so that late events of an older one can be told apart.
+        /// Which connection, so that late events of an older one can be distinguished.
         #[serde(rename = "conn")]
         connection: u64,
         /// Why.
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -1,4 +1,4 @@
-//! One proxy: dialled, looked at, joined, lost, and dialled again.
+//! One proxy: dialled, read, joined, lost, and dialled again.
 
 use crate::update_queue::SentMessages;
 use pondarch_config::site::Links;
@@ -16,17 +16,26 @@
     Dialling,
     /// Connected; it is being asked what it holds.
     ReadingState,
-    /// What it holds is known; it waits for room in the channel to be joined.
+    /// What it holds is known; it waits for room in the update queue to be joined.
     Waiting {
         fresh: bool,
     },
     Joined,
-    /// It has no runtime API and takes tables from the DNS front: joined while it asks.
+    /// It has no runtime API and takes tables from the DNS server: joined while it queries.
     Dns {
         joined: bool,
     },
 }
 
+/// A difference that may be due to a proxy.
+#[derive(Debug)]
+pub(crate) struct PendingUpdate {
+    /// Since when.
+    pub(crate) since: Time,
+    /// The input that led to it.
+    pub(crate) cause: String,
+}
+
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) id: ProxyId,
@@ -38,12 +47,12 @@
     pub(crate) session: Session,
     pub(crate) bindings: BTreeMap<RequestClassId, TableId>,
     pub(crate) sent_messages: SentMessages,
-    /// What its message under way cost in the channel.
+    /// What its message under way cost in the update queue.
     pub(crate) in_flight: f64,
-    /// It may differ from what it should hold, since then and by this input.
-    pub(crate) pending_update: Option<(Time, String)>,
+    /// Whether it may differ from what it should hold.
+    pub(crate) pending_update: Option<PendingUpdate>,
     pub(crate) blocked_until: Option<Time>,
-    /// Answers are awaited and none has come since.
+    /// Since when answers are awaited; none: no answer is due.
     pub(crate) silent_since: Option<Time>,
     pub(crate) failed_dials: u32,
     pub(crate) commands_sent: u64,
@@ -53,21 +62,21 @@
 impl Peer {
     pub(crate) fn new(
         n: usize,
-        of: &pondarch_config::site::Proxy,
+        settings: &pondarch_config::site::Proxy,
         zone: u16,
         front: Arc<Front>,
         now: Time,
     ) -> Peer {
-        let link = if of.runtime.is_some() {
+        let link = if settings.runtime.is_some() {
             Link::Down(now)
         } else {
             Link::Dns { joined: false }
         };
         Peer {
             id: ProxyId(n as u16),
-            name: of.name.clone(),
+            name: settings.name.clone(),
             zone: ZoneId(zone),
-            usual_rate: of.usual_rate,
+            usual_rate: settings.usual_rate,
             link,
             connection: 0,
             session: Session::new(front),
@@ -96,18 +105,20 @@
     }
 
     pub(crate) fn require_update(&mut self, now: Time, cause: &str) {
-        self.pending_update
-            .get_or_insert_with(|| (now, cause.to_string()));
+        self.pending_update.get_or_insert_with(|| PendingUpdate {
+            since: now,
+            cause: cause.to_string(),
+        });
     }
 
     /// The connection is gone: when to dial again. Doubling waits with jitter, so that proxies that were lost
     /// together do not come back together.
     pub(crate) fn on_disconnected(&mut self, now: Time, links: &Links, random: &mut fastrand::Rng) {
-        let least = links.redial_least.0;
-        let most = links.redial_most.0;
-        let doubled = least
+        let min_delay = links.redial_least.0;
+        let max_delay = links.redial_most.0;
+        let doubled = min_delay
             .scaled(f64::from(1u32 << self.failed_dials.min(16)))
-            .min(most);
+            .min(max_delay);
         self.failed_dials = self.failed_dials.saturating_add(1);
         self.link = Link::Down(now + doubled.scaled(0.5 + random.f64()));
         self.bindings.clear();
--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl DaemonState {
-    /// The peer, if this is still its connection: what comes late for an older one says nothing any more.
+    /// The peer, if this is still its connection: late events of an older one have no effect.
     pub(crate) fn peer(&mut self, proxy: u16, connection: u64) -> Option<&mut Peer> {
         let current =
             |peer: &&mut Peer| peer.connection == connection && !matches!(peer.link, Link::Down(_));
@@ -38,7 +38,7 @@
         else {
             return;
         };
-        let (told, lines) = match peer.session.answered(now, text) {
+        let (event, lines) = match peer.session.answered(now, text) {
             Ok(result) => result,
             Err(error) => return self.hang_up(proxy, &error.to_string()),
         };
@@ -50,21 +50,21 @@
                 lines,
             });
         }
-        match told {
+        match event {
             None => {}
             Some(Told::Learned { fresh }) => {
                 let peer = &mut self.peers[proxy as usize];
                 if peer.link == Link::ReadingState {
                     peer.link = Link::Waiting { fresh };
                 } else {
-                    // It looked again after a refusal: what is still different is due.
+                    // Its state was read again after a refusal: what is still different is due.
                     peer.require_update(now, &self.cause);
                 }
             }
             Some(Told::Applied { took, refused }) => self.on_acknowledged(proxy, took, refused),
-            Some(Told::Sums(look)) => {
+            Some(Told::Sums(counters)) => {
                 let id = self.peers[proxy as usize].id;
-                self.record_counters(id, look, now);
+                self.record_counters(id, counters, now);
             }
         }
     }
@@ -113,12 +113,12 @@
         self.outcomes.proxy_lost(proxy);
         self.pushed_reports.silence.left(id);
         if joined {
-            if let Some(weigher) = &mut self.weight_planner {
-                weigher.estimates().left(id);
+            if let Some(weights) = &mut self.weight_planner {
+                weights.estimates().left(id);
             }
             self.controller.proxy_left(self.now, id);
         }
-        // A proxy that is simply not there is told of once, not at every dial.
+        // A proxy that is simply not there is logged once, not at every dial.
         if dialled || !again {
             self.log_error(format!("{name}: {reason}"));
             self.log_event(Event::ProxyLeft {
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -1,5 +1,6 @@
 //! Reports that proxies and hosts push: who sends them, what of them counts, and how old it is. A proxy's pushed counters are
-//! the same that `show stat` tells: whichever comes, each count is taken once, and where pushes fall silent it is read again.
+//! the same as those of `show stat`: each count is taken once, whichever way it arrives, and where pushes fall silent it is
+//! read again.
 
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
@@ -12,11 +13,11 @@
 pub(crate) const REPORT_CREDIT: u32 = 3;
 /// What a counter may rise by in a second: far beyond what a proxy can do.
 const MAX_COUNT_RATE: f64 = 1e6;
-/// Busy part of all cores, and reqs waiting, that can be.
+/// The highest plausible utilization of all cores, and number of requests waiting.
 const MAX_UTILIZATION: f64 = 1.5;
 const MAX_QUEUE_LENGTH: f64 = 1e6;
 
-/// One that said who it is, on one connection.
+/// A sender that has identified itself, on one connection.
 #[derive(Debug)]
 pub(crate) struct Sender {
     pub(crate) name: String,
@@ -132,9 +133,9 @@
         let elapsed = sent_at
             .map_or(Duration::ZERO, |sent| sent - history.last_at)
             .max(Duration::from_millis(100));
-        if let Some(odd) = odd(&report.body, history, elapsed.seconds()) {
+        if let Some(implausible) = implausible_figure(&report.body, history, elapsed.seconds()) {
             counters.rejected += 1;
-            counters.last_rejected = Some(format!("{name}: {odd}"));
+            counters.last_rejected = Some(format!("{name}: {implausible}"));
             return None;
         }
         history.last_at = sent_at.unwrap_or(history.last_at);
@@ -198,10 +199,10 @@
 }
 
 /// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-fn odd(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
-    let within = |what: &str, figure: Option<f64>, most: f64| {
-        let odd = figure.filter(|figure| !(0.0..=most).contains(figure))?;
-        Some(format!("{what} of {odd}"))
+fn implausible_figure(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
+    let within = |what: &str, figure: Option<f64>, max: f64| {
+        let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
+        Some(format!("{what} of {implausible}"))
     };
     if let Some(own) = &body.own {
         let figures = [
@@ -211,11 +212,11 @@
             ("rate", own.rate, MAX_COUNT_RATE),
             ("errored_rate", own.errored_rate, MAX_COUNT_RATE),
         ];
-        if let Some(odd) = figures
+        if let Some(implausible) = figures
             .into_iter()
-            .find_map(|(what, figure, most)| within(what, figure, most))
+            .find_map(|(what, figure, max)| within(what, figure, max))
         {
-            return Some(odd);
+            return Some(implausible);
         }
     }
     let mut last = BTreeMap::new();
@@ -223,8 +224,8 @@
         let load = within("busy", of.busy, MAX_UTILIZATION)
             .or_else(|| within("waiting", of.waiting, MAX_QUEUE_LENGTH));
         let place = of.server.as_deref().unwrap_or("the backend");
-        if let Some(odd) = load {
-            return Some(format!("{}/{place}: {odd}", of.backend));
+        if let Some(implausible) = load {
+            return Some(format!("{}/{place}: {implausible}", of.backend));
         }
         let key = (of.backend.clone(), of.server.clone());
         let now = (of.reqs, of.done.saturating_add(of.errored));
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -2,14 +2,14 @@
 //!
 //! | kept | because |
 //! | --- | --- |
-//! | the list, its version, operators' words over it | an older copy of the file must still be refused, a word must still hold |
+//! | the list, its version, operators' changes to it | an older copy of the file must still be rejected, a change must still hold |
 //! | when hosts started, as far as it was learnt | a cold host would be taken for one that has long run |
 //! | since when hosts are to be left alone | the grace runs from there, not from the restart |
 //! | the DNS zone's serial | secondaries do not start again with us |
 //!
-//! Left behind: health, load, levels, estimates, bindings. They are old when they are read, and old ones do harm: a host
-//! kept away from that is well, or a level cut for a strain that is over. What proxies hold they say themselves. What caches
-//! hold nobody says: every host that was known is taken to be held until answers of the last moment have run out.
+//! Left behind: health, load, admitted rates, estimates, bindings. They are old when they are read, and old ones do harm: a host
+//! ejected that is well, or a rate cut for an overload that is over. What proxies hold is read from them. What caches
+//! hold cannot be read: every host that was known is taken to be held until answers of the last moment have run out.
 
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
@@ -60,7 +60,7 @@
 
 impl RecoveredState {
     /// The same by another clock, by which it is `now_us` when `passed_us` have passed since then. Where the machine's
-    /// clock jumped, that is not what it says: a cold host would be warm, or a drain be owed from tomorrow.
+    /// clock jumped, that is not what it shows: a cold host would be warm, or a drain be owed from tomorrow.
     pub fn by_clock(mut self, now_us: u64, passed_us: u64) -> RecoveredState {
         let then = now_us.saturating_sub(passed_us);
         let old = self.at_us;
@@ -82,7 +82,7 @@
     }
 }
 
-/// What an operator said of a host; it goes over the file until taken back or the file drops the host.
+/// What an operator changed of a host; it goes over the file until taken back or the file drops the host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Edit {
     pub(crate) state: Option<HostState>,
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What is known after a start, in the course of things: taken up, and given out again.
+//! The recovered state: taken over after a start, and given out.
 
 use crate::event::Event;
 use crate::recovered_state::RecoveredState;
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -1,4 +1,4 @@
-//! Reports in the course of things: what is pushed or read goes to a round, and each round to the module.
+//! Reports as they arrive: pushed or read, each is added to the open interval.
 
 use crate::event::Event;
 use crate::output::Output;
@@ -28,7 +28,7 @@
                 reason: reason.into(),
             });
         }
-        // Whoever comes later under a name is it: the other is a connection that nobody has closed yet.
+        // The latest connection under a name is the valid one: the other is a connection that nobody has closed yet.
         let known = self
             .pushed_reports
             .histories
@@ -154,36 +154,37 @@
         let id = peer.id;
         let at = sent.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
-        let Some(look) = peer.session.counted(at, &rows) else {
+        let Some(counters) = peer.session.counted(at, &rows) else {
             return;
         };
         self.pushed_reports.silence.heard(now, id);
         if fresh {
-            self.record_counters(id, look, at);
+            self.record_counters(id, counters, at);
         }
     }
 
-    /// What a look at a proxy brought, by whichever way, as of then.
-    pub(crate) fn record_counters(&mut self, id: ProxyId, look: Look, at: Time) {
+    /// Records the counters of a proxy as of then, pushed or read.
+    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
         let now = self.now;
-        for &(kind, many) in &look.reqs {
+        for &(class, many) in &counters.reqs {
             self.controller
-                .record_arrivals(now, id, kind, many, look.over);
-            self.record_requests(id.0, kind, many, look.over);
+                .record_arrivals(now, id, class, many, counters.over);
+            self.record_requests(id.0, class, many, counters.over);
         }
-        if let Some(weigher) = &mut self.weight_planner {
-            weigher.record(&look);
+        if let Some(weights) = &mut self.weight_planner {
+            weights.record(&counters);
         }
         self.outcomes
-            .record(id.0, &look, age::counts(now - at, look.over), at);
+            .record(id.0, &counters, age::counts(now - at, counters.over), at);
         self.loads.extend(
-            look.loads
+            counters
+                .loads
                 .into_iter()
                 .map(|(host, load)| (host, (at, ReportedLoad::from_host_load(&load)))),
         );
     }
 
-    /// Proxies whose counters come by pushes now; the others are asked.
+    /// Whether the counters of a proxy are pushed now; those of the others are read.
     pub(crate) fn pushes_reports(&self, id: ProxyId) -> bool {
         self.pushed_reports.enabled
             && self
@@ -192,7 +193,7 @@
                 .speaks(self.now, self.report_interval, id)
     }
 
-    /// Hosts that are told of as not heard of through no fault of their own, with a line that says nothing.
+    /// Hosts whose proxies are silent, so that nothing is known of them: each with outcomes that count nothing.
     pub(crate) fn unobservable_hosts(&self) -> BTreeMap<HostId, AttemptOutcomes> {
         if !self.pushed_reports.enabled
             || self
@@ -203,7 +204,7 @@
         {
             return BTreeMap::new();
         }
-        let meets = self
+        let hosts_by_proxy = self
             .peers
             .iter()
             .filter(|peer| peer.is_joined())
@@ -219,11 +220,11 @@
                         .collect::<BTreeSet<HostId>>(),
                 )
             });
-        let meets = meets.collect();
-        let excused = self
-            .pushed_reports
-            .silence
-            .excused(self.now, self.report_interval, &meets);
+        let hosts_by_proxy = hosts_by_proxy.collect();
+        let excused =
+            self.pushed_reports
+                .silence
+                .excused(self.now, self.report_interval, &hosts_by_proxy);
         let nothing = AttemptOutcomes {
             period: self.report_interval,
             ..AttemptOutcomes::default()
@@ -231,7 +232,7 @@
         excused.into_iter().map(|host| (host, nothing)).collect()
     }
 
-    /// Says what was odd since the last time, if anything was: once a round, however much came.
+    /// Logs the last rejected report since the last time, if there is one: once an interval, however many arrived.
     pub(crate) fn log_rejected_reports(&mut self) {
         if let Some(error) = self.pushed_reports.counters.last_rejected.take() {
             let refused = self.pushed_reports.counters.rejected;
--- a/crates/daemon-core/src/reported_load.rs
+++ b/crates/daemon-core/src/reported_load.rs
@@ -27,7 +27,7 @@
 
 impl ReportedLoad {
     pub(crate) fn from_host_load(load: &HostLoad) -> ReportedLoad {
-        let service_time_ms = load.service_time.map(|span| span.seconds() * 1e3);
+        let service_time_ms = load.service_time.map(|time| time.seconds() * 1e3);
         ReportedLoad {
             utilization: load.utilization,
             queue_length: load.queue_length,
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -26,9 +26,21 @@
 
 /// Events that are kept for `show events`, the newest; and errors for `show errors`.
 const MAX_EVENTS: usize = 256;
-/// Load reports older than this many of their periods are not passed on: the module weighs them as new.
+/// Load reports older than this many of their periods are not passed on: the decisions take each for new.
 pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
 
+/// An event and its time, for `show events`.
+pub(crate) struct LoggedEvent {
+    pub(crate) at: Time,
+    pub(crate) event: Event,
+}
+
+/// An error and its time, for `show errors`.
+pub(crate) struct LoggedError {
+    pub(crate) at: Time,
+    pub(crate) text: String,
+}
+
 /// All that the controller knows.
 pub(crate) struct DaemonState {
     /// Name of the controller, from the settings.
@@ -94,9 +106,9 @@
     /// The input that is applied now, as events name it.
     pub(crate) cause: String,
     /// The latest events, for `show events`.
-    pub(crate) events: VecDeque<(Time, Event)>,
+    pub(crate) events: VecDeque<LoggedEvent>,
     /// The latest errors, for `show errors`.
-    pub(crate) errors: VecDeque<(Time, String)>,
+    pub(crate) errors: VecDeque<LoggedError>,
     /// What was not yet given out.
     pub(crate) outputs: VecDeque<Output>,
 }
@@ -112,10 +124,10 @@
             .probes
             .as_ref()
             .and_then(|probes| probes.load_every)
-            .map(|every| every.0);
+            .map(|interval| interval.0);
         DaemonState {
             name: site.name.clone(),
-            request_classes: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
+            request_classes: site.kinds.iter().map(|class| class.name.clone()).collect(),
             links: site.links.clone(),
             load_interval,
             report_interval: site.reports.every.0,
@@ -137,7 +149,7 @@
             timer_at: None,
             loads: BTreeMap::new(),
             last_outcomes: BTreeMap::new(),
-            next_load_read_at: load_interval.map(|every| now + every),
+            next_load_read_at: load_interval.map(|interval| now + interval),
             outcomes_applied_at: BTreeMap::new(),
             max_outcomes_per_second: site.reports.lines_per_second,
             selection: Choice::new(seed),
@@ -203,7 +215,10 @@
         if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back((self.now, event.clone()));
+        self.events.push_back(LoggedEvent {
+            at: self.now,
+            event: event.clone(),
+        });
         self.outputs.push_back(Output::Event(event));
     }
 
@@ -211,7 +226,7 @@
         if self.errors.len() == MAX_EVENTS {
             self.errors.pop_front();
         }
-        self.errors.push_back((self.now, text));
+        self.errors.push_back(LoggedError { at: self.now, text });
     }
 }
 
@@ -240,12 +255,12 @@
 }
 
 fn front(site: &Site, mark: &str) -> Front {
-    let kind = |kind: &pondarch_config::site::Kind| FrontKind {
-        name: kind.name.clone(),
-        backend: kind.backend().to_string(),
+    let class = |class: &pondarch_config::site::Kind| FrontKind {
+        name: class.name.clone(),
+        backend: class.backend().to_string(),
     };
     Front {
         mark: mark.to_string(),
-        kinds: site.kinds.iter().map(kind).collect(),
+        kinds: site.kinds.iter().map(class).collect(),
     }
 }
--- a/crates/daemon-core/src/table_assignments.rs
+++ b/crates/daemon-core/src/table_assignments.rs
@@ -1,4 +1,4 @@
-//! The tables as the module deals them, and as proxies are to hold them.
+//! The tables as they were decided, and as proxies are to hold them.
 
 use crate::endpoint_list::EndpointList;
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, TableId, Time};
@@ -7,11 +7,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// What a proxy may admit of a request class, and when it may retry.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClassAdmission {
+    pub(crate) quota: f64,
+    pub(crate) retry_policy: RetryPolicy,
+}
+
 /// One table.
 #[derive(Debug, Default)]
 pub(crate) struct TableAssignment {
     pub(crate) weights: BTreeMap<HostId, f64>,
-    pub(crate) admission: BTreeMap<RequestClassId, (f64, RetryPolicy)>,
+    pub(crate) admission: BTreeMap<RequestClassId, ClassAdmission>,
     /// As proxies are to hold it; none: to be made anew.
     lines: Option<Arc<Lines>>,
     too_small: Vec<HostId>,
@@ -20,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct TableAssignments {
     pub(crate) by_id: BTreeMap<TableId, TableAssignment>,
-    /// Hosts that no proxy is to be told of for now, as long as their tables have others.
+    /// Hosts that are left out of updates for now, as long as their tables have others.
     excluded: BTreeSet<HostId>,
 }
 
@@ -37,15 +44,14 @@
     pub(crate) fn set_admission(
         &mut self,
         table: TableId,
-        kind: RequestClassId,
-        quota: f64,
-        tries: RetryPolicy,
+        class: RequestClassId,
+        admission: ClassAdmission,
     ) {
         self.by_id
             .entry(table)
             .or_default()
             .admission
-            .insert(kind, (quota, tries));
+            .insert(class, admission);
     }
 
     /// Addresses may have changed: tables that hold one of these hosts are made anew. Gives those tables.
@@ -90,13 +96,13 @@
         if let Some(lines) = &assignment.lines {
             return lines.clone();
         }
-        let kept_out = &self.excluded;
+        let excluded = &self.excluded;
         let others = assignment
             .weights
             .keys()
-            .any(|host| !kept_out.contains(host) && list.address(host).is_some());
+            .any(|host| !excluded.contains(host) && list.address(host).is_some());
         let share = |(host, &weight): (&HostId, &f64)| {
-            let weight = if others && kept_out.contains(host) {
+            let weight = if others && excluded.contains(host) {
                 0.0
             } else {
                 weight
@@ -124,7 +130,7 @@
         lines
     }
 
-    /// Cold hosts of a table that cannot be told, and could be before its last change.
+    /// Warming hosts of a table whose weight is too small to be sent, and was not before its last change.
     pub(crate) fn newly_too_small(
         &mut self,
         table: TableId,
@@ -148,7 +154,7 @@
             .collect()
     }
 
-    /// What all tables take, in bytes, roughly: as dealt, and as proxies are to hold them.
+    /// What all tables take, in bytes, roughly: as decided, and as proxies are to hold them.
     pub(crate) fn bytes(&self) -> u64 {
         let ready = |assignment: &TableAssignment| {
             assignment
@@ -174,13 +180,13 @@
     pub(crate) fn admission(
         &self,
         table: TableId,
-        kind: RequestClassId,
+        class: RequestClassId,
         by_rate: bool,
     ) -> Option<(String, &'static str)> {
-        let (quota, tries) = self.by_id.get(&table)?.admission.get(&kind)?;
+        let admission = self.by_id.get(&table)?.admission.get(&class)?;
         Some((
-            table::level_word(*quota, by_rate),
-            table::tries_word(*tries),
+            table::level_word(admission.quota, by_rate),
+            table::tries_word(admission.retry_policy),
         ))
     }
 }
--- a/crates/daemon-core/src/update_queue.rs
+++ b/crates/daemon-core/src/update_queue.rs
@@ -1,5 +1,5 @@
-//! How much may be sent, and when: the budgets that the queue rule states, kept whatever the module or the
-//! proxies do. The module plans well within them; this is what holds when proxies refuse, stall or come in crowds.
+//! How much may be sent, and when: the budgets of the update queue, kept whatever the decisions or the proxies do. The
+//! decisions plan well within them; this is what holds when proxies refuse, stall or connect all at once.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
@@ -40,7 +40,7 @@
     Available,
     /// The cap or the pace: not before this time.
     AvailableAt(Time, &'static str),
-    /// Too much is unanswered: as soon as answers come.
+    /// Too much is unanswered: as soon as answers arrive.
     AvailableAfterReplies,
 }
 
@@ -139,62 +139,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn at(ms: u64) -> Time {
-        Time::from_micros(1_000_000_000 + ms * 1_000)
-    }
-
-    proptest! {
-        /// Whatever comes, neither budget is passed, and a drain finds room once answers are in.
-        #[test]
-        fn budgets_hold(steps in prop::collection::vec((0..400u64, 0..3usize, 1..60usize, 0..3u8, any::<bool>()), 1..300)) {
-            let mut channel = UpdateQueue::new(500.0, 3.0, 300.0, 12, Duration::from_millis(10_000), at(0));
-            let mut sent_messages = [SentMessages::default(), SentMessages::default(), SentMessages::default()];
-            let mut written: Vec<Vec<u64>> = vec![Vec::new(); 3];
-            let mut open: Vec<f64> = Vec::new();
-            let mut now = 0;
-            for (wait, to, lines, urgency, answer) in steps {
-                now += wait;
-                if answer {
-                    open.drain(..).for_each(|cost| channel.record_acknowledged(cost));
-                }
-                let urgency = [Urgency::Ordinary, Urgency::Join, Urgency::Drain][urgency as usize];
-                match channel.capacity(at(now), &mut sent_messages[to], lines, urgency) {
-                    QueueCapacity::Available => {
-                        open.push(channel.record_sent(at(now), &mut sent_messages[to], lines));
-                        written[to].push(now);
-                    }
-                    QueueCapacity::AvailableAt(when, _) => prop_assert!(when > at(now)),
-                    QueueCapacity::AvailableAfterReplies => prop_assert!(!open.is_empty()),
-                }
-                let lately = written[to].iter().filter(|&&w| now - w <= 10_000).count();
-                prop_assert!(lately <= 12);
-                prop_assert!(channel.waiting() <= 300.0, "{}", channel.waiting());
-            }
-        }
-    }
-
-    #[test]
-    fn drains_keep_their_reserve() {
-        let mut channel = UpdateQueue::new(1e6, 3.0, 1e6, 6, Duration::from_millis(10_000), at(0));
-        let mut sent_messages = SentMessages::default();
-        for n in 0..4 {
-            assert_eq!(
-                channel.capacity(at(n), &mut sent_messages, 1, Urgency::Ordinary),
-                QueueCapacity::Available
-            );
-            channel.record_sent(at(n), &mut sent_messages, 1);
-        }
-        assert!(matches!(
-            channel.capacity(at(9), &mut sent_messages, 1, Urgency::Ordinary),
-            QueueCapacity::AvailableAt(..)
-        ));
-        assert_eq!(
-            channel.capacity(at(9), &mut sent_messages, 1, Urgency::Drain),
-            QueueCapacity::Available
-        );
-    }
-}
+mod tests;
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -1,4 +1,4 @@
-//! Weights that a solver sets, in the course of things: what is seen goes to it, and what it answers to the module.
+//! Weights that a solver sets, as events come in: observations go to it, and its plans to the decisions.
 
 use crate::event::Event;
 use crate::output::Output;
@@ -12,28 +12,28 @@
     pub(crate) fn plan_listed_weights(&mut self) {
         let now = self.now;
         let list = &mut self.endpoints;
-        let Some(weigher) = &mut self.weight_planner else {
+        let Some(weights) = &mut self.weight_planner else {
             return;
         };
-        let listed = weigher.planner_hosts(now, list);
-        let before = std::mem::take(&mut weigher.started);
-        weigher.started = list
+        let listed = weights.planner_hosts(now, list);
+        let before = std::mem::take(&mut weights.started);
+        weights.started = list
             .hosts
             .iter()
             .map(|(host, known)| (host.clone(), known.started))
             .collect();
-        let anew = |host: &HostId| before.get(host) != weigher.started.get(host);
-        weigher.planner.list_came(&listed, anew);
-        list.planned_weights = weigher.planner.handed(now, &listed);
+        let anew = |host: &HostId| before.get(host) != weights.started.get(host);
+        weights.planner.list_came(&listed, anew);
+        list.planned_weights = weights.planner.handed(now, &listed);
     }
 
     pub(crate) fn record_observations(&mut self, fresh: Duration) {
         let now = self.now;
-        let Some(weigher) = &mut self.weight_planner else {
+        let Some(weights) = &mut self.weight_planner else {
             return;
         };
         let loads = &self.loads;
-        weigher.interval_closed(now, &self.endpoints, |host| {
+        weights.interval_closed(now, &self.endpoints, |host| {
             let (at, load) = loads.get(host)?;
             (now - *at <= fresh).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
         });
@@ -42,15 +42,15 @@
     /// Asks for a plan when it is time, and gives up one that is late.
     pub(crate) fn request_plan(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weight_planner else {
+        let Some(weights) = &mut self.weight_planner else {
             return;
         };
-        if now < weigher.wake_at() {
+        if now < weights.wake_at() {
             return;
         }
-        let late = weigher.planner.gave_up(now);
-        let listed = weigher.planner_hosts(now, &self.endpoints);
-        let problem = weigher.planner.due(now, &listed);
+        let late = weights.planner.gave_up(now);
+        let listed = weights.planner_hosts(now, &self.endpoints);
+        let problem = weights.planner.due(now, &listed);
         if late {
             self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
@@ -60,18 +60,18 @@
             Some(Problem { number, fleet }) => {
                 self.outputs.push_back(Output::Solve { number, fleet })
             }
-            // Without answers, weights go back in time; with one, the step is taken when it comes.
+            // Without answers, weights return to the listed ones in time; with one, the step is taken when it arrives.
             None => self.apply_plan_step(),
         }
     }
 
     pub(crate) fn on_plan(&mut self, number: u64, answer: Result<Plan, String>) {
         let now = self.now;
-        let Some(weigher) = &mut self.weight_planner else {
+        let Some(weights) = &mut self.weight_planner else {
             return;
         };
         let failed = answer.as_ref().err().cloned();
-        weigher.planner.answered(now, number, answer);
+        weights.planner.answered(now, number, answer);
         match failed {
             Some(error) => self.log_event(Event::PlanFailed { error }),
             None => self.apply_plan_step(),
@@ -80,14 +80,14 @@
 
     fn apply_plan_step(&mut self) {
         let now = self.now;
-        let Some(weigher) = &mut self.weight_planner else {
+        let Some(weights) = &mut self.weight_planner else {
             return;
         };
-        let listed = weigher.planner_hosts(now, &self.endpoints);
-        let stepped = weigher.planner.step(now, &listed);
-        let source = weigher.planner.source();
-        let admitted_rates = weigher.planner.let_in();
-        let source_changed = std::mem::replace(&mut weigher.last_source, source) != source;
+        let listed = weights.planner_hosts(now, &self.endpoints);
+        let stepped = weights.planner.step(now, &listed);
+        let source = weights.planner.source();
+        let admitted_rates = weights.planner.let_in();
+        let source_changed = std::mem::replace(&mut weights.last_source, source) != source;
         self.controller.apply_capacity_plan(now, admitted_rates);
         if source_changed {
             self.log_event(Event::WeightSourceChanged {
@@ -116,15 +116,15 @@
     pub(crate) fn record_requests(
         &mut self,
         proxy: u16,
-        kind: RequestClassId,
+        class: RequestClassId,
         many: f64,
         over: Duration,
     ) {
         let peer = &self.peers[proxy as usize];
         let id = peer.id;
         let zone = peer.zone;
-        if let Some(weigher) = &mut self.weight_planner {
-            weigher.estimates().asked(id, zone, kind, many, over);
+        if let Some(weights) = &mut self.weight_planner {
+            weights.estimates().asked(id, zone, class, many, over);
         }
     }
 }
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -1,5 +1,5 @@
-//! Weights between the list and the module: what is seen goes to the estimates, problems go out to be solved, and what
-//! the planner makes of the answers is handed to the module as listed weights.
+//! Weights between the list and the decisions: observations go to the estimates, problems go out to be solved, and what
+//! the planner makes of the plans is given to the decisions as listed weights.
 
 use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
@@ -12,7 +12,7 @@
 pub(crate) struct WeightPlanner {
     pub(crate) planner: Planner,
     start_share: f64,
-    /// What the round that is under way brought, by host.
+    /// Observations of the interval that is open, by host.
     observed: BTreeMap<HostId, Seen>,
     pub(crate) started: BTreeMap<HostId, Time>,
     pub(crate) last_source: Source,
@@ -20,12 +20,12 @@
 
 impl WeightPlanner {
     pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
-        let kind = |kind: &pondarch_config::site::Kind| KindFacts {
-            name: kind.name.clone(),
-            response_target: kind.response_target.0,
-            benefit: kind.benefit,
+        let class = |class: &pondarch_config::site::Kind| KindFacts {
+            name: class.name.clone(),
+            response_target: class.response_target.0,
+            benefit: class.benefit,
         };
-        let kinds = site.kinds.iter().map(kind).collect();
+        let classes = site.kinds.iter().map(class).collect();
         let all = site
             .proxies_of_site
             .unwrap_or(site.proxies.len() as u64)
@@ -33,7 +33,7 @@
         let own_part = site.proxies.len() as f64 / all as f64;
         WeightPlanner {
             planner: Planner::new(
-                kinds,
+                classes,
                 site.zones.clone(),
                 site.crossing_price,
                 own_part,
@@ -62,19 +62,19 @@
         &mut self.planner.estimates
     }
 
-    /// One proxy's look, of which each figure counts once.
+    /// Counters of one proxy, of which each figure counts once.
     pub(crate) fn record(&mut self, look: &Look) {
-        for (host, kind, done, took) in &look.done {
+        for (host, class, done, took) in &look.done {
             let seen = self.observed.entry(host.clone()).or_default();
-            match seen.done.iter_mut().find(|(k, _, _)| k == kind) {
+            match seen.done.iter_mut().find(|(k, _, _)| k == class) {
                 Some((_, all, time)) => (*all, *time) = (*all + done, *time + *took),
-                None => seen.done.push((*kind, *done, *took)),
+                None => seen.done.push((*class, *done, *took)),
             }
             seen.over = seen.over.max(look.over);
         }
     }
 
-    /// The round is over: what it brought of warm hosts is evidence.
+    /// The interval is over: its observations of warm hosts are evidence.
     pub(crate) fn interval_closed(
         &mut self,
         now: Time,
--- a/crates/daemon-core/src/zone_map.rs
+++ b/crates/daemon-core/src/zone_map.rs
@@ -1,4 +1,4 @@
-//! The map of zones that operators give for hosts they add: `add server` has no word for a zone. It is set entry by
+//! The map of zones that operators give for hosts they add: `add server` has no argument for a zone. It is set entry by
 //! entry, or swapped whole by a prepared version (management guide, `prepare map`, `add map @<ver>`, `commit map`).
 
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
         &self.entries
     }
 
-    /// What was known before; versions under way are nobody's any more.
+    /// Takes over the recovered map; versions under way are dropped.
     pub(crate) fn recover(&mut self, entries: Entries) {
         self.entries = entries;
     }
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -1,4 +1,4 @@
-//! The steward's own runtime API.
+//! The controller's own runtime API.
 
 use crate::simulated_fleet::*;
 
@@ -211,8 +211,8 @@
     fleet.list(hosts);
     fleet.run(4_000);
     assert!(!fleet.serving(0, "proof").contains_key("host-4"));
-    let told = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
-    assert!(fleet.events.iter().any(told));
+    let too_small = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
+    assert!(fleet.events.iter().any(too_small));
     fleet.run(20_000);
     assert!(
         fleet.serving(0, "proof").contains_key("host-4"),
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -88,11 +88,11 @@
         self.hear(fleet);
     }
 
-    /// Takes the words that were said to it.
+    /// Takes the outputs that were meant for it.
     fn hear(&mut self, fleet: &mut SimulatedFleet) {
         let now = self.theirs(fleet.now);
-        let said = std::mem::take(&mut fleet.outputs);
-        for output in said {
+        let outputs = std::mem::take(&mut fleet.outputs);
+        for output in outputs {
             match output {
                 Output::GrantCredit {
                     connection: conn,
@@ -145,7 +145,7 @@
     fleet.run(500);
 }
 
-/// What the module was told of since the last call: rounds, and the oldest figure of all.
+/// What was applied since the last call: intervals, and the oldest figure of all.
 fn looked(fleet: &mut SimulatedFleet) -> (usize, u64) {
     let mut all = (0, 0);
     fleet.outputs.retain(|output| match output {
@@ -165,7 +165,7 @@
     count
 }
 
-/// Reqs done at all hosts in the round that was told last.
+/// Requests done at all hosts in the interval that was applied last.
 fn done(fleet: &mut SimulatedFleet) -> u64 {
     let stat = fleet.command(1, "show stat");
     let header: Vec<&str> = stat.lines().next().unwrap_or_default().split(',').collect();
--- a/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
@@ -17,7 +17,7 @@
         second(&mut fleet, &mut pushers);
     }
     assert_eq!(stat_reads(&mut fleet), 0);
-    let tries = |fleet: &mut SimulatedFleet| {
+    let attempts = |fleet: &mut SimulatedFleet| {
         let stat = fleet.command(1, "show stat");
         let hosts = stat
             .lines()
@@ -26,7 +26,7 @@
         assert_eq!(hosts, 12);
         fleet.info("Reports")
     };
-    assert_eq!(tries(&mut fleet), 60);
+    assert_eq!(attempts(&mut fleet), 60);
     // Two of them push no more: their counters are read, and go on from where they were.
     for _ in 0..6 {
         second(&mut fleet, &mut pushers[2..]);
@@ -49,7 +49,7 @@
     for _ in 0..5 {
         second(&mut fleet, &mut pushers);
     }
-    // The way is blocked for 20 s: reports are sent, and wait somewhere; the steward reads on its own meanwhile.
+    // The way is blocked for 20 s: reports are sent, and wait somewhere; the controller reads on its own meanwhile.
     let mut under_way: Vec<(usize, Report)> = Vec::new();
     for _ in 0..20 {
         fleet.run(1_000);
--- a/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
@@ -26,8 +26,12 @@
     pusher.send(&mut fleet, report);
     assert_eq!(fleet.info("ReportsRefused"), 5);
     fleet.run(1_500);
-    let said = |event: &&Event| matches!(event, Event::ReportRejected { error: wrong, .. } if wrong.starts_with("front-0: "));
-    assert_eq!(fleet.events.iter().filter(said).count(), 1, "once a round");
+    let rejected = |event: &&Event| matches!(event, Event::ReportRejected { error, .. } if error.starts_with("front-0: "));
+    assert_eq!(
+        fleet.events.iter().filter(rejected).count(),
+        1,
+        "once an interval"
+    );
     let mut host = Pusher {
         name: "host-3".into(),
         is: SenderIs::Host,
@@ -93,12 +97,12 @@
     let mut fleet = fleet(None, 12);
     let mut pusher = Pusher::proxy(0, 0);
     pusher.come(&mut fleet);
-    for round in 0..20 {
+    for batch in 0..20 {
         fleet.run(1_000);
         let mut body = body(&fleet.fronts[0].tables);
         body.counted.extend((0..5_000).map(|n| Counted {
             backend: "proof".into(),
-            server: Some(format!("made-up-{round}-{n}")),
+            server: Some(format!("made-up-{batch}-{n}")),
             done: 3,
             ..Counted::default()
         }));
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -55,7 +55,7 @@
     );
 }
 
-/// Nothing is heard for 3 s, as the steward itself stood still: that makes no host silent.
+/// Nothing arrives for 3 s, as the controller itself stood still: that makes no host silent.
 #[test]
 fn a_steward_that_stood_still_blames_nobody() {
     let mut fleet = fleet(None, 12);
@@ -67,7 +67,7 @@
         second(&mut fleet, &mut pushers);
     }
     let before = weights(&mut fleet);
-    for round in 0..3 {
+    for interval in 0..3 {
         fleet.now += 3_000_000;
         // What waited comes at once, proxy by proxy, each with time passing between.
         for (n, pusher) in pushers.iter_mut().enumerate() {
@@ -80,7 +80,7 @@
         let out = before
             .iter()
             .filter(|(host, weight)| after.get(*host).is_none_or(|after| *after < **weight * 0.5));
-        assert_eq!(out.count(), 0, "round {round}");
+        assert_eq!(out.count(), 0, "interval {interval}");
         second(&mut fleet, &mut pushers);
     }
 }
--- a/crates/daemon-core/tests/in_memory/replay.rs
+++ b/crates/daemon-core/tests/in_memory/replay.rs
@@ -89,7 +89,7 @@
                     }
                 }
                 Step::Fault(n, fault) => fleet.fronts[n].fault = fault,
-                Step::Traffic(n, done, errored, mean) => fleet.traffic(n, done, errored, mean),
+                Step::Traffic(n, done, failed, mean) => fleet.traffic(n, done, failed, mean),
                 Step::Operator(line) => drop(fleet.command(2, line)),
             }
             fleet.deliver();
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -34,7 +34,7 @@
     pub up: bool,
     pub conn: Option<u64>,
     pub fault: Fault,
-    /// Orders that came, each with its time and commands.
+    /// Updates that arrived, each with its time and commands.
     pub orders: Vec<(u64, Vec<String>)>,
     lines: VecDeque<(u64, String)>,
 }
@@ -98,7 +98,7 @@
 
 pub(crate) fn site(proxies: usize) -> Site {
     let span = Length::millis;
-    let kind = |name: &str| site::Kind {
+    let class = |name: &str| site::Kind {
         name: name.into(),
         backend: None,
         response_target: span(1_000),
@@ -117,7 +117,7 @@
     Site {
         name: "steward".into(),
         zones: vec!["ede".into(), "arnhem".into()],
-        kinds: CLASSES.map(kind).into(),
+        kinds: CLASSES.map(class).into(),
         proxies: (0..proxies).map(proxy).collect(),
         proxies_of_site: None,
         hosts_file: "hosts".into(),
@@ -363,18 +363,18 @@
         self.replies.remove(&caller).unwrap_or_default()
     }
 
-    /// Counts reqs at a proxy's servers, as if traffic had gone there.
-    pub(crate) fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
+    /// Counts requests at a proxy's servers, as if traffic had gone there.
+    pub(crate) fn traffic(&mut self, n: usize, done: u64, failed: u64, mean_ms: u64) {
         for backend in self.fronts[n].tables.backends.values_mut() {
-            backend.reqs += done + errored;
+            backend.reqs += done + failed;
             for server in backend
                 .servers
                 .values_mut()
                 .filter(|server| server.serves())
             {
-                server.total += done + errored;
+                server.total += done + failed;
                 server.sums.done += done;
-                server.sums.errored += errored;
+                server.sums.errored += failed;
                 server.sums.done_time += std::time::Duration::from_millis(mean_ms * done);
             }
         }
@@ -383,9 +383,9 @@
     pub(crate) fn serving(
         &self,
         n: usize,
-        kind: &str,
+        class: &str,
     ) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
-        let servers = &self.fronts[n].tables.backends[kind].servers;
+        let servers = &self.fronts[n].tables.backends[class].servers;
         let serving = servers.iter().filter(|(_, server)| server.serves());
         serving
             .map(|(name, server)| (name.clone(), (server.addr, server.weight)))
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -17,7 +17,7 @@
     fleet
 }
 
-/// A second of traffic: each line gets reqs by its weight; those of `slow` take three times as long. Hosts tell how
+/// A second of traffic: each line gets requests by its weight; those of `slow` take three times as long. Hosts tell how
 /// busy they are.
 fn second(fleet: &mut SimulatedFleet, slow: &str) {
     for front in &mut fleet.fronts {
@@ -33,11 +33,12 @@
                 .iter_mut()
                 .filter(|(_, server)| server.serves())
             {
-                let reqs = 40 * u64::from(server.weight) / all.max(1);
+                let requests = 40 * u64::from(server.weight) / all.max(1);
                 let ms = if name == slow { 60 } else { 20 };
-                (server.total, server.sums.done) = (server.total + reqs, server.sums.done + reqs);
-                server.sums.done_time += Duration::from_millis(ms * reqs);
-                backend.reqs += reqs;
+                server.total += requests;
+                server.sums.done += requests;
+                server.sums.done_time += Duration::from_millis(ms * requests);
+                backend.reqs += requests;
             }
         }
     }
@@ -163,9 +164,9 @@
         }
         last = now;
         for front in 0..4 {
-            for kind in CLASSES {
-                let lines = fleet.serving(front, kind);
-                assert!(!lines.is_empty(), "nothing to pick for {kind}");
+            for class in CLASSES {
+                let lines = fleet.serving(front, class);
+                assert!(!lines.is_empty(), "nothing to pick for {class}");
                 assert!(
                     n < 11 || !lines.contains_key("host-2"),
                     "a drained host is held"
--- a/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
@@ -118,8 +118,8 @@
     );
 }
 
-/// `show events` prints the names of the code's own event types and fields: they are on the wire, so they are held
-/// here, in one place.
+/// `show events` prints events by the names in `recorded_debug`, whatever the code calls them: these are on the wire,
+/// so they are held here, in one place.
 #[test]
 fn show_events() {
     let mut fleet = fleet();
