--- a/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
+++ b/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
@@ -103,13 +103,7 @@
         let own = [0, 1]
             .iter()
             .any(|&p| fleet.serving(p, "proof").contains_key(&name));
-        let answered = fleet
-            .core
-            .view()
-            .tables
-            .values()
-            .flatten()
-            .any(|line| *line.host.0 == *name);
+        let answered = is_answered(&fleet, &name);
         if age < 2.0
             && load
                 .caches
@@ -132,6 +126,16 @@
     worst
 }
 
+fn is_answered(fleet: &SimulatedFleet, name: &str) -> bool {
+    fleet
+        .core
+        .view()
+        .tables
+        .values()
+        .flatten()
+        .any(|line| *line.host.0 == *name)
+}
+
 #[test]
 fn a_host_that_is_alone_is_not_kept_out() {
     let mut fleet = fleet();
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -200,20 +200,18 @@
         }
     }
 
-    fn dial(&mut self, proxy: u16, conn: u64) {
+    fn dial(&mut self, proxy: u16, connection: u64) {
         let front = &mut self.fronts[proxy as usize];
-        front.conn = front.up.then_some(conn);
+        front.conn = front.up.then_some(connection);
         front.lines.clear();
-        let input = match front.conn {
-            Some(conn) => Input::Connected {
+        let input = if front.up {
+            Input::Connected { proxy, connection }
+        } else {
+            Input::Disconnected {
                 proxy,
-                connection: conn,
-            },
-            None => Input::Disconnected {
-                proxy,
-                connection: conn,
+                connection,
                 reason: "refused".into(),
-            },
+            }
         };
         self.give(input);
     }
