--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -235,7 +235,7 @@
     ) -> Vec<(TableId, BTreeMap<HostId, f64>)> {
         let used: BTreeSet<TableId> = bound.values().copied().collect();
         let list = &self.endpoints;
-        // Where nobody is bound the list itself is all there is; cold hosts of it come with a table alone.
+        // Where nobody is bound the list itself is all there is; its hosts that are warming up are answered with a table alone.
         let listed: BTreeMap<HostId, f64> = list
             .hosts
             .iter()
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -310,8 +310,8 @@
 }
 
 /// When a host's process started, as far as is known. The list's `started` counts. Without it, a host of the first
-/// list has long run; one that is new later, or is back, or has another address, is another process: it starts
-/// cold now.
+/// list has long run; one that is new later, or is back, or has another address, is another process: it is
+/// warming up from now on.
 fn started(now: Time, first: bool, entry: &HostEntry, before: Option<&ListedHost>) -> Time {
     if let Some(seconds) = entry.started {
         return Time::from_micros((seconds * 1e6) as u64);
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -3,7 +3,7 @@
 //! | kept | because |
 //! | --- | --- |
 //! | the list, its version, operators' changes to it | an older copy of the file must still be rejected, a change must still hold |
-//! | when hosts started, as far as it was learnt | a cold host would be taken for one that has long run |
+//! | when hosts started, as far as it was learnt | a host that is warming up would be taken for one that has long run |
 //! | since when hosts are to be left alone | the grace runs from there, not from the restart |
 //! | the DNS zone's serial | secondaries do not start again with us |
 //!
--- a/crates/daemon-core/src/update_queue/tests.rs
+++ b/crates/daemon-core/src/update_queue/tests.rs
@@ -19,7 +19,9 @@
         for (wait, to, lines, urgency, answer) in steps {
             now += wait;
             if answer {
-                open.drain(..).for_each(|cost| queue.record_acknowledged(cost));
+                for cost in open.drain(..) {
+                    queue.record_acknowledged(cost);
+                }
             }
             let urgency = [Urgency::Ordinary, Urgency::Join, Urgency::Drain][urgency as usize];
             match queue.capacity(at(now), &mut sent_messages[to], lines, urgency) {
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -78,7 +78,10 @@
     }
 
     fn come(&mut self, fleet: &mut SimulatedFleet) {
-        let (conn, name, is, run) = (self.conn, self.name.clone(), self.is, self.run);
+        let conn = self.conn;
+        let name = self.name.clone();
+        let is = self.is;
+        let run = self.run;
         fleet.give(Input::SenderConnected {
             connection: conn,
             name,
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -128,7 +128,8 @@
         }
         99
     };
-    let (all, some) = (noticed(None), noticed(Some(6.0)));
+    let all = noticed(None);
+    let some = noticed(Some(6.0));
     assert!(some <= all + 2, "{some} rounds for {all}");
 }
 
