--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -1,9 +1,10 @@
 //! Reports that proxies and hosts push: who sends them, what of them counts, and how old it is. A proxy's pushed counters are
-//! the same that `show stat` tells: whichever comes, each count is taken once, and where pushes fall silent it is read again.
+//! the same as those of `show stat`: each count is taken once, whichever way it arrives, and where pushes fall silent it is
+//! read again.
 
-use pondarch_controller::Time;
-use pondarch_load_ingestion::{Clocks, Order, Silence};
-use pondarch_load_report_protocol::{Body, Counted, SenderIs};
+use pondarch_controller::{DurationExt, Time};
+use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
+use pondarch_load_report_protocol::{Body, Counted, Report, SenderIs};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,11 +13,11 @@
 pub(crate) const REPORT_CREDIT: u32 = 3;
 /// What a counter may rise by in a second: far beyond what a proxy can do.
 const MAX_COUNT_RATE: f64 = 1e6;
-/// Busy part of all cores, and reqs waiting, that can be.
+/// The highest plausible utilization of all cores, and number of requests waiting.
 const MAX_UTILIZATION: f64 = 1.5;
 const MAX_QUEUE_LENGTH: f64 = 1e6;
 
-/// One that said who it is, on one connection.
+/// A sender that has identified itself, on one connection.
 #[derive(Debug)]
 pub(crate) struct Sender {
     pub(crate) name: String,
@@ -59,6 +60,15 @@
     pub(crate) last_rejected: Option<String>,
 }
 
+/// A report that counts.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AcceptedReport {
+    /// When it was sent, by the controller's clock, as far as that is known.
+    pub(crate) sent_at: Option<Time>,
+    /// Whether it is recent enough to be evidence.
+    pub(crate) fresh: bool,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct PushedReports {
     /// Whether there is anywhere to push to.
@@ -83,6 +93,60 @@
         self.senders.len()
     }
 
+    /// Counts a report of this sender, and decides whether its contents count.
+    pub(crate) fn accept(
+        &mut self,
+        now: Time,
+        name: &str,
+        incarnation: u64,
+        report: &Report,
+    ) -> Option<AcceptedReport> {
+        let history = self.histories.entry(name.to_string()).or_default();
+        let counters = &mut self.counters;
+        counters.received += 1;
+        match history.order.came(incarnation, report.number) {
+            Verdict::Newest { missing } => counters.missing += missing,
+            Verdict::Restarted => {
+                counters.restarted += 1;
+                history.last_counts.clear();
+            }
+            Verdict::Late => {
+                counters.late += 1;
+                return None;
+            }
+            Verdict::Doubled => {
+                counters.duplicate += 1;
+                return None;
+            }
+        }
+        let echo = (report.word_us > 0).then(|| {
+            (
+                Time::from_micros(report.word_us),
+                Duration::from_micros(report.had_us.min(86_400_000_000)),
+            )
+        });
+        let mapped = history.clocks.came(now, report.sent_us, echo);
+        if mapped.jumped {
+            counters.clock_jumps += 1;
+        }
+        let sent_at = mapped.sent();
+        let elapsed = sent_at
+            .map_or(Duration::ZERO, |sent| sent - history.last_at)
+            .max(Duration::from_millis(100));
+        if let Some(implausible) = implausible_figure(&report.body, history, elapsed.seconds()) {
+            counters.rejected += 1;
+            counters.last_rejected = Some(format!("{name}: {implausible}"));
+            return None;
+        }
+        history.last_at = sent_at.unwrap_or(history.last_at);
+        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
+        let fresh = sent_at.is_some_and(|sent| now - sent < age::STALE);
+        if !fresh {
+            counters.stale += 1;
+        }
+        Some(AcceptedReport { sent_at, fresh })
+    }
+
     /// What all of it takes, in bytes, roughly.
     pub(crate) fn bytes(&self) -> u64 {
         self.histories
@@ -135,10 +199,10 @@
 }
 
 /// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-pub(crate) fn odd(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
-    let within = |what: &str, figure: Option<f64>, most: f64| {
-        let odd = figure.filter(|figure| !(0.0..=most).contains(figure))?;
-        Some(format!("{what} of {odd}"))
+fn implausible_figure(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
+    let within = |what: &str, figure: Option<f64>, max: f64| {
+        let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
+        Some(format!("{what} of {implausible}"))
     };
     if let Some(own) = &body.own {
         let figures = [
@@ -148,11 +212,11 @@
             ("rate", own.rate, MAX_COUNT_RATE),
             ("errored_rate", own.errored_rate, MAX_COUNT_RATE),
         ];
-        if let Some(odd) = figures
+        if let Some(implausible) = figures
             .into_iter()
-            .find_map(|(what, figure, most)| within(what, figure, most))
+            .find_map(|(what, figure, max)| within(what, figure, max))
         {
-            return Some(odd);
+            return Some(implausible);
         }
     }
     let mut last = BTreeMap::new();
@@ -160,8 +224,8 @@
         let load = within("busy", of.busy, MAX_UTILIZATION)
             .or_else(|| within("waiting", of.waiting, MAX_QUEUE_LENGTH));
         let place = of.server.as_deref().unwrap_or("the backend");
-        if let Some(odd) = load {
-            return Some(format!("{}/{place}: {odd}", of.backend));
+        if let Some(implausible) = load {
+            return Some(format!("{}/{place}: {implausible}", of.backend));
         }
         let key = (of.backend.clone(), of.server.clone());
         let now = (of.reqs, of.done.saturating_add(of.errored));
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -1,19 +1,17 @@
-//! Reports in the course of things: what is pushed or read goes to a round, and each round to the module.
+//! Reports as they arrive: pushed or read, each is added to the open interval.
 
 use crate::event::Event;
 use crate::output::Output;
-use crate::pushed_reports::{REPORT_CREDIT, Sender, odd, row};
+use crate::pushed_reports::{AcceptedReport, REPORT_CREDIT, Sender, row};
 use crate::reported_load::ReportedLoad;
 use crate::state::DaemonState;
 use crate::time::micros;
-use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
-use pondarch_load_ingestion::{Verdict, age};
+use pondarch_load_ingestion::age;
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
 
 impl DaemonState {
     pub(crate) fn on_sender_connected(
@@ -23,33 +21,14 @@
         role: SenderIs,
         incarnation: u64,
     ) {
-        let refused = match role {
-            SenderIs::Proxy
-                if !self
-                    .peers
-                    .iter()
-                    .any(|peer| peer.has_runtime() && peer.name == name) =>
-            {
-                Some("no proxy of this steward has that name")
-            }
-            SenderIs::Host
-                if !self
-                    .endpoints
-                    .hosts
-                    .contains_key(&HostId(name.as_str().into())) =>
-            {
-                Some("no host of the list has that name")
-            }
-            _ => None,
-        };
-        if let Some(reason) = refused {
+        if let Some(reason) = self.sender_rejection(&name, role) {
             self.pushed_reports.counters.unknown_senders += 1;
             return self.outputs.push_back(Output::RejectSender {
                 connection,
                 reason: reason.into(),
             });
         }
-        // Whoever comes later under a name is it: the other is a connection that nobody has closed yet.
+        // The latest connection under a name is the valid one: the other is a connection that nobody has closed yet.
         let known = self
             .pushed_reports
             .histories
@@ -78,22 +57,31 @@
         });
     }
 
+    /// Why a sender of this name is not accepted, if it is not.
+    fn sender_rejection(&self, name: &str, role: SenderIs) -> Option<&'static str> {
+        match role {
+            SenderIs::Proxy
+                if !self
+                    .peers
+                    .iter()
+                    .any(|peer| peer.has_runtime() && peer.name == name) =>
+            {
+                Some("no proxy of this steward has that name")
+            }
+            SenderIs::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
+                Some("no host of the list has that name")
+            }
+            _ => None,
+        }
+    }
+
     pub(crate) fn on_sender_disconnected(&mut self, connection: u64) {
         self.pushed_reports.senders.remove(&connection);
     }
 
     pub(crate) fn on_report(&mut self, connection: u64, mut report: Report) {
         let now = self.now;
-        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
-        let hosts = &self.endpoints.hosts;
-        let listed = |of: &Counted| {
-            of.server
-                .as_ref()
-                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
-        };
-        let before = report.body.counted.len();
-        report.body.counted.retain(listed);
-        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+        self.retain_listed_hosts(&mut report);
         let Some(Sender {
             name,
             role,
@@ -110,51 +98,17 @@
             reports: 1,
             at_us: micros(now),
         });
-        let known = self
-            .pushed_reports
-            .histories
-            .entry(name.clone())
-            .or_default();
-        let counts = &mut self.pushed_reports.counters;
-        counts.received += 1;
-        match known.order.came(incarnation, report.number) {
-            Verdict::Newest { missing } => counts.missing += missing,
-            Verdict::Restarted => {
-                counts.restarted += 1;
-                known.last_counts.clear();
-            }
-            Verdict::Late => return counts.late += 1,
-            Verdict::Doubled => return counts.duplicate += 1,
-        }
-        let word = (report.word_us > 0).then(|| {
-            (
-                Time::from_micros(report.word_us),
-                Duration::from_micros(report.had_us.min(86_400_000_000)),
-            )
-        });
-        let mapped = known.clocks.came(now, report.sent_us, word);
-        if mapped.jumped {
-            counts.clock_jumps += 1;
-        }
-        let sent = mapped.sent();
-        let over = sent
-            .map_or(Duration::ZERO, |sent| sent - known.last_at)
-            .max(Duration::from_millis(100));
-        if let Some(odd) = odd(&report.body, known, over.seconds()) {
-            counts.rejected += 1;
-            counts.last_rejected = Some(format!("{name}: {odd}"));
+        let Some(AcceptedReport {
+            sent_at: sent,
+            fresh,
+        }) = self.pushed_reports.accept(now, &name, incarnation, &report)
+        else {
             return;
-        }
-        known.last_at = sent.unwrap_or(known.last_at);
-        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
-        let fresh = sent.is_some_and(|sent| now - sent < age::STALE);
-        if !fresh {
-            counts.stale += 1;
-        }
+        };
         match role {
             SenderIs::Host => {
                 if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
-                    let told = ReportedLoad {
+                    let load = ReportedLoad {
                         utilization: own.busy,
                         queue_length: own.waiting,
                         service_time_ms: own.service_ms,
@@ -162,13 +116,26 @@
                         failure_rate: own.errored_rate,
                     };
                     self.loads
-                        .insert(HostId(name.as_str().into()), (sent, told));
+                        .insert(HostId(name.as_str().into()), (sent, load));
                 }
             }
             SenderIs::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counted),
         }
     }
 
+    fn retain_listed_hosts(&mut self, report: &mut Report) {
+        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
+        let hosts = &self.endpoints.hosts;
+        let listed = |of: &Counted| {
+            of.server
+                .as_ref()
+                .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
+        };
+        let before = report.body.counted.len();
+        report.body.counted.retain(listed);
+        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+    }
+
     fn on_proxy_report(
         &mut self,
         name: &str,
@@ -187,36 +154,37 @@
         let id = peer.id;
         let at = sent.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
-        let Some(look) = peer.session.counted(at, &rows) else {
+        let Some(counters) = peer.session.counted(at, &rows) else {
             return;
         };
         self.pushed_reports.silence.heard(now, id);
         if fresh {
-            self.record_counters(id, look, at);
+            self.record_counters(id, counters, at);
         }
     }
 
-    /// What a look at a proxy brought, by whichever way, as of then.
-    pub(crate) fn record_counters(&mut self, id: ProxyId, look: Look, at: Time) {
+    /// Records the counters of a proxy as of then, pushed or read.
+    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
         let now = self.now;
-        for &(kind, many) in &look.reqs {
+        for &(class, many) in &counters.reqs {
             self.controller
-                .record_arrivals(now, id, kind, many, look.over);
-            self.record_requests(id.0, kind, many, look.over);
+                .record_arrivals(now, id, class, many, counters.over);
+            self.record_requests(id.0, class, many, counters.over);
         }
-        if let Some(weigher) = &mut self.weight_planner {
-            weigher.record(&look);
+        if let Some(weights) = &mut self.weight_planner {
+            weights.record(&counters);
         }
         self.outcomes
-            .record(id.0, &look, age::counts(now - at, look.over), at);
+            .record(id.0, &counters, age::counts(now - at, counters.over), at);
         self.loads.extend(
-            look.loads
+            counters
+                .loads
                 .into_iter()
                 .map(|(host, load)| (host, (at, ReportedLoad::from_host_load(&load)))),
         );
     }
 
-    /// Proxies whose counters come by pushes now; the others are asked.
+    /// Whether the counters of a proxy are pushed now; those of the others are read.
     pub(crate) fn pushes_reports(&self, id: ProxyId) -> bool {
         self.pushed_reports.enabled
             && self
@@ -225,7 +193,7 @@
                 .speaks(self.now, self.report_interval, id)
     }
 
-    /// Hosts that are told of as not heard of through no fault of their own, with a line that says nothing.
+    /// Hosts whose proxies are silent, so that nothing is known of them: each with outcomes that count nothing.
     pub(crate) fn unobservable_hosts(&self) -> BTreeMap<HostId, AttemptOutcomes> {
         if !self.pushed_reports.enabled
             || self
@@ -236,7 +204,7 @@
         {
             return BTreeMap::new();
         }
-        let meets = self
+        let hosts_by_proxy = self
             .peers
             .iter()
             .filter(|peer| peer.is_joined())
@@ -252,11 +220,11 @@
                         .collect::<BTreeSet<HostId>>(),
                 )
             });
-        let meets = meets.collect();
-        let excused = self
-            .pushed_reports
-            .silence
-            .excused(self.now, self.report_interval, &meets);
+        let hosts_by_proxy = hosts_by_proxy.collect();
+        let excused =
+            self.pushed_reports
+                .silence
+                .excused(self.now, self.report_interval, &hosts_by_proxy);
         let nothing = AttemptOutcomes {
             period: self.report_interval,
             ..AttemptOutcomes::default()
@@ -264,7 +232,7 @@
         excused.into_iter().map(|host| (host, nothing)).collect()
     }
 
-    /// Says what was odd since the last time, if anything was: once a round, however much came.
+    /// Logs the last rejected report since the last time, if there is one: once an interval, however many arrived.
     pub(crate) fn log_rejected_reports(&mut self) {
         if let Some(error) = self.pushed_reports.counters.last_rejected.take() {
             let refused = self.pushed_reports.counters.rejected;
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -26,9 +26,21 @@
 
 /// Events that are kept for `show events`, the newest; and errors for `show errors`.
 const MAX_EVENTS: usize = 256;
-/// Load reports older than this many of their periods are not passed on: the module weighs them as new.
+/// Load reports older than this many of their periods are not passed on: the decisions take each for new.
 pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
 
+/// An event and its time, for `show events`.
+pub(crate) struct LoggedEvent {
+    pub(crate) at: Time,
+    pub(crate) event: Event,
+}
+
+/// An error and its time, for `show errors`.
+pub(crate) struct LoggedError {
+    pub(crate) at: Time,
+    pub(crate) text: String,
+}
+
 /// All that the controller knows.
 pub(crate) struct DaemonState {
     /// Name of the controller, from the settings.
@@ -94,9 +106,9 @@
     /// The input that is applied now, as events name it.
     pub(crate) cause: String,
     /// The latest events, for `show events`.
-    pub(crate) events: VecDeque<(Time, Event)>,
+    pub(crate) events: VecDeque<LoggedEvent>,
     /// The latest errors, for `show errors`.
-    pub(crate) errors: VecDeque<(Time, String)>,
+    pub(crate) errors: VecDeque<LoggedError>,
     /// What was not yet given out.
     pub(crate) outputs: VecDeque<Output>,
 }
@@ -108,30 +120,16 @@
     pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
         let deployment = site.ticket();
         let mark = format!("{}:{epoch}", site.name);
-        let front = Arc::new(front(site, &mark));
-        let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
-        let peer = |(n, p): (usize, &pondarch_config::site::Proxy)| {
-            Peer::new(n, p, zone(&p.zone), front.clone(), now)
-        };
-        let of = &site.channel;
-        let channel = UpdateQueue::new(
-            of.lines_per_second,
-            of.lines_per_message,
-            of.most_waiting,
-            of.message_cap,
-            of.message_window.0,
-            now,
-        );
-        let load_every = site
+        let load_interval = site
             .probes
             .as_ref()
             .and_then(|probes| probes.load_every)
-            .map(|every| every.0);
+            .map(|interval| interval.0);
         DaemonState {
             name: site.name.clone(),
-            request_classes: site.kinds.iter().map(|kind| kind.name.clone()).collect(),
+            request_classes: site.kinds.iter().map(|class| class.name.clone()).collect(),
             links: site.links.clone(),
-            load_interval: load_every,
+            load_interval,
             report_interval: site.reports.every.0,
             admits_by_rate: deployment.admission == AdmissionMode::Rate,
             process,
@@ -143,21 +141,15 @@
                 .then(|| WeightPlanner::new(site, now)),
             dns: DnsState::new(site),
             tables: TableAssignments::default(),
-            peers: site
-                .proxies
-                .iter()
-                .chain(&dns_state::unknown_proxies(site))
-                .enumerate()
-                .map(peer)
-                .collect(),
-            update_queue: channel,
+            peers: peers(site, &mark, now),
+            update_queue: update_queue(site, now),
             outcomes: OutcomeAggregator::new(site.reports.every.0, now),
             random: fastrand::Rng::with_seed(seed),
             controller: Controller::new(deployment, seed, now),
             timer_at: None,
             loads: BTreeMap::new(),
             last_outcomes: BTreeMap::new(),
-            next_load_read_at: load_every.map(|every| now + every),
+            next_load_read_at: load_interval.map(|interval| now + interval),
             outcomes_applied_at: BTreeMap::new(),
             max_outcomes_per_second: site.reports.lines_per_second,
             selection: Choice::new(seed),
@@ -229,7 +221,10 @@
         if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back((self.now, event.clone()));
+        self.events.push_back(LoggedEvent {
+            at: self.now,
+            event: event.clone(),
+        });
         self.outputs.push_back(Output::Event(event));
     }
 
@@ -237,17 +232,41 @@
         if self.errors.len() == MAX_EVENTS {
             self.errors.pop_front();
         }
-        self.errors.push_back((self.now, text));
+        self.errors.push_back(LoggedError { at: self.now, text });
     }
 }
 
+/// The proxies by their numbers: those of the settings, then those that stand for unknown ones.
+fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
+    let front = Arc::new(front(site, mark));
+    let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
+    site.proxies
+        .iter()
+        .chain(&dns_state::unknown_proxies(site))
+        .enumerate()
+        .map(|(n, proxy)| Peer::new(n, proxy, zone(&proxy.zone), front.clone(), now))
+        .collect()
+}
+
+fn update_queue(site: &Site, now: Time) -> UpdateQueue {
+    let limits = &site.channel;
+    UpdateQueue::new(
+        limits.lines_per_second,
+        limits.lines_per_message,
+        limits.most_waiting,
+        limits.message_cap,
+        limits.message_window.0,
+        now,
+    )
+}
+
 fn front(site: &Site, mark: &str) -> Front {
-    let kind = |kind: &pondarch_config::site::Kind| FrontKind {
-        name: kind.name.clone(),
-        backend: kind.backend().to_string(),
+    let class = |class: &pondarch_config::site::Kind| FrontKind {
+        name: class.name.clone(),
+        backend: class.backend().to_string(),
     };
     Front {
         mark: mark.to_string(),
-        kinds: site.kinds.iter().map(kind).collect(),
+        kinds: site.kinds.iter().map(class).collect(),
     }
 }
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -1,4 +1,4 @@
-//! The steward's own runtime API.
+//! The controller's own runtime API.
 
 use crate::simulated_fleet::*;
 
@@ -109,6 +109,10 @@
     );
     fleet.run(2_000);
     assert_eq!(fleet.info("HostsReady"), 8);
+    refuses_what_is_not_settable(&mut fleet);
+}
+
+fn refuses_what_is_not_settable(fleet: &mut SimulatedFleet) {
     assert!(
         fleet
             .command(2, "set server table-0/host-1 weight 4")
@@ -207,8 +211,8 @@
     fleet.list(hosts);
     fleet.run(4_000);
     assert!(!fleet.serving(0, "proof").contains_key("host-4"));
-    let told = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
-    assert!(fleet.events.iter().any(told));
+    let too_small = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
+    assert!(fleet.events.iter().any(too_small));
     fleet.run(20_000);
     assert!(
         fleet.serving(0, "proof").contains_key("host-4"),
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 pub(crate) const SECOND: u64 = 1_000_000;
-pub(crate) const KINDS: [&str; 3] = ["proof", "order", "release"];
+pub(crate) const CLASSES: [&str; 3] = ["proof", "order", "release"];
 pub(crate) const START: u64 = 1_800_000_000 * SECOND;
 
 /// What a proxy does with the next orders.
@@ -34,7 +34,7 @@
     pub up: bool,
     pub conn: Option<u64>,
     pub fault: Fault,
-    /// Orders that came, each with its time and commands.
+    /// Updates that arrived, each with its time and commands.
     pub orders: Vec<(u64, Vec<String>)>,
     lines: VecDeque<(u64, String)>,
 }
@@ -98,7 +98,7 @@
 
 pub(crate) fn site(proxies: usize) -> Site {
     let span = Length::millis;
-    let kind = |name: &str| site::Kind {
+    let class = |name: &str| site::Kind {
         name: name.into(),
         backend: None,
         response_target: span(1_000),
@@ -117,7 +117,7 @@
     Site {
         name: "steward".into(),
         zones: vec!["ede".into(), "arnhem".into()],
-        kinds: KINDS.map(kind).into(),
+        kinds: CLASSES.map(class).into(),
         proxies: (0..proxies).map(proxy).collect(),
         proxies_of_site: None,
         hosts_file: "hosts".into(),
@@ -148,7 +148,7 @@
 impl SimulatedFleet {
     pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
         let front = |(n, proxy): (usize, &site::Proxy)| {
-            let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &KINDS);
+            let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &CLASSES);
             // Standing tables: two hosts each.
             for backend in tables.backends.values_mut() {
                 for h in [n % hosts.max(1), (n + 1) % hosts.max(1)] {
@@ -200,27 +200,29 @@
         }
     }
 
+    fn dial(&mut self, proxy: u16, connection: u64) {
+        let front = &mut self.fronts[proxy as usize];
+        front.conn = front.up.then_some(connection);
+        front.lines.clear();
+        let input = if front.up {
+            Input::Connected { proxy, connection }
+        } else {
+            Input::Disconnected {
+                proxy,
+                connection,
+                reason: "refused".into(),
+            }
+        };
+        self.give(input);
+    }
+
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial {
                 proxy,
                 connection: conn,
             } => {
-                let front = &mut self.fronts[proxy as usize];
-                front.conn = front.up.then_some(conn);
-                front.lines.clear();
-                let input = match front.conn {
-                    Some(conn) => Input::Connected {
-                        proxy,
-                        connection: conn,
-                    },
-                    None => Input::Disconnected {
-                        proxy,
-                        connection: conn,
-                        reason: "refused".into(),
-                    },
-                };
-                self.give(input);
+                self.dial(proxy, conn);
             }
             Output::Write {
                 proxy,
@@ -359,18 +361,18 @@
         self.replies.remove(&caller).unwrap_or_default()
     }
 
-    /// Counts reqs at a proxy's servers, as if traffic had gone there.
-    pub(crate) fn traffic(&mut self, n: usize, done: u64, errored: u64, mean_ms: u64) {
+    /// Counts requests at a proxy's servers, as if traffic had gone there.
+    pub(crate) fn traffic(&mut self, n: usize, done: u64, failed: u64, mean_ms: u64) {
         for backend in self.fronts[n].tables.backends.values_mut() {
-            backend.requests += done + errored;
+            backend.requests += done + failed;
             for server in backend
                 .servers
                 .values_mut()
                 .filter(|server| server.is_serving())
             {
-                server.attempts += done + errored;
+                server.attempts += done + failed;
                 server.results.done += done;
-                server.results.errored += errored;
+                server.results.errored += failed;
                 server.results.done_time += std::time::Duration::from_millis(mean_ms * done);
             }
         }
@@ -379,9 +381,9 @@
     pub(crate) fn serving(
         &self,
         n: usize,
-        kind: &str,
+        class: &str,
     ) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
-        let servers = &self.fronts[n].tables.backends[kind].servers;
+        let servers = &self.fronts[n].tables.backends[class].servers;
         let serving = servers.iter().filter(|(_, server)| server.is_serving());
         serving
             .map(|(name, server)| (name.clone(), (server.address, server.weight)))
