--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -19,12 +19,11 @@
     pub(crate) fn on_dns_query(&mut self, proxy: Option<u16>, table: Option<u16>, serial: u32) {
         let now = self.now;
         let cause = self.cause.clone();
-        let Some(names) = &mut self.dns else { return };
+        let Some(dns) = &mut self.dns else { return };
         if let Some(table) = table {
-            names
-                .held
-                .answered(now, serial, TableId(table), names.cache_lifetime);
-            if names.view.serial != serial {
+            dns.held
+                .answered(now, serial, TableId(table), dns.cache_lifetime);
+            if dns.view.serial != serial {
                 self.update_exclusions();
             }
         }
@@ -35,7 +34,7 @@
 
     fn join_dns_proxy(&mut self, proxy: u16, cause: String) {
         let now = self.now;
-        let Some(names) = &mut self.dns else { return };
+        let Some(dns) = &mut self.dns else { return };
         // Those with a runtime API are joined by it; that they ask for names as well changes nothing.
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
@@ -43,7 +42,7 @@
         let Link::Dns { joined } = peer.link else {
             return;
         };
-        if names.members.asked(now, peer.id) == Asked::Joined && !joined {
+        if dns.members.asked(now, peer.id) == Asked::Joined && !joined {
             peer.link = Link::Dns { joined: true };
             let id = peer.id;
             let usual = peer.usual_rate;
@@ -62,33 +61,33 @@
     /// What is due by time: who has left, what caches hold no more, and secondaries that are to be notified.
     pub(crate) fn run_dns_timers(&mut self) {
         let now = self.now;
-        let Some(names) = &mut self.dns else { return };
-        if now - names.secondaries_answered_at >= SECONDARY_ANSWER_INTERVAL {
-            names.secondaries_answered_at = now;
-            if let Some(serial) = names.secondaries.oldest(now) {
-                names.held.served(now, serial, names.cache_lifetime);
+        let Some(dns) = &mut self.dns else { return };
+        if now - dns.secondaries_answered_at >= SECONDARY_ANSWER_INTERVAL {
+            dns.secondaries_answered_at = now;
+            if let Some(serial) = dns.secondaries.oldest(now) {
+                dns.held.served(now, serial, dns.cache_lifetime);
                 // Queries to a secondary are not seen here: they count as those of unknown proxies.
-                for unknown_proxy in names.unknown_proxies.clone() {
+                for unknown_proxy in dns.unknown_proxies.clone() {
                     self.join_dns_proxy(unknown_proxy.0, "a secondary serves".into());
                 }
             }
         }
-        let Some(names) = &mut self.dns else { return };
-        if names
+        let Some(dns) = &mut self.dns else { return };
+        if dns
             .last_answer_until
             .take_if(|until| *until <= now)
             .is_some()
         {
-            names.view_outdated = true;
+            dns.view_outdated = true;
         }
-        let late = names.secondaries.late(now);
+        let late = dns.secondaries.late(now);
         let late: Vec<String> = late
             .into_iter()
-            .filter_map(|n| names.secondary_names.get(usize::from(n)).cloned())
+            .filter_map(|n| dns.secondary_names.get(usize::from(n)).cloned())
             .collect();
-        let left = names.members.left(now);
-        let ended = names.excluded_until.values().any(|until| *until <= now);
-        for secondary in names.secondaries.say(now) {
+        let left = dns.members.left(now);
+        let ended = dns.excluded_until.values().any(|until| *until <= now);
+        for secondary in dns.secondaries.say(now) {
             self.outputs
                 .push_back(Output::NotifySecondary { secondary });
         }
@@ -115,10 +114,10 @@
     /// there is, and stand for counters. A host without a report was not observed.
     pub(crate) fn self_reported_outcomes(&mut self) -> BTreeMap<HostId, AttemptOutcomes> {
         let now = self.now;
-        let Some(names) = &mut self.dns else {
+        let Some(dns) = &mut self.dns else {
             return BTreeMap::new();
         };
-        let last = std::mem::replace(&mut names.self_reports_taken_at, now);
+        let last = std::mem::replace(&mut dns.self_reports_taken_at, now);
         // Where proxies report counters, those are the evidence: a host that hangs may still answer a short question.
         let observed = self.peers.iter().filter(|peer| peer.is_joined());
         let tables: BTreeSet<TableId> = observed
@@ -145,8 +144,8 @@
 
     pub(crate) fn on_secondary(&mut self, n: u16, observation: Heard) {
         let now = self.now;
-        if let Some(names) = &mut self.dns {
-            names.secondaries.heard(now, usize::from(n), observation);
+        if let Some(dns) = &mut self.dns {
+            dns.secondaries.heard(now, usize::from(n), observation);
         }
     }
 
@@ -155,29 +154,32 @@
     /// its new line on top it could be overloaded.
     pub(crate) fn update_exclusions(&mut self) {
         let now = self.now;
-        let Some(names) = &mut self.dns else { return };
-        let found = names.hosts_to_exclude(now, &self.endpoints);
-        let before = std::mem::replace(&mut names.excluded_until, found);
-        let names = &self
+        let Some(dns) = &mut self.dns else { return };
+        let found = dns.hosts_to_exclude(now, &self.endpoints);
+        let before = std::mem::replace(&mut dns.excluded_until, found);
+        let excluded = &self
             .dns
             .as_ref()
-            .map(|names| names.excluded_until.clone())
+            .map(|dns| dns.excluded_until.clone())
             .unwrap_or_default();
         let changed: BTreeSet<&HostId> = before
             .keys()
-            .filter(|host| !names.contains_key(*host))
-            .chain(names.keys().filter(|host| !before.contains_key(*host)))
+            .filter(|host| !excluded.contains_key(*host))
+            .chain(excluded.keys().filter(|host| !before.contains_key(*host)))
             .collect();
         if changed.is_empty() {
             return;
         }
         for table in self
             .tables
-            .exclude(names.keys().cloned().collect(), &changed)
+            .exclude(excluded.keys().cloned().collect(), &changed)
         {
             self.require_table_update(table);
         }
-        for (host, until) in names.iter().filter(|(host, _)| !before.contains_key(*host)) {
+        for (host, until) in excluded
+            .iter()
+            .filter(|(host, _)| !before.contains_key(*host))
+        {
             let host = host.0.to_string();
             let duration_s = (*until - now).seconds();
             self.log_event(Event::HostExcluded { host, duration_s });
@@ -186,8 +188,8 @@
     }
 
     pub(crate) fn mark_dns_view_outdated(&mut self) {
-        if let Some(names) = &mut self.dns {
-            names.mark_outdated();
+        if let Some(dns) = &mut self.dns {
+            dns.mark_outdated();
         }
     }
 
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_cold_host_too_light_to_tell_is_held_back_and_said() {
+fn a_cold_host_with_too_small_a_weight_is_held_back_and_logged() {
     let mut fleet = SimulatedFleet::open(&site(1), 12);
     fleet.run(3_000);
     let mut hosts: Vec<_> = (0..12).map(host).collect();
--- a/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn repeated_numbers_and_starts_at_0_are_told_apart_and_harm_nothing() {
+fn repeated_numbers_and_restarts_at_0_are_distinguished_and_harm_nothing() {
     let mut fleet = fleet(None, 12);
     let mut pusher = Pusher::proxy(0, 0);
     pusher.come(&mut fleet);
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -57,7 +57,7 @@
 
 /// Nothing arrives for 3 s, as the controller itself stood still: that makes no host silent.
 #[test]
-fn a_steward_that_stood_still_blames_nobody() {
+fn a_controller_that_stood_still_blames_nobody() {
     let mut fleet = fleet(None, 12);
     let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
     pushers
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_solver_that_fails_or_is_silent_is_said_and_leaves_the_weights() {
+fn a_solver_that_fails_or_is_silent_is_logged_and_leaves_the_weights() {
     for trouble in [Solver::Fails, Solver::Silent] {
         let mut fleet = solved(4, 8);
         fleet.solver = trouble;
