--- a/crates/daemon/src/hosts_file.rs
+++ b/crates/daemon/src/hosts_file.rs
@@ -1,7 +1,7 @@
-//! Follows the list of hosts: looks at the file several times a second and reads it when it has changed.
+//! Follows the endpoint list: polls the file's metadata several times a second and reads the file when it has changed.
 //!
-//! A file that cannot be read or evaluated (half written, say) is told of once, and looked at again when it
-//! changes; the last good list holds meanwhile.
+//! A file that cannot be read or evaluated (half written, say) is reported once, and read again when it changes; the last
+//! good list holds meanwhile.
 
 use pondarch_config::read_hosts;
 use pondarch_daemon_core::Input;
@@ -10,26 +10,32 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Time between two looks: short beside the list's own lateness of seconds.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two polls: short beside the list's own delay of seconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What tells one state of the file from another without reading it.
-type Mark = Option<(SystemTime, u64, u64)>;
+/// Distinguishes one state of the file from another without reading it.
+#[derive(Clone, Copy, PartialEq)]
+struct FileVersion {
+    modified: SystemTime,
+    bytes: u64,
+    inode: u64,
+}
 
+/// Reads the file whenever it has changed, until the daemon ends.
 pub(crate) async fn follow(file: PathBuf, zones: Vec<String>, inputs: mpsc::Sender<Input>) {
-    let mut last: Option<Mark> = None;
+    let mut last: Option<Option<FileVersion>> = None;
     let mut next = Instant::now();
     loop {
-        let mark = mark_of(&file).await;
-        if last != Some(mark) {
+        let version = version_of(&file).await;
+        if last != Some(version) {
             let input = read(file.clone(), zones.clone()).await;
-            // Changed while it was being read: the next look reads it again.
-            last = (mark_of(&file).await == mark).then_some(mark);
+            // Changed while it was being read: the next poll reads it again.
+            last = (version_of(&file).await == version).then_some(version);
             if inputs.send(input).await.is_err() {
                 return;
             }
         }
-        next += LOOK_EVERY;
+        next += POLL_INTERVAL;
         sleep_until(next).await;
     }
 }
@@ -42,8 +48,8 @@
             generation: list.version,
             hosts: list.hosts,
         },
-        Ok(Err(wrong)) => Input::EndpointListRejected {
-            error: wrong.to_string(),
+        Ok(Err(error)) => Input::EndpointListRejected {
+            error: error.to_string(),
         },
         Err(_) => Input::EndpointListRejected {
             error: "the evaluator failed".into(),
@@ -51,8 +57,12 @@
     }
 }
 
-async fn mark_of(file: &Path) -> Mark {
-    let meta = tokio::fs::metadata(file).await.ok()?;
-    let node = std::os::unix::fs::MetadataExt::ino(&meta);
-    Some((meta.modified().ok()?, meta.len(), node))
+/// The file's state; none if there is no such file.
+async fn version_of(file: &Path) -> Option<FileVersion> {
+    let metadata = tokio::fs::metadata(file).await.ok()?;
+    Some(FileVersion {
+        modified: metadata.modified().ok()?,
+        bytes: metadata.len(),
+        inode: std::os::unix::fs::MetadataExt::ino(&metadata),
+    })
 }
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,94 +1,136 @@
-//! Events as structured logs: one log event each, with the input that led to it.
+//! Events as structured logs: one log line each, with the input that led to it.
 
 use pondarch_daemon_core::Event;
 use tracing::{debug, info, warn};
 
+/// Logs one event.
 pub(crate) fn event(event: &Event) {
+    match event {
+        Event::EndpointListApplied { .. }
+        | Event::EndpointListRejected { .. }
+        | Event::HostExcluded { .. }
+        | Event::Recovered { .. } => host_event(event),
+        Event::ProxyJoined { .. } | Event::ProxyLeft { .. } | Event::ProxyBound { .. } => {
+            proxy_event(event);
+        }
+        Event::TableChanged { .. }
+        | Event::AdmissionChanged { .. }
+        | Event::WeightSourceChanged { .. }
+        | Event::TargetWeightsChanged { .. }
+        | Event::WeightTooSmall { .. }
+        | Event::PlanFailed { .. } => decision_event(event),
+        Event::UpdateSent { .. }
+        | Event::UpdateAcknowledged { .. }
+        | Event::UpdateRejected { .. }
+        | Event::UpdateDelayed { .. } => update_event(event),
+        Event::EventLogChanged {
+            stopped_reason,
+            lost_inputs,
+        } => event_log_changed(stopped_reason.as_deref(), *lost_inputs),
+        Event::ReportRejected {
+            error,
+            rejected_total,
+        } => warn!(error, rejected_total, "load report rejected"),
+        Event::SecondaryBehind { secondary } => warn!(secondary, "DNS secondary is behind"),
+    }
+}
+
+/// Logs an event of the endpoint list and its hosts.
+fn host_event(event: &Event) {
     match event {
         Event::EndpointListApplied {
-            generation: version,
-            ready: open,
+            generation,
+            ready,
             draining,
-            removed: gone,
-        } => {
-            info!(version, open, draining, gone, "list taken");
-        }
-        Event::EndpointListRejected { error: wrong } => {
-            warn!(wrong, "list refused, the last one holds")
+            removed,
+        } => info!(
+            generation,
+            ready, draining, removed, "endpoint list applied"
+        ),
+        Event::EndpointListRejected { error } => warn!(error, "endpoint list rejected"),
+        Event::Recovered {
+            ready,
+            draining,
+            removed,
+        } => info!(ready, draining, removed, "state recovered"),
+        Event::HostExcluded { host, duration_s } => {
+            info!(host, duration_s, "restarted host excluded from DNS");
         }
+        // Of another family.
+        _ => {}
+    }
+}
+
+/// Logs an event of a proxy.
+fn proxy_event(event: &Event) {
+    match event {
         Event::ProxyJoined {
             proxy,
             fresh,
             cause,
         } => info!(proxy, fresh, cause, "proxy joined"),
-        Event::ProxyLeft { proxy, reason: why } => warn!(proxy, why, "proxy left"),
+        Event::ProxyLeft { proxy, reason } => warn!(proxy, reason, "proxy left"),
         Event::ProxyBound {
             proxy,
             table,
             cause,
         } => info!(proxy, table, cause, "proxy bound"),
+        // Of another family.
+        _ => {}
+    }
+}
+
+/// Logs a decision, or why there is none.
+fn decision_event(event: &Event) {
+    match event {
         Event::TableChanged {
             table,
-            weights: lines,
+            weights,
             cause,
-        } => info!(table, ?lines, cause, "table changed"),
+        } => info!(table, ?weights, cause, "table changed"),
         Event::AdmissionChanged {
             table,
-            class: kind,
+            class,
             quota,
-            retry_policy: tries,
+            retry_policy,
             cause,
-        } => {
-            info!(table, kind, quota, %tries, cause, "level changed");
+        } => info!(table, class, quota, %retry_policy, cause, "admission changed"),
+        Event::WeightSourceChanged { source } => info!(%source, "weight source changed"),
+        Event::TargetWeightsChanged { weights, cause } => {
+            info!(?weights, cause, "target weights changed");
         }
+        Event::WeightTooSmall { table, host } => {
+            info!(table, host, "weight of warming host too small to send");
+        }
+        Event::PlanFailed { error } => warn!(error, "solver found no plan"),
+        // Of another family.
+        _ => {}
+    }
+}
+
+/// Logs an event of updates to a proxy.
+fn update_event(event: &Event) {
+    match event {
         Event::UpdateSent {
             proxy,
             commands,
             urgency,
             cause,
-        } => {
-            info!(proxy, commands, %urgency, cause, "orders sent");
+        } => info!(proxy, commands, %urgency, cause, "update sent"),
+        Event::UpdateAcknowledged { proxy, took_us } => {
+            debug!(proxy, took_us, "update acknowledged");
         }
-        Event::UpdateAcknowledged { proxy, took_us } => debug!(proxy, took_us, "orders applied"),
-        Event::UpdateRejected {
-            proxy,
-            error: wrong,
-        } => warn!(proxy, wrong, "order refused"),
-        Event::UpdateDelayed { proxy, reason: why } => warn!(proxy, %why, "orders wait"),
-        Event::WeightSourceChanged { source } => info!(%source, "weights from"),
-        Event::TargetWeightsChanged {
-            weights: moved,
-            cause,
-        } => info!(?moved, cause, "weights changed"),
-        Event::PlanFailed { error: wrong } => warn!(wrong, "no plan"),
-        Event::Recovered {
-            ready,
-            draining,
-            removed: gone,
-        } => {
-            info!(ready, draining, gone, "recovered what was known")
-        }
-        Event::EventLogChanged {
-            stopped_reason: None,
-            lost_inputs: lost,
-        } => info!(lost, "records are written"),
-        Event::EventLogChanged {
-            stopped_reason: Some(why),
-            lost_inputs: lost,
-        } => warn!(why, lost, "records are not written"),
-        Event::ReportRejected {
-            error: wrong,
-            rejected_total: refused,
-        } => warn!(wrong, refused, "report refused"),
-        Event::HostExcluded {
-            host,
-            duration_s: for_s,
-        } => {
-            info!(host, for_s, "started anew, kept out while caches hold it")
-        }
-        Event::SecondaryBehind { secondary } => {
-            warn!(secondary, "secondary is behind for too long")
-        }
-        Event::WeightTooSmall { table, host } => info!(table, host, "cold host held back"),
+        Event::UpdateRejected { proxy, error } => warn!(proxy, error, "update rejected"),
+        Event::UpdateDelayed { proxy, reason } => warn!(proxy, %reason, "update delayed"),
+        // Of another family.
+        _ => {}
+    }
+}
+
+/// Logs whether the event log is written.
+fn event_log_changed(stopped_reason: Option<&str>, lost_inputs: u64) {
+    match stopped_reason {
+        None => info!(lost_inputs, "event log is written"),
+        Some(reason) => warn!(reason, lost_inputs, "event log is not written"),
     }
 }
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -32,8 +32,8 @@
 pub(crate) struct OutputHandler {
     connections: BTreeMap<u16, NumberedConnection>,
     prober: Option<Prober>,
-    /// Probes under way; they end with the daemon.
-    probes: JoinSet<()>,
+    /// Health checks under way; they end with the daemon.
+    checks: JoinSet<()>,
     /// The last plan, which the next one starts from.
     warm: Arc<Mutex<Warm>>,
     /// The solve under way, which ends by its own limit.
@@ -65,7 +65,7 @@
         OutputHandler {
             connections: BTreeMap::new(),
             prober,
-            probes: JoinSet::new(),
+            checks: JoinSet::new(),
             warm: Arc::default(),
             solving: JoinSet::new(),
             commands,
@@ -177,9 +177,9 @@
     }
 
     fn check_health(&mut self, host: String, address: SocketAddr, for_load: bool) {
-        reap(&mut self.probes);
+        reap(&mut self.checks);
         if let Some(prober) = self.prober.clone() {
-            self.probes.spawn(prober.ask(host, address, for_load));
+            self.checks.spawn(prober.check(host, address, for_load));
         }
     }
 
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a host over HTTP/1.1, for its health or its load.
+//! Health checks over HTTP/1.1, which also give a host's load.
 
 use pondarch_config::site::Probes;
 use pondarch_daemon_core::{Input, ReportedLoad};
@@ -9,40 +9,42 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// Probes under way at one time; one more waits for the next turn and counts as unanswered now.
-const PROBES_MOST: usize = 256;
-/// Bytes of an answer's body, which is not looked at.
-const ANSWER_MOST: usize = 64 * 1024;
+/// Health checks under way at one time; one more is made at its next turn and counts as unanswered now.
+const MAX_CHECKS: usize = 256;
+/// Bytes of an answer's body, which is not evaluated.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
+/// Makes health checks. Clones share their limit.
 #[derive(Clone)]
 pub(crate) struct Prober {
-    probes: Arc<Probes>,
-    places: Arc<Semaphore>,
+    settings: Arc<Probes>,
+    permits: Arc<Semaphore>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl Prober {
-    pub(crate) fn new(probes: Probes, inputs: mpsc::Sender<Input>) -> Prober {
+    /// A prober by the settings.
+    pub(crate) fn new(settings: Probes, inputs: mpsc::Sender<Input>) -> Prober {
         Prober {
-            probes: Arc::new(probes),
-            places: Arc::new(Semaphore::new(PROBES_MOST)),
+            settings: Arc::new(settings),
+            permits: Arc::new(Semaphore::new(MAX_CHECKS)),
             inputs,
         }
     }
 
-    /// One probe, to its end within the time limit.
-    pub(crate) async fn ask(self, host: String, addr: SocketAddr, for_load: bool) {
-        let asked = match self.places.try_acquire() {
-            Ok(_place) => {
+    /// One health check, to its end within the time limit.
+    pub(crate) async fn check(self, host: String, address: SocketAddr, for_load: bool) {
+        let answer = match self.permits.try_acquire() {
+            Ok(_permit) => {
                 timeout(
-                    self.probes.time_limit.std(),
-                    get(addr, &self.probes.path, ANSWER_MOST),
+                    self.settings.time_limit.std(),
+                    get(address, &self.settings.path, MAX_ANSWER_BYTES),
                 )
                 .await
             }
             Err(_) => Ok(None),
         };
-        let report = asked.ok().flatten().map(|answer| load_of(&answer));
+        let report = answer.ok().flatten().map(|answer| load_of(&answer));
         let load = report.map(|report| ReportedLoad {
             utilization: report.busy,
             queue_length: report.queue,
@@ -63,10 +65,11 @@
     }
 }
 
+/// The load that an answer reports, as far as it does.
 fn load_of(answer: &GetResponse) -> Report {
-    let told = answer
+    let value = answer
         .headers
         .get(HEADER)
         .and_then(|value| value.to_str().ok());
-    told.map(Report::read).unwrap_or_default()
+    value.map(Report::read).unwrap_or_default()
 }
