--- /dev/null
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -0,0 +1,155 @@
+//! A core with proxies in memory that answer at once; time is its own.
+
+use pondarch_config::{HostEntry, Site};
+use pondarch_controller::Time;
+use pondarch_daemon_core::{Core, Input, Output, micros};
+use pondarch_proxy_core::holding::Holding;
+use pondarch_replay::RunStart;
+use std::collections::VecDeque;
+use std::path::Path;
+
+/// Proxies of the fleet.
+pub(crate) const PROXIES: usize = 100;
+/// Hosts of the fleet.
+pub(crate) const HOSTS: usize = 300;
+/// Inputs between two endpoint lists.
+const LIST_INTERVAL: u64 = 20_000;
+
+/// Settings that record in this folder.
+pub(crate) fn settings(folder: &Path) -> String {
+    let proxy = |n: usize| {
+        format!(
+            r#"{{"name": "front-{n}", "zone": "ede", "usual_rate": 5, "runtime": "unix:/front-{n}"}}"#
+        )
+    };
+    let proxies: Vec<String> = (0..PROXIES).map(proxy).collect();
+    let class = |name: &str| {
+        format!(
+            r#"{{"name": "{name}", "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"}}"#
+        )
+    };
+    let classes = ["proof", "order", "release"].map(class).join(", ");
+    format!(
+        r#"{{"name": "s", "zones": ["ede", "arnhem"], "kinds": [{classes}], "proxies": [{}],
+        "hosts_file": "hosts", "cold": {{"start_share": 0.2, "warm_within": "18 s"}},
+        "records": {{"folder": {:?}}},
+        "channel": {{"lines_per_second": 8000, "most_waiting": 8000, "message_cap": 12, "message_window": "10 s"}}}}"#,
+        proxies.join(", "),
+        folder.display().to_string()
+    )
+}
+
+fn hosts(weight: f64) -> Vec<HostEntry> {
+    let host = |n: usize| HostEntry {
+        name: format!("host-{n}"),
+        address: ([127, 0, (n / 200) as u8, (n % 200) as u8 + 1], 8000).into(),
+        zone: ["ede", "arnhem"][n % 2].into(),
+        rack: String::new(),
+        machine: String::new(),
+        weight: if n.is_multiple_of(7) { weight } else { 1.0 },
+        cores: None,
+        started: None,
+        state: Default::default(),
+    };
+    (0..HOSTS).map(host).collect()
+}
+
+/// A core with proxies that answer at once; time is its own.
+pub(crate) struct SimulatedFleet {
+    pub(crate) core: Core,
+    proxies: Vec<Holding>,
+    waiting: VecDeque<Input>,
+    pub(crate) now_us: u64,
+}
+
+impl SimulatedFleet {
+    /// A fleet that starts at this time.
+    pub(crate) fn new(site: &Site, at_us: u64) -> SimulatedFleet {
+        let proxy = |n: usize| {
+            Holding::new(
+                &format!("front-{n}"),
+                n as u64 + 1,
+                &["proof", "order", "release"],
+            )
+        };
+        let core = Core::new(site, 7, 1, at_us, Time::from_micros(at_us));
+        SimulatedFleet {
+            core,
+            proxies: (0..PROXIES).map(proxy).collect(),
+            waiting: VecDeque::new(),
+            now_us: at_us,
+        }
+    }
+
+    /// The next thing that happens: an answer that waits, or the time that the core asked for.
+    pub(crate) fn next(&mut self, number: u64) -> (Time, Input) {
+        if number == 1 || number.is_multiple_of(LIST_INTERVAL) {
+            let weight = 1.0 + (number / LIST_INTERVAL % 3) as f64;
+            return (
+                Time::from_micros(self.now_us),
+                Input::EndpointList {
+                    generation: None,
+                    hosts: hosts(weight),
+                },
+            );
+        }
+        match self.waiting.pop_front() {
+            Some(input) => {
+                self.now_us += 5;
+                (Time::from_micros(self.now_us), input)
+            }
+            None => {
+                let wake = micros(self.core.wake_at()).max(self.now_us + 1);
+                self.now_us = wake;
+                (Time::from_micros(wake), Input::TimerExpired)
+            }
+        }
+    }
+
+    /// Carries out what the core gives.
+    pub(crate) fn carry_out(&mut self, output: Output) {
+        match output {
+            Output::Dial { proxy, connection } => self
+                .waiting
+                .push_back(Input::Connected { proxy, connection }),
+            Output::Write {
+                proxy,
+                connection,
+                lines,
+            } => {
+                let proxy_state = &mut self.proxies[usize::from(proxy)];
+                for backend in proxy_state.backends.values_mut() {
+                    backend.reqs += 3;
+                    for server in backend.servers.values_mut() {
+                        server.total += 1;
+                        server.sums.done += 1;
+                    }
+                }
+                let texts = lines
+                    .iter()
+                    .flat_map(|line| proxy_state.line(line))
+                    .collect::<Vec<_>>();
+                self.waiting
+                    .extend(texts.into_iter().map(|text| Input::Answer {
+                        proxy,
+                        connection,
+                        text,
+                    }));
+            }
+            _ => {}
+        }
+    }
+}
+
+/// The first record of a run.
+pub(crate) fn start(text: &str, at: Time) -> RunStart {
+    RunStart {
+        program: "bench".into(),
+        settings: text.into(),
+        seed: 7,
+        process: 1,
+        incarnation: micros(at),
+        at_us: micros(at),
+        boot: None,
+    }
+}
--- /dev/null
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -0,0 +1,148 @@
+//! What a log of a given size takes, to write, to recover from and to replay.
+
+use crate::fleet::{HOSTS, PROXIES, SimulatedFleet, settings, start};
+use pondarch_config::{Site, site_from_text};
+use pondarch_controller::Time;
+use pondarch_daemon::Clock;
+use pondarch_daemon_core::{Input, Output, micros};
+use pondarch_event_log::{Disk, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
+use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
+use pondarch_replay::{Decision, Record, recover};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// What a folder holds.
+fn bytes_of(folder: &Path) -> u64 {
+    Folder::read_only(folder)
+        .list()
+        .map(|files| files.iter().map(|file| file.bytes).sum())
+        .unwrap_or(0)
+}
+
+/// What was written to a log.
+#[derive(Default)]
+struct Written {
+    records: u64,
+    /// Bytes of the records before compression.
+    record_bytes: u64,
+    /// Time that the writing took.
+    took: Duration,
+}
+
+/// Frames on their way to a log.
+struct LogWriter {
+    log: EventLog<Folder>,
+    frames: Vec<u8>,
+    frame_bytes: u64,
+    written: Written,
+}
+
+impl LogWriter {
+    fn start(folder: &Path, text: &str, at: Time) -> LogWriter {
+        let retention = RetentionConfig {
+            segment_bytes: 16 << 20,
+            total_bytes: 4 << 30,
+            max_age: UNLIMITED,
+            sync_within: UNLIMITED,
+        };
+        let folder = Folder::lock(folder).expect("a lock");
+        let log = EventLog::new(folder, retention, micros(at)).expect("a log");
+        let mut frames = Vec::new();
+        let start = Record::Start(Box::new(start(text, at)));
+        frame::write(&mut frames, &start.to_bytes());
+        LogWriter {
+            log,
+            frames,
+            frame_bytes: 0,
+            written: Written::default(),
+        }
+    }
+
+    fn push(&mut self, record: &Record) {
+        let record = record.to_bytes();
+        self.written.records += 1;
+        self.written.record_bytes += record.len() as u64;
+        frame::write(&mut self.frames, &record);
+    }
+
+    /// Writes an input and what was decided by it.
+    fn write(&mut self, number: u64, at: Time, input: Input, outputs: &[Output]) {
+        let begun = Instant::now();
+        self.push(&Record::Input {
+            number,
+            at_us: micros(at),
+            input,
+        });
+        if !outputs.is_empty() {
+            let decisions = outputs.iter().cloned().map(Decision::of).collect();
+            self.push(&Record::Decided { number, decisions });
+        }
+        if self.frames.len() > 1 << 16 {
+            self.log.write(at, number, &self.frames);
+            self.frame_bytes += self.frames.len() as u64;
+            self.frames.clear();
+        }
+        self.written.took += begun.elapsed();
+    }
+
+    fn end(self) -> Written {
+        self.log.end();
+        self.written
+    }
+}
+
+/// A log of so many bytes, written as fast as can be; then recovered, and replayed.
+pub(crate) fn sizes(bytes: u64) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let text = settings(folder.path());
+    let site = site_from_text(&text).expect("settings");
+    let start = Clock::start().now();
+    let mut writer = LogWriter::start(folder.path(), &text, start);
+    let mut fleet = SimulatedFleet::new(&site, micros(start));
+    let mut number = 0;
+    while writer.frame_bytes < bytes {
+        number += 1;
+        let (at, input) = fleet.next(number);
+        fleet.core.handle(at, input.clone());
+        let outputs: Vec<Output> = std::iter::from_fn(|| fleet.core.next_output()).collect();
+        writer.write(number, at, input, &outputs);
+        for output in outputs {
+            fleet.carry_out(output);
+        }
+    }
+    let span = Duration::from_micros(fleet.now_us - micros(start));
+    let written = writer.end();
+    time_recovery(folder.path(), &site, &written, span);
+    time_replay(folder.path(), span);
+}
+
+fn time_recovery(folder: &Path, site: &Site, written: &Written, span: Duration) {
+    let begun = Instant::now();
+    let found = recover(&Folder::read_only(folder), site).expect("recovered");
+    let took = begun.elapsed();
+    let records = written.records as f64;
+    println!(
+        "{} MB of records: {} of {:.0} bytes in the file ({:.0} before compression), {:.0} a second written; \
+         {:.0} s of {PROXIES} proxies and {HOSTS} hosts; recovered without any snapshot in {:.2} s ({} inputs)",
+        bytes_of(folder) / 1_000_000,
+        written.records,
+        bytes_of(folder) as f64 / records,
+        written.record_bytes as f64 / records,
+        records / written.took.as_secs_f64(),
+        span.as_secs_f64(),
+        took.as_secs_f64(),
+        found.inputs
+    );
+}
+
+fn time_replay(folder: &Path, span: Duration) {
+    let begun = Instant::now();
+    let FolderReplay { runs, .. } =
+        replay(&Folder::read_only(folder), ComparedInputs::default()).expect("replayed");
+    let took_s = begun.elapsed().as_secs_f64();
+    let same = runs.iter().all(|run| run.difference.is_none());
+    println!(
+        "  replayed in {took_s:.1} s, {:.1} times as fast as real time; the same: {same}",
+        span.as_secs_f64() / took_s
+    );
+}
