--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -154,6 +154,7 @@
         let message = self.answerer().word(self.clock.now(), index);
         let address = self.secondaries.get(usize::from(index));
         if let (Some(message), Some(address)) = (message, address) {
+            // Lost like any packet may be.
             self.socket.try_send_to(&message, *address).ok();
         }
     }
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -161,7 +161,7 @@
             _ => true,
         };
         if !written {
-            // It reads nothing: the core's answer limit hangs it up; what was not written is sent anew then.
+            // It reads nothing: the core's answer limit hangs it up; what was not written is sent again then.
             warn!(
                 proxy = self.site.proxies[proxy as usize].name,
                 "connection's queue is full"
@@ -184,7 +184,7 @@
     }
 
     fn solve(&mut self, number: u64, fleet: Fleet) {
-        // One at a time: the core asks for the next when this one is answered or given up.
+        // One at a time: the core requests the next when this one has ended or is given up.
         reap(&mut self.solving);
         let inputs = self.inputs.clone();
         let warm = self.warm.clone();
@@ -213,7 +213,7 @@
         let commands = self.commands.clone();
         reap(&mut self.replies);
         self.replies.spawn(async move {
-            // With a slow disk nobody waits longer than this.
+            // The reply is sent after the timeout too: with a slow disk nobody waits longer.
             timeout(REPLY_TIMEOUT, written.wait_for(|up_to| *up_to >= number))
                 .await
                 .ok();
--- a/crates/daemon/src/recorder/previous_run.rs
+++ b/crates/daemon/src/recorder/previous_run.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// How much time has passed since the last record: by the machine's own count if it did not start anew meanwhile, else by
+/// How much time has passed since the last record: by the machine's own count if it did not restart meanwhile, else by
 /// its clock, as far as that went on.
 fn elapsed_us(then: Option<&Boot>, now: Option<&Boot>, last_us: u64, now_us: u64) -> u64 {
     match (then, now) {
--- a/crates/daemon/src/recorder/previous_run/tests.rs
+++ b/crates/daemon/src/recorder/previous_run/tests.rs
@@ -1,6 +1,6 @@
 //! The time between two runs, by the machine's own count and by its clock.
 
-use super::*;
+use pondarch_replay::Boot;
 
 #[test]
 fn a_clock_that_jumped_is_not_believed_while_the_machine_counts_on() {
--- a/crates/daemon/src/recorder/writer.rs
+++ b/crates/daemon/src/recorder/writer.rs
@@ -172,7 +172,7 @@
                     batch.push(gap.last, &record);
                 }
                 Entry::Snapshot(snapshot) => {
-                    // It stands for all that was recorded before it.
+                    // It replaces all that was recorded before it.
                     self.write_batch(std::mem::take(&mut batch));
                     self.write_snapshot(&snapshot);
                 }
