--- a/crates/config/src/fronts.rs
+++ b/crates/config/src/fronts.rs
@@ -95,7 +95,7 @@
         } else {
             self.behind.0
         };
-        Lifetime::of(self.grace.0, self.learns_within.0 + behind, self.lifetime)
+        Lifetime::for_drain_grace(self.grace.0, self.learns_within.0 + behind, self.lifetime)
     }
 }
 
--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/asking.rs
@@ -8,7 +8,7 @@
 use pondarch_controller::DurationExt;
 use pondarch_controller::JoiningProxy;
 use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
-use pondarch_dns_core::{Asked, Heard, Named};
+use pondarch_dns_core::{AnsweredHost, QueryOutcome, SecondaryEvent};
 use pondarch_dns_server::{Line, STANDING, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
         if let Some(table) = table {
             names
                 .held
-                .answered(now, serial, TableId(table), names.holds);
+                .record_answer(now, serial, TableId(table), names.holds);
             if names.view.serial != serial {
                 self.find_echoes();
             }
@@ -41,7 +41,7 @@
         let Link::ByName { joined } = peer.link else {
             return;
         };
-        if names.members.asked(now, peer.id) == Asked::Joined && !joined {
+        if names.members.record_query(now, peer.id) == QueryOutcome::Joined && !joined {
             peer.link = Link::ByName { joined: true };
             let (id, usual, zone, proxy) = (peer.id, peer.usual, peer.zone, peer.name.clone());
             // Nobody can tell a restart: it counts as one that was there before.
@@ -68,8 +68,8 @@
         let Some(names) = &mut self.names else { return };
         if now - names.served >= SERVED_EVERY {
             names.served = now;
-            if let Some(serial) = names.secondaries.oldest(now) {
-                names.held.served(now, serial, names.holds);
+            if let Some(serial) = names.secondaries.oldest_served_serial(now) {
+                names.held.record_zone_copy(now, serial, names.holds);
                 // Who asks a secondary is not seen here: strangers, as far as is known.
                 for stranger in names.strangers.clone() {
                     self.asks_for_hosts(stranger.0, "a secondary serves".into());
@@ -80,14 +80,14 @@
         if names.last_until.take_if(|until| *until <= now).is_some() {
             names.stale = true;
         }
-        let late = names.secondaries.late(now);
+        let late = names.secondaries.take_overdue(now);
         let late: Vec<String> = late
             .into_iter()
             .filter_map(|n| names.keys.get(usize::from(n)).cloned())
             .collect();
-        let left = names.members.left(now);
+        let left = names.members.remove_expired(now);
         let ended = names.echoes.values().any(|until| *until <= now);
-        for secondary in names.secondaries.say(now) {
+        for secondary in names.secondaries.take_due_notifications(now) {
             self.out.push_back(Output::SayChanged { secondary });
         }
         late.into_iter()
@@ -139,10 +139,10 @@
             .collect()
     }
 
-    pub(crate) fn secondary_heard(&mut self, n: u16, heard: Heard) {
+    pub(crate) fn secondary_heard(&mut self, n: u16, heard: SecondaryEvent) {
         let now = self.now;
         if let Some(names) = &mut self.names {
-            names.secondaries.heard(now, usize::from(n), heard);
+            names.secondaries.apply(now, usize::from(n), heard);
         }
     }
 
@@ -264,16 +264,16 @@
                         .unwrap_or_default();
                     (
                         line.host.clone(),
-                        Named {
-                            part: line.weight / all.max(1e-9),
-                            addr: line.addr,
+                        AnsweredHost {
+                            share: line.weight / all.max(1e-9),
+                            address: line.addr,
                             started,
                         },
                     )
                 };
                 names
                     .held
-                    .changed(now, serial, *table, lines.iter().map(named).collect());
+                    .record_table(now, serial, *table, lines.iter().map(named).collect());
             }
         }
         for table in old
@@ -281,13 +281,15 @@
             .keys()
             .filter(|table| !view.tables.contains_key(table))
         {
-            names.held.changed(now, serial, *table, BTreeMap::new());
+            names
+                .held
+                .record_table(now, serial, *table, BTreeMap::new());
         }
         names.view = Arc::new(View { serial, ..view });
         self.out.push_back(Output::ViewChanged { serial });
         // After the view, so that what they fetch is it.
-        names.secondaries.changed(now, serial);
-        for secondary in names.secondaries.say(now) {
+        names.secondaries.record_change(now, serial);
+        for secondary in names.secondaries.take_due_notifications(now) {
             self.out.push_back(Output::SayChanged { secondary });
         }
     }
--- a/crates/daemon-core/src/names.rs
+++ b/crates/daemon-core/src/names.rs
@@ -6,7 +6,9 @@
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, ProxyId, TableId, Time};
-use pondarch_dns_core::{Held, Lifetime, Members, Named, Secondaries};
+use pondarch_dns_core::{
+    AnsweredHost, CachedAnswers, Lifetime, Members, RecoveredVersion, Secondaries, SecondaryState,
+};
 use pondarch_dns_server::{Line, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,7 +31,7 @@
 
 pub(crate) struct Names {
     pub(crate) members: Members,
-    pub(crate) held: Held,
+    pub(crate) held: CachedAnswers,
     pub(crate) holds: Duration,
     pub(crate) view: Arc<View>,
     /// Tables, bindings or the list may have changed since the view was made.
@@ -69,7 +71,7 @@
     pub(crate) fn new(site: &Site) -> Option<Names> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
-        let holds = lifetime.held() + TOLD_WITHIN;
+        let holds = lifetime.max_cache_time() + TOLD_WITHIN;
         let spare = dns
             .grace
             .0
@@ -77,11 +79,11 @@
             .saturating_sub(dns.learns_within.0.micros());
         Some(Names {
             members: Members::new(holds, MEMBERS_MOST),
-            held: Held::default(),
+            held: CachedAnswers::default(),
             holds,
             view: Arc::default(),
             stale: true,
-            last_answer_for: Lifetime::last_answer_for(Duration::from_micros(spare))
+            last_answer_for: Lifetime::last_answer_window(Duration::from_micros(spare))
                 .unwrap_or(Duration::ZERO),
             last_until: None,
             echoes: BTreeMap::new(),
@@ -106,10 +108,10 @@
     pub(crate) fn wake_at(&self) -> Option<Time> {
         let echo = self.echoes.values().min().copied();
         [
-            self.members.wake_at(),
+            self.members.next_expiry(),
             echo,
             self.last_until,
-            self.secondaries.wake_at(),
+            self.secondaries.next_due_at(),
         ]
         .into_iter()
         .flatten()
@@ -134,7 +136,7 @@
     pub(crate) fn strangers_asking(&self) -> usize {
         self.strangers
             .iter()
-            .filter(|id| self.members.holds(**id))
+            .filter(|id| self.members.contains(**id))
             .count()
     }
 
@@ -142,7 +144,7 @@
     pub(crate) fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
         // Strangers are many, each with a cache of its own.
         self.members
-            .holds_too_long()
+            .caching_too_long()
             .filter(|id| !self.strangers.contains(id))
     }
 
@@ -157,11 +159,11 @@
 
     /// Each secondary by its key: what it holds, and for how long it is behind.
     pub(crate) fn copies(&self, now: Time) -> BTreeMap<String, String> {
-        let word = |(holds, behind): (Option<u32>, Option<Time>)| {
-            let holds = holds.map_or("nothing yet".to_string(), |serial| {
+        let word = |state: SecondaryState| {
+            let holds = state.serial.map_or("nothing yet".to_string(), |serial| {
                 format!("holds {serial}")
             });
-            match behind {
+            match state.behind_since {
                 Some(since) => format!("{holds}, behind for {:.1} s", (now - since).seconds()),
                 None => holds,
             }
@@ -197,15 +199,15 @@
             if long_away {
                 continue;
             }
-            let named = Named {
-                part: 1.0,
-                addr: host.entry.address,
+            let named = AnsweredHost {
+                share: 1.0,
+                address: host.entry.address,
                 started,
             };
             if !started.is_unset() && last - started < self.holds {
                 before.insert(
                     id.clone(),
-                    Named {
+                    AnsweredHost {
                         started: Time::default(),
                         ..named
                     },
@@ -215,10 +217,14 @@
         }
         self.held.recover(
             now,
-            vec![
-                (BEFORE, serial, until, before),
-                (BEFORE, serial, until, known),
-            ],
+            [before, known]
+                .map(|hosts| RecoveredVersion {
+                    table: BEFORE,
+                    serial,
+                    cached_until: until,
+                    hosts,
+                })
+                .into(),
         );
     }
 
@@ -230,8 +236,12 @@
         let echo = |(host, known): (&HostId, &Known)| {
             Some((
                 host.clone(),
-                self.held
-                    .echo(now, host, known.entry.address, known.started)?,
+                self.held.earlier_incarnation_cached_until(
+                    now,
+                    host,
+                    known.entry.address,
+                    known.started,
+                )?,
             ))
         };
         list.known.iter().filter(cold).filter_map(echo).collect()
--- a/crates/daemon-core/src/wire.rs
+++ b/crates/daemon-core/src/wire.rs
@@ -4,7 +4,7 @@
 use pondarch_config::HostEntry;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostLoad, Time};
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 use pondarch_load_report_protocol::{Report, SenderIs};
 use pondarch_weight_solver::{Fleet, Plan};
 use serde::{Deserialize, Serialize};
@@ -82,7 +82,7 @@
     /// Something was heard of a secondary.
     Secondary {
         n: u16,
-        heard: Heard,
+        heard: SecondaryEvent,
     },
     /// The solver's word on a problem.
     Solved {
--- a/crates/daemon-core/tests/in_memory/names.rs
+++ b/crates/daemon-core/tests/in_memory/names.rs
@@ -6,7 +6,7 @@
 use pondarch_config::site::{Dns, Secondary};
 use pondarch_controller::{ProxyId, TableId};
 use pondarch_daemon_core::{Event, Input, LoadTold, Output};
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 use pondarch_dns_server::STANDING;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -450,7 +450,7 @@
     for n in [0, 1] {
         town.give(Input::Secondary {
             n,
-            heard: Heard::Fetched(serial),
+            heard: SecondaryEvent::Transferred(serial),
         });
     }
     town.events.clear();
@@ -463,11 +463,11 @@
     let serial = town.core.view().serial;
     town.give(Input::Secondary {
         n: 0,
-        heard: Heard::Acknowledged,
+        heard: SecondaryEvent::Acknowledged,
     });
     town.give(Input::Secondary {
         n: 0,
-        heard: Heard::Fetched(serial),
+        heard: SecondaryEvent::Transferred(serial),
     });
     assert!(
         town.command(1, "show map secondaries")
@@ -482,11 +482,11 @@
     let serial = town.core.view().serial;
     town.give(Input::Secondary {
         n: 0,
-        heard: Heard::Fetched(serial),
+        heard: SecondaryEvent::Transferred(serial),
     });
     town.give(Input::Secondary {
         n: 1,
-        heard: Heard::Fetched(serial),
+        heard: SecondaryEvent::Transferred(serial),
     });
     let fetched = town.now;
     while town.command(1, "show map lingering").contains("host-3") {
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -8,7 +8,7 @@
 use pondarch_controller::{ProxyId, Time};
 use pondarch_daemon_core::Input;
 use pondarch_daemon_core::names::TOLD_WITHIN;
-use pondarch_dns_core::Limits;
+use pondarch_dns_core::RateLimiter;
 use pondarch_dns_server::{Answerer, Copies, Key, Reply, Transport, View, Zone, rows};
 use pondarch_io_util::Clock;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
     .map_err(|e| wrong(e.to_string()))?;
     zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
     let copies = Copies::new(keys(dns)?);
-    let limits = Limits::new(dns.answers_per_second, SOURCES_MOST, clock.now());
+    let limits = RateLimiter::new(dns.answers_per_second, SOURCES_MOST, clock.now());
     let listen = |wrong| DaemonError::Listen {
         at: Endpoint::Tcp(dns.listen),
         wrong,
--- a/crates/dns-core/src/lib.rs
+++ b/crates/dns-core/src/lib.rs
@@ -1,25 +1,25 @@
-//! What a DNS front may answer, for how long and to whom. No I/O, no clock and no packets.
+//! What a DNS server may answer, for how long and to whom. No I/O, no clock and no packets.
 //!
-//! - `lifetime`: how long an answer may be held, from the grace of drains.
-//! - `held`: what caches may still hold of what was answered.
-//! - `members`: who is joined by asking, and who has left by not asking.
-//! - `srv`: tables as SRV weights, and as a sample where not all fits.
-//! - `limits`: how often a source is answered.
-//! - `secondaries`: who serves copies of the zone, how far behind they are, and when to tell them.
+//! - `lifetime`: how long an answer may be cached, from the drain grace period.
+//! - `cached_answers`: which hosts caches may still send requests to, by earlier answers.
+//! - `members`: proxies that have joined by querying, and those that have left by not querying.
+//! - `srv`: tables as SRV weights, and as a weighted sample where not all targets fit.
+//! - `rate_limiter`: how often a source is answered over UDP.
+//! - `secondaries`: servers with copies of the zone, how far behind they are, and when to notify them.
+//! - `serial`: the arithmetic of zone serials.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(elided_lifetimes_in_paths, missing_docs)]
-
-pub mod held;
+pub mod cached_answers;
 pub mod lifetime;
-pub mod limits;
 pub mod members;
+pub mod rate_limiter;
 pub mod secondaries;
+pub mod serial;
 pub mod srv;
 
-pub use held::{Held, Named};
+pub use cached_answers::{AnsweredHost, CachedAnswers, RecoveredVersion};
 pub use lifetime::{Lifetime, LifetimeError};
-pub use limits::{Limits, Verdict};
-pub use members::{Asked, Members};
-pub use secondaries::{Heard, Secondaries};
-pub use srv::{SrvLine, sample, srv_parts, srv_weights};
+pub use members::{Members, QueryOutcome};
+pub use rate_limiter::{RateLimitAction, RateLimiter};
+pub use secondaries::{Secondaries, SecondaryEvent, SecondaryState};
+pub use serial::is_newer;
+pub use srv::{SrvTarget, WeightedHost, sample, srv_share_weights, srv_weights};
--- a/crates/dns-core/src/secondaries.rs
+++ b/crates/dns-core/src/secondaries.rs
@@ -1,255 +1,216 @@
-//! Who serves copies of the zone: which serial each may still answer from, and when to tell it of a newer one (NOTIFY,
-//! RFC 1996). A secondary asks by itself as well; what it asks says what it holds.
+//! Secondary servers with a copy of the zone: which serial each may still answer from, and when to notify it of a newer
+//! one (NOTIFY, RFC 1996). A secondary also queries on its own initiative; its query says which serial it has.
 //!
-//! A copy is behind from a change until it was fetched. While it is behind, it hands out what is there no more: that time
-//! comes off the lifetime of answers, and one that is behind for longer is told to operators.
+//! A copy is behind from a change until it was transferred. While it is behind, it answers with hosts that have left:
+//! that time is taken off the lifetime of answers, and a secondary that is behind for longer is reported to operators.
 
-use crate::held::newer;
-use pondarch_controller::DurationExt;
-use pondarch_controller::Time;
+use crate::serial::is_newer;
+use pondarch_controller::{DurationExt, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Wait before a word that was not answered is said again; it doubles up to the most.
-const AGAIN_LEAST: Duration = Duration::from_millis(200);
-const AGAIN_MOST: Duration = Duration::from_millis(5_000);
-/// A secondary that answered the word and did not fetch within this time is told again.
-const FETCHES_WITHIN: Duration = Duration::from_millis(1_000);
-/// Words to one secondary are at least this far apart: changes that come close together are fetched at once.
-const GATHERED: Duration = Duration::from_millis(100);
-
-/// What is heard of a secondary.
+/// Wait before an unacknowledged notification is sent again; it doubles up to `MAX_NOTIFY_RETRY_DELAY`.
+const MIN_NOTIFY_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest wait before an unacknowledged notification is sent again.
+const MAX_NOTIFY_RETRY_DELAY: Duration = Duration::from_millis(5_000);
+/// Doublings of the retry delay at most: beyond it the delay is at its maximum anyway.
+const MAX_DOUBLINGS: u32 = 16;
+/// A secondary that acknowledged a notification and did not transfer the zone within this time is notified again.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Notifications to one secondary are at least this far apart: changes that come close together are transferred at once.
+const MIN_NOTIFY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What a secondary did. Recorded: the variants keep the names that they have in the event log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Heard {
-    /// It answered the word.
+pub enum SecondaryEvent {
+    /// It acknowledged a notification.
+    #[serde(rename = "Acknowledged")]
     Acknowledged,
-    /// It asked, and says that it holds this serial; none: it did not say.
-    Asks(Option<u32>),
-    /// It was sent the zone as it is at this serial, whole or by differences.
-    Fetched(u32),
+    /// It queried for changes since the serial of its copy; none: the query had no serial.
+    #[serde(rename = "Asks")]
+    Queried(Option<u32>),
+    /// It was sent the zone as of this serial, whole or by differences.
+    #[serde(rename = "Fetched")]
+    Transferred(u32),
+}
+
+/// The copy of one secondary.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SecondaryState {
+    /// The serial that it has; none: not known.
+    pub serial: Option<u32>,
+    /// Since when it is behind; none: it is up to date.
+    pub behind_since: Option<Time>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Secondary {
-    holds: Option<u32>,
-    heard: Option<Time>,
+    serial: Option<u32>,
+    last_event: Option<Time>,
     behind_since: Option<Time>,
-    /// That it is behind for too long was said.
-    told_late: bool,
-    said: Option<Time>,
-    say_at: Option<Time>,
-    tries: u32,
+    /// That it is behind for too long has been reported.
+    overdue_reported: bool,
+    last_notified: Option<Time>,
+    notify_at: Option<Time>,
+    /// Notifications since the last change.
+    attempts: u32,
 }
 
+/// All secondaries, by their index in the settings.
 #[derive(Clone, Debug)]
 pub struct Secondaries {
-    of: Vec<Secondary>,
+    secondaries: Vec<Secondary>,
+    /// The serial of the zone; none: it has not been set yet.
     serial: Option<u32>,
-    behind_most: Duration,
-    /// One that was not heard of for this long serves no more (the SOA's EXPIRE, RFC 1035, section 3.3.13).
-    expires: Duration,
+    max_behind: Duration,
+    /// A secondary without an event for this long serves no more (the SOA's EXPIRE, RFC 1035, section 3.3.13).
+    expire: Duration,
 }
 
 impl Secondaries {
-    pub fn new(count: usize, behind_most: Duration, expires: Duration) -> Secondaries {
+    /// `count` secondaries; each is reported when it is behind for longer than `max_behind`, and stops serving when it is
+    /// cut off for `expire`.
+    pub fn new(count: usize, max_behind: Duration, expire: Duration) -> Secondaries {
         Secondaries {
-            of: vec![Secondary::default(); count],
+            secondaries: vec![Secondary::default(); count],
             serial: None,
-            behind_most,
-            expires,
+            max_behind,
+            expire,
         }
     }
 
-    /// The zone has changed: all of them are behind.
-    pub fn changed(&mut self, now: Time, serial: u32) {
+    /// Records that the zone has changed: all secondaries are behind.
+    pub fn record_change(&mut self, now: Time, serial: u32) {
         self.serial = Some(serial);
-        for one in &mut self.of {
-            one.behind_since.get_or_insert(now);
-            one.tries = 0;
-            let gathered = one.said.map_or(now, |said| now.max(said + GATHERED));
-            one.say_at = Some(one.say_at.map_or(gathered, |at| at.min(gathered)));
+        for secondary in &mut self.secondaries {
+            secondary.behind_since.get_or_insert(now);
+            secondary.attempts = 0;
+            let earliest = secondary
+                .last_notified
+                .map_or(now, |notified| now.max(notified + MIN_NOTIFY_INTERVAL));
+            secondary.notify_at = Some(
+                secondary
+                    .notify_at
+                    .map_or(earliest, |notify_at| notify_at.min(earliest)),
+            );
         }
     }
 
-    pub fn heard(&mut self, now: Time, n: usize, what: Heard) {
-        let (serial, Some(one)) = (self.serial, self.of.get_mut(n)) else {
+    /// Applies what the secondary with this index did.
+    pub fn apply(&mut self, now: Time, index: usize, event: SecondaryEvent) {
+        let Some(secondary) = self.secondaries.get_mut(index) else {
             return;
         };
-        match what {
-            Heard::Acknowledged => {
-                one.heard = Some(now);
-                if one.behind_since.is_some() {
-                    one.say_at = Some(now + FETCHES_WITHIN);
+        secondary.last_event = Some(now);
+        match event {
+            SecondaryEvent::Acknowledged => {
+                if secondary.behind_since.is_some() {
+                    secondary.notify_at = Some(now + TRANSFER_TIMEOUT);
                 }
             }
-            Heard::Asks(None) => one.heard = Some(now),
-            Heard::Asks(Some(held)) | Heard::Fetched(held) => {
-                one.heard = Some(now);
-                // A fetch that another one overtook says nothing of what it holds now.
-                if matches!(what, Heard::Asks(_)) || one.holds.is_none_or(|old| !newer(old, held)) {
-                    one.holds = Some(held);
-                }
-                if one.holds == serial {
-                    (one.behind_since, one.say_at, one.told_late, one.tries) =
-                        (None, None, false, 0);
-                }
+            SecondaryEvent::Queried(None) => {}
+            SecondaryEvent::Queried(Some(serial)) => secondary.set_serial(serial, self.serial),
+            SecondaryEvent::Transferred(serial) => {
+                // A transfer that a newer one overtook says nothing of the copy as it is now.
+                let newest = secondary
+                    .serial
+                    .filter(|current| is_newer(*current, serial))
+                    .unwrap_or(serial);
+                secondary.set_serial(newest, self.serial);
             }
         }
     }
 
-    /// Those that are to be told of the serial now; the next time for each is set.
-    pub fn say(&mut self, now: Time) -> Vec<u16> {
-        let due = |one: &Secondary| one.say_at.is_some_and(|at| at <= now);
-        let mut said = Vec::new();
-        for (n, one) in self.of.iter_mut().enumerate().filter(|(_, one)| due(one)) {
-            let wait = AGAIN_LEAST
-                .scaled(f64::from(1u32 << one.tries.min(16)))
-                .min(AGAIN_MOST);
-            one.tries += 1;
-            (one.said, one.say_at) = (Some(now), Some(now + wait));
-            said.push(n as u16);
+    /// The secondaries to notify of the serial now; the next time for each is set.
+    pub fn take_due_notifications(&mut self, now: Time) -> Vec<u16> {
+        let mut due = Vec::new();
+        for (index, secondary) in self.secondaries.iter_mut().enumerate() {
+            if secondary.notify_at.is_some_and(|at| at <= now) {
+                secondary.record_notification(now);
+                due.push(index as u16);
+            }
         }
-        said
+        due
     }
 
-    /// Those that have become behind for longer than they may; each is named once, until it has caught up.
-    pub fn late(&mut self, now: Time) -> Vec<u16> {
-        let most = self.behind_most;
-        let late = |one: &Secondary| {
-            !one.told_late && one.behind_since.is_some_and(|since| now - since > most)
-        };
-        let mut named = Vec::new();
-        for (n, one) in self.of.iter_mut().enumerate().filter(|(_, one)| late(one)) {
-            one.told_late = true;
-            named.push(n as u16);
+    /// The secondaries that have become behind for too long; each is returned once, until it has caught up.
+    pub fn take_overdue(&mut self, now: Time) -> Vec<u16> {
+        let mut overdue = Vec::new();
+        for (index, secondary) in self.secondaries.iter_mut().enumerate() {
+            let is_overdue = secondary
+                .behind_since
+                .is_some_and(|since| now - since > self.max_behind);
+            if is_overdue && !secondary.overdue_reported {
+                secondary.overdue_reported = true;
+                overdue.push(index as u16);
+            }
         }
-        named
+        overdue
     }
 
-    /// The oldest serial that one of them may still answer from; none: nobody serves a copy.
-    pub fn oldest(&self, now: Time) -> Option<u32> {
-        let serves = |one: &&Secondary| one.heard.is_some_and(|heard| now - heard < self.expires);
-        let held = self.of.iter().filter(serves).filter_map(|one| one.holds);
-        held.reduce(|a, b| if newer(a, b) { b } else { a })
+    /// The oldest serial that a secondary may still answer from; none: no secondary serves a copy.
+    pub fn oldest_served_serial(&self, now: Time) -> Option<u32> {
+        self.secondaries
+            .iter()
+            .filter(|secondary| secondary.serves(now, self.expire))
+            .filter_map(|secondary| secondary.serial)
+            .reduce(|oldest, serial| {
+                if is_newer(oldest, serial) {
+                    serial
+                } else {
+                    oldest
+                }
+            })
     }
 
-    pub fn wake_at(&self) -> Option<Time> {
-        let late = |one: &Secondary| {
-            one.behind_since
-                .filter(|_| !one.told_late)
-                .map(|since| since + self.behind_most + Duration::from_micros(1))
+    /// When the next notification is due or the next secondary becomes overdue.
+    pub fn next_due_at(&self) -> Option<Time> {
+        let overdue_at = |secondary: &Secondary| {
+            secondary
+                .behind_since
+                .filter(|_| !secondary.overdue_reported)
+                .map(|since| since + self.max_behind + Duration::from_micros(1))
         };
-        self.of
+        self.secondaries
             .iter()
-            .flat_map(|one| [one.say_at, late(one)])
+            .flat_map(|secondary| [secondary.notify_at, overdue_at(secondary)])
             .flatten()
             .min()
     }
 
-    /// What each holds, and since when it is behind.
-    pub fn states(&self) -> impl Iterator<Item = (Option<u32>, Option<Time>)> {
-        self.of.iter().map(|one| (one.holds, one.behind_since))
+    /// The copy of each secondary, in their order.
+    pub fn states(&self) -> impl Iterator<Item = SecondaryState> {
+        self.secondaries.iter().map(|secondary| SecondaryState {
+            serial: secondary.serial,
+            behind_since: secondary.behind_since,
+        })
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn at(ms: u64) -> Time {
-        Time::from_micros(1_000_000_000 + ms * 1_000)
-    }
-
-    fn two() -> Secondaries {
-        Secondaries::new(
-            2,
-            Duration::from_millis(1_000),
-            Duration::from_millis(60_000),
-        )
-    }
-
-    #[test]
-    fn a_change_is_said_to_all_and_again_until_it_was_fetched() {
-        let mut all = two();
-        all.changed(at(0), 7);
-        assert_eq!(all.say(at(0)), [0, 1]);
-        all.heard(at(5), 0, Heard::Acknowledged);
-        all.heard(at(9), 0, Heard::Fetched(7));
-        assert_eq!(all.oldest(at(9)), Some(7));
-        // The other was cut off: it is told at 0.2 s, 0.6 s, 1.4 s and so on.
-        let said: Vec<u64> = (0..3_000).filter(|ms| all.say(at(*ms)) == [1]).collect();
-        assert_eq!(said, [200, 600, 1_400]);
-        assert_eq!(all.late(at(1_000)), []);
-        assert_eq!(all.late(at(1_001)), [1]);
-        assert_eq!(all.late(at(2_000)), [], "said once");
-        all.heard(at(3_000), 1, Heard::Fetched(7));
-        assert_eq!((all.wake_at(), all.say(at(9_000)).len()), (None, 0));
-    }
-
-    #[test]
-    fn changes_close_together_are_said_once_and_one_that_does_not_fetch_is_told_again() {
-        let mut all = two();
-        (0..50).for_each(|ms| {
-            all.changed(at(ms), ms as u32);
-            all.say(at(ms));
-        });
-        let said: Vec<u64> = (50..110).filter(|ms| all.say(at(*ms)) == [0, 1]).collect();
-        assert_eq!(said, [100]);
-        all.heard(at(110), 0, Heard::Acknowledged);
-        assert!(all.say(at(1_109)).iter().all(|n| *n == 1));
-        assert_eq!(all.say(at(1_110))[0], 0);
+impl Secondary {
+    /// Its copy has this serial; it is up to date if the zone has the same.
+    fn set_serial(&mut self, serial: u32, zone_serial: Option<u32>) {
+        self.serial = Some(serial);
+        if self.serial == zone_serial {
+            self.behind_since = None;
+            self.notify_at = None;
+            self.overdue_reported = false;
+            self.attempts = 0;
+        }
     }
 
-    #[test]
-    fn one_that_was_not_heard_of_serves_no_more_and_one_behind_does() {
-        let mut all = two();
-        all.changed(at(0), 7);
-        all.heard(at(0), 0, Heard::Fetched(7));
-        all.heard(at(0), 1, Heard::Fetched(7));
-        all.changed(at(10), 8);
-        all.heard(at(20), 0, Heard::Fetched(8));
-        assert_eq!(all.oldest(at(20)), Some(7));
-        assert_eq!(all.oldest(at(60_010)), Some(8));
-        // What it says itself counts, also when it goes back to an older copy.
-        all.heard(at(70_000), 0, Heard::Asks(Some(3)));
-        assert_eq!(all.oldest(at(70_000)), Some(3));
-        assert_eq!(all.oldest(at(140_000)), None);
+    fn record_notification(&mut self, now: Time) {
+        let doublings = self.attempts.min(MAX_DOUBLINGS);
+        let retry_delay = MIN_NOTIFY_RETRY_DELAY
+            .scaled(f64::from(1u32 << doublings))
+            .min(MAX_NOTIFY_RETRY_DELAY);
+        self.attempts += 1;
+        self.last_notified = Some(now);
+        self.notify_at = Some(now + retry_delay);
     }
 
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
-
-        /// Whatever is heard and however late: nobody that holds an old copy is forgotten, words are bounded, and the
-        /// clock never asks for a time that has passed once all that is due was taken.
-        #[test]
-        fn nobody_behind_is_forgotten(steps in prop::collection::vec((0u64..700, 0usize..2, 0u8..5), 1..150)) {
-            let (mut all, mut now, mut serial, mut words) = (two(), 0, 1, 0);
-            let mut holds = [None, None];
-            all.changed(at(0), serial);
-            for (pass, n, what) in steps {
-                now += pass;
-                match what {
-                    0 => {
-                        serial += 1;
-                        all.changed(at(now), serial);
-                    }
-                    1 => all.heard(at(now), n, Heard::Acknowledged),
-                    2 | 3 => {
-                        holds[n] = Some(serial);
-                        all.heard(at(now), n, Heard::Fetched(serial));
-                    }
-                    _ => all.heard(at(now), n, Heard::Asks(holds[n])),
-                }
-                words += all.say(at(now)).len();
-                all.late(at(now));
-                prop_assert!(all.wake_at().is_none_or(|wake| wake > at(now)));
-                for (n, (held, behind)) in all.states().enumerate() {
-                    prop_assert_eq!(held, holds[n]);
-                    prop_assert_eq!(behind.is_some(), held != Some(serial));
-                }
-            }
-            prop_assert!(words as u64 <= 2 * (2 + now / 100));
-        }
+    fn serves(&self, now: Time, expire: Duration) -> bool {
+        self.last_event
+            .is_some_and(|last_event| now - last_event < expire)
     }
 }
--- a/crates/dns-server/benches/answers.rs
+++ b/crates/dns-server/benches/answers.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Lifetime, Limits, Members};
+use pondarch_dns_core::{Lifetime, Members, RateLimiter};
 use pondarch_dns_server::ask::question;
 use pondarch_dns_server::{Answerer, Copies, Line, Transport, View, Zone, rows};
 use std::net::IpAddr;
@@ -15,7 +15,7 @@
 const ASKED: usize = 20_000;
 
 fn zone(proxies: usize) -> Zone {
-    let life = Lifetime::of(
+    let life = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
         Duration::from_millis(500),
         None,
@@ -64,7 +64,7 @@
     let (view, proxies) = (view(20, 4, lines), 20);
     let mut answerer = Answerer::new(
         zone(proxies),
-        Limits::new(1e6, 1_000, NOW),
+        RateLimiter::new(1e6, 1_000, NOW),
         Copies::new(Vec::new()),
         5,
     );
@@ -109,7 +109,7 @@
     let view = view(proxies, (proxies / 5).min(400), 8);
     let mut members = Members::new(Duration::from_millis(5_000), 60_000);
     for p in 0..proxies {
-        members.asked(NOW, ProxyId(p as u16));
+        members.record_query(NOW, ProxyId(p as u16));
     }
     let tracked = resident().saturating_sub(before);
     let begun = Instant::now();
--- a/crates/dns-server/src/answer.rs
+++ b/crates/dns-server/src/answer.rs
@@ -13,7 +13,7 @@
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Heard, Limits, SrvLine, Verdict, srv_weights};
+use pondarch_dns_core::{RateLimitAction, RateLimiter, SecondaryEvent, SrvTarget, srv_weights};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
@@ -37,7 +37,7 @@
 
 pub struct Answerer {
     zone: Zone,
-    limits: Limits,
+    limits: RateLimiter,
     copies: Copies,
     chance: fastrand::Rng,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Answerer {
-    pub fn new(zone: Zone, limits: Limits, copies: Copies, seed: u64) -> Answerer {
+    pub fn new(zone: Zone, limits: RateLimiter, copies: Copies, seed: u64) -> Answerer {
         Answerer {
             zone,
             limits,
@@ -76,7 +76,7 @@
         &self.zone
     }
 
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &RateLimiter {
         &self.limits
     }
 
@@ -94,7 +94,7 @@
             Ok(message) => {
                 let acknowledged = self.copies.acknowledged(packet, &message, seconds(now));
                 let heard = acknowledged
-                    .map(|n| (n, Heard::Acknowledged))
+                    .map(|n| (n, SecondaryEvent::Acknowledged))
                     .into_iter()
                     .collect();
                 return Reply {
@@ -105,8 +105,8 @@
             Err(_) => return broken(packet),
         };
         let verdict = match over {
-            Transport::Udp => self.limits.asks(now, from),
-            Transport::Tcp => Verdict::Answer,
+            Transport::Udp => self.limits.on_query(now, from),
+            Transport::Tcp => RateLimitAction::Answer,
         };
         let mut head = Metadata::response_from_request(&message.metadata);
         let [query] = message.queries.as_slice() else {
@@ -119,12 +119,12 @@
             own
         });
         match verdict {
-            Verdict::Drop => return Reply::default(),
-            Verdict::Truncated => {
+            RateLimitAction::Drop => return Reply::default(),
+            RateLimitAction::Truncate => {
                 head.truncation = true;
                 return plain(head, Some(query), edns);
             }
-            Verdict::Answer => {}
+            RateLimitAction::Answer => {}
         }
         let refusal = match &message.edns {
             Some(of) if of.version() != 0 => Some(ResponseCode::BADVERS),
@@ -306,13 +306,9 @@
 
     fn services(&mut self, draft: Draft, lines: &[Line], reply: Reply) -> Reply {
         let by_host: BTreeMap<_, &Line> = lines.iter().map(|line| (&line.host, line)).collect();
-        let weighed = srv_weights(
-            lines
-                .iter()
-                .map(|line| (&line.host, line.weight, line.cold)),
-        );
+        let weighed = srv_weights(lines.iter().map(Line::weighted_host));
         let zone = &self.zone;
-        let build = |lines: &[SrvLine], additional: bool| {
+        let build = |lines: &[SrvTarget], additional: bool| {
             let mut message = draft.message();
             for line in lines {
                 let (Some(of), Some(target)) =
--- a/crates/dns-server/src/fit.rs
+++ b/crates/dns-server/src/fit.rs
@@ -1,7 +1,7 @@
 //! An answer within the size that there is room for: the additional section goes first, then lines are sampled.
 
 use hickory_proto::op::Message;
-use pondarch_dns_core::{SrvLine, sample};
+use pondarch_dns_core::{SrvTarget, sample};
 
 /// Lines that a sample must hold at least to be worth more than the word to come by TCP.
 const SAMPLE_LEAST: usize = 4;
@@ -11,12 +11,12 @@
 /// The largest of some answers that fits: `build` makes a message of so many lines, with the additional section or
 /// without. None: not even a small sample fits; the asker must come by TCP.
 pub(crate) fn fitted(
-    lines: &[SrvLine],
+    lines: &[SrvTarget],
     room: usize,
     chance: &mut fastrand::Rng,
-    build: impl Fn(&[SrvLine], bool) -> Message,
+    build: impl Fn(&[SrvTarget], bool) -> Message,
 ) -> Option<Vec<u8>> {
-    let encoded = |lines: &[SrvLine], additional: bool| {
+    let encoded = |lines: &[SrvTarget], additional: bool| {
         build(lines, additional)
             .to_vec()
             .ok()
--- a/crates/dns-server/src/reply.rs
+++ b/crates/dns-server/src/reply.rs
@@ -1,7 +1,7 @@
 //! What becomes of a packet.
 
 use pondarch_controller::{ProxyId, TableId};
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
@@ -21,5 +21,5 @@
     /// Whoever asked is not known and was taken for a stranger, by a draw.
     pub unknown: bool,
     /// What is known of secondaries once all of it was sent.
-    pub heard: Vec<(u16, Heard)>,
+    pub heard: Vec<(u16, SecondaryEvent)>,
 }
--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -6,7 +6,7 @@
 use hickory_proto::rr::rdata::{A, AAAA, CNAME, SRV};
 use hickory_proto::rr::{Name, RData, Record};
 use pondarch_controller::{HostId, ProxyId, RequestClassId};
-use pondarch_dns_core::{srv_parts, srv_weights};
+use pondarch_dns_core::{srv_share_weights, srv_weights};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
@@ -75,11 +75,9 @@
 
 fn table_rows(of: Of, lines: &[Line], rows: &mut BTreeSet<Row>) {
     let by_host: BTreeMap<&HostId, &Line> = lines.iter().map(|line| (&line.host, line)).collect();
-    let weighed = lines
-        .iter()
-        .map(|line| (&line.host, line.weight, line.cold));
+    let weighed = lines.iter().map(Line::weighted_host);
     let whole = if of == Of::All {
-        srv_parts(weighed)
+        srv_share_weights(weighed)
     } else {
         srv_weights(weighed)
     };
--- a/crates/dns-server/src/transfer.rs
+++ b/crates/dns-server/src/transfer.rs
@@ -8,7 +8,7 @@
 use crate::zone::Zone;
 use hickory_proto::op::{Message, MessageType, Metadata, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{RData, Record, RecordType};
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Records in one message of a transfer: the longest names make it some 30,000 bytes, under the 65,535 of TCP.
@@ -111,7 +111,7 @@
                 RData::SOA(soa) => Some(soa.serial),
                 _ => None,
             });
-        let asks = (n, Heard::Asks(held));
+        let asks = (n, SecondaryEvent::Queried(held));
         if query.name != zone.origin {
             return refused(head, query, ResponseCode::NotAuth);
         }
@@ -132,8 +132,8 @@
         let sent = records.len();
         let packets = messages(head, query, records, chain);
         let fetched = match changes {
-            Changes::None => Some((n, Heard::Fetched(self.journal.serial()))),
-            _ if sent > 1 => Some((n, Heard::Fetched(self.journal.serial()))),
+            Changes::None => Some((n, SecondaryEvent::Transferred(self.journal.serial()))),
+            _ if sent > 1 => Some((n, SecondaryEvent::Transferred(self.journal.serial()))),
             _ => None,
         };
         Reply {
--- a/crates/dns-server/src/view.rs
+++ b/crates/dns-server/src/view.rs
@@ -1,6 +1,7 @@
 //! The tables as they are to be answered.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId};
+use pondarch_dns_core::WeightedHost;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -13,6 +14,16 @@
     pub cold: bool,
 }
 
+impl Line {
+    pub(crate) fn weighted_host(&self) -> WeightedHost<'_> {
+        WeightedHost {
+            host: &self.host,
+            weight: self.weight,
+            warming_up: self.cold,
+        }
+    }
+}
+
 /// Stands for the whole list where no table is bound yet: whoever asks is given a few hosts of it by a draw.
 pub const STANDING: TableId = TableId(u16::MAX - 1);
 /// Hosts of a standing table.
--- a/crates/dns-server/tests/answers.rs
+++ b/crates/dns-server/tests/answers.rs
@@ -4,7 +4,7 @@
 use hickory_proto::rr::rdata::opt::{ClientSubnet, EdnsOption};
 use hickory_proto::rr::{Name, RData, RecordType};
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Lifetime, Limits};
+use pondarch_dns_core::{Lifetime, RateLimiter};
 use pondarch_dns_server::{Answerer, Copies, Line, STANDING, Transport, View, Zone};
 use proptest::prelude::*;
 use std::net::IpAddr;
@@ -51,7 +51,7 @@
 }
 
 fn answerer(rate: f64) -> Answerer {
-    let life = Lifetime::of(
+    let life = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
         Duration::from_millis(500),
         None,
@@ -71,7 +71,7 @@
     );
     Answerer::new(
         zone.expect("a zone"),
-        Limits::new(rate, 1_000, NOW),
+        RateLimiter::new(rate, 1_000, NOW),
         Copies::new(Vec::new()),
         5,
     )
--- a/crates/dns-server/tests/copies.rs
+++ b/crates/dns-server/tests/copies.rs
@@ -6,7 +6,7 @@
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RecordType};
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Heard, Lifetime, Limits};
+use pondarch_dns_core::{Lifetime, RateLimiter, SecondaryEvent};
 use pondarch_dns_server::fetch::{Copy, Fetch, FetchError, Fetched, acknowledge};
 use pondarch_dns_server::{Answerer, Copies, Key, Line, Reply, Transport, View, Zone, rows};
 use std::net::IpAddr;
@@ -56,7 +56,7 @@
 }
 
 fn answerer() -> Answerer {
-    let life = Lifetime::of(
+    let life = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
         Duration::from_millis(500),
         None,
@@ -69,7 +69,7 @@
         key("second-0.pond.example", 1),
         key("second-1.pond.example", 2),
     ]);
-    Answerer::new(zone, Limits::new(1e6, 100, NOW), copies, 5)
+    Answerer::new(zone, RateLimiter::new(1e6, 100, NOW), copies, 5)
 }
 
 fn follow(answerer: &mut Answerer, view: &View) {
@@ -111,7 +111,10 @@
     );
     assert_eq!(
         reply.heard,
-        [(1, Heard::Asks(None)), (1, Heard::Fetched(7))]
+        [
+            (1, SecondaryEvent::Queried(None)),
+            (1, SecondaryEvent::Transferred(7))
+        ]
     );
     assert_eq!((copy.serial, copy.expire_s), (Some(7), 60));
     let alias = |name: &str| {
@@ -167,7 +170,7 @@
     let (same, reply) = fetch(&mut answerer, &changed, &mine, &mut copy, Transport::Tcp);
     assert_eq!(
         (same, &reply.heard[1]),
-        (Ok(Fetched::Same), &(1, Heard::Fetched(21)))
+        (Ok(Fetched::Same), &(1, SecondaryEvent::Transferred(21)))
     );
 }
 
@@ -300,7 +303,7 @@
     let reply = answerer.answer(NOW, FROM, Transport::Udp, &answer, &now);
     assert_eq!(
         (reply.heard, reply.packets.len()),
-        (vec![(1, Heard::Acknowledged)], 0)
+        (vec![(1, SecondaryEvent::Acknowledged)], 0)
     );
     assert!(
         answerer
--- a/crates/dns-server/tests/wire_texts.rs
+++ b/crates/dns-server/tests/wire_texts.rs
@@ -2,7 +2,7 @@
 //! and a signed transfer. Expected lines stand in `wire_texts.txt`: what it is, then the packet.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Lifetime, Limits};
+use pondarch_dns_core::{Lifetime, RateLimiter};
 use pondarch_dns_server::fetch::{Copy, Fetch};
 use pondarch_dns_server::{Answerer, Copies, Key, Line, Transport, View, Zone, ask, rows};
 use std::net::IpAddr;
@@ -38,7 +38,7 @@
 }
 
 fn answerer() -> Answerer {
-    let life = Lifetime::of(
+    let life = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
         Duration::from_millis(500),
         None,
@@ -54,7 +54,12 @@
         Vec::new(),
     );
     let copies = Copies::new(vec![key()]);
-    Answerer::new(zone.expect("a zone"), Limits::new(1e6, 100, NOW), copies, 5)
+    Answerer::new(
+        zone.expect("a zone"),
+        RateLimiter::new(1e6, 100, NOW),
+        copies,
+        5,
+    )
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -412,7 +412,7 @@
     }
 
     fn names(&mut self) {
-        use pondarch_dns_core::Heard;
+        use pondarch_dns_core::SecondaryEvent;
         for round in 0..3 {
             let view = self.core.view();
             let table = view
@@ -425,9 +425,9 @@
             });
             if round == 1 {
                 for heard in [
-                    Heard::Acknowledged,
-                    Heard::Asks(None),
-                    Heard::Fetched(view.serial),
+                    SecondaryEvent::Acknowledged,
+                    SecondaryEvent::Queried(None),
+                    SecondaryEvent::Transferred(view.serial),
                 ] {
                     self.give(Input::Secondary { n: 0, heard });
                 }
