--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -2,7 +2,7 @@
 
 use crate::failed;
 use futures_util::{SinkExt, StreamExt};
-use pondarch_dns_server::ask::{self, Answer};
+use pondarch_dns_server::client::{self, Answer};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -22,10 +22,10 @@
     for line in &answer.answers {
         println!("{line}");
     }
-    for line in &answer.others {
+    for line in &answer.other_records {
         println!("; {line}");
     }
-    if answer.good {
+    if answer.is_success {
         return ExitCode::SUCCESS;
     }
     eprintln!("pondarch: {name}: {}", answer.code);
@@ -34,13 +34,13 @@
 
 async fn asked(server: SocketAddr, name: &str, of: &str, tcp: bool) -> Result<Answer, String> {
     let id = std::process::id() as u16;
-    let packet = ask::question(id, name, of).map_err(|wrong| wrong.to_string())?;
+    let packet = client::encode_query(id, name, of).map_err(|wrong| wrong.to_string())?;
     let no_answer = |_| format!("{server} did not answer within {} s", LIMIT.as_secs());
     if !tcp {
         let bytes = timeout(LIMIT, by_udp(server, &packet))
             .await
             .map_err(no_answer)??;
-        let answer = ask::read(id, &bytes).map_err(|wrong| wrong.to_string())?;
+        let answer = client::decode_answer(id, &bytes).map_err(|wrong| wrong.to_string())?;
         if !answer.truncated {
             return Ok(answer);
         }
@@ -48,7 +48,7 @@
     let bytes = timeout(LIMIT, by_tcp(server, &packet))
         .await
         .map_err(no_answer)??;
-    ask::read(id, &bytes).map_err(|wrong| wrong.to_string())
+    client::decode_answer(id, &bytes).map_err(|wrong| wrong.to_string())
 }
 
 async fn by_udp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -3,7 +3,7 @@
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
 
-use pondarch_dns_server::Key;
+use pondarch_dns_server::TsigKey;
 use pondarch_rehearsal::secondary::Secondary;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::Path;
@@ -250,14 +250,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_secondary_follows_is_cut_off_and_catches_up() {
     let dns = free();
-    let key = Key::new("second.pond.test", vec![7; 32]).expect("a key");
+    let key = TsigKey::new("second.pond.test", vec![7; 32]).expect("a key");
     let second = Secondary::start("pond.test", dns, key.clone())
         .await
         .expect("a socket");
     let stranger = Secondary::start(
         "pond.test",
         dns,
-        Key::new("second.pond.test", vec![8; 32]).expect("a key"),
+        TsigKey::new("second.pond.test", vec![8; 32]).expect("a key"),
     );
     let stranger = stranger.await.expect("a socket");
     let of = format!(
--- a/crates/daemon-core/src/asking.rs
+++ b/crates/daemon-core/src/asking.rs
@@ -9,7 +9,7 @@
 use pondarch_controller::JoiningProxy;
 use pondarch_controller::{AttemptOutcomes, EndpointState, HostId, TableId};
 use pondarch_dns_core::{AnsweredHost, QueryOutcome, SecondaryEvent};
-use pondarch_dns_server::{Line, STANDING, View};
+use pondarch_dns_server::{TableHost, UNBOUND_TABLE, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -222,7 +222,11 @@
         };
         let (mut tables, mut last) = (BTreeMap::new(), BTreeSet::new());
         names.last_until = None;
-        for (table, dealt) in used.iter().filter_map(dealt).chain([(STANDING, &listed)]) {
+        for (table, dealt) in used
+            .iter()
+            .filter_map(dealt)
+            .chain([(UNBOUND_TABLE, &listed)])
+        {
             let (lines, until) = names.lines(now, dealt, table, list);
             if let Some(until) = until {
                 last.insert(table);
@@ -240,10 +244,10 @@
         let view = View {
             serial: old.serial,
             tables,
-            bound,
+            bindings: bound,
             hosts,
-            last,
-            strangers,
+            last_answers: last,
+            anonymous_proxies: strangers,
         };
         if view == **old {
             return;
@@ -256,7 +260,7 @@
         for (table, lines) in &view.tables {
             if old.tables.get(table) != Some(lines) {
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
-                let named = |line: &Line| {
+                let named = |line: &TableHost| {
                     let started = list
                         .known
                         .get(&line.host)
@@ -266,7 +270,7 @@
                         line.host.clone(),
                         AnsweredHost {
                             share: line.weight / all.max(1e-9),
-                            address: line.addr,
+                            address: line.address,
                             started,
                         },
                     )
--- a/crates/daemon-core/src/names.rs
+++ b/crates/daemon-core/src/names.rs
@@ -9,7 +9,7 @@
 use pondarch_dns_core::{
     AnsweredHost, CachedAnswers, Lifetime, Members, RecoveredVersion, Secondaries, SecondaryState,
 };
-use pondarch_dns_server::{Line, View};
+use pondarch_dns_server::{TableHost, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -254,17 +254,17 @@
         dealt: &BTreeMap<HostId, f64>,
         table: TableId,
         list: &HostList,
-    ) -> (Vec<Line>, Option<Time>) {
+    ) -> (Vec<TableHost>, Option<Time>) {
         let line = |(host, weight): (&HostId, &f64)| {
             let addr = list.address(host).filter(|_| !list.must_go(host))?;
-            Some(Line {
+            Some(TableHost {
                 host: host.clone(),
-                addr,
+                address: addr,
                 weight: *weight,
-                cold: list.is_cold(host, now),
+                warming_up: list.is_cold(host, now),
             })
         };
-        let mut lines: Vec<Line> = dealt.iter().filter_map(line).collect();
+        let mut lines: Vec<TableHost> = dealt.iter().filter_map(line).collect();
         // One that is kept out is better than none.
         if lines
             .iter()
@@ -276,11 +276,11 @@
             return (lines, None);
         }
         let until =
-            |line: &Line| Some(list.known.get(&line.host)?.told_away? + self.last_answer_for);
-        let still = |line: &&Line| until(line).is_some_and(|until| until > now);
-        let last: Vec<Line> = self
+            |line: &TableHost| Some(list.known.get(&line.host)?.told_away? + self.last_answer_for);
+        let still = |line: &&TableHost| until(line).is_some_and(|until| until > now);
+        let last: Vec<TableHost> = self
             .view
-            .lines(table)
+            .table_hosts(table)
             .iter()
             .filter(still)
             .cloned()
--- a/crates/daemon-core/tests/in_memory/names.rs
+++ b/crates/daemon-core/tests/in_memory/names.rs
@@ -7,7 +7,7 @@
 use pondarch_controller::{ProxyId, TableId};
 use pondarch_daemon_core::{Event, Input, LoadTold, Output};
 use pondarch_dns_core::SecondaryEvent;
-use pondarch_dns_server::STANDING;
+use pondarch_dns_server::UNBOUND_TABLE;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Two proxies with a runtime API, and two that ask for names; answers live 4 s, or 3 s with secondaries.
@@ -59,7 +59,7 @@
 fn bound(town: &Town, proxy: u16) -> Option<TableId> {
     town.core
         .view()
-        .bound
+        .bindings
         .get(&(ProxyId(proxy), pondarch_controller::RequestClassId(0)))
         .copied()
 }
@@ -71,7 +71,7 @@
     asks(&mut town, 2);
     town.run(1_000);
     let table = bound(&town, 2).expect("bound");
-    assert!(!town.core.view().lines(table).is_empty());
+    assert!(!town.core.view().table_hosts(table).is_empty());
     assert!(bound(&town, 3).is_none());
     for _ in 0..10 {
         town.run(3_000);
@@ -98,12 +98,12 @@
     let standing = first
         .table_of(None, pondarch_controller::RequestClassId(0), 77)
         .expect("the list itself");
-    assert!(standing == STANDING && first.lines(standing).len() == 12);
+    assert!(standing == UNBOUND_TABLE && first.table_hosts(standing).len() == 12);
     for mark in 0..40 {
-        let stranger = first.stranger(mark).map(|id| id.0);
+        let stranger = first.anonymous_proxy(mark).map(|id| id.0);
         town.give(Input::AskedByName {
             proxy: stranger,
-            table: Some(STANDING.0),
+            table: Some(UNBOUND_TABLE.0),
             serial: first.serial,
         });
     }
@@ -120,8 +120,12 @@
     town.run(500);
     for _ in 0..20 {
         let view = town.core.view();
-        let used: std::collections::BTreeSet<_> =
-            view.bound.values().copied().chain([STANDING]).collect();
+        let used: std::collections::BTreeSet<_> = view
+            .bindings
+            .values()
+            .copied()
+            .chain([UNBOUND_TABLE])
+            .collect();
         assert!(view.tables.keys().all(|table| used.contains(table)));
         assert!(
             view.table_of(None, pondarch_controller::RequestClassId(0), 77)
@@ -150,7 +154,7 @@
         let lines = view
             .tables
             .iter()
-            .filter(|(table, _)| **table != STANDING)
+            .filter(|(table, _)| **table != UNBOUND_TABLE)
             .flat_map(|(_, lines)| lines);
         lines
             .filter(|line| *line.host.0 == *name)
@@ -205,7 +209,7 @@
     town.run(1_000);
     asks(&mut town, 2);
     let table = bound(&town, 2).expect("bound");
-    let host_of = town.core.view().lines(table)[0].host.clone();
+    let host_of = town.core.view().table_hosts(table)[0].host.clone();
     let serial = town.core.view().serial;
     // The drain is learnt just after an answer.
     let told = town.now;
@@ -237,17 +241,17 @@
     asks(&mut town, 2);
     town.run(1_000);
     let table = bound(&town, 2).expect("bound");
-    let before = town.core.view().lines(table).to_vec();
+    let before = town.core.view().table_hosts(table).to_vec();
     town.list(Vec::new());
     town.run(1_000);
     // What the table last had is given for as long as it runs out within the grace, and no longer.
     let view = town.core.view();
-    assert!(view.last.contains(&table) && view.lines(table) == before);
+    assert!(view.last_answers.contains(&table) && view.table_hosts(table) == before);
     town.run(2_450);
-    assert!(!town.core.view().lines(table).is_empty());
+    assert!(!town.core.view().table_hosts(table).is_empty());
     town.run(100);
     assert!(
-        town.core.view().lines(table).is_empty(),
+        town.core.view().table_hosts(table).is_empty(),
         "the grace ends in 2.5 s: 0.5 to learn, 1 held, 1 counted"
     );
     assert_eq!(bound(&town, 2), Some(table), "still bound");
@@ -257,8 +261,8 @@
     asks(&mut town, 2);
     town.run(1_000);
     let view = town.core.view();
-    assert!(view.serial > serial && view.last.is_empty());
-    assert!(bound(&town, 2).is_some_and(|table| !view.lines(table).is_empty()));
+    assert!(view.serial > serial && view.last_answers.is_empty());
+    assert!(bound(&town, 2).is_some_and(|table| !view.table_hosts(table).is_empty()));
 }
 
 /// A list that names one drained host fewer does not bring it back as a last answer.
@@ -316,7 +320,7 @@
                     1,
                 );
                 let lines = table
-                    .map(|table| view.lines(table).to_vec())
+                    .map(|table| view.table_hosts(table).to_vec())
                     .unwrap_or_default();
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
                 let parts = lines
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -9,7 +9,9 @@
 use pondarch_daemon_core::Input;
 use pondarch_daemon_core::names::TOLD_WITHIN;
 use pondarch_dns_core::RateLimiter;
-use pondarch_dns_server::{Answerer, Copies, Key, Reply, Transport, View, Zone, rows};
+use pondarch_dns_server::{
+    Answerer, Reply, SourceNet, Transport, TsigKey, View, Zone, ZoneTransfers, zone_rows,
+};
 use pondarch_io_util::Clock;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -68,7 +70,11 @@
         .map(|proxy| proxy.name.clone())
         .collect();
     let of = |(n, proxy): (usize, &pondarch_config::site::Proxy)| {
-        let net = |net: &ipnet::IpNet| (net.network(), net.prefix_len(), ProxyId(n as u16));
+        let net = |net: &ipnet::IpNet| SourceNet {
+            address: net.network(),
+            prefix_bits: net.prefix_len(),
+            proxy: ProxyId(n as u16),
+        };
         proxy.sources.iter().map(net).collect::<Vec<_>>()
     };
     let sources = site.proxies.iter().enumerate().flat_map(of).collect();
@@ -82,7 +88,7 @@
     )
     .map_err(|e| wrong(e.to_string()))?;
     zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
-    let copies = Copies::new(keys(dns)?);
+    let copies = ZoneTransfers::new(keys(dns)?);
     let limits = RateLimiter::new(dns.answers_per_second, SOURCES_MOST, clock.now());
     let listen = |wrong| DaemonError::Listen {
         at: Endpoint::Tcp(dns.listen),
@@ -109,14 +115,14 @@
 }
 
 /// The secondaries' keys, from the files that hold their secrets.
-fn keys(dns: &Dns) -> Result<Vec<Key>, DaemonError> {
+fn keys(dns: &Dns) -> Result<Vec<TsigKey>, DaemonError> {
     let key = |of: &Secondary| {
         let file = of.secret_file.display();
         let text = std::fs::read_to_string(&of.secret_file).map_err(|e| format!("{file}: {e}"))?;
         let secret = data_encoding::BASE64
             .decode(text.trim().as_bytes())
             .map_err(|e| format!("{file}: {e}"))?;
-        Key::new(&of.key, secret).map_err(|e| format!("{file}: {e}"))
+        TsigKey::new(&of.key, secret).map_err(|e| format!("{file}: {e}"))
     };
     dns.secondaries
         .iter()
@@ -132,14 +138,14 @@
         if !self.secondaries.is_empty() {
             let zone = self.answerer().zone().clone();
             // Not under the lock: queries go on meanwhile.
-            let rows = rows(&zone, &view);
-            self.answerer().copies().follow(view.serial, rows);
+            let rows = zone_rows(&zone, &view);
+            self.answerer().transfers().set_zone(view.serial, rows);
         }
     }
 
     /// Tells a secondary that the zone has changed. Not heard, it is told again: the core sees to that.
     pub(crate) fn say_changed(&self, n: u16) {
-        let word = self.answerer().word(self.clock.now(), n);
+        let word = self.answerer().notification(self.clock.now(), n);
         if let (Some(word), Some(to)) = (word, self.secondaries.get(usize::from(n))) {
             self.socket.try_send_to(&word, *to).ok();
         }
@@ -164,7 +170,7 @@
 
     /// All of a reply was sent: what it says of a secondary is so. Untold it would be told again.
     async fn sent(&self, reply: Reply) {
-        for (n, heard) in reply.heard {
+        for (n, heard) in reply.secondary_events {
             self.inputs.send(Input::Secondary { n, heard }).await.ok();
         }
     }
@@ -172,22 +178,22 @@
     /// The core hears of each proxy and table once in a while, not of each answer.
     fn tell(&self, now: Time, reply: &Reply, serial: u32) {
         let Some(table) = reply
-            .given
+            .table
             .map(|table| table.0)
-            .or(reply.asked.map(|_| u16::MAX))
+            .or(reply.proxy.map(|_| u16::MAX))
         else {
             return;
         };
         {
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            let last = told.get(&(reply.asked, table)).copied();
+            let last = told.get(&(reply.proxy, table)).copied();
             // Told again well within the time that the core reckons with, and at once of another serial.
             if last.is_some_and(|(at, of)| of == serial && now - at < TOLD_WITHIN.scaled(0.5)) {
                 return;
             }
-            told.insert((reply.asked, table), (now, serial));
+            told.insert((reply.proxy, table), (now, serial));
         }
-        let (proxy, given) = (reply.asked.map(|id| id.0), reply.given.map(|table| table.0));
+        let (proxy, given) = (reply.proxy.map(|id| id.0), reply.table.map(|table| table.0));
         let input = Input::AskedByName {
             proxy,
             table: given,
@@ -196,7 +202,7 @@
         if self.inputs.try_send(input).is_err() {
             // The next answer tells it again.
             let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            told.remove(&(reply.asked, table));
+            told.remove(&(reply.proxy, table));
         }
     }
 }
--- a/crates/dns-server/src/lib.rs
+++ b/crates/dns-server/src/lib.rs
@@ -1,32 +1,31 @@
 //! Answers to DNS queries from tables. Packets in, packets out; no I/O and no clock.
 //!
-//! - `zone`: which names there are, and what is asked by them.
-//! - `view`: the tables as they are to be answered.
-//! - `answer`, `reply`: from one packet to the next, and who asked.
-//! - `ask`: the asking side.
-//! - `fit`: an answer within the size that there is room for.
-//! - `rows`, `journal`, `transfer`, `keys`: copies of the zone for secondaries, whole and by differences, signed.
-//! - `fetch`: the secondary's side of that.
+//! - `zone`: which names there are, and what a query for them asks for.
+//! - `view`: the tables as they are answered.
+//! - `answerer`: from a query's packet to the reply's; `request` reads the one, `response` and `reply` write the other.
+//! - `fitting`: an answer within its maximum size.
+//! - `client`: queries, and what their answers say.
+//! - `rows`, `journal`, `transfer`, `tsig`: zone transfers to secondaries, whole and by differences, signed.
+//! - `secondary`: the secondary's side of transfers.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, elided_lifetimes_in_paths, missing_docs)]
-
-mod answer;
-pub mod ask;
-pub mod fetch;
-mod fit;
+mod answerer;
+pub mod client;
+mod fitting;
 mod journal;
-mod keys;
 mod reply;
+mod request;
+mod response;
 mod rows;
+pub mod secondary;
 mod transfer;
+mod tsig;
 mod view;
 mod zone;
 
-pub use answer::Answerer;
-pub use keys::{Key, KeyError};
+pub use answerer::Answerer;
 pub use reply::{Reply, Transport};
-pub use rows::{Row, rows};
-pub use transfer::Copies;
-pub use view::{Line, STANDING, View};
-pub use zone::{Asks, Of, Zone, ZoneError};
+pub use rows::{AliasType, Row, zone_rows};
+pub use transfer::ZoneTransfers;
+pub use tsig::{KeyError, TsigKey};
+pub use view::{TableHost, UNBOUND_TABLE, View};
+pub use zone::{LabelOwner, Question, SourceNet, TableRef, Zone, ZoneError};
--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -1,8 +1,8 @@
-//! The zone as rows, for copies of it: what each name is an alias of, and each table once. Tables change often and bindings
-//! seldom, so that differences are as small as the tables' own.
+//! The zone as rows, for transfers: which table each name is an alias of, and each table once. Tables change often and
+//! bindings seldom, so that differences are as small as those of the tables.
 
-use crate::view::{Line, STANDING, View};
-use crate::zone::{Of, Zone};
+use crate::view::{TableHost, UNBOUND_TABLE, View};
+use crate::zone::{TableRef, Zone};
 use hickory_proto::rr::rdata::{A, AAAA, CNAME, SRV};
 use hickory_proto::rr::{Name, RData, Record};
 use pondarch_controller::{HostId, ProxyId, RequestClassId};
@@ -11,125 +11,154 @@
 use std::net::IpAddr;
 
 /// Addresses of a table in a copy at most: there they have no weights, and the heaviest are taken.
-const ADDRESSES_MOST: usize = 16;
+const MAX_ADDRESSES: usize = 16;
 
-/// One record of the zone, but for its SOA and NS.
+/// What an alias is queried for. The order is that of rows in transfers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum AliasType {
+    /// Addresses, by resolvers without SRV support.
+    Address,
+    /// SRV records.
+    Srv,
+}
+
+/// One record of the zone, except its SOA and NS. The order of variants and fields is that of transfers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Row {
+    /// The name of a request class, an alias of a table's name.
     Alias {
-        kind: RequestClassId,
+        /// The request class.
+        class: RequestClassId,
+        /// The proxy in the name; none: the name for all clients.
         proxy: Option<ProxyId>,
-        srv: bool,
-        of: Of,
+        /// What the name is queried for.
+        alias_type: AliasType,
+        /// The table.
+        table: TableRef,
     },
+    /// A host of a table, as an SRV record.
     Service {
-        of: Of,
+        /// The table.
+        table: TableRef,
+        /// The target.
         host: HostId,
+        /// Its SRV weight.
         weight: u16,
+        /// Its port.
         port: u16,
     },
+    /// A host of a table, as an address.
     Address {
-        of: Of,
-        ip: IpAddr,
+        /// The table.
+        table: TableRef,
+        /// The address.
+        address: IpAddr,
     },
+    /// The address of a host.
     Host {
+        /// The host.
         host: HostId,
-        ip: IpAddr,
+        /// Its address.
+        address: IpAddr,
     },
 }
 
-/// All rows of the zone as the view has it.
-pub fn rows(zone: &Zone, view: &View) -> BTreeSet<Row> {
+/// All rows of the zone as of a view.
+pub fn zone_rows(zone: &Zone, view: &View) -> BTreeSet<Row> {
     let mut rows = BTreeSet::new();
-    rows.extend(view.hosts.iter().map(|(host, addr)| Row::Host {
+    rows.extend(view.hosts.iter().map(|(host, address)| Row::Host {
         host: host.clone(),
-        ip: addr.ip(),
+        address: address.ip(),
     }));
-    for (table, lines) in view.tables.iter().filter(|(table, _)| **table != STANDING) {
-        table_rows(Of::Table(*table), lines, &mut rows);
+    for (table, hosts) in &view.tables {
+        if *table != UNBOUND_TABLE {
+            add_table(TableRef::Table(*table), hosts, &mut rows);
+        }
     }
-    table_rows(Of::All, &view.all(), &mut rows);
-    for (_, kind) in zone.kinds() {
-        let none = (None, Of::All);
-        // One that nobody has bound is a stranger by a draw of its place.
-        let own = zone.proxies().map(|(_, proxy)| {
-            let table = view.table_of(Some(proxy), kind, u64::from(proxy.0));
-            (
-                Some(proxy),
-                table
-                    .filter(|table| *table != STANDING)
-                    .map_or(Of::All, Of::Table),
-            )
-        });
-        for (proxy, of) in own.chain([none]) {
-            rows.extend([true, false].map(|srv| Row::Alias {
-                kind,
-                proxy,
-                srv,
-                of,
-            }));
+    add_table(TableRef::All, &view.all_tables(), &mut rows);
+    for (_, class) in zone.classes() {
+        for (_, proxy) in zone.proxies() {
+            add_aliases(class, Some(proxy), table_of(view, proxy, class), &mut rows);
         }
+        add_aliases(class, None, TableRef::All, &mut rows);
     }
     rows
 }
 
-fn table_rows(of: Of, lines: &[Line], rows: &mut BTreeSet<Row>) {
-    let by_host: BTreeMap<&HostId, &Line> = lines.iter().map(|line| (&line.host, line)).collect();
-    let weighed = lines.iter().map(Line::weighted_host);
-    let whole = if of == Of::All {
-        srv_share_weights(weighed)
-    } else {
-        srv_weights(weighed)
-    };
-    for line in whole {
-        let Some(port) = by_host.get(&line.host).map(|line| line.addr.port()) else {
-            continue;
-        };
-        rows.insert(Row::Service {
-            of,
-            host: line.host,
-            weight: line.weight,
-            port,
-        });
-    }
-    let mut plain = addressed(lines);
-    plain.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.host.cmp(&b.host)));
+/// The table of a proxy. One without a binding counts as the anonymous proxy that is drawn by its number.
+fn table_of(view: &View, proxy: ProxyId, class: RequestClassId) -> TableRef {
+    view.table_of(Some(proxy), class, u64::from(proxy.0))
+        .filter(|table| *table != UNBOUND_TABLE)
+        .map_or(TableRef::All, TableRef::Table)
+}
+
+fn add_aliases(
+    class: RequestClassId,
+    proxy: Option<ProxyId>,
+    table: TableRef,
+    rows: &mut BTreeSet<Row>,
+) {
     rows.extend(
-        plain
-            .into_iter()
-            .take(ADDRESSES_MOST)
-            .map(|line| Row::Address {
-                of,
-                ip: line.addr.ip(),
-            }),
+        [AliasType::Srv, AliasType::Address].map(|alias_type| Row::Alias {
+            class,
+            proxy,
+            alias_type,
+            table,
+        }),
     );
 }
 
-/// The lines that may be named by address alone: a cold host is met by its weight or not at all, unless all are cold.
-pub(crate) fn addressed(lines: &[Line]) -> Vec<&Line> {
-    let warm: Vec<&Line> = lines.iter().filter(|line| !line.cold).collect();
+fn add_table(table: TableRef, hosts: &[TableHost], rows: &mut BTreeSet<Row>) {
+    let by_id: BTreeMap<&HostId, &TableHost> =
+        hosts.iter().map(|host| (&host.host, host)).collect();
+    let weighted = hosts.iter().map(TableHost::weighted_host);
+    let targets = match table {
+        TableRef::All => srv_share_weights(weighted),
+        TableRef::Table(_) => srv_weights(weighted),
+    };
+    for target in targets {
+        if let Some(host) = by_id.get(&target.host) {
+            rows.insert(Row::Service {
+                table,
+                host: target.host,
+                weight: target.weight,
+                port: host.address.port(),
+            });
+        }
+    }
+    let mut addressable = addressable_hosts(hosts);
+    addressable.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.host.cmp(&b.host)));
+    let heaviest = addressable.into_iter().take(MAX_ADDRESSES);
+    rows.extend(heaviest.map(|host| Row::Address {
+        table,
+        address: host.address.ip(),
+    }));
+}
+
+/// The hosts that may be answered as addresses: one that is warming up gets requests by its weight or not at all, unless
+/// all are warming up.
+pub(crate) fn addressable_hosts(hosts: &[TableHost]) -> Vec<&TableHost> {
+    let warm: Vec<&TableHost> = hosts.iter().filter(|host| !host.warming_up).collect();
     if warm.is_empty() {
-        lines.iter().collect()
+        hosts.iter().collect()
     } else {
         warm
     }
 }
 
-/// Rows as records.
-pub(crate) struct Writer<'a> {
+/// Writes rows as records.
+pub(crate) struct RecordWriter<'a> {
     zone: &'a Zone,
-    kinds: BTreeMap<RequestClassId, &'a str>,
+    classes: BTreeMap<RequestClassId, &'a str>,
     proxies: BTreeMap<ProxyId, &'a str>,
 }
 
-impl Writer<'_> {
-    pub(crate) fn new(zone: &Zone) -> Writer<'_> {
-        let kinds = zone.kinds().map(|(name, kind)| (kind, name)).collect();
-        let proxies = zone.proxies().map(|(name, proxy)| (proxy, name)).collect();
-        Writer {
+impl RecordWriter<'_> {
+    pub(crate) fn new(zone: &Zone) -> RecordWriter<'_> {
+        RecordWriter {
             zone,
-            kinds,
-            proxies,
+            classes: zone.classes().map(|(name, class)| (class, name)).collect(),
+            proxies: zone.proxies().map(|(name, proxy)| (proxy, name)).collect(),
         }
     }
 
@@ -137,41 +166,45 @@
     pub(crate) fn record(&self, row: &Row) -> Option<Record> {
         let (name, data) = match row {
             Row::Alias {
-                kind,
+                class,
                 proxy,
-                srv,
-                of,
+                alias_type,
+                table,
             } => {
                 let proxy = match proxy {
                     Some(proxy) => Some(*self.proxies.get(proxy)?),
                     None => None,
                 };
-                let name = self.zone.kind_name(self.kinds.get(kind)?, proxy, *srv)?;
-                (name, RData::CNAME(CNAME(self.zone.table_name(*of)?)))
+                let class = self.classes.get(class)?;
+                let name = self.zone.class_name(class, proxy, *alias_type)?;
+                (name, RData::CNAME(CNAME(self.zone.table_name(*table)?)))
             }
             Row::Service {
-                of,
+                table,
                 host,
                 weight,
                 port,
             } => {
                 let srv = SRV::new(0, *weight, *port, self.zone.host_name(host)?);
-                (self.zone.table_name(*of)?, RData::SRV(srv))
+                (self.zone.table_name(*table)?, RData::SRV(srv))
+            }
+            Row::Address { table, address } => {
+                (self.zone.table_name(*table)?, address_data(*address))
             }
-            Row::Address { of, ip } => (self.zone.table_name(*of)?, address(*ip)),
-            Row::Host { host, ip } => (self.zone.host_name(host)?, address(*ip)),
+            Row::Host { host, address } => (self.zone.host_name(host)?, address_data(*address)),
         };
         Some(Record::from_rdata(name, self.zone.lifetime.hosts_s, data))
     }
 }
 
-pub(crate) fn address(ip: IpAddr) -> RData {
-    match ip.to_canonical() {
+fn address_data(address: IpAddr) -> RData {
+    match address.to_canonical() {
         IpAddr::V4(v4) => RData::A(A(v4)),
         IpAddr::V6(v6) => RData::AAAA(AAAA(v6)),
     }
 }
 
-pub(crate) fn address_record(name: Name, ttl: u32, ip: IpAddr) -> Record {
-    Record::from_rdata(name, ttl, address(ip))
+/// The address record of a name.
+pub(crate) fn address_record(name: Name, lifetime_s: u32, address: IpAddr) -> Record {
+    Record::from_rdata(name, lifetime_s, address_data(address))
 }
--- a/crates/dns-server/src/transfer.rs
+++ b/crates/dns-server/src/transfer.rs
@@ -1,10 +1,12 @@
-//! Copies of the zone for secondaries: word of changes (NOTIFY, RFC 1996), the whole zone (AXFR, RFC 5936) and differences
-//! (IXFR, RFC 1995), all of it signed. Without a known key there is nothing to be had.
+//! Zone transfers to secondaries: notifications (NOTIFY, RFC 1996), the whole zone (AXFR, RFC 5936) and differences
+//! (IXFR, RFC 1995), all signed. A client without a known key gets nothing.
 
-use crate::journal::{Changes, Journal};
-use crate::keys::{Chain, Key, Signed, check};
+use crate::journal::{Changes, Difference, Journal};
 use crate::reply::{Reply, Transport};
-use crate::rows::{Row, Writer};
+use crate::request::Request;
+use crate::response::{empty_message, empty_reply, signature_error};
+use crate::rows::{RecordWriter, Row, address_record};
+use crate::tsig::{ResponseSigner, TsigKey, Verification, verify};
 use crate::zone::Zone;
 use hickory_proto::op::{Message, MessageType, Metadata, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{RData, Record, RecordType};
@@ -12,176 +14,197 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Records in one message of a transfer: the longest names make it some 30,000 bytes, under the 65,535 of TCP.
-const RECORDS_MOST: usize = 100;
+const MAX_RECORDS_PER_MESSAGE: usize = 100;
 
-/// Who may have copies, what they are sent, and whom we await an answer of.
-pub struct Copies {
-    keys: Vec<Key>,
+/// The records of the zone's own name.
+pub(crate) struct ApexRecords {
+    pub(crate) soa: Record,
+    pub(crate) name_server: Option<Record>,
+}
+
+/// The last notification to a secondary.
+struct PendingNotification {
+    secondary: u16,
+    /// Its signature, which the acknowledgement's is made over.
+    mac: Vec<u8>,
+}
+
+/// Who may transfer the zone, what is sent, and which notifications are not acknowledged yet.
+pub struct ZoneTransfers {
+    keys: Vec<TsigKey>,
     journal: Journal,
-    /// The last word to each secondary: its number, and the signature that the answer's is made over.
-    said: BTreeMap<u16, (u16, Vec<u8>)>,
+    /// By the id of the message.
+    pending: BTreeMap<u16, PendingNotification>,
 }
 
-impl Copies {
+impl ZoneTransfers {
     /// A key for each secondary, in their order.
-    pub fn new(keys: Vec<Key>) -> Copies {
-        Copies {
+    pub fn new(keys: Vec<TsigKey>) -> ZoneTransfers {
+        ZoneTransfers {
             keys,
             journal: Journal::default(),
-            said: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 
+    /// The serial of the zone.
     pub fn serial(&self) -> u32 {
         self.journal.serial()
     }
 
-    pub(crate) fn keys(&self) -> &[Key] {
+    pub(crate) fn keys(&self) -> &[TsigKey] {
         &self.keys
     }
 
-    /// The zone is this from now on; `rows` as `rows::rows` gives them.
-    pub fn follow(&mut self, serial: u32, rows: BTreeSet<Row>) {
-        self.journal.follow(serial, rows);
+    /// The zone has these rows from this serial on; `rows` as `zone_rows` gives them.
+    pub fn set_zone(&mut self, serial: u32, rows: BTreeSet<Row>) {
+        self.journal.set_zone(serial, rows);
     }
 
-    /// The word to a secondary that the zone has changed; none if there is no such secondary.
-    pub fn word(
+    /// The notification to a secondary that the zone has changed; none if there is no such secondary.
+    pub(crate) fn notification(
         &mut self,
         zone: &Zone,
         soa: Record,
-        n: u16,
+        secondary: u16,
         id: u16,
         now_s: u64,
     ) -> Option<Vec<u8>> {
-        let key = self.keys.get(usize::from(n))?;
+        let key = self.keys.get(usize::from(secondary))?;
         let mut message = Message::new(id, MessageType::Query, OpCode::Notify);
         message.metadata.authoritative = true;
         message.add_query(Query::query(zone.origin.clone(), RecordType::SOA));
         message.add_answer(soa);
         message.finalize(key.signer(), now_s).ok()?;
         let mac = message.signature.as_ref()?.data.mac.clone();
-        self.said.retain(|_, (other, _)| *other != n);
-        self.said.insert(id, (n, mac));
+        self.pending
+            .retain(|_, notification| notification.secondary != secondary);
+        self.pending
+            .insert(id, PendingNotification { secondary, mac });
         message.to_vec().ok()
     }
 
-    /// The secondary that a packet is the signed answer of to our last word.
-    pub(crate) fn acknowledged(
+    /// The secondary whose signed acknowledgement of the last notification a packet is.
+    pub(crate) fn acknowledged_by(
         &mut self,
         packet: &[u8],
         message: &Message,
         now_s: u64,
     ) -> Option<u16> {
-        let (n, mac) = self.said.get(&message.metadata.id)?;
-        let n = *n;
-        let fits = message.metadata.op_code == OpCode::Notify
-            && self
-                .keys
-                .get(usize::from(n))
-                .is_some_and(|key| key.fits(packet, mac, now_s));
-        fits.then(|| {
-            self.said.remove(&message.metadata.id);
-            n
-        })
+        let id = message.metadata.id;
+        let notification = self.pending.get(&id)?;
+        let secondary = notification.secondary;
+        let key = self.keys.get(usize::from(secondary))?;
+        let is_acknowledgement = message.metadata.op_code == OpCode::Notify
+            && key.verifies_response(packet, &notification.mac, now_s);
+        if !is_acknowledgement {
+            return None;
+        }
+        self.pending.remove(&id);
+        Some(secondary)
     }
 
     /// The answer to a query for the zone or its differences.
-    pub(crate) fn asked(
-        &self,
-        zone: &Zone,
-        (soa, name_server): (Record, Option<Record>),
-        over: Transport,
-        (packet, message): (&[u8], &Message),
-        query: &Query,
-        now_s: u64,
-    ) -> Reply {
-        let mut head = Metadata::response_from_request(&message.metadata);
-        let (n, mac) = match check(&self.keys, packet, message, now_s) {
-            Signed::By(n, mac) => (n, mac),
-            Signed::Not => return refused(head, query, ResponseCode::Refused),
-            Signed::Wrong(context) => return unsigned(head, query, *context),
+    pub(crate) fn answer(&self, zone: &Zone, apex: ApexRecords, request: &Request<'_>) -> Reply {
+        let mut metadata = Metadata::response_from_request(&request.message.metadata);
+        let query = request.query;
+        let (index, mac) = match verify(&self.keys, request.packet, request.message, request.now_s)
+        {
+            Verification::Signed { key, mac } => (key, mac),
+            Verification::Unsigned => return refused(metadata, query, ResponseCode::Refused),
+            Verification::Failed(context) => {
+                return signature_error(metadata, query, *context);
+            }
         };
-        let (n, key) = (n as u16, &self.keys[n]);
-        let chain = Chain::new(key, mac, now_s);
-        let held = message
-            .authorities
-            .iter()
-            .find_map(|record| match &record.data {
-                RData::SOA(soa) => Some(soa.serial),
-                _ => None,
-            });
-        let asks = (n, SecondaryEvent::Queried(held));
         if query.name != zone.origin {
-            return refused(head, query, ResponseCode::NotAuth);
+            return refused(metadata, query, ResponseCode::NotAuth);
+        }
+        metadata.authoritative = true;
+        let is_whole = query.query_type == RecordType::AXFR;
+        if is_whole && request.transport == Transport::Udp {
+            return refused(metadata, query, ResponseCode::Refused);
         }
-        head.authoritative = true;
-        let wants_all = query.query_type == RecordType::AXFR || held.is_none();
-        let changes = match held {
-            Some(held) if !wants_all => self.journal.since(held),
-            _ => Changes::All,
+        let copy_serial = serial_of_copy(request.message);
+        let changes = match copy_serial {
+            Some(serial) if !is_whole => self.journal.changes_since(serial),
+            _ => Changes::WholeZone,
         };
-        // Over UDP there is room for the word that there is more, or nothing more (RFC 1995, section 2).
-        let records = match (over, &changes) {
-            (Transport::Udp, _) if query.query_type == RecordType::AXFR => {
-                return refused(head, query, ResponseCode::Refused);
-            }
-            (Transport::Udp, _) | (_, Changes::None) => vec![soa],
-            (_, changes) => self.records(zone, &soa, name_server, changes),
-        };
-        let sent = records.len();
-        let packets = messages(head, query, records, chain);
-        let fetched = match changes {
-            Changes::None => Some((n, SecondaryEvent::Transferred(self.journal.serial()))),
-            _ if sent > 1 => Some((n, SecondaryEvent::Transferred(self.journal.serial()))),
-            _ => None,
+        let is_up_to_date = changes == Changes::UpToDate;
+        // Over UDP there is capacity only for whether there are changes (RFC 1995, section 2).
+        let records = match request.transport {
+            Transport::Udp => vec![apex.soa],
+            Transport::Tcp => self.records(zone, apex, &changes),
         };
+        let is_transferred = is_up_to_date || records.len() > 1;
+        let signer = ResponseSigner::new(&self.keys[index], mac, request.now_s);
+        let mut events = vec![SecondaryEvent::Queried(copy_serial)];
+        if is_transferred {
+            events.push(SecondaryEvent::Transferred(self.journal.serial()));
+        }
         Reply {
-            packets,
-            heard: std::iter::once(asks).chain(fetched).collect(),
+            packets: signed_messages(metadata, query, &records, signer),
+            secondary_events: events
+                .into_iter()
+                .map(|event| (index as u16, event))
+                .collect(),
             ..Reply::default()
         }
     }
 
     /// The records of a transfer, in the order that they are sent in.
-    fn records(
-        &self,
-        zone: &Zone,
-        soa: &Record,
-        name_server: Option<Record>,
-        changes: &Changes,
-    ) -> Vec<Record> {
-        let writer = Writer::new(zone);
+    fn records(&self, zone: &Zone, apex: ApexRecords, changes: &Changes) -> Vec<Record> {
+        let ApexRecords { soa, name_server } = apex;
+        let writer = RecordWriter::new(zone);
         let mut records = vec![soa.clone()];
         match changes {
-            Changes::None => return records,
-            Changes::All => {
-                let own = zone.server_name().map(|name| {
-                    crate::rows::address_record(name, zone.lifetime.hosts_s, zone.server)
-                });
+            Changes::UpToDate => return records,
+            Changes::WholeZone => {
                 records.extend(name_server);
-                records.extend(own);
-                records.extend(
-                    self.journal
-                        .rows()
-                        .iter()
-                        .filter_map(|row| writer.record(row)),
-                );
+                records.extend(server_address(zone));
+                let rows = self.journal.rows().iter();
+                records.extend(rows.filter_map(|row| writer.record(row)));
             }
-            Changes::Steps(steps) => {
-                for step in steps {
-                    records.push(with_serial(soa, step.from));
-                    records.extend(step.gone.iter().filter_map(|row| writer.record(row)));
-                    records.push(with_serial(soa, step.to));
-                    records.extend(step.came.iter().filter_map(|row| writer.record(row)));
+            Changes::Differences(differences) => {
+                for difference in differences {
+                    add_difference(&mut records, difference, &soa, &writer);
                 }
             }
         }
-        records.push(soa.clone());
+        records.push(soa);
         records
     }
 }
 
+/// The serial of the secondary's copy, which stands in the SOA of its query.
+fn serial_of_copy(message: &Message) -> Option<u32> {
+    message
+        .authorities
+        .iter()
+        .find_map(|record| match &record.data {
+            RData::SOA(soa) => Some(soa.serial),
+            _ => None,
+        })
+}
+
+fn server_address(zone: &Zone) -> Option<Record> {
+    let name = zone.server_name()?;
+    Some(address_record(name, zone.lifetime.hosts_s, zone.server))
+}
+
+/// A difference sequence (RFC 1995, section 4): what was removed, then what was added, each after its SOA.
+fn add_difference(
+    records: &mut Vec<Record>,
+    difference: &Difference,
+    soa: &Record,
+    writer: &RecordWriter<'_>,
+) {
+    let record = |row: &Row| writer.record(row);
+    records.push(with_serial(soa, difference.from_serial));
+    records.extend(difference.removed.iter().filter_map(record));
+    records.push(with_serial(soa, difference.to_serial));
+    records.extend(difference.added.iter().filter_map(record));
+}
+
 fn with_serial(soa: &Record, serial: u32) -> Record {
     let mut other = soa.clone();
     if let RData::SOA(soa) = &mut other.data {
@@ -190,53 +213,25 @@
     other
 }
 
-/// Records as signed messages; the question stands in the first alone (RFC 5936, section 2.2.1).
-fn messages(head: Metadata, query: &Query, records: Vec<Record>, mut chain: Chain) -> Vec<Vec<u8>> {
-    let message = |(n, records): (usize, &[Record])| {
-        let mut message = Message::new(head.id, MessageType::Response, head.op_code);
-        message.metadata = head;
-        message.queries.extend((n == 0).then(|| query.clone()));
-        message.add_answers(records.iter().cloned());
-        chain.sign(message)
-    };
+/// Records as signed messages; the question stands in the first one only (RFC 5936, section 2.2.1).
+fn signed_messages(
+    metadata: Metadata,
+    query: &Query,
+    records: &[Record],
+    mut signer: ResponseSigner,
+) -> Vec<Vec<u8>> {
     records
-        .chunks(RECORDS_MOST)
+        .chunks(MAX_RECORDS_PER_MESSAGE)
         .enumerate()
-        .map_while(message)
+        .map_while(|(index, records)| {
+            let mut message = empty_message(metadata, (index == 0).then_some(query));
+            message.add_answers(records.iter().cloned());
+            signer.sign(message)
+        })
         .collect()
 }
 
-fn refused(mut head: Metadata, query: &Query, code: ResponseCode) -> Reply {
-    head.response_code = code;
-    let mut message = Message::new(head.id, MessageType::Response, head.op_code);
-    message.metadata = head;
-    message.add_query(query.clone());
-    Reply {
-        packets: message.to_vec().ok().into_iter().collect(),
-        ..Reply::default()
-    }
-}
-
-/// What a wrong signature gets: NOTAUTH with the error in the signature's place (RFC 8945, section 5.2).
-pub(crate) fn unsigned(
-    mut head: Metadata,
-    query: &Query,
-    context: hickory_proto::rr::TSigResponseContext,
-) -> Reply {
-    head.response_code = ResponseCode::NotAuth;
-    let mut message = Message::new(head.id, MessageType::Response, head.op_code);
-    message.metadata = head;
-    message.add_query(query.clone());
-    let signed = message
-        .to_vec()
-        .ok()
-        .and_then(|bytes| context.sign(&bytes).ok())
-        .and_then(|record| {
-            message.set_signature(record);
-            message.to_vec().ok()
-        });
-    Reply {
-        packets: signed.into_iter().collect(),
-        ..Reply::default()
-    }
+fn refused(mut metadata: Metadata, query: &Query, code: ResponseCode) -> Reply {
+    metadata.response_code = code;
+    empty_reply(metadata, Some(query), None)
 }
--- a/crates/dns-server/src/view.rs
+++ b/crates/dns-server/src/view.rs
@@ -1,4 +1,4 @@
-//! The tables as they are to be answered.
+//! The tables as they are answered.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId};
 use pondarch_dns_core::WeightedHost;
@@ -7,100 +7,113 @@
 
 /// A host of a table.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct TableHost {
+    /// The host.
     pub host: HostId,
-    pub addr: SocketAddr,
+    /// Its address.
+    pub address: SocketAddr,
+    /// Its weight in the table.
     pub weight: f64,
-    pub cold: bool,
+    /// Whether it is warming up.
+    pub warming_up: bool,
 }
 
-impl Line {
+impl TableHost {
     pub(crate) fn weighted_host(&self) -> WeightedHost<'_> {
         WeightedHost {
             host: &self.host,
             weight: self.weight,
-            warming_up: self.cold,
+            warming_up: self.warming_up,
         }
     }
 }
 
-/// Stands for the whole list where no table is bound yet: whoever asks is given a few hosts of it by a draw.
-pub const STANDING: TableId = TableId(u16::MAX - 1);
-/// Hosts of a standing table.
-const STANDING_MOST: usize = 8;
+/// Stands for the whole endpoint list where no table is bound yet: each client gets a few of its hosts by a draw.
+pub const UNBOUND_TABLE: TableId = TableId(u16::MAX - 1);
+/// Hosts that a client gets of the unbound table.
+const MAX_UNBOUND_HOSTS: usize = 8;
 
-/// Tables, who is bound to which, and the hosts' addresses. `serial` rises with each change.
+/// Tables, bindings, and the addresses of hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
+    /// The zone serial, which grows with each change.
     pub serial: u32,
-    /// Those that somebody who asks by name is bound to, and `STANDING`.
-    pub tables: BTreeMap<TableId, Vec<Line>>,
-    pub bound: BTreeMap<(ProxyId, RequestClassId), TableId>,
+    /// The tables that a proxy which queries is bound to, and `UNBOUND_TABLE`.
+    pub tables: BTreeMap<TableId, Vec<TableHost>>,
+    /// The table that each proxy is bound to for a request class.
+    pub bindings: BTreeMap<(ProxyId, RequestClassId), TableId>,
+    /// The addresses of all hosts.
     pub hosts: BTreeMap<HostId, SocketAddr>,
-    /// Tables that have nothing any more and show what they last had: answered with a lifetime of 1 s.
-    pub last: BTreeSet<TableId>,
-    /// Those who are not known are one of these, by a draw of their mark.
-    pub strangers: Vec<ProxyId>,
+    /// Tables that have no host any more and show what they last had: answered with a lifetime of 1 s.
+    pub last_answers: BTreeSet<TableId>,
+    /// Clients that are not known proxies count as one of these, by a draw of their mark.
+    pub anonymous_proxies: Vec<ProxyId>,
 }
 
 impl View {
-    /// Who a mark is taken for: the same at each ask, and evenly over all.
-    pub fn stranger(&self, mark: u64) -> Option<ProxyId> {
-        let drawn = fastrand::Rng::with_seed(mark).usize(0..self.strangers.len().max(1));
-        self.strangers.get(drawn).copied()
+    /// The anonymous proxy that a client with this mark counts as: the same for each query, and evenly over all.
+    pub fn anonymous_proxy(&self, mark: u64) -> Option<ProxyId> {
+        let drawn = fastrand::Rng::with_seed(mark).usize(0..self.anonymous_proxies.len().max(1));
+        self.anonymous_proxies.get(drawn).copied()
     }
 
-    /// The table for a proxy's kind. One that nobody has bound yet is taken for a stranger of that mark; where those are
-    /// not bound either, for the whole list.
+    /// The table for a proxy's request class. A proxy without a binding counts as the anonymous one of that mark; where
+    /// that one has no binding either, it gets the unbound table.
     pub fn table_of(
         &self,
         proxy: Option<ProxyId>,
-        kind: RequestClassId,
+        class: RequestClassId,
         mark: u64,
     ) -> Option<TableId> {
-        let bound = |proxy: ProxyId| {
-            let table = self.bound.get(&(proxy, kind)).copied();
-            table.filter(|table| !self.lines(*table).is_empty())
+        let bound_table = |proxy: ProxyId| {
+            let table = self.bindings.get(&(proxy, class)).copied();
+            table.filter(|table| !self.table_hosts(*table).is_empty())
         };
-        let own = proxy
-            .and_then(bound)
-            .or_else(|| bound(self.stranger(mark)?));
-        own.or_else(|| self.tables.contains_key(&STANDING).then_some(STANDING))
+        proxy
+            .and_then(bound_table)
+            .or_else(|| bound_table(self.anonymous_proxy(mark)?))
+            .or_else(|| {
+                self.tables
+                    .contains_key(&UNBOUND_TABLE)
+                    .then_some(UNBOUND_TABLE)
+            })
     }
 
-    /// A table's lines for an asker with this mark.
-    pub fn lines_for(&self, table: TableId, mark: u64) -> Vec<Line> {
-        let mut lines = self.lines(table).to_vec();
-        if table == STANDING && lines.len() > STANDING_MOST {
-            fastrand::Rng::with_seed(mark).shuffle(&mut lines);
-            lines.truncate(STANDING_MOST);
+    /// A table's hosts for a client with this mark.
+    pub fn hosts_for_client(&self, table: TableId, mark: u64) -> Vec<TableHost> {
+        let mut hosts = self.table_hosts(table).to_vec();
+        if table == UNBOUND_TABLE && hosts.len() > MAX_UNBOUND_HOSTS {
+            fastrand::Rng::with_seed(mark).shuffle(&mut hosts);
+            hosts.truncate(MAX_UNBOUND_HOSTS);
         }
-        lines
+        hosts
     }
 
-    /// All tables as one, each with the same part: the lines that whoever is not told apart gets.
-    pub fn all(&self) -> Vec<Line> {
-        let mut all: BTreeMap<&HostId, Line> = BTreeMap::new();
-        let bound = self
+    /// All tables as one, each with the same share: the hosts for clients that are not distinguished.
+    pub fn all_tables(&self) -> Vec<TableHost> {
+        let bound: Vec<&Vec<TableHost>> = self
             .tables
             .iter()
-            .filter(|(table, lines)| **table != STANDING && !lines.is_empty());
-        let bound: Vec<&Vec<Line>> = bound.map(|(_, lines)| lines).collect();
-        let standing = self.tables.get(&STANDING).filter(|_| bound.is_empty());
-        for lines in bound.into_iter().chain(standing) {
-            let sum: f64 = lines.iter().map(|line| line.weight).sum();
-            for line in lines {
-                let own = all.entry(&line.host).or_insert_with(|| Line {
+            .filter(|(table, hosts)| **table != UNBOUND_TABLE && !hosts.is_empty())
+            .map(|(_, hosts)| hosts)
+            .collect();
+        let unbound = self.tables.get(&UNBOUND_TABLE).filter(|_| bound.is_empty());
+        let mut all: BTreeMap<&HostId, TableHost> = BTreeMap::new();
+        for hosts in bound.into_iter().chain(unbound) {
+            let sum: f64 = hosts.iter().map(|host| host.weight).sum();
+            for host in hosts {
+                let merged = all.entry(&host.host).or_insert_with(|| TableHost {
                     weight: 0.0,
-                    ..line.clone()
+                    ..host.clone()
                 });
-                own.weight += line.weight / sum.max(f64::MIN_POSITIVE);
+                merged.weight += host.weight / sum.max(f64::MIN_POSITIVE);
             }
         }
         all.into_values().collect()
     }
 
-    pub fn lines(&self, table: TableId) -> &[Line] {
+    /// All hosts of a table.
+    pub fn table_hosts(&self, table: TableId) -> &[TableHost] {
         self.tables.get(&table).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/dns-server/src/zone.rs
+++ b/crates/dns-server/src/zone.rs
@@ -1,19 +1,21 @@
-//! Which names there are below the zone's own, and what is asked by them:
+//! Which names there are in the zone, and what a query for them asks for:
 //!
-//! | name | asked |
+//! | name | content |
 //! | --- | --- |
 //! | the zone itself | SOA, NS |
 //! | `ns` | the server's own address |
-//! | `_<kind>._tcp.<proxy>`, `_<kind>._tcp` | SRV (RFC 2782), for a proxy by its name or by its source |
-//! | `<kind>.<proxy>`, `<kind>` | addresses, for resolvers that know no SRV |
+//! | `_<class>._tcp.<proxy>`, `_<class>._tcp` | SRV (RFC 2782), for a proxy by its name or by its source address |
+//! | `<class>.<proxy>`, `<class>` | addresses, for resolvers without SRV support |
 //! | `<host>.hosts` | a host's address: the targets of SRV |
 //! | `t<n>.tables`, `all.tables` | a table, and all of them as one: what the names of a transferred zone are aliases of |
 //!
-//! Names in between (`_tcp.<proxy>`, `hosts`) exist and hold nothing (RFC 8020).
+//! Names in between (`_tcp.<proxy>`, `hosts`) exist and have no records (RFC 8020).
 
+use crate::rows::AliasType;
 use hickory_proto::rr::Name;
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId};
 use pondarch_dns_core::Lifetime;
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use thiserror::Error;
@@ -23,154 +25,228 @@
 const TCP: &str = "_tcp";
 const TABLES: &str = "tables";
 const ALL: &str = "all";
+/// Labels that no request class and no proxy may have.
+const RESERVED_LABELS: [&str; 4] = [HOSTS, NS, TCP, TABLES];
+/// Characters of the name of a request class or proxy at most: a label of 63 less the underscore of SRV names.
+const MAX_LABEL_LENGTH: usize = 62;
 
-/// If the settings say nothing else.
-const EXPIRE_S: u32 = 60;
+/// When a secondary that is cut off stops answering, unless the settings say otherwise.
+const DEFAULT_EXPIRE_S: u32 = 60;
 
+/// Why the settings of a zone were rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
+#[non_exhaustive]
 pub enum ZoneError {
+    /// The origin is not a domain name.
     #[error("'{0}' is no domain name")]
     Name(String),
+    /// A name cannot be a label.
     #[error(
-        "the {0} '{1}' cannot be a label: 1 to 63 letters, digits or '-', and none of ns, hosts, tables, _tcp"
+        "the {owner} '{name}' cannot be a label: 1 to 63 letters, digits or '-', and none of ns, hosts, tables, _tcp"
     )]
-    Label(&'static str, String),
+    Label {
+        /// What has the name.
+        owner: LabelOwner,
+        /// The name.
+        name: String,
+    },
+    /// A name is both a proxy's and a request class's.
     #[error("'{0}' is a proxy and a kind")]
-    Twice(String),
+    Ambiguous(String),
 }
 
-/// One table, or all of them taken together: who is not known to a secondary gets those.
+/// What a label is the name of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LabelOwner {
+    /// A request class.
+    RequestClass,
+    /// A proxy.
+    Proxy,
+}
+
+impl std::fmt::Display for LabelOwner {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            LabelOwner::RequestClass => "kind",
+            LabelOwner::Proxy => "proxy",
+        })
+    }
+}
+
+/// One table, or all of them taken together, which secondaries answer to clients that are not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Of {
+pub enum TableRef {
+    /// One table.
     Table(TableId),
+    /// All of them.
     All,
 }
 
-/// What a name asks for.
+/// What a name stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asks {
+pub enum Question {
+    /// The zone itself.
     Apex,
+    /// The server.
     NameServer,
-    /// A kind as SRV; the proxy if the name tells it.
-    Services(RequestClassId, Option<ProxyId>),
-    /// A kind as addresses.
-    Addresses(RequestClassId, Option<ProxyId>),
+    /// The hosts of a request class as SRV.
+    Services {
+        /// The request class.
+        class: RequestClassId,
+        /// The proxy, if the name has it.
+        proxy: Option<ProxyId>,
+    },
+    /// The hosts of a request class as addresses.
+    Addresses {
+        /// The request class.
+        class: RequestClassId,
+        /// The proxy, if the name has it.
+        proxy: Option<ProxyId>,
+    },
+    /// A host.
     Host(HostId),
     /// A table by its own name, as SRV or as addresses.
-    Table(Of),
-    /// It exists, and has nothing of its own.
-    Between,
-    /// Below the zone, and there is no such name.
-    Nothing,
+    Table(TableRef),
+    /// A name that exists without records, as names below it exist.
+    EmptyName,
+    /// A name below the zone that does not exist.
+    Missing,
+    /// A name that is not in the zone.
     Outside,
 }
 
-/// The zone's settings, checked.
+/// A network whose queries are a proxy's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SourceNet {
+    /// The address of the network.
+    pub address: IpAddr,
+    /// The bits of its prefix.
+    pub prefix_bits: u8,
+    /// The proxy.
+    pub proxy: ProxyId,
+}
+
+/// The settings of the zone, checked.
 #[derive(Clone, Debug)]
 pub struct Zone {
+    /// The name of the zone.
     pub origin: Name,
     /// The server's own address, for `ns`.
     pub server: IpAddr,
+    /// Lifetimes of answers.
     pub lifetime: Lifetime,
     /// When a secondary that is cut off stops answering, in seconds.
     pub expire_s: u32,
-    kinds: BTreeMap<String, RequestClassId>,
+    classes: BTreeMap<String, RequestClassId>,
     proxies: BTreeMap<String, ProxyId>,
-    /// Nets whose queries are a proxy's, the longest prefix first: address, bits.
-    sources: Vec<(IpAddr, u8, ProxyId)>,
+    /// The longest prefix first.
+    sources: Vec<SourceNet>,
 }
 
 impl Zone {
-    /// Errors: a name that is none, a kind or proxy that cannot be a label, one that is both.
+    /// # Errors
+    ///
+    /// The origin is not a domain name, a request class or proxy cannot be a label, or a name is both.
     pub fn new(
         origin: &str,
         server: IpAddr,
         lifetime: Lifetime,
-        kinds: &[String],
+        classes: &[String],
         proxies: &[String],
-        mut sources: Vec<(IpAddr, u8, ProxyId)>,
+        mut sources: Vec<SourceNet>,
     ) -> Result<Zone, ZoneError> {
         let mut name = Name::from_ascii(origin).map_err(|_| ZoneError::Name(origin.into()))?;
         name.set_fqdn(true);
-        let label = |what, name: &String| match is_label(name) {
-            true => Ok(name.to_ascii_lowercase()),
-            false => Err(ZoneError::Label(what, name.clone())),
-        };
-        let mut by_kind = BTreeMap::new();
-        for (n, kind) in kinds.iter().enumerate() {
-            by_kind.insert(label("kind", kind)?, RequestClassId(n as u8));
+        let mut class_ids = BTreeMap::new();
+        for (n, class) in classes.iter().enumerate() {
+            let class = label(LabelOwner::RequestClass, class)?;
+            class_ids.insert(class, RequestClassId(n as u8));
         }
-        let mut by_proxy = BTreeMap::new();
+        let mut proxy_ids = BTreeMap::new();
         for (n, proxy) in proxies.iter().enumerate() {
-            let proxy = label("proxy", proxy)?;
-            if by_kind.contains_key(&proxy) {
-                return Err(ZoneError::Twice(proxy));
+            let proxy = label(LabelOwner::Proxy, proxy)?;
+            if class_ids.contains_key(&proxy) {
+                return Err(ZoneError::Ambiguous(proxy));
             }
-            by_proxy.insert(proxy, ProxyId(n as u16));
+            proxy_ids.insert(proxy, ProxyId(n as u16));
         }
-        sources.sort_by_key(|(_, bits, _)| std::cmp::Reverse(*bits));
+        sources.sort_by_key(|source| Reverse(source.prefix_bits));
         Ok(Zone {
             origin: name,
             server,
             lifetime,
-            expire_s: EXPIRE_S,
-            kinds: by_kind,
-            proxies: by_proxy,
+            expire_s: DEFAULT_EXPIRE_S,
+            classes: class_ids,
+            proxies: proxy_ids,
             sources,
         })
     }
 
-    /// What a name asks for; case plays no part (RFC 4343).
-    pub fn asks(&self, name: &Name) -> Asks {
+    /// What a name stands for; case does not matter (RFC 4343).
+    pub fn question(&self, name: &Name) -> Question {
         if !self.origin.zone_of(name) {
-            return Asks::Outside;
+            return Question::Outside;
         }
-        let own = usize::from(name.num_labels() - self.origin.num_labels());
-        let label = |bytes: &[u8]| String::from_utf8_lossy(bytes).to_ascii_lowercase();
-        let labels: Vec<String> = name.iter().take(own).map(label).collect();
+        let own_labels = usize::from(name.num_labels() - self.origin.num_labels());
+        let labels: Vec<String> = name
+            .iter()
+            .take(own_labels)
+            .map(|bytes| String::from_utf8_lossy(bytes).to_ascii_lowercase())
+            .collect();
         let labels: Vec<&str> = labels.iter().map(String::as_str).collect();
-        let service = |label: &str| {
-            label
-                .strip_prefix('_')
-                .and_then(|name| self.kinds.get(name))
-                .copied()
-        };
-        let proxy = |label: &str| self.proxies.get(label).copied();
-        let known = |found: Option<Asks>| found.unwrap_or(Asks::Nothing);
-        match labels.as_slice() {
-            [] => Asks::Apex,
-            [NS] => Asks::NameServer,
-            [HOSTS] | [TCP] | [TABLES] => Asks::Between,
-            [one] => match self.kinds.get(*one) {
-                Some(kind) => Asks::Addresses(*kind, None),
-                None => known(proxy(one).map(|_| Asks::Between)),
+        self.question_of_labels(&labels)
+            .unwrap_or(Question::Missing)
+    }
+
+    /// None: there is no such name.
+    fn question_of_labels(&self, labels: &[&str]) -> Option<Question> {
+        match labels {
+            [] => Some(Question::Apex),
+            [NS] => Some(Question::NameServer),
+            [HOSTS] | [TCP] | [TABLES] => Some(Question::EmptyName),
+            [name] => match self.class(name) {
+                Some(class) => Some(Question::Addresses { class, proxy: None }),
+                None => self.proxy(name).map(|_| Question::EmptyName),
             },
-            [host @ .., HOSTS] => Asks::Host(HostId(host.join(".").into())),
-            [of, TABLES] => known(table_of(of).map(Asks::Table)),
-            [kind, TCP] => known(service(kind).map(|kind| Asks::Services(kind, None))),
-            [TCP, of] => known(proxy(of).map(|_| Asks::Between)),
-            [kind, of] => known(
-                self.kinds
-                    .get(*kind)
-                    .zip(proxy(of))
-                    .map(|(kind, of)| Asks::Addresses(*kind, Some(of))),
-            ),
-            [kind, TCP, of] => known(
-                service(kind)
-                    .zip(proxy(of))
-                    .map(|(kind, of)| Asks::Services(kind, Some(of))),
-            ),
-            _ => Asks::Nothing,
+            [host @ .., HOSTS] => Some(Question::Host(HostId(host.join(".").into()))),
+            [table, TABLES] => table_ref(table).map(Question::Table),
+            [service, TCP] => Some(Question::Services {
+                class: self.service_class(service)?,
+                proxy: None,
+            }),
+            [TCP, proxy] => self.proxy(proxy).map(|_| Question::EmptyName),
+            [class, proxy] => Some(Question::Addresses {
+                class: self.class(class)?,
+                proxy: Some(self.proxy(proxy)?),
+            }),
+            [service, TCP, proxy] => Some(Question::Services {
+                class: self.service_class(service)?,
+                proxy: Some(self.proxy(proxy)?),
+            }),
+            _ => None,
         }
     }
 
-    /// The proxy whose net an address is in.
-    pub fn proxy_at(&self, from: IpAddr) -> Option<ProxyId> {
-        let from = from.to_canonical();
+    fn class(&self, label: &str) -> Option<RequestClassId> {
+        self.classes.get(label).copied()
+    }
+
+    /// The request class of a label with an underscore.
+    fn service_class(&self, label: &str) -> Option<RequestClassId> {
+        self.class(label.strip_prefix('_')?)
+    }
+
+    fn proxy(&self, label: &str) -> Option<ProxyId> {
+        self.proxies.get(label).copied()
+    }
+
+    /// The proxy whose network an address is in.
+    pub fn proxy_at(&self, address: IpAddr) -> Option<ProxyId> {
+        let address = address.to_canonical();
         self.sources
             .iter()
-            .find(|(net, bits, _)| within(from, *net, *bits))
-            .map(|(_, _, proxy)| *proxy)
+            .find(|source| is_within(address, source.address, source.prefix_bits))
+            .map(|source| source.proxy)
     }
 
     /// The name of a host: the target of SRV. None if it is too long for a name.
@@ -182,34 +258,47 @@
             .ok()
     }
 
-    /// The name that a kind is asked by: as SRV or as addresses, of a proxy or of whoever asks.
-    pub fn kind_name(&self, kind: &str, proxy: Option<&str>, srv: bool) -> Option<Name> {
-        let service = format!("_{kind}");
-        let own = if srv {
-            vec![service.as_str(), TCP]
-        } else {
-            vec![kind]
+    /// The name that a request class is queried by, for a proxy or for the client itself.
+    pub fn class_name(
+        &self,
+        class: &str,
+        proxy: Option<&str>,
+        alias_type: AliasType,
+    ) -> Option<Name> {
+        let service = format!("_{class}");
+        let labels = match alias_type {
+            AliasType::Srv => vec![service.as_str(), TCP],
+            AliasType::Address => vec![class],
         };
-        Name::from_labels(own.into_iter().chain(proxy).map(str::as_bytes))
-            .ok()?
-            .append_domain(&self.origin)
-            .ok()
+        self.name_of(labels.into_iter().chain(proxy))
     }
 
-    pub fn table_name(&self, of: Of) -> Option<Name> {
-        let own = match of {
-            Of::Table(table) => format!("t{}", table.0),
-            Of::All => ALL.to_string(),
+    /// The name of a table.
+    pub fn table_name(&self, table: TableRef) -> Option<Name> {
+        let label = match table {
+            TableRef::Table(table) => format!("t{}", table.0),
+            TableRef::All => ALL.to_string(),
         };
-        Name::from_labels([own.as_bytes(), TABLES.as_bytes()])
+        self.name_of([label.as_str(), TABLES])
+    }
+
+    /// The name of the server.
+    pub fn server_name(&self) -> Option<Name> {
+        self.name_of([NS])
+    }
+
+    fn name_of<'a>(&self, labels: impl IntoIterator<Item = &'a str>) -> Option<Name> {
+        Name::from_labels(labels.into_iter().map(str::as_bytes))
             .ok()?
             .append_domain(&self.origin)
             .ok()
     }
 
-    /// All kinds, by name.
-    pub fn kinds(&self) -> impl Iterator<Item = (&str, RequestClassId)> {
-        self.kinds.iter().map(|(name, kind)| (name.as_str(), *kind))
+    /// All request classes, by name.
+    pub fn classes(&self) -> impl Iterator<Item = (&str, RequestClassId)> {
+        self.classes
+            .iter()
+            .map(|(name, class)| (name.as_str(), *class))
     }
 
     /// All proxies, by name.
@@ -218,41 +307,42 @@
             .iter()
             .map(|(name, proxy)| (name.as_str(), *proxy))
     }
-
-    pub fn server_name(&self) -> Option<Name> {
-        Name::from_labels([NS.as_bytes()])
-            .ok()?
-            .append_domain(&self.origin)
-            .ok()
-    }
 }
 
-fn table_of(label: &str) -> Option<Of> {
+fn table_ref(label: &str) -> Option<TableRef> {
     if label == ALL {
-        return Some(Of::All);
+        return Some(TableRef::All);
     }
-    label
-        .strip_prefix('t')?
-        .parse()
-        .ok()
-        .map(|n| Of::Table(TableId(n)))
+    let number = label.strip_prefix('t')?.parse().ok()?;
+    Some(TableRef::Table(TableId(number)))
 }
 
-fn is_label(name: &str) -> bool {
-    let fits = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    let taken = [HOSTS, NS, TCP, TABLES]
+/// The name as a label in lower case.
+fn label(owner: LabelOwner, name: &str) -> Result<String, ZoneError> {
+    let is_reserved = RESERVED_LABELS
         .iter()
-        .any(|word| name.eq_ignore_ascii_case(word));
-    (1..=62).contains(&name.len()) && name.chars().all(fits) && !taken
+        .any(|reserved| name.eq_ignore_ascii_case(reserved));
+    let is_label = (1..=MAX_LABEL_LENGTH).contains(&name.len())
+        && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-')
+        && !is_reserved;
+    if !is_label {
+        return Err(ZoneError::Label {
+            owner,
+            name: name.into(),
+        });
+    }
+    Ok(name.to_ascii_lowercase())
 }
 
-fn within(address: IpAddr, net: IpAddr, bits: u8) -> bool {
+fn is_within(address: IpAddr, net: IpAddr, prefix_bits: u8) -> bool {
     match (address, net) {
         (IpAddr::V4(a), IpAddr::V4(b)) => {
-            bits == 0 || (u32::from(a) ^ u32::from(b)) >> (32 - u32::from(bits.min(32))) == 0
+            prefix_bits == 0
+                || (u32::from(a) ^ u32::from(b)) >> (32 - u32::from(prefix_bits.min(32))) == 0
         }
         (IpAddr::V6(a), IpAddr::V6(b)) => {
-            bits == 0 || (u128::from(a) ^ u128::from(b)) >> (128 - u32::from(bits.min(128))) == 0
+            prefix_bits == 0
+                || (u128::from(a) ^ u128::from(b)) >> (128 - u32::from(prefix_bits.min(128))) == 0
         }
         _ => false,
     }
--- /dev/null
+++ b/crates/dns-server/tests/answers/main.rs
@@ -0,0 +1,5 @@
+//! Packets in, packets out.
+
+mod fixture;
+mod names;
+mod tables;
--- a/crates/dns-server/tests/wire_texts.rs
+++ b/crates/dns-server/tests/wire_texts.rs
@@ -1,10 +1,12 @@
-//! Exact packets of the DNS front, as hex, with fixed ids and seed: questions, answers of each type, a notification
+//! Exact packets of the DNS server, as hex, with fixed ids and seed: questions, answers of each type, a notification
 //! and a signed transfer. Expected lines stand in `wire_texts.txt`: what it is, then the packet.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
 use pondarch_dns_core::{Lifetime, RateLimiter};
-use pondarch_dns_server::fetch::{Copy, Fetch};
-use pondarch_dns_server::{Answerer, Copies, Key, Line, Transport, View, Zone, ask, rows};
+use pondarch_dns_server::secondary::{Transfer, ZoneCopy};
+use pondarch_dns_server::{
+    Answerer, TableHost, Transport, TsigKey, View, Zone, ZoneTransfers, client, zone_rows,
+};
 use std::net::IpAddr;
 use std::time::Duration;
 
@@ -13,32 +15,32 @@
 const FROM: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 const EXPECTED: &str = include_str!("wire_texts.txt");
 
-fn key() -> Key {
-    Key::new("second.pond.example", vec![1; 32]).expect("a key")
+fn key() -> TsigKey {
+    TsigKey::new("second.pond.example", vec![1; 32]).expect("a key")
 }
 
 /// One host with an IPv4 address, one with an IPv6 address, in one table.
 fn view() -> View {
     let addresses = ["127.0.0.1:8000", "[::1]:8001"].map(|text| text.parse().expect("an address"));
     let host = |n: usize| HostId(format!("host-{n}").into());
-    let line = |n: usize| Line {
+    let table_host = |n: usize| TableHost {
         host: host(n),
-        addr: addresses[n],
+        address: addresses[n],
         weight: 1.0,
-        cold: false,
+        warming_up: false,
     };
     View {
         serial: 7,
-        tables: [(TableId(0), vec![line(0), line(1)])].into(),
-        bound: [((ProxyId(0), RequestClassId(0)), TableId(0))].into(),
+        tables: [(TableId(0), vec![table_host(0), table_host(1)])].into(),
+        bindings: [((ProxyId(0), RequestClassId(0)), TableId(0))].into(),
         hosts: (0..2).map(|n| (host(n), addresses[n])).collect(),
-        last: Default::default(),
-        strangers: vec![ProxyId(1), ProxyId(2)],
+        last_answers: Default::default(),
+        anonymous_proxies: vec![ProxyId(1), ProxyId(2)],
     }
 }
 
 fn answerer() -> Answerer {
-    let life = Lifetime::for_drain_grace(
+    let lifetime = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
         Duration::from_millis(500),
         None,
@@ -48,16 +50,16 @@
     let zone = Zone::new(
         "pond.example",
         FROM,
-        life,
+        lifetime,
         &names("proof"),
         &names("front-0"),
         Vec::new(),
     );
-    let copies = Copies::new(vec![key()]);
+    let transfers = ZoneTransfers::new(vec![key()]);
     Answerer::new(
         zone.expect("a zone"),
         RateLimiter::new(1e6, 100, NOW),
-        copies,
+        transfers,
         5,
     )
 }
@@ -81,7 +83,7 @@
 
 /// The question's packet and its answer's.
 fn check_question(what: &str, name: &str, of: &str) {
-    let question = ask::question(4_711, name, of).expect("a question");
+    let question = client::encode_query(4_711, name, of).expect("a question");
     let reply = answerer().answer(NOW, FROM, Transport::Udp, &question, &view());
     check(&format!("{what} question"), &[question]);
     check(&format!("{what} answer"), &reply.packets);
@@ -114,18 +116,27 @@
 #[test]
 fn notification() {
     let mut answerer = answerer();
-    let rows = rows(answerer.zone(), &view());
-    answerer.copies().follow(7, rows);
-    check("NOTIFY", &[answerer.word(NOW, 0).expect("a notification")]);
+    let rows = zone_rows(answerer.zone(), &view());
+    answerer.transfers().set_zone(7, rows);
+    check(
+        "NOTIFY",
+        &[answerer.notification(NOW, 0).expect("a notification")],
+    );
 }
 
 #[test]
 fn transfer() {
     let mut answerer = answerer();
-    let rows = rows(answerer.zone(), &view());
-    answerer.copies().follow(7, rows);
-    let (question, _) =
-        Fetch::ask(99, "pond.example", &Copy::default(), &key(), NOW_SECONDS).expect("a question");
+    let rows = zone_rows(answerer.zone(), &view());
+    answerer.transfers().set_zone(7, rows);
+    let (question, _) = Transfer::start(
+        99,
+        "pond.example",
+        &ZoneCopy::default(),
+        &key(),
+        NOW_SECONDS,
+    )
+    .expect("a question");
     let reply = answerer.answer(NOW, FROM, Transport::Tcp, &question, &view());
     check("transfer question", &[question]);
     check("transfer answer", &reply.packets);
--- a/crates/rehearsal/src/by_name.rs
+++ b/crates/rehearsal/src/by_name.rs
@@ -9,7 +9,7 @@
 use hyper_util::client::legacy::Client as Http;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pondarch_dns_server::ask::{Service, question, services};
+use pondarch_dns_server::client::{ServiceTarget, decode_services, encode_query};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -148,11 +148,15 @@
         let begun = Instant::now();
         let (lines, held) = match self.ask(kind).await {
             Some(found) if !found.is_empty() => {
-                let ttl = found.iter().map(|service| service.ttl_s).min().unwrap_or(0);
+                let ttl = found
+                    .iter()
+                    .map(|service| service.lifetime_s)
+                    .min()
+                    .unwrap_or(0);
                 let more = COUNTED.mul_f64(self.chance().f64());
                 let lines = found.into_iter().filter_map(|service| {
                     let host = service.target.split(".hosts.").next()?.to_string();
-                    Some((host, service.addr?, service.weight))
+                    Some((host, service.address?, service.weight))
                 });
                 (lines.collect(), Duration::from_secs(u64::from(ttl)) + more)
             }
@@ -176,27 +180,27 @@
     }
 
     /// Asks one server after the other; none: nobody answered.
-    async fn ask(&self, kind: &str) -> Option<Vec<Service>> {
+    async fn ask(&self, kind: &str) -> Option<Vec<ServiceTarget>> {
         let name = format!("_{kind}._tcp.{}.{}", self.name, self.zone);
         for server in &self.servers {
             for _ in 0..ASKS {
                 self.asked.fetch_add(1, Relaxed);
                 let id = self.chance().u16(..);
-                let question = question(id, &name, "SRV").ok()?;
+                let question = encode_query(id, &name, "SRV").ok()?;
                 let asked = timeout(ANSWERS_WITHIN, by_udp(*server, &question)).await;
                 let answer = asked
                     .ok()
                     .flatten()
-                    .and_then(|bytes| services(id, &bytes).ok());
+                    .and_then(|bytes| decode_services(id, &bytes).ok());
                 let Some((answer, mut found)) = answer else {
                     continue;
                 };
-                if answer.truncated || found.iter().any(|service| service.addr.is_none()) {
+                if answer.truncated || found.iter().any(|service| service.address.is_none()) {
                     let asked = timeout(ANSWERS_WITHIN, by_tcp(*server, &question)).await;
                     let by_tcp = asked
                         .ok()
                         .flatten()
-                        .and_then(|bytes| services(id, &bytes).ok());
+                        .and_then(|bytes| decode_services(id, &bytes).ok());
                     found = by_tcp.map(|(_, found)| found).unwrap_or(found);
                 }
                 self.link(true);
--- a/crates/rehearsal/src/secondary.rs
+++ b/crates/rehearsal/src/secondary.rs
@@ -2,8 +2,10 @@
 //! and can be cut off.
 
 use futures_util::{SinkExt, StreamExt};
-use pondarch_dns_server::Key;
-use pondarch_dns_server::fetch::{Copy, Fetch, Fetched, acknowledge};
+use pondarch_dns_server::TsigKey;
+use pondarch_dns_server::secondary::{
+    Transfer, TransferProgress, ZoneCopy, acknowledge_notification,
+};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -29,8 +31,8 @@
 struct State {
     zone: String,
     server: SocketAddr,
-    key: Key,
-    copy: Mutex<Copy>,
+    key: TsigKey,
+    copy: Mutex<ZoneCopy>,
     fetched: AtomicUsize,
     acknowledged: AtomicUsize,
 }
@@ -39,7 +41,7 @@
     /// Of the zone that this server has.
     ///
     /// Errors: no socket can be had.
-    pub async fn start(zone: &str, server: SocketAddr, key: Key) -> std::io::Result<Secondary> {
+    pub async fn start(zone: &str, server: SocketAddr, key: TsigKey) -> std::io::Result<Secondary> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let (addr, cut) = (socket.local_addr()?, Arc::new(AtomicBool::new(false)));
         let state = Arc::new(State {
@@ -59,7 +61,7 @@
         })
     }
 
-    pub fn copy(&self) -> Copy {
+    pub fn copy(&self) -> ZoneCopy {
         self.state
             .copy
             .lock()
@@ -97,7 +99,7 @@
             continue;
         }
         if let Ok(Ok((len, from))) = heard {
-            let Some(answer) = acknowledge(&packet[..len], &state.key, now_s()) else {
+            let Some(answer) = acknowledge_notification(&packet[..len], &state.key, now_s()) else {
                 continue;
             };
             state.acknowledged.fetch_add(1, Relaxed);
@@ -116,7 +118,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let (question, mut fetch) =
-            Fetch::ask(4_711, &self.zone, &copy, &self.key, now_s()).ok()?;
+            Transfer::start(4_711, &self.zone, &copy, &self.key, now_s()).ok()?;
         let stream = TcpStream::connect(self.server).await.ok()?;
         let codec = LengthDelimitedCodec::builder()
             .length_field_type::<u16>()
@@ -125,14 +127,14 @@
         SinkExt::<&[u8]>::send(&mut wire, &question).await.ok()?;
         loop {
             let packet = wire.next().await?.ok()?;
-            match fetch.took(&packet, &mut copy).ok()? {
-                Fetched::More => {}
-                Fetched::Done => {
+            match fetch.apply(&packet, &mut copy).ok()? {
+                TransferProgress::Incomplete => {}
+                TransferProgress::Complete => {
                     self.fetched.fetch_add(1, Relaxed);
                     *self.copy.lock().unwrap_or_else(PoisonError::into_inner) = copy;
                     return Some(());
                 }
-                Fetched::Same | Fetched::ByTcp => return Some(()),
+                TransferProgress::UpToDate | TransferProgress::RetryOverTcp => return Some(()),
             }
         }
     }
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -164,7 +164,7 @@
                 let table = view
                     .table_of(asked, pondarch_controller::RequestClassId(0), mark)
                     .map(|table| table.0);
-                let proxy = asked.or_else(|| view.stranger(mark)).map(|id| id.0);
+                let proxy = asked.or_else(|| view.anonymous_proxy(mark)).map(|id| id.0);
                 self.give(Input::AskedByName {
                     proxy,
                     table,
--- a/crates/replay/tests/recovery.rs
+++ b/crates/replay/tests/recovery.rs
@@ -235,7 +235,7 @@
             Step::Operator(n) => run.command(LINES[*n]),
             Step::Ask => {
                 let view = run.core.view();
-                let proxy = view.strangers.first().map(|id| id.0);
+                let proxy = view.anonymous_proxies.first().map(|id| id.0);
                 let table = view
                     .table_of(None, pondarch_controller::RequestClassId(0), 5)
                     .map(|table| table.0);
