--- a/crates/dns-core/src/cached_answers.rs
+++ b/crates/dns-core/src/cached_answers.rs
@@ -138,6 +138,7 @@
     }
 
     /// Until when a host may receive requests by earlier answers; none: no cache holds such an answer.
+    #[must_use]
     pub fn cached_until(&self, now: Time, host: &HostId) -> Option<Time> {
         self.unexpired_versions(now)
             .filter(|version| version.hosts.contains_key(host))
@@ -147,6 +148,7 @@
 
     /// Until when answers that meant an earlier incarnation may still bring requests to this one, at the same address:
     /// it is warming up and gets the weight of its predecessor. None: no cache holds such an answer.
+    #[must_use]
     pub fn earlier_incarnation_cached_until(
         &self,
         now: Time,
@@ -163,6 +165,7 @@
     }
 
     /// The greatest share of a table's requests that a host may receive by any cached answer or by the current table.
+    #[must_use]
     pub fn max_share(&self, now: Time, table: TableId, host: &HostId) -> f64 {
         let Some(versions) = self.tables.get(&table) else {
             return 0.0;
@@ -177,6 +180,7 @@
     }
 
     /// Hosts that may still receive requests though no current table has them, with the time until which.
+    #[must_use]
     pub fn lingering(&self, now: Time) -> BTreeMap<HostId, Time> {
         let mut lingering = BTreeMap::new();
         for version in self.unexpired_versions(now) {
--- a/crates/dns-core/src/lifetime.rs
+++ b/crates/dns-core/src/lifetime.rs
@@ -90,6 +90,7 @@
 
     /// How long after its hosts started to drain a table's last answer may still be given with a lifetime of 1 s, when
     /// the table has no other host: it has expired before the grace period ends. None: no time at all.
+    #[must_use]
     pub fn last_answer_window(grace: Duration) -> Option<Duration> {
         let window_us = grace
             .micros()
@@ -98,6 +99,7 @@
     }
 
     /// How long a cache may hold an answer at most.
+    #[must_use]
     pub fn max_cache_time(&self) -> Duration {
         Duration::from_millis(u64::from(self.hosts_s) * 1_000) + CACHE_ROUNDING
     }
--- a/crates/dns-core/src/members.rs
+++ b/crates/dns-core/src/members.rs
@@ -40,6 +40,7 @@
 
 impl Members {
     /// `max_cache_time`: how long an answer may be cached; `max_members`: members at one time.
+    #[must_use]
     pub fn new(max_cache_time: Duration, max_members: usize) -> Members {
         Members {
             max_cache_time,
@@ -86,6 +87,7 @@
     }
 
     /// When the next proxy may have left.
+    #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         self.members
             .values()
@@ -103,21 +105,25 @@
     }
 
     /// Whether a proxy is a member.
+    #[must_use]
     pub fn contains(&self, proxy: ProxyId) -> bool {
         self.members.contains_key(&proxy)
     }
 
     /// The number of members.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
     /// Whether there is no member.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
     /// The number of queries that were answered without being tracked.
+    #[must_use]
     pub fn untracked_queries(&self) -> u64 {
         self.untracked_queries
     }
--- a/crates/dns-core/src/rate_limiter.rs
+++ b/crates/dns-core/src/rate_limiter.rs
@@ -49,6 +49,7 @@
 
 impl RateLimiter {
     /// `answers_per_s`: answers a second for one source; `max_sources`: sources with a bucket of their own.
+    #[must_use]
     pub fn new(answers_per_s: f64, max_sources: usize, now: Time) -> RateLimiter {
         let answers_per_s = if answers_per_s.is_finite() {
             answers_per_s.clamp(0.1, 1e6)
@@ -104,11 +105,13 @@
     }
 
     /// The number of sources with a bucket of their own.
+    #[must_use]
     pub fn source_count(&self) -> usize {
         self.sources.len()
     }
 
     /// The number of queries that were dropped.
+    #[must_use]
     pub fn dropped_count(&self) -> u64 {
         self.dropped
     }
@@ -143,6 +146,7 @@
 }
 
 /// The address prefix that counts as one source; an IPv4-mapped address counts as IPv4.
+#[must_use]
 pub fn source_prefix(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V4(v4) => IpAddr::V4((u32::from(v4) & (u32::MAX << (32 - PREFIX_BITS_V4))).into()),
--- a/crates/dns-core/src/secondaries.rs
+++ b/crates/dns-core/src/secondaries.rs
@@ -70,6 +70,7 @@
 impl Secondaries {
     /// `count` secondaries; each is reported when it is behind for longer than `max_behind`, and stops serving when it is
     /// cut off for `expire`.
+    #[must_use]
     pub fn new(count: usize, max_behind: Duration, expire: Duration) -> Secondaries {
         Secondaries {
             secondaries: vec![Secondary::default(); count],
@@ -149,6 +150,7 @@
     }
 
     /// The oldest serial that a secondary may still answer from; none: no secondary serves a copy.
+    #[must_use]
     pub fn oldest_served_serial(&self, now: Time) -> Option<u32> {
         self.secondaries
             .iter()
@@ -164,6 +166,7 @@
     }
 
     /// When the next notification is due or the next secondary becomes overdue.
+    #[must_use]
     pub fn next_due_at(&self) -> Option<Time> {
         let overdue_at = |secondary: &Secondary| {
             secondary
--- a/crates/dns-core/src/serial.rs
+++ b/crates/dns-core/src/serial.rs
@@ -1,6 +1,7 @@
 //! Serial number arithmetic (RFC 1982).
 
 /// Whether a zone serial is newer than another one; serials wrap around.
+#[must_use]
 pub fn is_newer(serial: u32, other: u32) -> bool {
     (serial.wrapping_sub(other) as i32) > 0
 }
--- a/crates/dns-core/src/srv.rs
+++ b/crates/dns-core/src/srv.rs
@@ -39,6 +39,7 @@
 /// A table's targets with whole weights, the heaviest 1,000. A host without a positive weight is left out. The weight of
 /// a host that is warming up is rounded down, and the host left out where that is 0: it must not get more than its share.
 /// It stays in if all hosts are warming up.
+#[must_use]
 pub fn srv_weights<'a>(hosts: impl IntoIterator<Item = WeightedHost<'a>>) -> Vec<SrvTarget> {
     let hosts = with_positive_weight(hosts);
     let heaviest = hosts.iter().map(|host| host.weight).fold(0.0, f64::max);
@@ -46,6 +47,7 @@
 }
 
 /// The same for shares of all requests, by a scale that does not depend on them: where one changes, the others stay.
+#[must_use]
 pub fn srv_share_weights<'a>(hosts: impl IntoIterator<Item = WeightedHost<'a>>) -> Vec<SrvTarget> {
     scaled_targets(&with_positive_weight(hosts), WHOLE_SHARE_WEIGHT)
 }
@@ -78,6 +80,7 @@
 }
 
 /// How many weights are off by more than half of themselves by rounding up to the least SRV weight.
+#[must_use]
 pub fn count_rounded_up<'a>(weights: impl IntoIterator<Item = &'a f64>) -> usize {
     let weights: Vec<f64> = weights
         .into_iter()
@@ -98,6 +101,7 @@
 ///
 /// A target that is warming up is in a sample with its own weight or not at all: one cache with a sample sends by it for
 /// seconds, and an even share of that would be many times the share of the host.
+#[must_use]
 pub fn sample(targets: &[SrvTarget], count: usize, rng: &mut fastrand::Rng) -> Vec<SrvTarget> {
     if targets.len() <= count || count == 0 {
         return targets[..targets.len().min(count)].to_vec();
--- a/crates/dns-server/src/answerer.rs
+++ b/crates/dns-server/src/answerer.rs
@@ -26,6 +26,7 @@
 
 impl Answerer {
     /// `seed`: of the samples that are drawn.
+    #[must_use]
     pub fn new(
         zone: Zone,
         rate_limiter: RateLimiter,
@@ -54,11 +55,13 @@
     }
 
     /// The zone that is answered.
+    #[must_use]
     pub fn zone(&self) -> &Zone {
         &self.zone
     }
 
     /// The reply to one packet. What is not a query is dropped, a malformed query gets FORMERR.
+    #[must_use]
     pub fn answer(
         &mut self,
         now: Time,
--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -64,6 +64,7 @@
 }
 
 /// All rows of the zone as of a view.
+#[must_use]
 pub fn zone_rows(zone: &Zone, view: &View) -> BTreeSet<Row> {
     let mut rows = BTreeSet::new();
     rows.extend(view.hosts.iter().map(|(host, address)| Row::Host {
--- a/crates/dns-server/src/secondary.rs
+++ b/crates/dns-server/src/secondary.rs
@@ -70,6 +70,7 @@
 
 impl ZoneCopy {
     /// What a secondary would answer for a name as SRV: weight and target of each record, aliases followed.
+    #[must_use]
     pub fn services(&self, name: &str) -> Vec<(u16, String)> {
         let Ok(mut name) = Name::from_ascii(name.to_ascii_lowercase()) else {
             return Vec::new();
@@ -279,6 +280,7 @@
 }
 
 /// The signed acknowledgement of a notification; none if the packet is no notification, or not signed by the key.
+#[must_use]
 pub fn acknowledge_notification(packet: &[u8], key: &TsigKey, now_s: u64) -> Option<Vec<u8>> {
     let message = Message::from_vec(packet).ok()?;
     let is_notification = message.metadata.op_code == OpCode::Notify
--- a/crates/dns-server/src/transfer.rs
+++ b/crates/dns-server/src/transfer.rs
@@ -39,6 +39,7 @@
 
 impl ZoneTransfers {
     /// A key for each secondary, in their order.
+    #[must_use]
     pub fn new(keys: Vec<TsigKey>) -> ZoneTransfers {
         ZoneTransfers {
             keys,
@@ -48,6 +49,7 @@
     }
 
     /// The serial of the zone.
+    #[must_use]
     pub fn serial(&self) -> u32 {
         self.journal.serial()
     }
--- a/crates/dns-server/src/view.rs
+++ b/crates/dns-server/src/view.rs
@@ -52,6 +52,7 @@
 
 impl View {
     /// The anonymous proxy that a client with this mark counts as: the same for each query, and evenly over all.
+    #[must_use]
     pub fn anonymous_proxy(&self, mark: u64) -> Option<ProxyId> {
         let drawn = fastrand::Rng::with_seed(mark).usize(0..self.anonymous_proxies.len().max(1));
         self.anonymous_proxies.get(drawn).copied()
@@ -59,6 +60,7 @@
 
     /// The table for a proxy's request class. A proxy without a binding counts as the anonymous one of that mark; where
     /// that one has no binding either, it gets the unbound table.
+    #[must_use]
     pub fn table_of(
         &self,
         proxy: Option<ProxyId>,
@@ -80,6 +82,7 @@
     }
 
     /// A table's hosts for a client with this mark.
+    #[must_use]
     pub fn hosts_for_client(&self, table: TableId, mark: u64) -> Vec<TableHost> {
         let mut hosts = self.table_hosts(table).to_vec();
         if table == UNBOUND_TABLE && hosts.len() > MAX_UNBOUND_HOSTS {
@@ -90,6 +93,7 @@
     }
 
     /// All tables as one, each with the same share: the hosts for clients that are not distinguished.
+    #[must_use]
     pub fn all_tables(&self) -> Vec<TableHost> {
         let bound: Vec<&Vec<TableHost>> = self
             .tables
@@ -113,6 +117,7 @@
     }
 
     /// All hosts of a table.
+    #[must_use]
     pub fn table_hosts(&self, table: TableId) -> &[TableHost] {
         self.tables.get(&table).map_or(&[], Vec::as_slice)
     }
--- a/crates/dns-server/src/zone.rs
+++ b/crates/dns-server/src/zone.rs
@@ -183,6 +183,7 @@
     }
 
     /// What a name stands for; case does not matter (RFC 4343).
+    #[must_use]
     pub fn question(&self, name: &Name) -> Question {
         if !self.origin.zone_of(name) {
             return Question::Outside;
@@ -241,6 +242,7 @@
     }
 
     /// The proxy whose network an address is in.
+    #[must_use]
     pub fn proxy_at(&self, address: IpAddr) -> Option<ProxyId> {
         let address = address.to_canonical();
         self.sources
@@ -250,6 +252,7 @@
     }
 
     /// The name of a host: the target of SRV. None if it is too long for a name.
+    #[must_use]
     pub fn host_name(&self, host: &HostId) -> Option<Name> {
         let name = Name::from_labels(host.0.split('.').map(str::as_bytes)).ok()?;
         name.append_label(HOSTS)
@@ -259,6 +262,7 @@
     }
 
     /// The name that a request class is queried by, for a proxy or for the client itself.
+    #[must_use]
     pub fn class_name(
         &self,
         class: &str,
@@ -274,6 +278,7 @@
     }
 
     /// The name of a table.
+    #[must_use]
     pub fn table_name(&self, table: TableRef) -> Option<Name> {
         let label = match table {
             TableRef::Table(table) => format!("t{}", table.0),
@@ -283,6 +288,7 @@
     }
 
     /// The name of the server.
+    #[must_use]
     pub fn server_name(&self) -> Option<Name> {
         self.name_of([NS])
     }
