--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -11,8 +11,8 @@
 use pondarch_controller::{
     AttemptOutcomes, EndpointState, HostId, ProxyId, RequestClassId, TableId,
 };
-use pondarch_dns_core::{Asked, Heard};
-use pondarch_dns_server::STANDING;
+use pondarch_dns_core::{QueryOutcome, SecondaryEvent};
+use pondarch_dns_server::UNBOUND_TABLE;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl DaemonState {
@@ -23,7 +23,7 @@
         let Some(dns) = &mut self.dns else { return };
         if let Some(table) = table {
             dns.held
-                .answered(now, serial, TableId(table), dns.cache_lifetime);
+                .record_answer(now, serial, TableId(table), dns.cache_lifetime);
             if dns.view.serial != serial {
                 self.update_exclusions();
             }
@@ -43,7 +43,7 @@
         let Link::Dns { joined } = peer.link else {
             return;
         };
-        if dns.members.asked(now, peer.id) == Asked::Joined && !joined {
+        if dns.members.record_query(now, peer.id) == QueryOutcome::Joined && !joined {
             peer.link = Link::Dns { joined: true };
             let id = peer.id;
             let usual = peer.usual_rate;
@@ -73,8 +73,8 @@
         let Some(dns) = &mut self.dns else { return };
         if now - dns.secondaries_answered_at >= SECONDARY_ANSWER_INTERVAL {
             dns.secondaries_answered_at = now;
-            if let Some(serial) = dns.secondaries.oldest(now) {
-                dns.held.served(now, serial, dns.cache_lifetime);
+            if let Some(serial) = dns.secondaries.oldest_served_serial(now) {
+                dns.held.record_zone_copy(now, serial, dns.cache_lifetime);
                 // Queries to a secondary are not seen here: they count as those of unknown proxies.
                 for unknown_proxy in dns.unknown_proxies.clone() {
                     self.join_dns_proxy(unknown_proxy.0, "a secondary serves".into());
@@ -89,14 +89,14 @@
         {
             dns.view_outdated = true;
         }
-        let late = dns.secondaries.late(now);
+        let late = dns.secondaries.take_overdue(now);
         let late: Vec<String> = late
             .into_iter()
             .filter_map(|n| dns.secondary_names.get(usize::from(n)).cloned())
             .collect();
-        let left = dns.members.left(now);
+        let left = dns.members.remove_expired(now);
         let ended = dns.excluded_until.values().any(|until| *until <= now);
-        for secondary in dns.secondaries.say(now) {
+        for secondary in dns.secondaries.take_due_notifications(now) {
             self.outputs
                 .push_back(Output::NotifySecondary { secondary });
         }
@@ -151,10 +151,10 @@
             .collect()
     }
 
-    pub(crate) fn on_secondary(&mut self, n: u16, observation: Heard) {
+    pub(crate) fn on_secondary(&mut self, n: u16, observation: SecondaryEvent) {
         let now = self.now;
         if let Some(dns) = &mut self.dns {
-            dns.secondaries.heard(now, usize::from(n), observation);
+            dns.secondaries.apply(now, usize::from(n), observation);
         }
     }
 
@@ -219,8 +219,8 @@
         let serial = dns.publish_view(now, view, &self.endpoints);
         self.outputs.push_back(Output::DnsViewChanged { serial });
         // After the view, so that what they fetch is it.
-        dns.secondaries.changed(now, serial);
-        for secondary in dns.secondaries.say(now) {
+        dns.secondaries.record_change(now, serial);
+        for secondary in dns.secondaries.take_due_notifications(now) {
             self.outputs
                 .push_back(Output::NotifySecondary { secondary });
         }
@@ -260,7 +260,7 @@
                 let assignment = self.tables.by_id.get(&table)?;
                 Some((table, assignment.weights.clone()))
             })
-            .chain([(STANDING, listed)])
+            .chain([(UNBOUND_TABLE, listed)])
             .collect()
     }
 }
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -7,8 +7,10 @@
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, ProxyId, RequestClassId, TableId, Time};
-use pondarch_dns_core::{Held, Lifetime, Members, Named, Secondaries};
-use pondarch_dns_server::{Line, View};
+use pondarch_dns_core::{
+    AnsweredHost, CachedAnswers, Lifetime, Members, RecoveredVersion, Secondaries, SecondaryState,
+};
+use pondarch_dns_server::{TableHost, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +32,7 @@
 
 pub(crate) struct DnsState {
     pub(crate) members: Members,
-    pub(crate) held: Held,
+    pub(crate) held: CachedAnswers,
     pub(crate) cache_lifetime: Duration,
     pub(crate) view: Arc<View>,
     /// Tables, bindings or the list may have changed since the view was made.
@@ -70,7 +72,7 @@
     pub(crate) fn new(site: &Site) -> Option<DnsState> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
-        let holds = lifetime.held() + DNS_QUERY_REPORT_INTERVAL;
+        let holds = lifetime.max_cache_time() + DNS_QUERY_REPORT_INTERVAL;
         let spare = dns
             .grace
             .0
@@ -78,11 +80,11 @@
             .saturating_sub(dns.learns_within.0.micros());
         Some(DnsState {
             members: Members::new(holds, MAX_MEMBERS),
-            held: Held::default(),
+            held: CachedAnswers::default(),
             cache_lifetime: holds,
             view: Arc::default(),
             view_outdated: true,
-            last_answer_for: Lifetime::last_answer_for(Duration::from_micros(spare))
+            last_answer_for: Lifetime::last_answer_window(Duration::from_micros(spare))
                 .unwrap_or(Duration::ZERO),
             last_answer_until: None,
             excluded_until: BTreeMap::new(),
@@ -107,10 +109,10 @@
     pub(crate) fn wake_at(&self) -> Option<Time> {
         let exclusion = self.excluded_until.values().min().copied();
         [
-            self.members.wake_at(),
+            self.members.next_expiry(),
             exclusion,
             self.last_answer_until,
-            self.secondaries.wake_at(),
+            self.secondaries.next_due_at(),
         ]
         .into_iter()
         .flatten()
@@ -135,7 +137,7 @@
     pub(crate) fn unknown_proxies_asking(&self) -> usize {
         self.unknown_proxies
             .iter()
-            .filter(|id| self.members.holds(**id))
+            .filter(|id| self.members.contains(**id))
             .count()
     }
 
@@ -143,7 +145,7 @@
     pub(crate) fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
         // Unknown proxies are many, each with a cache of its own.
         self.members
-            .holds_too_long()
+            .caching_too_long()
             .filter(|id| !self.unknown_proxies.contains(id))
     }
 
@@ -158,11 +160,11 @@
 
     /// Each secondary by its key: what it holds, and for how long it is behind.
     pub(crate) fn secondary_states(&self, now: Time) -> BTreeMap<String, String> {
-        let word = |(holds, behind): (Option<u32>, Option<Time>)| {
-            let holds = holds.map_or("nothing yet".to_string(), |serial| {
+        let text_of = |state: SecondaryState| {
+            let holds = state.serial.map_or("nothing yet".to_string(), |serial| {
                 format!("holds {serial}")
             });
-            match behind {
+            match state.behind_since {
                 Some(since) => format!("{holds}, behind for {:.1} s", (now - since).seconds()),
                 None => holds,
             }
@@ -170,7 +172,7 @@
         self.secondary_names
             .iter()
             .cloned()
-            .zip(self.secondaries.states().map(word))
+            .zip(self.secondaries.states().map(text_of))
             .collect()
     }
 
@@ -197,15 +199,15 @@
             if long_away {
                 continue;
             }
-            let named = Named {
-                part: 1.0,
-                addr: host.entry.address,
+            let named = AnsweredHost {
+                share: 1.0,
+                address: host.entry.address,
                 started,
             };
             if !started.is_unset() && last - started < self.cache_lifetime {
                 before.insert(
                     id.clone(),
-                    Named {
+                    AnsweredHost {
                         started: Time::default(),
                         ..named
                     },
@@ -215,10 +217,14 @@
         }
         self.held.recover(
             now,
-            vec![
-                (PREVIOUS_RUN, serial, until, before),
-                (PREVIOUS_RUN, serial, until, known),
-            ],
+            [before, known]
+                .map(|hosts| RecoveredVersion {
+                    table: PREVIOUS_RUN,
+                    serial,
+                    cached_until: until,
+                    hosts,
+                })
+                .into(),
         );
     }
 
@@ -234,8 +240,12 @@
         let exclusion = |(host, known): (&HostId, &ListedHost)| {
             Some((
                 host.clone(),
-                self.held
-                    .echo(now, host, known.entry.address, known.started)?,
+                self.held.earlier_incarnation_cached_until(
+                    now,
+                    host,
+                    known.entry.address,
+                    known.started,
+                )?,
             ))
         };
         list.hosts
@@ -270,14 +280,14 @@
         View {
             serial: self.view.serial,
             tables,
-            bound,
+            bindings: bound,
             hosts: list
                 .hosts
                 .iter()
                 .map(|(host, known)| (host.clone(), known.entry.address))
                 .collect(),
-            last,
-            strangers: self.unknown_proxies.clone(),
+            last_answers: last,
+            anonymous_proxies: self.unknown_proxies.clone(),
         }
     }
 
@@ -292,7 +302,7 @@
         for (table, lines) in &view.tables {
             if old.tables.get(table) != Some(lines) {
                 self.held
-                    .changed(now, serial, *table, named_lines(lines, list));
+                    .record_table(now, serial, *table, named_lines(lines, list));
             }
         }
         for table in old
@@ -300,7 +310,7 @@
             .keys()
             .filter(|table| !view.tables.contains_key(table))
         {
-            self.held.changed(now, serial, *table, BTreeMap::new());
+            self.held.record_table(now, serial, *table, BTreeMap::new());
         }
         self.view = Arc::new(View { serial, ..view });
         serial
@@ -313,17 +323,17 @@
         weights: &BTreeMap<HostId, f64>,
         table: TableId,
         list: &EndpointList,
-    ) -> (Vec<Line>, Option<Time>) {
+    ) -> (Vec<TableHost>, Option<Time>) {
         let line = |(host, weight): (&HostId, &f64)| {
             let addr = list.address(host).filter(|_| !list.must_drain(host))?;
-            Some(Line {
+            Some(TableHost {
                 host: host.clone(),
-                addr,
+                address: addr,
                 weight: *weight,
-                cold: list.is_warming_up(host, now),
+                warming_up: list.is_warming_up(host, now),
             })
         };
-        let mut lines: Vec<Line> = weights.iter().filter_map(line).collect();
+        let mut lines: Vec<TableHost> = weights.iter().filter_map(line).collect();
         // An excluded host is better than none.
         if lines
             .iter()
@@ -334,12 +344,13 @@
         if !lines.is_empty() {
             return (lines, None);
         }
-        let until =
-            |line: &Line| Some(list.hosts.get(&line.host)?.draining_since? + self.last_answer_for);
-        let still = |line: &&Line| until(line).is_some_and(|until| until > now);
-        let last: Vec<Line> = self
+        let until = |line: &TableHost| {
+            Some(list.hosts.get(&line.host)?.draining_since? + self.last_answer_for)
+        };
+        let still = |line: &&TableHost| until(line).is_some_and(|until| until > now);
+        let last: Vec<TableHost> = self
             .view
-            .lines(table)
+            .table_hosts(table)
             .iter()
             .filter(still)
             .cloned()
@@ -350,7 +361,7 @@
 }
 
 /// The lines of a table as caches may hold them.
-fn named_lines(lines: &[Line], list: &EndpointList) -> BTreeMap<HostId, Named> {
+fn named_lines(lines: &[TableHost], list: &EndpointList) -> BTreeMap<HostId, AnsweredHost> {
     let all: f64 = lines.iter().map(|line| line.weight).sum();
     lines
         .iter()
@@ -362,9 +373,9 @@
                 .unwrap_or_default();
             (
                 line.host.clone(),
-                Named {
-                    part: line.weight / all.max(1e-9),
-                    addr: line.addr,
+                AnsweredHost {
+                    share: line.weight / all.max(1e-9),
+                    address: line.address,
                     started,
                 },
             )
--- a/crates/daemon-core/src/input.rs
+++ b/crates/daemon-core/src/input.rs
@@ -3,7 +3,7 @@
 use crate::recovered_state::RecoveredState;
 use crate::reported_load::ReportedLoad;
 use pondarch_config::HostEntry;
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 use pondarch_load_report_protocol::{Report, SenderIs};
 use pondarch_weight_solver::Plan;
 use serde::{Deserialize, Serialize};
@@ -144,7 +144,7 @@
         index: u16,
         /// What it did.
         #[serde(rename = "heard")]
-        observation: Heard,
+        observation: SecondaryEvent,
     },
     /// The result of a problem that was given to the solver.
     Solved {
--- a/crates/daemon-core/tests/in_memory/dns.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -9,7 +9,7 @@
 use pondarch_config::site::{Dns, Secondary};
 use pondarch_controller::{ProxyId, TableId};
 use pondarch_daemon_core::{Event, Input, ReportedLoad};
-use pondarch_dns_server::STANDING;
+use pondarch_dns_server::UNBOUND_TABLE;
 
 /// Two proxies with a runtime API, and two that query the DNS server; answers live 4 s, or 3 s with secondaries.
 fn fleet() -> SimulatedFleet {
@@ -61,7 +61,7 @@
     fleet
         .core
         .view()
-        .bound
+        .bindings
         .get(&(ProxyId(proxy), pondarch_controller::RequestClassId(0)))
         .copied()
 }
@@ -73,7 +73,7 @@
     query(&mut fleet, 2);
     fleet.run(1_000);
     let table = bound(&fleet, 2).expect("bound");
-    assert!(!fleet.core.view().lines(table).is_empty());
+    assert!(!fleet.core.view().table_hosts(table).is_empty());
     assert!(bound(&fleet, 3).is_none());
     for _ in 0..10 {
         fleet.run(3_000);
@@ -105,12 +105,12 @@
     let standing = first
         .table_of(None, pondarch_controller::RequestClassId(0), 77)
         .expect("the list itself");
-    assert!(standing == STANDING && first.lines(standing).len() == 12);
+    assert!(standing == UNBOUND_TABLE && first.table_hosts(standing).len() == 12);
     for mark in 0..40 {
-        let unknown_proxy = first.stranger(mark).map(|id| id.0);
+        let unknown_proxy = first.anonymous_proxy(mark).map(|id| id.0);
         fleet.give(Input::DnsQueried {
             proxy: unknown_proxy,
-            table: Some(STANDING.0),
+            table: Some(UNBOUND_TABLE.0),
             serial: first.serial,
         });
     }
@@ -127,8 +127,12 @@
     fleet.run(500);
     for _ in 0..20 {
         let view = fleet.core.view();
-        let used: std::collections::BTreeSet<_> =
-            view.bound.values().copied().chain([STANDING]).collect();
+        let used: std::collections::BTreeSet<_> = view
+            .bindings
+            .values()
+            .copied()
+            .chain([UNBOUND_TABLE])
+            .collect();
         assert!(view.tables.keys().all(|table| used.contains(table)));
         assert!(
             view.table_of(None, pondarch_controller::RequestClassId(0), 77)
@@ -213,7 +217,7 @@
     let lines = view
         .tables
         .iter()
-        .filter(|(table, _)| **table != STANDING)
+        .filter(|(table, _)| **table != UNBOUND_TABLE)
         .flat_map(|(_, lines)| lines);
     lines
         .filter(|line| *line.host.0 == *name)
--- a/crates/daemon-core/tests/in_memory/dns/answers.rs
+++ b/crates/daemon-core/tests/in_memory/dns/answers.rs
@@ -11,7 +11,7 @@
     fleet.run(1_000);
     query(&mut fleet, 2);
     let table = bound(&fleet, 2).expect("bound");
-    let host_of = fleet.core.view().lines(table)[0].host.clone();
+    let host_of = fleet.core.view().table_hosts(table)[0].host.clone();
     let serial = fleet.core.view().serial;
     // The drain comes just after an answer.
     let drained_at = fleet.now;
@@ -43,17 +43,17 @@
     query(&mut fleet, 2);
     fleet.run(1_000);
     let table = bound(&fleet, 2).expect("bound");
-    let before = fleet.core.view().lines(table).to_vec();
+    let before = fleet.core.view().table_hosts(table).to_vec();
     fleet.list(Vec::new());
     fleet.run(1_000);
     // What the table last had is given for as long as it runs out within the grace, and no longer.
     let view = fleet.core.view();
-    assert!(view.last.contains(&table) && view.lines(table) == before);
+    assert!(view.last_answers.contains(&table) && view.table_hosts(table) == before);
     fleet.run(2_450);
-    assert!(!fleet.core.view().lines(table).is_empty());
+    assert!(!fleet.core.view().table_hosts(table).is_empty());
     fleet.run(100);
     assert!(
-        fleet.core.view().lines(table).is_empty(),
+        fleet.core.view().table_hosts(table).is_empty(),
         "the grace ends in 2.5 s: 0.5 to learn, 1 held, 1 counted"
     );
     assert_eq!(bound(&fleet, 2), Some(table), "still bound");
@@ -63,8 +63,8 @@
     query(&mut fleet, 2);
     fleet.run(1_000);
     let view = fleet.core.view();
-    assert!(view.serial > serial && view.last.is_empty());
-    assert!(bound(&fleet, 2).is_some_and(|table| !view.lines(table).is_empty()));
+    assert!(view.serial > serial && view.last_answers.is_empty());
+    assert!(bound(&fleet, 2).is_some_and(|table| !view.table_hosts(table).is_empty()));
 }
 
 /// A list that names one drained host fewer does not bring it back as a last answer.
--- a/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
+++ b/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
@@ -32,7 +32,7 @@
                     1,
                 );
                 let lines = table
-                    .map(|table| view.lines(table).to_vec())
+                    .map(|table| view.table_hosts(table).to_vec())
                     .unwrap_or_default();
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
                 let parts = lines
--- a/crates/daemon-core/tests/in_memory/dns/secondaries.rs
+++ b/crates/daemon-core/tests/in_memory/dns/secondaries.rs
@@ -5,7 +5,7 @@
 use pondarch_config::hosts::HostState;
 use pondarch_config::site::Secondary;
 use pondarch_daemon_core::{Event, Input, Output};
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 
 fn notified(fleet: &mut SimulatedFleet) -> Vec<u16> {
     let notified = fleet.outputs.drain(..).filter_map(|output| match output {
@@ -15,7 +15,7 @@
     notified.collect()
 }
 
-fn observe(fleet: &mut SimulatedFleet, index: u16, observation: Heard) {
+fn observe(fleet: &mut SimulatedFleet, index: u16, observation: SecondaryEvent) {
     fleet.give(Input::SecondaryObserved { index, observation });
 }
 
@@ -30,7 +30,7 @@
     fleet.run(2_000);
     let serial = fleet.core.view().serial;
     for n in [0, 1] {
-        observe(&mut fleet, n, Heard::Fetched(serial));
+        observe(&mut fleet, n, SecondaryEvent::Transferred(serial));
     }
     fleet.events.clear();
     notified(&mut fleet);
@@ -40,8 +40,8 @@
     fleet.list(hosts);
     assert_eq!(notified(&mut fleet), [0, 1]);
     let serial = fleet.core.view().serial;
-    observe(&mut fleet, 0, Heard::Acknowledged);
-    observe(&mut fleet, 0, Heard::Fetched(serial));
+    observe(&mut fleet, 0, SecondaryEvent::Acknowledged);
+    observe(&mut fleet, 0, SecondaryEvent::Transferred(serial));
     assert!(
         fleet
             .command(1, "show map secondaries")
@@ -54,8 +54,8 @@
     assert_eq!(fleet.events.iter().filter(late).count(), 1);
     assert!(fleet.command(1, "show map lingering").contains("host-3"));
     let serial = fleet.core.view().serial;
-    observe(&mut fleet, 0, Heard::Fetched(serial));
-    observe(&mut fleet, 1, Heard::Fetched(serial));
+    observe(&mut fleet, 0, SecondaryEvent::Transferred(serial));
+    observe(&mut fleet, 1, SecondaryEvent::Transferred(serial));
     let fetched = fleet.now;
     while fleet.command(1, "show map lingering").contains("host-3") {
         fleet.run(50);
--- a/crates/daemon-core/tests/in_memory/recorded_names.rs
+++ b/crates/daemon-core/tests/in_memory/recorded_names.rs
@@ -3,7 +3,7 @@
 
 use pondarch_config::HostEntry;
 use pondarch_daemon_core as current;
-use pondarch_dns_core::Heard;
+use pondarch_dns_core::SecondaryEvent;
 use pondarch_load_report_protocol::{Report, SenderIs};
 use pondarch_weight_solver::{Fleet, Plan};
 use serde::de::DeserializeOwned;
@@ -70,7 +70,7 @@
     },
     Secondary {
         n: u16,
-        heard: Heard,
+        heard: SecondaryEvent,
     },
     Solved {
         number: u64,
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -6,8 +6,10 @@
 use pondarch_config::{Endpoint, Site};
 use pondarch_controller::{DurationExt, ProxyId, Time};
 use pondarch_daemon_core::{DNS_QUERY_REPORT_INTERVAL, Input};
-use pondarch_dns_core::Limits;
-use pondarch_dns_server::{Answerer, Copies, Key, Reply, Transport, View, Zone, rows};
+use pondarch_dns_core::RateLimiter;
+use pondarch_dns_server::{
+    Answerer, Reply, SourceNet, Transport, TsigKey, View, Zone, ZoneTransfers, zone_rows,
+};
 use pondarch_io_util::Clock;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -74,8 +76,8 @@
         return Ok(None);
     };
     let zone = zone(site, dns)?;
-    let copies = Copies::new(keys(dns)?);
-    let limits = Limits::new(dns.answers_per_second, MAX_SOURCES, clock.now());
+    let copies = ZoneTransfers::new(keys(dns)?);
+    let limits = RateLimiter::new(dns.answers_per_second, MAX_SOURCES, clock.now());
     let endpoint = Endpoint::Tcp(dns.listen);
     let udp = UdpSocket::bind(dns.listen)
         .await
@@ -115,13 +117,17 @@
 }
 
 /// The networks that a proxy's queries come from.
-fn sources((index, proxy): (usize, &Proxy)) -> Vec<(IpAddr, u8, ProxyId)> {
-    let source = |net: &ipnet::IpNet| (net.network(), net.prefix_len(), ProxyId(index as u16));
+fn sources((index, proxy): (usize, &Proxy)) -> Vec<SourceNet> {
+    let source = |net: &ipnet::IpNet| SourceNet {
+        address: net.network(),
+        prefix_bits: net.prefix_len(),
+        proxy: ProxyId(index as u16),
+    };
     proxy.sources.iter().map(source).collect()
 }
 
 /// The secondaries' keys, from the files that hold their secrets.
-fn keys(dns: &Dns) -> Result<Vec<Key>, DnsError> {
+fn keys(dns: &Dns) -> Result<Vec<TsigKey>, DnsError> {
     let key = |secondary: &Secondary| {
         read_key(secondary).map_err(|source| DnsError::Secret {
             file: secondary.secret_file.clone(),
@@ -131,10 +137,10 @@
     dns.secondaries.iter().map(key).collect()
 }
 
-fn read_key(secondary: &Secondary) -> Result<Key, SecretError> {
+fn read_key(secondary: &Secondary) -> Result<TsigKey, SecretError> {
     let text = std::fs::read_to_string(&secondary.secret_file)?;
     let secret = data_encoding::BASE64.decode(text.trim().as_bytes())?;
-    Ok(Key::new(&secondary.key, secret)?)
+    Ok(TsigKey::new(&secondary.key, secret)?)
 }
 
 impl DnsServer {
@@ -144,14 +150,14 @@
         if !self.secondaries.is_empty() {
             let zone = self.answerer().zone().clone();
             // Not under the lock: queries go on meanwhile.
-            let rows = rows(&zone, &view);
-            self.answerer().copies().follow(view.serial, rows);
+            let rows = zone_rows(&zone, &view);
+            self.answerer().transfers().set_zone(view.serial, rows);
         }
     }
 
     /// Notifies a secondary that the zone has changed. If that is lost, the core has it notified again.
     pub(crate) fn notify(&self, index: u16) {
-        let message = self.answerer().word(self.clock.now(), index);
+        let message = self.answerer().notification(self.clock.now(), index);
         let address = self.secondaries.get(usize::from(index));
         if let (Some(message), Some(address)) = (message, address) {
             // Lost like any packet may be.
@@ -184,7 +190,7 @@
 
     /// All of a reply was sent: the core is notified of what that says of a secondary.
     async fn report_sent(&self, reply: Reply) {
-        for (index, observation) in reply.heard {
+        for (index, observation) in reply.secondary_events {
             let input = Input::SecondaryObserved { index, observation };
             // If the daemon is gone, nobody needs to know.
             self.inputs.send(input).await.ok();
@@ -193,12 +199,12 @@
 
     /// Notifies the core of each proxy and table once in a while, not of each answer.
     fn report_query(&self, now: Time, reply: &Reply, serial: u32) {
-        let proxy = reply.asked.map(|id| id.0);
-        let table = reply.given.map(|table| table.0);
+        let proxy = reply.proxy.map(|id| id.0);
+        let table = reply.table.map(|table| table.0);
         let Some(counted) = table.or(proxy.map(|_| u16::MAX)) else {
             return;
         };
-        let key = (reply.asked, counted);
+        let key = (reply.proxy, counted);
         if !self.is_report_due(key, QueryReport { at: now, serial }) {
             return;
         }
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -147,7 +147,7 @@
     }
 
     pub(super) fn names(&mut self) {
-        use pondarch_dns_core::Heard;
+        use pondarch_dns_core::SecondaryEvent;
         for round in 0..3 {
             let view = self.core.view();
             let table = view
@@ -160,9 +160,9 @@
             });
             if round == 1 {
                 for observation in [
-                    Heard::Acknowledged,
-                    Heard::Asks(None),
-                    Heard::Fetched(view.serial),
+                    SecondaryEvent::Acknowledged,
+                    SecondaryEvent::Queried(None),
+                    SecondaryEvent::Transferred(view.serial),
                 ] {
                     self.give(Input::SecondaryObserved {
                         index: 0,
--- a/crates/replay/src/what_if/player.rs
+++ b/crates/replay/src/what_if/player.rs
@@ -211,7 +211,7 @@
         let table = view
             .table_of(proxy, RequestClassId(0), key)
             .map(|table| table.0);
-        let proxy = proxy.or_else(|| view.stranger(key)).map(|id| id.0);
+        let proxy = proxy.or_else(|| view.anonymous_proxy(key)).map(|id| id.0);
         self.give(Input::DnsQueried {
             proxy,
             table,
