--- a/crates/cli/tests/platform/moves.rs
+++ b/crates/cli/tests/platform/moves.rs
@@ -98,7 +98,7 @@
     std::fs::write(&site.controller.config, wrong).expect("written");
     site.controller.signal("-HUP");
     site.controller
-        .logs("'hub.address' is missing or is no address", 1);
+        .logs("'hub.address' is missing or is not an address", 1);
     site.drains(2, 3);
     assert_eq!(site.relay.takes(&off(3)), site.caller);
     let mut relay = Party::open();
--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -20,7 +20,7 @@
     #[error("cannot be read: {0}")]
     Json(#[from] serde_json::Error),
     /// The address at this key is missing or cannot be parsed.
-    #[error("'{0}' is missing or is no address")]
+    #[error("'{0}' is missing or is not an address")]
     Address(&'static str),
     /// The deployment's settings are invalid.
     #[error("settings: {0}")]
--- a/crates/platform-protocol/tests/wire_texts/config.rs
+++ b/crates/platform-protocol/tests/wire_texts/config.rs
@@ -196,14 +196,17 @@
         *config.pointer_mut(path).expect("a key") = Value::Null;
         error_text(&config.to_string())
     };
-    assert_eq!(without("/listen"), "'listen' is missing or is no address");
+    assert_eq!(
+        without("/listen"),
+        "'listen' is missing or is not an address"
+    );
     assert_eq!(
         without("/discovery"),
-        "'discovery' is missing or is no address"
+        "'discovery' is missing or is not an address"
     );
     assert_eq!(
         without("/hub/address"),
-        "'hub.address' is missing or is no address"
+        "'hub.address' is missing or is not an address"
     );
     assert_eq!(without("/settings"), "settings: not an object");
     let known = without("/known/generation");
