--- a/crates/platform-core/src/controller.rs
+++ b/crates/platform-core/src/controller.rs
@@ -16,22 +16,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What reaches the controller.
+/// An input of the controller.
 #[derive(Debug)]
 pub enum Input {
-    /// Nothing but that time has passed.
+    /// Time has passed without any other input.
     Timer,
-    /// What the wall clock shows now. It may be stepped, and the starts of hosts are listed by it.
+    /// The current time of the wall clock. The registry lists host start times by this clock, which may be stepped.
     WallClock(Time),
-    /// The registry sent a complete endpoint list or changes.
+    /// The registry sent a complete endpoint list, or changes to it.
     EndpointList(RegistryList),
     /// The watch on the registry failed.
     EndpointListFailed,
-    /// A stream of membership events begins.
+    /// A watch of membership events has started.
     MembershipWatchStarted,
     /// The relay sent a membership event.
     Membership(MembershipEvent),
-    /// Calls to the relay became possible or impossible.
+    /// The relay became reachable or unreachable for calls.
     RelayReachability {
         /// Whether a call can be sent now.
         reachable: bool,
@@ -45,15 +45,15 @@
     },
     /// A collector sent a message.
     Report(Message),
-    /// A collector sent a message that can't be used.
+    /// A collector sent an invalid message.
     MalformedReport(MalformedMessage),
     /// A health check ended.
     HealthChecked {
         /// The host that was checked.
         host: HostId,
-        /// Whether it answered in time.
+        /// Whether the host answered in time.
         healthy: bool,
-        /// The load report in its answer.
+        /// The load report in the host's answer.
         load: Option<HostLoad>,
     },
 }
@@ -61,18 +61,18 @@
 /// How an update call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The relay applied its first updates.
+    /// The relay applied the first `updates` updates of the call.
     Applied {
         /// How many updates were applied.
         updates: u64,
     },
-    /// None of it was applied.
+    /// The relay applied no update of the call.
     Rejected,
-    /// Its result is not known.
+    /// It is not known whether the relay applied the call.
     InDoubt,
 }
 
-/// What the controller wants done.
+/// An action that the controller requests from its caller.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a call to the relay.
@@ -91,7 +91,7 @@
     },
 }
 
-/// A controller on the platform: the decision module, and what stands between it and the platform's messages.
+/// The state machine of a controller on the platform: it connects the decision module to the platform's messages.
 pub struct PlatformController {
     pub(crate) controller: Controller,
     pub(crate) names: DeploymentNames,
@@ -102,9 +102,9 @@
     pub(crate) relay_reachable: bool,
     /// The number of the last call.
     pub(crate) last_call: u64,
-    /// The call that is in flight.
+    /// The call that is in flight, if any.
     pub(crate) update_call: Option<UpdateCall>,
-    /// A decision that didn't fit into the last call.
+    /// A decision that did not fit into the last call and is sent first in the next one.
     pub(crate) deferred_decision: Option<Decision>,
     pub(crate) timer_at: Option<Time>,
     pub(crate) outputs: VecDeque<Output>,
@@ -112,7 +112,7 @@
 }
 
 impl PlatformController {
-    /// A controller that starts now, with the endpoint list that its configuration holds.
+    /// Creates a controller that starts at `now` with the endpoint list of its configuration, if there is one.
     #[must_use]
     pub fn new(config: PlatformConfig, now: Time) -> PlatformController {
         let mut deployment = config.deployment;
@@ -139,7 +139,7 @@
         platform_controller
     }
 
-    /// Applies an input.
+    /// Handles an input.
     pub fn handle(&mut self, now: Time, input: Input) {
         if self.timer_at.take_if(|at| now >= *at).is_some() {
             self.controller.on_timer(now);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What is to be done now, one by one until nothing is left.
+    /// Returns the next action to execute, or `None` if nothing is left to do now.
     pub fn next_output(&mut self, now: Time) -> Option<Output> {
         if self.outputs.is_empty() {
             self.take_decisions(now);
@@ -175,36 +175,36 @@
         self.outputs.pop_front()
     }
 
-    /// When [`handle`](Self::handle) is due at the latest.
+    /// Returns the latest time at which [`handle`](Self::handle) must be called again.
     #[must_use]
     pub fn timer_at(&self) -> Option<Time> {
         self.timer_at
     }
 
-    /// Counts of inputs and outputs.
+    /// Returns the counts of inputs and outputs.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The decision module's status.
+    /// Returns the decision module's status.
     #[must_use]
     pub fn status(&self) -> StatusSnapshot {
         self.controller.status()
     }
 
-    /// Takes the transitions of hosts since the last call, for logs.
+    /// Returns the hosts' phase transitions since the previous call, for the log.
     pub fn take_host_transitions(&mut self) -> Vec<HostTransition> {
         self.controller.take_host_transitions()
     }
 
-    /// How many proxies are connected.
+    /// Returns the number of connected proxies.
     #[must_use]
     pub fn joined_proxies(&self) -> usize {
         self.membership.len()
     }
 
-    /// The number of a zone; none if its name is not known.
+    /// Returns the id of a zone, or `None` if its name is unknown.
     #[must_use]
     pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
         self.names.known_zone(name)
--- a/crates/platform-core/src/counters.rs
+++ b/crates/platform-core/src/counters.rs
@@ -10,35 +10,35 @@
     pub joined: u64,
     /// Proxies that left.
     pub left: u64,
-    /// Proxies that may have left and joined again while no membership events arrived.
+    /// Proxies that may have left and rejoined while no membership events arrived.
     pub unconfirmed: u64,
-    /// Endpoint lists, complete or as changes.
+    /// Endpoint lists that were received, complete or as changes.
     pub endpoint_lists: u64,
     /// Update calls to the relay.
     pub calls: u64,
     /// Updates in these calls.
     pub updates: u64,
-    /// Calls that the relay applied in part.
+    /// Calls of which the relay applied only a part.
     pub calls_applied_in_part: u64,
-    /// Calls that were surely not applied.
+    /// Calls of which the relay certainly applied nothing.
     pub calls_rejected: u64,
-    /// Calls whose result is not known.
+    /// Calls whose outcome is unknown.
     pub calls_in_doubt: u64,
-    /// Acknowledgements of proxies.
+    /// Acknowledgements received from proxies.
     pub acks_received: u64,
-    /// Reports on hosts and on usage that were recorded.
+    /// Host reports and usage reports that were recorded.
     pub reports: u64,
-    /// Attempts in these reports.
+    /// Attempts in the recorded host reports.
     pub attempts: u64,
-    /// Requests in these reports.
+    /// Requests in the recorded usage reports.
     pub requests: u64,
-    /// Reports that carried a host's load.
+    /// Recorded host reports that contained the host's load.
     pub reports_with_load: u64,
     /// Health checks that were requested.
     pub health_checks: u64,
     /// Health checks that succeeded.
     pub health_checks_passed: u64,
-    /// Messages without a use, by reason.
+    /// Invalid messages, by reason.
     pub malformed_messages: BTreeMap<MalformedMessage, u64>,
 }
 
--- a/crates/platform-core/src/inputs.rs
+++ b/crates/platform-core/src/inputs.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, membership events and reports: what they mean to the decision module.
+//! Passes endpoint lists, membership events and reports to the decision module.
 
 use crate::controller::PlatformController;
 use crate::membership::JoinKind;
@@ -85,8 +85,8 @@
         usual_request_rate: f64,
         fresh: bool,
     ) {
-        let expected = u64::from(proxy.0) < self.proxy_count;
-        let Some(zone) = self.names.known_zone(zone).filter(|_| expected) else {
+        let id_in_range = u64::from(proxy.0) < self.proxy_count;
+        let Some(zone) = self.names.known_zone(zone).filter(|_| id_in_range) else {
             self.counters
                 .count_malformed(MalformedMessage::InvalidField("site"));
             return;
@@ -116,7 +116,7 @@
         self.controller.proxy_left(now, proxy);
     }
 
-    /// Records a collector's message, or counts it as malformed if it names what isn't known.
+    /// Records a collector's message, or counts it as malformed if it names an unknown host, proxy, class or zone.
     pub(crate) fn record_message(&mut self, now: Time, message: Message) {
         let recorded = match message {
             Message::HostReport {
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -1,5 +1,5 @@
-//! Which proxies are connected, by the relay's membership events. Each stream of events begins with a list of the proxies
-//! that are connected.
+//! Tracks the connected proxies by the relay's membership events. Each watch begins with a list of the connected proxies,
+//! as join events.
 
 use pondarch_controller::{ProxyId, ZoneId};
 use std::collections::BTreeMap;
@@ -8,27 +8,27 @@
 #[derive(Default)]
 pub(crate) struct Membership {
     joined: BTreeMap<ProxyId, Member>,
-    /// Whether the stream is still at its list of connected proxies.
+    /// Whether the current watch is still sending its list of connected proxies.
     listing: bool,
 }
 
 struct Member {
     zone: ZoneId,
-    /// Whether the list of the present stream has named it.
+    /// Whether the current watch has listed the proxy or reported its join.
     listed: bool,
 }
 
-/// What a join event means.
+/// The meaning of a join event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinKind {
     /// The proxy has connected.
     New,
-    /// It was connected when the last stream ended, and may have reconnected since.
+    /// The proxy was connected when the previous watch ended, and may have reconnected since.
     Unconfirmed,
 }
 
 impl Membership {
-    /// A stream of events begins, with the list of connected proxies.
+    /// Starts the list of connected proxies at the beginning of a watch.
     pub(crate) fn begin_list(&mut self) {
         self.listing = true;
         for member in self.joined.values_mut() {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The list is over: proxies that it did not name have left unseen. Gives these; none if no list was open.
+    /// Ends the list, if one was started, and returns the proxies that it did not contain: they left while no events
+    /// arrived.
     pub(crate) fn end_list(&mut self) -> Vec<ProxyId> {
         if !std::mem::take(&mut self.listing) {
             return Vec::new();
@@ -51,19 +52,20 @@
         missing
     }
 
-    /// A proxy is connected.
+    /// Records a join event.
     pub(crate) fn join(&mut self, proxy: ProxyId, zone: ZoneId) -> JoinKind {
         let member = Member { zone, listed: true };
-        let before = self.joined.insert(proxy, member);
-        let unchanged = |before: Member| self.listing && !before.listed && before.zone == zone;
-        if before.is_some_and(unchanged) {
+        let previous = self.joined.insert(proxy, member);
+        let may_be_unchanged =
+            |previous: Member| self.listing && !previous.listed && previous.zone == zone;
+        if previous.is_some_and(may_be_unchanged) {
             JoinKind::Unconfirmed
         } else {
             JoinKind::New
         }
     }
 
-    /// A proxy is no longer connected; gives whether it was.
+    /// Records that a proxy left. Returns whether it was connected.
     pub(crate) fn leave(&mut self, proxy: ProxyId) -> bool {
         self.joined.remove(&proxy).is_some()
     }
--- a/crates/platform-core/src/updates.rs
+++ b/crates/platform-core/src/updates.rs
@@ -1,14 +1,14 @@
-//! Decisions to update calls, and what the calls' outcomes mean to the decision module.
+//! Encodes decisions as update calls and reports the calls' outcomes to the decision module.
 
 use crate::controller::{CallOutcome, Output, PlatformController};
 use pondarch_controller::{Decision, HostId, Time, UpdateResult};
 use pondarch_platform_protocol::relay::{self, MAX_CALL_BYTES};
 
-/// Bytes that one update takes, roughly.
+/// Approximate size of one update, in bytes.
 const UPDATE_BYTES: usize = 150;
-/// Updates of one table or binding by which the decision module may pass its limit.
+/// Number of updates by which the decision module may exceed its batch limit, for the updates of one table or binding.
 const MAX_BATCH_OVERSHOOT: usize = 100;
-/// Updates in a batch: the decision module's batches fit into one call.
+/// Batch limit of the decision module, chosen so that each of its batches fits into one call.
 pub(crate) const MAX_BATCH_SIZE: u64 = (MAX_CALL_BYTES / UPDATE_BYTES - MAX_BATCH_OVERSHOOT) as u64;
 
 /// An update call that is in flight.
@@ -26,7 +26,7 @@
 }
 
 impl UpdateBatch {
-    /// Adds an update; gives the decision back if it doesn't fit into the call.
+    /// Adds an update. Returns the decision as an error if the update does not fit into the call.
     fn push(&mut self, decision: Decision, text: String) -> Result<(), Decision> {
         if !relay::fits_in_call(self.bytes, &text) {
             return Err(decision);
@@ -39,8 +39,8 @@
 }
 
 impl PlatformController {
-    /// Takes one batch of the module's decisions, which is one call. They are taken only while a call can be sent, so
-    /// that they are based on the latest state when they are sent.
+    /// Takes one batch of decisions and sends it as one call. Decisions are taken only while a call can be sent, so that
+    /// they are based on the latest state when they are sent.
     pub(crate) fn take_decisions(&mut self, now: Time) {
         if !self.relay_reachable || self.update_call.is_some() {
             return;
@@ -53,7 +53,7 @@
         {
             match decision {
                 Decision::SetTimer(delay) => self.timer_at = Some(now + delay),
-                // The registry is watched all the time.
+                // The program watches the registry without being asked to.
                 Decision::WatchEndpoints => {}
                 Decision::CheckHealth(host) => self.request_health_check(host),
                 update => {
@@ -114,14 +114,14 @@
     }
 }
 
-/// What the outcome of a call with this many updates says of them.
+/// Converts the outcome of a call with `sent` updates to the result of these updates.
 fn update_result(outcome: CallOutcome, sent: u64) -> UpdateResult {
     match outcome {
         CallOutcome::Applied { updates } if updates == sent => UpdateResult::Applied,
         CallOutcome::Applied { updates } if updates < sent => {
             UpdateResult::StoppedAt(updates as usize)
         }
-        // More updates than were sent: the answer is malformed.
+        // An answer that counts more updates than were sent is malformed.
         CallOutcome::Applied { .. } | CallOutcome::InDoubt => UpdateResult::Unknown,
         CallOutcome::Rejected => UpdateResult::Rejected,
     }
