--- a/crates/platform-core/tests/decision_streams/controller.rs
+++ b/crates/platform-core/tests/decision_streams/controller.rs
@@ -1,4 +1,5 @@
-//! The controller under test, reached by wire text alone. Only this file names types of the project.
+//! The controller under test, with an interface of wire texts. Only this file uses types of the project, so that the
+//! runs do not depend on their names.
 
 use pondarch_controller::{HostId, Time};
 use pondarch_platform_core::{CallOutcome, Input, Output, PlatformController};
@@ -6,7 +7,7 @@
 use pondarch_platform_protocol::relay::{self, RelayMessage};
 use pondarch_platform_protocol::{load, registry, report};
 
-/// What the controller does, as text.
+/// An output of the controller, as text.
 pub(crate) enum Action {
     Call { id: u64, line: String },
     CheckHealth { host: String, address: String },
@@ -17,7 +18,7 @@
 impl Controller {
     pub(crate) fn open(config: &str, now: u64) -> Controller {
         let config = config::parse(config.as_bytes(), &EnvironmentDefaults::default())
-            .expect("a configuration");
+            .expect("a valid configuration");
         Controller(PlatformController::new(config, Time::from_micros(now)))
     }
 
@@ -25,8 +26,8 @@
         self.0.handle(Time::from_micros(now), input);
     }
 
-    /// Time has passed; the controller is called if it asked for that.
-    pub(crate) fn time_passed(&mut self, now: u64) {
+    /// Calls the controller if its timer is due.
+    pub(crate) fn run_due_timer(&mut self, now: u64) {
         if self
             .0
             .timer_at()
@@ -36,14 +37,14 @@
         }
     }
 
-    /// An endpoint list; text that is none counts as a failure of the registry.
-    pub(crate) fn list(&mut self, now: u64, text: &str) {
+    /// Passes on an endpoint list; an invalid one counts as a failure of the registry.
+    pub(crate) fn endpoint_list(&mut self, now: u64, text: &str) {
         let input =
             registry::parse(text.as_bytes()).map_or(Input::EndpointListFailed, Input::EndpointList);
         self.handle(now, input);
     }
 
-    /// A line of the relay: the answer to a call, or a membership event.
+    /// Passes on a line of the relay: the answer to a call, or a membership event.
     pub(crate) fn relay_line(&mut self, now: u64, text: &str) {
         match relay::parse(text) {
             Some(RelayMessage::Applied { call, updates }) => {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// A call has had no answer in time.
-    pub(crate) fn no_answer(&mut self, now: u64, call: u64) {
+    /// Reports that a call was not answered in time.
+    pub(crate) fn answer_timeout(&mut self, now: u64, call: u64) {
         self.call_ended(now, call, CallOutcome::InDoubt);
     }
 
@@ -71,7 +72,7 @@
         self.handle(now, Input::RelayReachability { reachable });
     }
 
-    /// A report, its words set apart by spaces.
+    /// Passes on a report, whose words are separated by spaces.
     pub(crate) fn report(&mut self, now: u64, text: &str) {
         let words: Vec<String> = text.split(' ').map(str::to_string).collect();
         self.handle(
@@ -80,7 +81,7 @@
         );
     }
 
-    /// The answer to a health check, with its body.
+    /// Passes on the result of a health check.
     pub(crate) fn health_check_answer(&mut self, now: u64, host: &str, healthy: bool, body: &str) {
         let load = load::parse_body(body.as_bytes());
         self.handle(
--- a/crates/platform-core/tests/decision_streams/main.rs
+++ b/crates/platform-core/tests/decision_streams/main.rs
@@ -1,6 +1,6 @@
-//! Seeded runs of the controller on the platform, against simulated fleets. The digest of every call line and probe
-//! stands here: any other decision, random draw, order of lines or sum of floats gives another digest. A digest may
-//! change only together with a change of decisions that is meant.
+//! Seeded runs of the controller with simulated fleets. Each run has a digest of all its call lines and health checks,
+//! which any change of a decision, a random draw, the order of lines or a floating-point sum changes. A digest may be
+//! updated only together with an intended change of decisions.
 
 mod controller;
 #[path = "../../../simulator-adapter/tests/decision_streams/fleet.rs"]
@@ -14,12 +14,12 @@
 use session::{Counts, run};
 use site::{SMALL, Site};
 
-/// Checks the digest of a run, and that the run decides enough to be worth guarding.
-fn guard(site: &Site, digest: &str, worth: impl Fn(&Counts) -> bool) {
+/// Asserts the digest of a run, and that the run covers enough decisions for its digest to be meaningful.
+fn assert_digest(site: &Site, digest: &str, covers_enough: impl Fn(&Counts) -> bool) {
     let outcome = run(site);
     assert!(
-        worth(&outcome.counts),
-        "too little happened: {:?}",
+        covers_enough(&outcome.counts),
+        "the run covers too few decisions: {:?}",
         outcome.counts
     );
     assert_eq!(
@@ -37,14 +37,14 @@
         seconds: 300,
         ..SMALL
     };
-    guard(
+    assert_digest(
         &site,
         "d1055704d107d0d9e3d51b222e15109a98568b96a1d3e44c9e33dc9b9b9fca91",
-        |counts| counts.lines >= 150 && counts.tables >= 90 && counts.ack_requests >= 40,
+        |counts| counts.lines >= 150 && counts.bindings >= 90 && counts.ack_requests >= 40,
     );
 }
 
-/// Calls are refused, stopped part-way and left without an answer while levels fall and rise again.
+/// Calls are rejected, applied in part and left unanswered while quotas are lowered and raised again.
 #[test]
 fn overload_while_calls_fail() {
     let site = Site {
@@ -55,15 +55,15 @@
         seconds: 160,
         ..SMALL
     };
-    guard(
+    assert_digest(
         &site,
         "269414f17f94d2137fe3e2a08be3fd69463e06705e1950cec5a921c2dbd3afe3",
         |counts| {
-            counts.lowered >= 150
-                && counts.raised >= 30
-                && counts.refused >= 8
-                && counts.stopped >= 7
-                && counts.unanswered >= 10
+            counts.quotas_lowered >= 150
+                && counts.quotas_raised >= 30
+                && counts.calls_rejected >= 8
+                && counts.calls_applied_in_part >= 7
+                && counts.calls_unanswered >= 10
         },
     );
 }
@@ -81,22 +81,22 @@
         seconds: 60,
         ..SMALL
     };
-    guard(
+    assert_digest(
         &site,
         "c17c883bd19681d0f477c591ccbd6aaaf1a1d13f55fa8d142de8b5f381eed25f",
         |counts| {
             counts.calls >= 200
                 && counts.lines >= 6_000
-                && counts.tables >= 3_000
-                && counts.lowered >= 700
+                && counts.bindings >= 3_000
+                && counts.quotas_lowered >= 700
                 && counts.ack_requests >= 50
         },
     );
 }
 
-/// Zones with a class of their own, few messages per proxy, a short queue, and a great deal of trouble.
+/// Three zones with a zone-local class, a low message cap, a short update queue, a slow relay and frequent incidents.
 #[test]
-fn zones_and_a_tight_channel() {
+fn zones_and_a_slow_relay_with_a_short_queue() {
     let site = Site {
         seed: 24,
         proxies: 90,
@@ -113,15 +113,15 @@
         seconds: 300,
         ..SMALL
     };
-    guard(
+    assert_digest(
         &site,
         "3cf8285f270e0fce63175a850a63495c294833412fd840d1c2672a9ca1a7af76",
         |counts| {
             counts.calls >= 50
                 && counts.lines >= 200
-                && counts.tables >= 180
-                && counts.lowered >= 20
-                && counts.raised >= 10
+                && counts.bindings >= 180
+                && counts.quotas_lowered >= 20
+                && counts.quotas_raised >= 10
                 && counts.health_checks >= 40
         },
     );
--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -1,5 +1,5 @@
-//! One controller and its surroundings: the relay that carries out calls, or does not, registry, collectors and hosts.
-//! Every call line and health check is hashed, with its time.
+//! A run of one controller with a simulated relay, registry, collectors and hosts. Every call line and health check is
+//! hashed together with its time.
 
 mod relay;
 
@@ -10,42 +10,44 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
+/// The time at which a run starts, in microseconds.
 const START: u64 = 1_000_000_000;
-/// Time between two looks at the controller, in microseconds.
+/// Time between two steps of a run, in microseconds.
 const STEP: u64 = 10_000;
 
-/// What the calls held, and how they ended.
+/// Counts of the controller's decisions and of the outcomes of its calls.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub calls: usize,
     pub lines: usize,
-    pub tables: usize,
-    pub lowered: usize,
-    /// Levels of 1 that came after one below.
-    pub raised: usize,
+    pub bindings: usize,
+    /// Quotas below 1.
+    pub quotas_lowered: usize,
+    /// Quotas of at least 1 after the first one below 1.
+    pub quotas_raised: usize,
     pub ack_requests: usize,
     pub health_checks: usize,
-    pub refused: usize,
-    pub stopped: usize,
-    pub unanswered: usize,
+    pub calls_rejected: usize,
+    pub calls_applied_in_part: usize,
+    pub calls_unanswered: usize,
 }
 
-/// A finished run: the digest of all that the controller did, and what that was.
+/// The result of a run: the digest of all outputs of the controller, and their counts.
 pub(crate) struct Outcome {
     pub digest: String,
     pub counts: Counts,
 }
 
-/// What reaches the controller.
+/// An input of the controller.
 enum Event {
-    List(String),
+    EndpointList(String),
     RelayLine(String),
-    NoAnswer(u64),
+    AnswerTimeout(u64),
     RelayReachable(bool),
     Report(String),
     HealthCheckAnswer {
         host: String,
-        good: bool,
+        healthy: bool,
         body: String,
     },
 }
@@ -55,20 +57,21 @@
     now: u64,
     fleet: Fleet,
     generation: u64,
-    queue: BTreeMap<(u64, u64), Event>,
-    made: u64,
+    /// Events by the time at which they are due and the order in which they were scheduled.
+    scheduled: BTreeMap<(u64, u64), Event>,
+    events_scheduled: u64,
     counts: Counts,
 }
 
-/// Runs one site to its end.
+/// Runs a controller for one site.
 pub(crate) fn run(site: &Site) -> Outcome {
     let mut session = Session {
         site: *site,
         now: START,
         fleet: Fleet::new(site),
         generation: 40,
-        queue: BTreeMap::new(),
-        made: 0,
+        scheduled: BTreeMap::new(),
+        events_scheduled: 0,
         counts: Counts::default(),
     };
     let config = json!({
@@ -76,15 +79,15 @@
         "limits": {"sockets": 256}, "hub": {"address": "127.0.0.1:6400"}, "settings": site.settings(),
     });
     let mut controller = Controller::open(&config.to_string(), START);
-    session.open();
+    session.start();
     let mut hash = Sha256::new();
     while session.now < START + site.seconds * 1_000_000 {
         if (session.now - START).is_multiple_of(REPORT_PERIOD) {
-            session.second();
+            session.run_second();
         }
-        session.deliver(&mut controller);
+        session.deliver_due_events(&mut controller);
         while let Some(action) = controller.next_action(session.now) {
-            hash.update(session.take(action));
+            hash.update(session.execute(action));
         }
         session.now += STEP;
     }
@@ -100,44 +103,48 @@
 }
 
 impl Session {
-    fn open(&mut self) {
-        self.later(0, Event::RelayReachable(true));
-        self.list(0, None);
-        self.watch();
+    /// Schedules the events at the start of a run.
+    fn start(&mut self) {
+        self.schedule(0, Event::RelayReachable(true));
+        self.schedule_list(0, None);
+        self.start_membership_watch();
         let changes = self.fleet.proxies_join();
-        self.announce(changes);
+        self.announce_changes(changes);
     }
 
-    fn later(&mut self, delay: u64, event: Event) {
-        self.made += 1;
-        self.queue.insert((self.now + delay, self.made), event);
+    fn schedule(&mut self, delay: u64, event: Event) {
+        self.events_scheduled += 1;
+        self.scheduled
+            .insert((self.now + delay, self.events_scheduled), event);
     }
 
-    fn deliver(&mut self, controller: &mut Controller) {
+    fn deliver_due_events(&mut self, controller: &mut Controller) {
         let now = self.now;
-        controller.time_passed(now);
+        controller.run_due_timer(now);
         while let Some(entry) = self
-            .queue
+            .scheduled
             .first_entry()
             .filter(|entry| entry.key().0 <= now)
         {
             match entry.remove() {
-                Event::List(text) => controller.list(now, &text),
+                Event::EndpointList(text) => controller.endpoint_list(now, &text),
                 Event::RelayLine(text) => controller.relay_line(now, &text),
-                Event::NoAnswer(call) => controller.no_answer(now, call),
-                Event::RelayReachable(up) => controller.relay_reachable(now, up),
+                Event::AnswerTimeout(call) => controller.answer_timeout(now, call),
+                Event::RelayReachable(reachable) => controller.relay_reachable(now, reachable),
                 Event::Report(text) => controller.report(now, &text),
-                Event::HealthCheckAnswer { host, good, body } => {
-                    controller.health_check_answer(now, &host, good, &body)
-                }
+                Event::HealthCheckAnswer {
+                    host,
+                    healthy,
+                    body,
+                } => controller.health_check_answer(now, &host, healthy, &body),
             }
         }
     }
 
     // ---- Registry and membership events -----------------------------------------------------------------------------
 
-    /// A list: of these hosts, or of all that are not removed.
-    fn list(&mut self, delay: u64, hosts: Option<&[usize]>) {
+    /// Schedules changes for these hosts, or a complete list of all hosts that are not removed.
+    fn schedule_list(&mut self, delay: u64, hosts: Option<&[usize]>) {
         self.generation += 1;
         let all: Vec<usize> = (0..self.fleet.hosts.len())
             .filter(|&host| self.fleet.hosts[host].health != Health::Removed)
@@ -166,9 +173,9 @@
             )
         };
         let entries: Vec<String> = hosts.unwrap_or(&all).iter().map(entry).collect();
-        // Now and then changes are older than the list that the controller holds.
-        let old = hosts.is_some() && self.fleet.random.percent(4);
-        let generation = if old {
+        // Some changes are older than the list that the controller holds.
+        let outdated = hosts.is_some() && self.fleet.random.percent(4);
+        let generation = if outdated {
             self.generation - 2
         } else {
             self.generation
@@ -178,47 +185,50 @@
         let text = format!(
             "{{\"generation\":{generation},\"reset\":{complete},\"instances\":[{entries}]}}"
         );
-        self.later(delay, Event::List(text));
+        self.schedule(delay, Event::EndpointList(text));
     }
 
-    fn send_event(&mut self, delay: u64, method: &str, params: &str) {
+    fn schedule_event(&mut self, delay: u64, method: &str, params: &str) {
         let text = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}");
-        self.later(delay, Event::RelayLine(text));
+        self.schedule(delay, Event::RelayLine(text));
     }
 
-    fn joined(&mut self, delay: u64, proxy: usize, fresh: bool) {
-        let found = &self.fleet.proxies[proxy];
-        let (zone, rate) = (ZONES[found.zone], decimal(found.rate));
+    fn schedule_join(&mut self, delay: u64, proxy: usize, fresh: bool) {
+        let joining = &self.fleet.proxies[proxy];
+        let (zone, rate) = (ZONES[joining.zone], decimal(joining.rate));
         let params =
             format!("{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{fresh}}}");
-        self.send_event(delay, "joined", &params);
+        self.schedule_event(delay, "joined", &params);
     }
 
-    /// A stream of membership events begins: it names all connected proxies, then pings.
-    fn watch(&mut self) {
-        self.later(
+    /// Starts a membership watch, which lists all connected proxies and then sends a ping.
+    fn start_membership_watch(&mut self) {
+        self.schedule(
             0,
             Event::RelayLine("{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}".to_string()),
         );
         for proxy in 0..self.fleet.proxies.len() {
             if self.fleet.proxies[proxy].joined {
-                self.joined(0, proxy, false);
+                self.schedule_join(0, proxy, false);
             }
         }
-        self.send_event(0, "ping", "{}");
+        self.schedule_event(0, "ping", "{}");
     }
 
-    fn announce(&mut self, changes: Vec<Change>) {
+    /// Schedules the lists and membership events that tell the controller of these changes.
+    fn announce_changes(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
                 Change::Hosts(hosts) => {
                     let delay = self.fleet.random.between(0, 400_000);
                     let complete = self.fleet.random.percent(20);
-                    self.list(delay, if complete { None } else { Some(&hosts) });
+                    self.schedule_list(delay, if complete { None } else { Some(&hosts) });
+                }
+                Change::Joined { proxy, fresh } => {
+                    self.schedule_join(proxy as u64 * 1_000, proxy, fresh)
                 }
-                Change::Joined { proxy, fresh } => self.joined(proxy as u64 * 1_000, proxy, fresh),
                 Change::Left(proxy) => {
-                    self.send_event(
+                    self.schedule_event(
                         200_000 + proxy as u64 * 1_000,
                         "left",
                         &format!("{{\"id\":{proxy}}}"),
@@ -228,14 +238,14 @@
         }
     }
 
-    // ---- One second -------------------------------------------------------------------------------------
+    // ---- One second of a run ----------------------------------------------------------------------------------------
 
-    fn second(&mut self) {
+    fn run_second(&mut self) {
         let second = (self.now - START) / REPORT_PERIOD;
         let (host_reports, usage_reports) =
             self.fleet.serve(self.now, self.site.demand_percent(second));
         for report in host_reports {
-            self.report(&report);
+            self.schedule_host_report(&report);
         }
         for report in usage_reports {
             let (proxy, class, count, errors) = (
@@ -246,31 +256,32 @@
             );
             let text =
                 format!("usage id {proxy} lane {class} count {count} fail {errors} over 1000.0");
-            let late = self.fleet.random.between(0, 500_000);
-            self.later(late, Event::Report(text));
+            let delay = self.fleet.random.between(0, 500_000);
+            self.schedule(delay, Event::Report(text));
         }
         if self.fleet.random.percent(10) {
-            self.odd_inputs();
+            self.schedule_invalid_inputs();
         }
         if self.fleet.random.percent(5) {
-            self.later(0, Event::RelayReachable(false));
-            self.later(700_000, Event::RelayReachable(true));
+            self.schedule(0, Event::RelayReachable(false));
+            self.schedule(700_000, Event::RelayReachable(true));
         }
         if self.fleet.random.percent(self.site.trouble) {
             let changes = self.fleet.incident(self.now);
-            // The stream of events may end just then: the next one names the connected proxies, and the lists arrive all the same.
+            // The membership watch may restart at this time. The new watch lists the connected proxies; endpoint lists still
+            // arrive.
             if self.fleet.random.percent(25) {
-                let by_list = |change: &Change| matches!(change, Change::Hosts(_));
-                self.announce(changes.into_iter().filter(by_list).collect());
-                return self.watch();
+                let is_of_hosts = |change: &Change| matches!(change, Change::Hosts(_));
+                self.announce_changes(changes.into_iter().filter(is_of_hosts).collect());
+                return self.start_membership_watch();
             }
-            self.announce(changes);
+            self.announce_changes(changes);
         }
-        self.send_event(0, "ping", "{}");
+        self.schedule_event(0, "ping", "{}");
     }
 
-    fn report(&mut self, report: &HostReport) {
-        let late = self.fleet.random.between(0, 600_000)
+    fn schedule_host_report(&mut self, report: &HostReport) {
+        let delay = self.fleet.random.between(0, 600_000)
             + if self.fleet.random.percent(3) {
                 3_000_000
             } else {
@@ -292,11 +303,11 @@
                 decimal(report.busy)
             );
         }
-        self.later(late, Event::Report(text));
+        self.schedule(delay, Event::Report(text));
     }
 
-    /// Inputs that say nothing, or cannot be read.
-    fn odd_inputs(&mut self) {
+    /// Schedules inputs that are malformed, that name unknown things, or that no call or proxy belongs to.
+    fn schedule_invalid_inputs(&mut self) {
         let host = self.fleet.hosts[0].name.clone();
         for text in [
             "heard site ede target nobody count 5 fail 0 mean 4 over 1000".to_string(),
@@ -308,12 +319,12 @@
             "usage id 1 lane unknown count 5 fail 0 over 1000".to_string(),
             "usage id 1 lane proof count 5".to_string(),
         ] {
-            self.later(0, Event::Report(text));
+            self.schedule(0, Event::Report(text));
         }
-        self.later(0, Event::List("{\"generation\":".to_string()));
-        self.send_event(0, "left", "{\"id\":60001}");
-        self.send_event(0, "applied", "{\"id\":1,\"seq\":65535,\"ms\":1.0}");
-        self.later(
+        self.schedule(0, Event::EndpointList("{\"generation\":".to_string()));
+        self.schedule_event(0, "left", "{\"id\":60001}");
+        self.schedule_event(0, "applied", "{\"id\":1,\"seq\":65535,\"ms\":1.0}");
+        self.schedule(
             0,
             Event::RelayLine(
                 "{\"jsonrpc\":\"2.0\",\"id\":999999,\"result\":{\"ok_count\":1}}".to_string(),
--- a/crates/platform-core/tests/decision_streams/session/relay.rs
+++ b/crates/platform-core/tests/decision_streams/session/relay.rs
@@ -1,4 +1,5 @@
-//! What the controller does, carried out: calls by the relay, as far as it takes them, and health checks by the hosts.
+//! Executes the controller's outputs: the simulated relay applies or rejects calls, and the simulated hosts answer health
+//! checks.
 
 use super::{Event, START, Session};
 use crate::controller::Action;
@@ -6,15 +7,15 @@
 use crate::site::{CLASSES, REPORT_PERIOD};
 use serde_json::Value;
 
-/// Time after which a call counts as unanswered.
+/// Time after which a call counts as unanswered, in microseconds.
 const ANSWER_TIME: u64 = 50_000;
 
 impl Session {
-    /// Carries out an action and gives the text of it that is hashed.
-    pub(super) fn take(&mut self, action: Action) -> String {
+    /// Executes an action. Returns its text for the digest.
+    pub(super) fn execute(&mut self, action: Action) -> String {
         match action {
             Action::Call { id, line } => {
-                self.call(id, &line);
+                self.apply_call(id, &line);
                 format!("{}\t{line}", self.now)
             }
             Action::CheckHealth { host, address } => {
@@ -24,8 +25,8 @@
         }
     }
 
-    /// The relay carries a call out, in whole, in part or not at all, and answers or keeps silent.
-    fn call(&mut self, id: u64, line: &str) {
+    /// Applies a call in whole, in part or not at all, and schedules the answer, if there is one.
+    fn apply_call(&mut self, id: u64, line: &str) {
         self.counts.calls += 1;
         let line: Value = serde_json::from_str(line).expect("a call in JSON");
         let updates = line["params"]["changes"]
@@ -36,47 +37,47 @@
             self.fleet.random.between(1_000, 40_000),
             self.fleet.random.between(0, 100),
         );
-        let most = if fault < 4 {
+        let updates_applied_at_most = if fault < 4 {
             self.fleet.random.place(updates.len())
         } else {
             updates.len()
         };
-        let result = |taken: usize| {
-            format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{taken}}}}}")
+        let result = |applied: usize| {
+            format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ok_count\":{applied}}}}}")
         };
         match fault {
             0..4 => {
-                self.counts.stopped += 1;
-                let taken = self.carry_out(&updates[..most]);
-                self.later(delay, Event::RelayLine(result(taken)));
+                self.counts.calls_applied_in_part += 1;
+                let applied = self.apply_updates(&updates[..updates_applied_at_most]);
+                self.schedule(delay, Event::RelayLine(result(applied)));
             }
             4..8 => {
-                self.counts.refused += 1;
+                self.counts.calls_rejected += 1;
                 let error = "{\"code\":-32000,\"message\":\"BUSY\"}";
                 let text = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{error}}}");
-                self.later(delay, Event::RelayLine(text));
+                self.schedule(delay, Event::RelayLine(text));
             }
             8..14 => {
-                self.counts.unanswered += 1;
+                self.counts.calls_unanswered += 1;
                 if fault < 11 {
-                    self.carry_out(&updates);
+                    self.apply_updates(&updates);
                 }
-                self.later(ANSWER_TIME, Event::NoAnswer(id));
+                self.schedule(ANSWER_TIME, Event::AnswerTimeout(id));
             }
-            // More updates than there were: the answer is malformed.
+            // The answer counts more updates than the call had, which is malformed.
             14 => {
-                self.carry_out(&updates);
-                self.later(delay, Event::RelayLine(result(updates.len() + 1)));
+                self.apply_updates(&updates);
+                self.schedule(delay, Event::RelayLine(result(updates.len() + 1)));
             }
             _ => {
-                let taken = self.carry_out(&updates);
-                self.later(delay, Event::RelayLine(result(taken)));
+                let applied = self.apply_updates(&updates);
+                self.schedule(delay, Event::RelayLine(result(applied)));
             }
         }
     }
 
-    /// Carries out updates up to the first that cannot be used; gives how many were.
-    fn carry_out(&mut self, updates: &[Value]) -> usize {
+    /// Applies updates up to the first one that is not valid. Returns how many were applied.
+    fn apply_updates(&mut self, updates: &[Value]) -> usize {
         let mut reached = Vec::new();
         for (position, update) in updates.iter().enumerate() {
             let table = update["cluster"].as_u64().unwrap_or(0) as u16;
@@ -93,44 +94,45 @@
                     if !self.fleet.proxies[proxy].joined {
                         return position;
                     }
-                    self.counts.tables += 1;
+                    self.counts.bindings += 1;
                     self.fleet
-                        .hand_table(proxy, table, classes(&update["routes"]));
+                        .hand_table(proxy, table, class_bits(&update["routes"]));
                     reached.push(proxy);
                 }
                 "admit" => {
-                    let share = thousandths(number("admit"));
-                    self.counts.lowered += usize::from(share < 1_000);
-                    self.counts.raised += usize::from(share >= 1_000 && self.counts.lowered > 0);
+                    let quota = thousandths(number("admit"));
+                    self.counts.quotas_lowered += usize::from(quota < 1_000);
+                    self.counts.quotas_raised +=
+                        usize::from(quota >= 1_000 && self.counts.quotas_lowered > 0);
                     self.fleet
-                        .set_level(table, classes(&update["routes"]), share);
+                        .set_level(table, class_bits(&update["routes"]), quota);
                     reached.extend(self.fleet.users(table));
                 }
                 "mark" => self.request_acks(number("nonce_out") as u64, &mut reached),
-                other => panic!("an update that is unknown: {other}"),
+                other => panic!("unknown update: {other}"),
             }
         }
         updates.len()
     }
 
-    /// Each proxy reached acknowledges: soon, late or never.
+    /// Each proxy that the call reached acknowledges it promptly, late or never.
     fn request_acks(&mut self, ack: u64, reached: &mut Vec<usize>) {
         self.counts.ack_requests += 1;
         reached.sort_unstable();
         reached.dedup();
-        let slow = self.site.extra_delay((self.now - START) / REPORT_PERIOD);
+        let relay_delay = self.site.extra_delay((self.now - START) / REPORT_PERIOD);
         for &proxy in reached.iter() {
             if self.fleet.random.percent(8) {
                 continue;
             }
-            let late = if self.fleet.random.percent(5) {
+            let extra_delay = if self.fleet.random.percent(5) {
                 5_000_000
             } else {
-                slow
+                relay_delay
             };
-            let took = self.fleet.random.between(150, 900) * 1_000 + late;
-            let params = format!("{{\"id\":{proxy},\"seq\":{ack},\"ms\":{}}}", took / 1_000);
-            self.send_event(took, "applied", &params);
+            let delay = self.fleet.random.between(150, 900) * 1_000 + extra_delay;
+            let params = format!("{{\"id\":{proxy},\"seq\":{ack},\"ms\":{}}}", delay / 1_000);
+            self.schedule_event(delay, "applied", &params);
         }
     }
 
@@ -144,8 +146,8 @@
             .expect("a host that was listed");
         let (health, fault, queue) = (host.health, host.fault, host.queue / 1_000);
         let random = &mut self.fleet.random;
-        let up = health == Health::Listed && fault != Fault::Hangs;
-        let good = up && (fault != Fault::Fails || random.percent(50));
+        let answers = health == Health::Listed && fault != Fault::Hangs;
+        let healthy = answers && (fault != Fault::Fails || random.percent(50));
         if random.percent(10) {
             return;
         }
@@ -154,20 +156,20 @@
             1 => "TEXT util=NaN".to_string(),
             _ => format!("TEXT inflight=7, queue={queue}, util=0.610"),
         };
-        let took = random.between(1_000, 60_000);
-        self.later(
-            took,
+        let delay = random.between(1_000, 60_000);
+        self.schedule(
+            delay,
             Event::HealthCheckAnswer {
                 host: name.to_string(),
-                good,
+                healthy,
                 body,
             },
         );
     }
 }
 
-/// The bits of the classes that an update names; none: it is for all.
-fn classes(routes: &Value) -> u64 {
+/// Returns the bits of the classes that an update names; no bit means all classes.
+fn class_bits(routes: &Value) -> u64 {
     let names = routes
         .as_array()
         .into_iter()
--- a/crates/platform-core/tests/simulated_fleet/hosts.rs
+++ b/crates/platform-core/tests/simulated_fleet/hosts.rs
@@ -1,4 +1,4 @@
-//! The registry: hosts that drain, restart, are replaced and removed.
+//! The simulated registry: hosts that drain, restart, are replaced or removed.
 
 use super::{HostState, SimulatedFleet, ZONES, host_name};
 use pondarch_controller::{EndpointState, Time};
@@ -6,12 +6,12 @@
 use pondarch_platform_protocol::registry;
 use serde_json::{Value, json};
 
-/// A host as the controller last got it.
+/// A host as it was last sent to the controller.
 pub(super) struct ListedHost {
     id: String,
     pub(super) host: HostState,
-    /// When the controller got it.
-    pub(super) sent: u64,
+    /// When it was sent.
+    pub(super) sent_at: u64,
 }
 
 impl SimulatedFleet {
@@ -20,7 +20,7 @@
             let sent = ListedHost {
                 id: id.clone(),
                 host: *host,
-                sent: self.now,
+                sent_at: self.now,
             };
             let known = self.ever_listed.get(id).map(|listed| listed.host);
             if known != Some(*host) {
@@ -34,7 +34,7 @@
         for listed in missing {
             if listed.host.state != EndpointState::Removed {
                 listed.host.state = EndpointState::Removed;
-                listed.sent = self.now;
+                listed.sent_at = self.now;
             }
         }
         let entries = self
@@ -50,7 +50,7 @@
         let list = json!({"generation": self.generation, "reset": complete, "instances": entries});
         let list = registry::parse(list.to_string().as_bytes()).expect("an endpoint list");
         self.handle(Input::EndpointList(list));
-        self.carry_out();
+        self.execute_outputs();
     }
 
     fn change_host(&mut self, number: usize, state: EndpointState, started: u64) {
@@ -65,7 +65,7 @@
         let sent = ListedHost {
             id: id.clone(),
             host,
-            sent: self.now,
+            sent_at: self.now,
         };
         self.ever_listed.insert(id, sent);
         self.send_list(false, entries);
@@ -83,13 +83,13 @@
         self.change_host(number, EndpointState::Ready, self.now / 1_000 * 1_000);
     }
 
-    /// The same, and the start is listed by a wall clock that shows another time.
+    /// Restarts a host whose start is listed by a wall clock that shows `wall`.
     pub(crate) fn restart_by_wall_clock(&mut self, number: usize, wall: u64) {
         self.handle(Input::WallClock(Time::from_micros(wall)));
         self.change_host(number, EndpointState::Ready, wall / 1_000 * 1_000);
     }
 
-    /// A release puts a new host, under a new id, in the place of an old one.
+    /// Replaces a host of the previous release by a new host with a new id.
     pub(crate) fn replace(&mut self, release: usize, number: usize) {
         self.remove((release - 1) * 100 + number);
         self.restart(release * 100 + number);
--- a/crates/platform-core/tests/simulated_fleet/invariants.rs
+++ b/crates/platform-core/tests/simulated_fleet/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules that the controller must keep, checked against what the relay has really applied.
+//! The invariants that the controller must keep, checked against the updates that the relay has applied.
 
 use super::{
     GRACE_PERIOD, HostState, MESSAGE_CAP, MESSAGE_WINDOW_MICROS, SLOW_START_MICROS, SimulatedFleet,
@@ -37,14 +37,15 @@
         }
     }
 
-    /// Each proxy has a host, none uses a draining or removed host, and none sends a host in slow start too much.
-    pub(crate) fn check(&self) {
+    /// Checks that each proxy has a host, that no proxy uses a draining or removed host, and that the weight of a host in
+    /// slow start exceeds its current capacity by half at most.
+    pub(crate) fn assert_invariants(&self) {
         for (proxy, since) in &self.without_host_since {
             assert!(!self.grace_is_over(*since), "{proxy:?} has no host");
         }
         for (&proxy, &joined) in &self.joined {
             for (host, weight) in self.weights_of(proxy) {
-                self.check_weight(proxy, joined, host, weight);
+                self.assert_weight_allowed(proxy, joined, host, weight);
             }
         }
     }
@@ -53,9 +54,9 @@
         self.now - since.max(self.grace_start) > GRACE_PERIOD.micros()
     }
 
-    fn check_weight(&self, proxy: ProxyId, joined: u64, id: &str, weight: f64) {
+    fn assert_weight_allowed(&self, proxy: ProxyId, joined: u64, id: &str, weight: f64) {
         let listed = &self.ever_listed[id];
-        let due = self.grace_is_over(listed.sent.max(joined));
+        let due = self.grace_is_over(listed.sent_at.max(joined));
         assert!(
             listed.host.state == EndpointState::Ready || !due,
             "{id} is still used by {proxy:?}"
@@ -69,12 +70,12 @@
         }
     }
 
-    /// No proxy has been sent more messages than the cap allows.
-    pub(crate) fn check_message_cap(&self) {
+    /// Checks that no proxy was sent more messages than the message cap allows.
+    pub(crate) fn assert_message_cap(&self) {
         let window_start = self.now.saturating_sub(MESSAGE_WINDOW_MICROS);
         for proxy in self.joined.keys() {
             let recent = self.messages.get(proxy).map_or(0, |sent| {
-                sent.iter().filter(|at| **at > window_start).count()
+                sent.iter().filter(|time| **time > window_start).count()
             });
             assert!(recent <= MESSAGE_CAP, "{recent} messages to {proxy:?}");
         }
--- a/crates/platform-core/tests/simulated_fleet/mod.rs
+++ b/crates/platform-core/tests/simulated_fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A simulated relay, registry and clock around a controller.
+//! A simulated relay, registry and clock for tests of a controller.
 
 mod hosts;
+mod invariants;
 mod proxies;
 mod relay;
-mod rules;
 
 use hosts::ListedHost;
 use pondarch_controller::{AckId, EndpointState, ProxyId, Time};
@@ -14,24 +14,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Within this time the rules must hold again after a drain, a join, a restart or a fault.
+/// The time within which the invariants must hold again after a drain, a join, a restart or a fault.
 pub(crate) const GRACE_PERIOD: Duration = Duration::from_millis(1_500);
-/// Messages that a proxy may get in a window.
+/// Maximum number of messages to one proxy within `MESSAGE_WINDOW_MICROS`.
 const MESSAGE_CAP: usize = 12;
 const MESSAGE_WINDOW_MICROS: u64 = 10_000_000;
 const SLOW_START_MICROS: u64 = 18_000_000;
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// How the relay treats calls.
+/// How the relay fails to handle calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RelayFault {
     None,
+    /// Calls are rejected.
     Busy,
-    /// Applied, without an answer.
-    LostAfter,
-    /// Not applied, without an answer.
-    LostBefore,
-    /// Applied, and answered with a count that is impossible.
+    /// Calls are applied but not answered.
+    AnswerLost,
+    /// Calls are neither applied nor answered.
+    CallLost,
+    /// Calls are applied, and answered with an impossible count of updates.
     MalformedAnswer,
 }
 
@@ -42,28 +43,28 @@
     started: u64,
 }
 
-/// A table and a host in it.
-type Membership = (u16, String);
+/// A table and the id of a host in it.
+type TableMember = (u16, String);
 
 pub(crate) struct SimulatedFleet {
     pub controller: PlatformController,
-    /// Microseconds.
+    /// The current time in microseconds.
     pub now: u64,
     pub fault: RelayFault,
     pub generation: u64,
     pub calls: usize,
-    pub stopped_calls: usize,
+    pub partially_applied_calls: usize,
     pub bindings: BTreeMap<ProxyId, u16>,
     pub listed: BTreeMap<String, HostState>,
     ever_listed: BTreeMap<String, ListedHost>,
     joined: BTreeMap<ProxyId, u64>,
-    weights: BTreeMap<Membership, f64>,
-    /// When each proxy was sent a message.
+    weights: BTreeMap<TableMember, f64>,
+    /// The times at which each proxy was sent messages.
     messages: BTreeMap<ProxyId, Vec<u64>>,
-    /// The rules' grace periods count from here on.
+    /// The earliest start of the invariants' grace periods.
     grace_start: u64,
     without_host_since: BTreeMap<ProxyId, u64>,
-    /// Acknowledgements that are requested and not yet sent.
+    /// Acknowledgements that were requested but not sent yet.
     pending_acks: Vec<(ProxyId, AckId)>,
 }
 
@@ -97,7 +98,7 @@
         SimulatedFleet::with_message_cap(hosts, proxies, MESSAGE_CAP)
     }
 
-    /// A fleet with another message cap; 0: none.
+    /// Creates a fleet with a given message cap; 0 means no cap.
     pub(crate) fn with_message_cap(
         hosts: usize,
         proxies: u64,
@@ -115,7 +116,7 @@
             fault: RelayFault::None,
             generation: 0,
             calls: 0,
-            stopped_calls: 0,
+            partially_applied_calls: 0,
             bindings: BTreeMap::new(),
             listed: (0..hosts)
                 .map(|number| (host_name(number), ready))
@@ -143,7 +144,7 @@
         self.controller.handle(self.time(), input);
     }
 
-    /// The rules' grace periods begin anew.
+    /// Restarts the invariants' grace periods now.
     pub(crate) fn restart_grace_period(&mut self) {
         self.grace_start = self.now;
     }
@@ -164,13 +165,13 @@
             if self.now.is_multiple_of(1_000_000) {
                 self.send_event(MembershipEvent::Ping);
             }
-            self.carry_out();
+            self.execute_outputs();
             self.record_proxies_without_host();
         }
     }
 
-    /// Does what the controller wants done, until nothing is left.
-    fn carry_out(&mut self) {
+    /// Executes the controller's outputs until there are none left.
+    fn execute_outputs(&mut self) {
         while let Some(output) = self.controller.next_output(self.time()) {
             match output {
                 Output::Call { call, line } => {
--- a/crates/platform-core/tests/simulated_fleet/proxies.rs
+++ b/crates/platform-core/tests/simulated_fleet/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies that join and leave, seen by the controller or not, and their reports.
+//! Proxies that join and leave, with or without a membership event to the controller, and their reports.
 
 use super::{SimulatedFleet, ZONES};
 use pondarch_controller::ProxyId;
@@ -9,10 +9,10 @@
 impl SimulatedFleet {
     pub(super) fn send_event(&mut self, event: MembershipEvent) {
         self.handle(Input::Membership(event));
-        self.carry_out();
+        self.execute_outputs();
     }
 
-    /// The controller gets a join event, whether the proxy is connected or not.
+    /// Sends a join event to the controller, whether the proxy is connected or not.
     pub(crate) fn send_joined(&mut self, number: u16, fresh: bool) {
         self.send_event(MembershipEvent::Joined {
             proxy: ProxyId(number),
@@ -35,23 +35,23 @@
     }
 
     pub(crate) fn leave(&mut self, number: u16) {
-        self.leave_unseen(number);
+        self.leave_without_event(number);
         self.send_event(MembershipEvent::Left(ProxyId(number)));
     }
 
-    pub(crate) fn leave_unseen(&mut self, number: u16) {
+    pub(crate) fn leave_without_event(&mut self, number: u16) {
         let proxy = ProxyId(number);
         self.bindings.remove(&proxy);
         self.joined.remove(&proxy);
         self.without_host_since.remove(&proxy);
     }
 
-    pub(crate) fn rejoin_unseen(&mut self, number: u16) {
-        self.leave_unseen(number);
+    pub(crate) fn rejoin_without_event(&mut self, number: u16) {
+        self.leave_without_event(number);
         self.connect_to_relay(number);
     }
 
-    /// The stream of membership events ends, and a new one lists the connected proxies.
+    /// Restarts the membership watch, which then lists the connected proxies.
     pub(crate) fn restart_membership_watch(&mut self) {
         self.restart_grace_period();
         self.handle(Input::MembershipWatchStarted);
@@ -65,6 +65,6 @@
         let words: Vec<String> = text.split(' ').map(str::to_string).collect();
         let message = report::parse(&words).expect("a well-formed report");
         self.handle(Input::Report(message));
-        self.carry_out();
+        self.execute_outputs();
     }
 }
--- a/crates/platform-core/tests/simulated_fleet/relay.rs
+++ b/crates/platform-core/tests/simulated_fleet/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: what it applies of a call, and how it answers.
+//! The simulated relay: it applies calls and answers them.
 
 use super::{RelayFault, SimulatedFleet, host_name};
 use pondarch_controller::{AckId, ProxyId};
@@ -13,7 +13,7 @@
         let updates = call["params"]["changes"].as_array().expect("updates");
         match self.fault {
             RelayFault::Busy => return CallOutcome::Rejected,
-            RelayFault::LostBefore => return CallOutcome::InDoubt,
+            RelayFault::CallLost => return CallOutcome::InDoubt,
             _ => {}
         }
         let mut reached = BTreeSet::new();
@@ -28,9 +28,9 @@
             self.pending_acks.extend(ack.map(|ack| (proxy, ack)));
             self.messages.entry(proxy).or_default().push(self.now);
         }
-        self.stopped_calls += usize::from(applied < updates.len() as u64);
+        self.partially_applied_calls += usize::from(applied < updates.len() as u64);
         match self.fault {
-            RelayFault::LostAfter => CallOutcome::InDoubt,
+            RelayFault::AnswerLost => CallOutcome::InDoubt,
             RelayFault::MalformedAnswer => CallOutcome::Applied {
                 updates: applied + 7_000,
             },
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Applies an update and notes which proxies it reaches; gives whether it was valid.
+    /// Applies an update and adds the proxies that it reaches to `reached`. Returns whether the update was valid.
     fn apply_update(&mut self, update: &Value, reached: &mut BTreeSet<ProxyId>) -> bool {
         if update["verb"] == "mark" {
             return true;
@@ -56,7 +56,7 @@
                 } else {
                     self.weights.remove(&(table, host));
                 }
-                reached.extend(self.users(table));
+                reached.extend(self.proxies_bound_to(table));
             }
             Some("bind") => {
                 let proxy = ProxyId(update["id"].as_u64().expect("a proxy") as u16);
@@ -66,13 +66,13 @@
                 self.bindings.insert(proxy, table);
                 reached.insert(proxy);
             }
-            Some("admit") => reached.extend(self.users(table)),
-            other => panic!("{other:?} is no update"),
+            Some("admit") => reached.extend(self.proxies_bound_to(table)),
+            other => panic!("unknown update {other:?}"),
         }
         true
     }
 
-    fn users(&self, table: u16) -> Vec<ProxyId> {
+    fn proxies_bound_to(&self, table: u16) -> Vec<ProxyId> {
         self.bindings
             .iter()
             .filter(|(_, bound)| **bound == table)
@@ -80,12 +80,12 @@
             .collect()
     }
 
-    /// Table memberships that the relay holds.
+    /// Returns the number of hosts in all tables of the relay, counted once per table.
     pub(crate) fn table_memberships(&self) -> usize {
         self.weights.len()
     }
 
-    /// The largest weight of a host in any table.
+    /// Returns the largest weight of a host in any table.
     pub(crate) fn largest_weight_of(&self, number: usize) -> f64 {
         let host = host_name(number);
         let weights = self.weights.iter();
@@ -93,14 +93,14 @@
         of_host.map(|(_, weight)| *weight).fold(0.0, f64::max)
     }
 
-    /// Proxies that may send to a host.
-    pub(crate) fn users_of(&self, number: usize) -> usize {
+    /// Returns how many proxies have a host in their table.
+    pub(crate) fn proxies_using(&self, number: usize) -> usize {
         let host = host_name(number);
         let tables = self
             .weights
             .keys()
             .filter(|(_, member)| *member == host)
             .map(|(table, _)| *table);
-        tables.map(|table| self.users(table).len()).sum()
+        tables.map(|table| self.proxies_bound_to(table).len()).sum()
     }
 }
--- a/crates/platform-core/tests/unreliable_relay.rs
+++ b/crates/platform-core/tests/unreliable_relay.rs
@@ -1,5 +1,5 @@
-//! The controller with a simulated relay that rejects calls, applies them in part or never answers, while proxies and
-//! hosts join, leave and restart. The rules are checked against what the relay has really applied.
+//! Tests of the controller with a simulated relay that rejects calls, applies them in part or does not answer, while
+//! proxies and hosts join, leave and restart. The invariants are checked against the updates that the relay has applied.
 
 mod simulated_fleet;
 
@@ -9,31 +9,31 @@
 use simulated_fleet::{GRACE_PERIOD, RelayFault, SimulatedFleet};
 
 #[test]
-fn proxies_are_bound_and_a_drain_goes_out_at_once() {
+fn proxies_are_bound_and_a_drain_is_sent_promptly() {
     let mut fleet = SimulatedFleet::new(20, 16);
     (0..16).for_each(|n| fleet.join(n, true));
     fleet.run(5_000);
-    fleet.check();
+    fleet.assert_invariants();
     assert!(fleet.bindings.len() == 16 && fleet.table_memberships() >= 20);
     fleet.drain(3);
     fleet.run(1_500);
-    assert!(fleet.users_of(3) == 0, "a drain goes out at once");
+    assert!(fleet.proxies_using(3) == 0, "the drain is sent promptly");
 }
 
-/// The updates for 400 joins are many calls, each within the relay's limit in bytes, and within the message cap.
+/// The updates for 400 joins are split into several calls, each within the relay's size limit, and keep the message cap.
 #[test]
 fn four_hundred_proxies_join_at_once() {
     let mut fleet = SimulatedFleet::new(30, 400);
     (0..400).for_each(|n| fleet.join(n, n % 2 == 0));
     fleet.run(3_000);
-    fleet.check();
-    fleet.check_message_cap();
+    fleet.assert_invariants();
+    fleet.assert_message_cap();
     assert_eq!(fleet.bindings.len(), 400);
     assert!(fleet.calls > 1, "one call can't hold all updates");
 }
 
-/// A restart while most hosts are in slow start: four hundred proxies join within a second, many of them with tables from
-/// before. Each has a host, no host in slow start gets more than it can do, and the message cap is kept.
+/// The controller restarts while most hosts are in slow start: 400 proxies join within a second, many of them with tables
+/// from before the restart. Each proxy gets a host, no host in slow start is overloaded, and the message cap is kept.
 #[test]
 fn all_proxies_join_a_new_controller_while_hosts_warm_up() {
     let mut fleet = SimulatedFleet::new(30, 400);
@@ -44,15 +44,15 @@
     }
     for _ in 0..20 {
         fleet.run(1_000);
-        fleet.check();
-        fleet.check_message_cap();
+        fleet.assert_invariants();
+        fleet.assert_message_cap();
     }
     assert_eq!(fleet.bindings.len(), 400);
 }
 
-/// While the relay is busy nothing is lost, and calls are not repeated without a pause.
+/// While the relay is busy, no update is lost and calls are not retried without a delay.
 #[test]
-fn calls_to_a_busy_relay_are_repeated_at_intervals() {
+fn calls_to_a_busy_relay_are_retried_with_a_delay() {
     let mut fleet = SimulatedFleet::new(20, 8);
     fleet.fault = RelayFault::Busy;
     (0..8).for_each(|n| fleet.join(n, true));
@@ -65,59 +65,61 @@
     fleet.fault = RelayFault::None;
     fleet.restart_grace_period();
     fleet.run(1_000);
-    fleet.check();
+    fleet.assert_invariants();
     assert_eq!(fleet.bindings.len(), 8);
 }
 
-/// A call whose result is not known is repaired, whether it was applied or not.
+/// After a call with an unknown outcome the relay is brought to the intended state, whether it applied the call or not.
 #[test]
-fn a_call_without_an_answer_is_repaired() {
-    for fault in [RelayFault::LostAfter, RelayFault::LostBefore] {
+fn the_relay_is_corrected_after_an_unanswered_call() {
+    for fault in [RelayFault::AnswerLost, RelayFault::CallLost] {
         let mut fleet = SimulatedFleet::new(20, 8);
         fleet.fault = fault;
         (0..8).for_each(|n| fleet.join(n, true));
         fleet.run(100);
         fleet.fault = RelayFault::None;
         fleet.run(1_000);
-        fleet.check();
+        fleet.assert_invariants();
         assert_eq!(fleet.bindings.len(), 8);
         fleet.fault = fault;
         fleet.drain(2);
         fleet.run(300);
         fleet.fault = RelayFault::None;
         fleet.run(1_000);
-        assert!(fleet.users_of(2) == 0, "the drain is sent again");
-        fleet.check();
+        assert!(fleet.proxies_using(2) == 0, "the drain is sent again");
+        fleet.assert_invariants();
     }
 }
 
-/// The relay stops at a proxy that has left: the drains behind that update must not wait for the membership event.
+/// The relay stops a call at the update of a proxy that has left. A drain after that update must not wait for the proxy's
+/// membership event.
 #[test]
-fn updates_behind_a_rejected_one_are_sent() {
+fn updates_after_a_rejected_update_are_sent() {
     let mut fleet = SimulatedFleet::new(20, 8);
     (0..8).for_each(|n| fleet.join(n, true));
     fleet.run(2_000);
-    fleet.leave_unseen(5);
+    fleet.leave_without_event(5);
     fleet.send_joined(5, false);
     fleet.drain(1);
     fleet.run(200);
     assert!(
-        fleet.users_of(1) == 0 && fleet.stopped_calls == 1,
+        fleet.proxies_using(1) == 0 && fleet.partially_applied_calls == 1,
         "stopped {} times",
-        fleet.stopped_calls
+        fleet.partially_applied_calls
     );
     fleet.run(2_000);
     assert!(
-        fleet.stopped_calls <= 3,
-        "no loop: stopped {} times",
-        fleet.stopped_calls
+        fleet.partially_applied_calls <= 3,
+        "no retry loop: stopped {} times",
+        fleet.partially_applied_calls
     );
     fleet.leave(5);
     fleet.run(2_000);
-    fleet.check();
+    fleet.assert_invariants();
 }
 
-/// An answer with more updates than the call had, or to another call, says nothing of the call in flight.
+/// An answer that counts more updates than the call had, or that belongs to another call, is not taken as the result of
+/// the call in flight.
 #[test]
 fn malformed_answers_are_ignored() {
     let mut fleet = SimulatedFleet::new(20, 8);
@@ -130,28 +132,28 @@
     });
     fleet.fault = RelayFault::None;
     fleet.run(1_000);
-    fleet.check();
+    fleet.assert_invariants();
     assert!(fleet.controller.counters().calls_in_doubt > 0 && fleet.bindings.len() == 8);
 }
 
-/// Proxies that left, joined and joined again while no events arrived are found by the list at the start of the next watch.
+/// Proxies that left, joined or rejoined while no events arrived are found by the list at the start of the next watch.
 #[test]
 fn a_gap_in_the_membership_events_leaves_no_proxy_unbound() {
     let mut fleet = SimulatedFleet::new(20, 16);
     (0..12).for_each(|n| fleet.join(n, true));
     fleet.run(3_000);
-    fleet.leave_unseen(1);
-    fleet.rejoin_unseen(2);
-    fleet.rejoin_unseen(14);
+    fleet.leave_without_event(1);
+    fleet.rejoin_without_event(2);
+    fleet.rejoin_without_event(14);
     assert!(!fleet.bindings.contains_key(&ProxyId(2)));
     fleet.restart_membership_watch();
     fleet.run(2_500);
-    fleet.check();
+    fleet.assert_invariants();
     assert_eq!(fleet.controller.joined_proxies(), 12);
     assert!(fleet.bindings.contains_key(&ProxyId(2)) && fleet.bindings.contains_key(&ProxyId(14)));
 }
 
-/// The membership watch restarts often, and each time all proxies are bound again; meanwhile hosts drain and restart. The
+/// The membership watch restarts often, and all proxies are bound again each time, while hosts drain and restart. The
 /// message cap is kept.
 #[test]
 fn frequent_restarts_of_the_watch_stay_within_the_message_cap() {
@@ -166,13 +168,13 @@
         }
         fleet.restart_membership_watch();
         fleet.run(600);
-        fleet.check_message_cap();
+        fleet.assert_message_cap();
     }
 }
 
-/// A new registry may number its lists lower: its complete list counts all the same.
+/// A new registry may start at a lower generation; its complete list is applied nevertheless.
 #[test]
-fn a_complete_list_of_a_lower_generation_counts() {
+fn a_complete_list_of_a_lower_generation_is_applied() {
     let mut fleet = SimulatedFleet::new(20, 8);
     (0..8).for_each(|n| fleet.join(n, true));
     fleet.run(1_000);
@@ -180,10 +182,10 @@
     fleet.listed.remove("host-4");
     fleet.send_complete_list();
     fleet.run(1_500);
-    assert_eq!(fleet.users_of(4), 0);
+    assert_eq!(fleet.proxies_using(4), 0);
 }
 
-/// Ids of hosts are new after each release: the old ones must not use memory for ever.
+/// Each release gives the hosts new ids. The old ids must not use memory forever.
 #[test]
 fn removed_hosts_are_forgotten() {
     let mut fleet = SimulatedFleet::new(20, 16);
@@ -196,7 +198,7 @@
             fleet.run(600);
         }
         fleet.run(45_000);
-        fleet.check();
+        fleet.assert_invariants();
         max_known = max_known.max(fleet.controller.status().known_hosts);
         assert!(
             fleet.table_memberships() <= 250,
@@ -207,9 +209,9 @@
     assert!(max_known <= 40, "{max_known} hosts are known");
 }
 
-/// Reports with unknown hosts, proxies, classes and zones store nothing.
+/// Reports that name unknown hosts, proxies, classes or zones are counted as malformed, and nothing of them is stored.
 #[test]
-fn unknown_names_store_nothing() {
+fn reports_with_unknown_names_are_not_stored() {
     let mut fleet = SimulatedFleet::new(5, 4);
     fleet.join(0, true);
     fleet.run(1_000);
@@ -247,8 +249,8 @@
 enum Step {
     Join(u16, bool),
     Leave(u16),
-    LeaveUnseen(u16),
-    RejoinUnseen(u16),
+    LeaveWithoutEvent(u16),
+    RejoinWithoutEvent(u16),
     Drain(usize),
     Remove(usize),
     Restart(usize),
@@ -262,15 +264,15 @@
     let fault = prop_oneof![
         4 => Just(RelayFault::None),
         1 => Just(RelayFault::Busy),
-        1 => Just(RelayFault::LostAfter),
-        1 => Just(RelayFault::LostBefore),
+        1 => Just(RelayFault::AnswerLost),
+        1 => Just(RelayFault::CallLost),
         1 => Just(RelayFault::MalformedAnswer),
     ];
     prop_oneof![
         4 => (0..16u16, any::<bool>()).prop_map(|(n, fresh)| Step::Join(n, fresh)),
         1 => (0..16u16).prop_map(Step::Leave),
-        1 => (0..16u16).prop_map(Step::LeaveUnseen),
-        1 => (0..16u16).prop_map(Step::RejoinUnseen),
+        1 => (0..16u16).prop_map(Step::LeaveWithoutEvent),
+        1 => (0..16u16).prop_map(Step::RejoinWithoutEvent),
         1 => (0..20usize).prop_map(Step::Drain),
         1 => (0..20usize).prop_map(Step::Remove),
         2 => (0..20usize).prop_map(Step::Restart),
@@ -284,16 +286,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Without a message cap: a cap can leave too few messages for the worst sequences.
+    /// Runs without a message cap, which may allow too few messages to restore the invariants in time after the worst
+    /// sequences.
     #[test]
-    fn rules_hold_under_any_faults(steps in prop::collection::vec(step(), 1..40)) {
+    fn invariants_hold_under_any_faults(steps in prop::collection::vec(step(), 1..40)) {
         let mut fleet = SimulatedFleet::with_message_cap(20, 16, 0);
         for step in &steps {
             run_step(&mut fleet, step);
-            fleet.check();
+            fleet.assert_invariants();
         }
         fleet.run(GRACE_PERIOD.micros() / 1_000 + 2_000);
-        fleet.check();
+        fleet.assert_invariants();
     }
 
     #[test]
@@ -302,7 +305,7 @@
         for step in &steps {
             run_step(&mut fleet, step);
             fleet.run(1_000);
-            fleet.check_message_cap();
+            fleet.assert_message_cap();
         }
     }
 }
@@ -311,19 +314,19 @@
     match *step {
         Step::Join(n, fresh) => fleet.join(n, fresh),
         Step::Leave(n) => fleet.leave(n),
-        Step::LeaveUnseen(n) => {
-            fleet.leave_unseen(n);
+        Step::LeaveWithoutEvent(n) => {
+            fleet.leave_without_event(n);
             fleet.restart_membership_watch();
         }
-        Step::RejoinUnseen(n) => {
-            fleet.rejoin_unseen(n);
+        Step::RejoinWithoutEvent(n) => {
+            fleet.rejoin_without_event(n);
             fleet.restart_membership_watch();
         }
         Step::Drain(n) => fleet.drain(n),
         Step::Remove(n) => fleet.remove(n),
         Step::Restart(n) => fleet.restart(n),
         Step::RestartWatch => fleet.restart_membership_watch(),
-        // No fault lasts: the rules' grace periods begin after it.
+        // Each fault ends after 400 ms, and the invariants' grace periods start at its end.
         Step::InjectFault(fault) => {
             fleet.fault = fault;
             fleet.run(400);
@@ -335,10 +338,10 @@
     }
 }
 
-/// Hosts' starts are listed by the wall clock: one set back made a host that had just started look warm, one set forward kept
-/// it cold for as long.
+/// Host start times are listed by the wall clock. A clock that was set back made a host that had just started look warm,
+/// and a clock that was set forward extended a host's slow start by the size of the step.
 #[test]
-fn a_stepped_wall_clock_hides_no_slow_start() {
+fn a_stepped_wall_clock_does_not_change_slow_start() {
     const STEP_MICROS: u64 = 120_000_000;
     for is_ahead in [false, true] {
         let mut fleet = SimulatedFleet::new(20, 8);
@@ -352,9 +355,15 @@
         fleet.restart_by_wall_clock(3, wall);
         fleet.run(1_500);
         let weight = fleet.largest_weight_of(3);
-        assert!(weight < 0.5, "it has {weight}, ahead: {is_ahead}");
+        assert!(
+            weight < 0.5,
+            "weight is {weight} right after the start, clock ahead: {is_ahead}"
+        );
         fleet.run(30_000);
         let weight = fleet.largest_weight_of(3);
-        assert!(weight > 0.4, "it still has {weight}, ahead: {is_ahead}");
+        assert!(
+            weight > 0.4,
+            "weight is still {weight} after slow start, clock ahead: {is_ahead}"
+        );
     }
 }
