--- a/crates/platform/src/client_session.rs
+++ b/crates/platform/src/client_session.rs
@@ -1,4 +1,4 @@
-//! One connection to the controller's own address, from its start to its end.
+//! The session of one client that has connected to the controller's own address.
 
 use crate::dial::disable_nagle;
 use crate::events::{ClientEvent, CloseReason, EventSender, TaskEvent};
@@ -15,22 +15,23 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::FramedRead;
 
-/// A client that has not identified itself by then is closed.
+/// Time after which a client is closed if it has not identified itself.
 const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The same while part of a message is there: where bytes arrive one at a time, a collector takes longer to identify
-/// itself, and was closed each time. All are owed a close within 3 s.
+/// The same if part of a message has arrived: a collector whose bytes arrive one at a time takes longer to identify
+/// itself, and was closed each time. Every unidentified client must be closed within 3 s.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of a message of a client that is not identified.
+/// Maximum size of a message from an unidentified client, in bytes.
 const MAX_UNIDENTIFIED_BYTES: usize = 1024;
-/// Bytes of a collector's message: a report takes some 300.
+/// Maximum size of a collector's message, in bytes; a report has about 300.
 const MAX_COLLECTOR_BYTES: usize = 16 * 1024;
-/// Bytes that the read buffer starts with.
+/// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 1024;
-/// Malformed messages, one after another, after which a collector is of no further use.
-const MAX_MALFORMED_MESSAGES: u32 = 200;
+/// Maximum number of consecutive malformed messages before a collector is closed.
+const MAX_CONSECUTIVE_MALFORMED: u32 = 200;
 
-/// Serves a connection to its end. `joined` tells when the program has accepted the client as a collector.
+/// Serves a client until its connection ends. `joined` becomes true when the program has accepted the client as a
+/// collector.
 pub(crate) async fn run(
     mut stream: TcpStream,
     client: u64,
@@ -52,7 +53,7 @@
         accepted_at,
         identify_by: accepted_at + IDENTIFY_TIMEOUT,
         identified: false,
-        malformed_in_a_row: 0,
+        consecutive_malformed: 0,
     };
     let Err(reason) = session.serve().await;
     reason
@@ -66,9 +67,9 @@
     events: &'a EventSender,
     accepted_at: Instant,
     identify_by: Instant,
-    /// Whether the client has said that it is a collector.
+    /// Whether the client has identified itself as a collector.
     identified: bool,
-    malformed_in_a_row: u32,
+    consecutive_malformed: u32,
 }
 
 impl ClientSession<'_> {
@@ -79,13 +80,13 @@
         }
     }
 
-    /// The words of the next message.
+    /// Returns the words of the next message.
     async fn next_words(&mut self) -> Result<Vec<String>, CloseReason> {
         loop {
             let received = if self.identified {
                 Some(self.messages.next().await)
             } else if Instant::now() >= self.identify_by {
-                // The limit counts even if a message is there: a client that pinged without end was never closed.
+                // The limit applies even if a message is ready: a client that sent pings continuously was never closed.
                 None
             } else {
                 timeout_at(self.identify_by, self.messages.next())
@@ -97,7 +98,7 @@
                 Some(Some(Err(FrameError::Io(_)))) => return Err(CloseReason::Broken),
                 Some(Some(Err(_))) => return Err(self.refuse(CloseReason::Unreadable).await),
                 Some(None) => return Err(CloseReason::Closed),
-                None if self.may_complete_message() => {
+                None if self.message_may_complete() => {
                     self.identify_by = self.accepted_at + PARTIAL_MESSAGE_TIMEOUT;
                 }
                 None => return Err(self.refuse(CloseReason::NeverIdentified).await),
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Whether part of a message is there that still has time to arrive.
-    fn may_complete_message(&self) -> bool {
+    /// Returns whether part of a message has arrived whose rest may still arrive in time.
+    fn message_may_complete(&self) -> bool {
         self.identify_by < self.accepted_at + PARTIAL_MESSAGE_TIMEOUT
             && !self.messages.read_buffer().is_empty()
     }
@@ -136,11 +137,11 @@
 
     async fn send(&mut self, event: ClientEvent) -> Result<(), CloseReason> {
         if matches!(event, ClientEvent::Malformed(_)) {
-            self.malformed_in_a_row += 1;
+            self.consecutive_malformed += 1;
         } else {
-            self.malformed_in_a_row = 0;
+            self.consecutive_malformed = 0;
         }
-        if self.malformed_in_a_row > MAX_MALFORMED_MESSAGES {
+        if self.consecutive_malformed > MAX_CONSECUTIVE_MALFORMED {
             return Err(CloseReason::Unreadable);
         }
         let client = self.client;
@@ -150,7 +151,8 @@
             .map_err(|_| CloseReason::Unreadable)
     }
 
-    /// Nothing more is read of a collector whose zone is not confirmed: the program closes it if the zone is unknown.
+    /// Waits until the program has accepted the collector's zone; it closes the connection if the zone is unknown. No
+    /// message is read meanwhile.
     async fn wait_until_joined(&mut self) -> Result<(), CloseReason> {
         match self.joined.wait_for(|joined| *joined).await {
             Ok(_) => Ok(()),
@@ -158,10 +160,10 @@
         }
     }
 
-    /// Tells a client that is not identified that it is refused; nothing is ever written to a collector.
+    /// Tells an unidentified client that it is refused. Nothing but pongs is ever written to a collector.
     async fn refuse(&mut self, reason: CloseReason) -> CloseReason {
         if !self.identified {
-            // If this can't be written, the close that follows says the same.
+            // If the write fails, the client still notices the close that follows.
             self.write(&["refused"]).await.ok();
         }
         reason
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,8 +1,8 @@
-//! The connections to the controller's own address: collectors, clients that ping, and connections that are not
-//! identified.
+//! The connections to the controller's own address: collectors, clients that send pings, and connections that have not
+//! identified themselves yet.
 
 use crate::client_session;
-use crate::events::{ClientEvent, CloseReason, EventSender, TaskEvent, send_unless_ending};
+use crate::events::{ClientEvent, CloseReason, EventSender, TaskEvent, send_unless_shutting_down};
 use pondarch_controller::ZoneId;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 use tokio::time::Instant;
 use tokio_util::task::AbortOnDropHandle;
 
-/// An unidentified connection is not evicted sooner: its first message may be on its way, and be a collector's.
+/// Minimum age of an unidentified connection before it may be evicted: its first message may be in transit, and may
+/// identify a collector.
 const MIN_UNIDENTIFIED_TIME: Duration = Duration::from_millis(100);
-/// Collectors of one zone: one that reconnects replaces its silent former connection, and another client that uses a
-/// zone's name does not evict the true collector.
+/// Maximum number of collectors per zone. More than one is allowed so that a collector can reconnect while its old
+/// connection is still open, and so that another client that uses a zone's name does not evict the real collector.
 const MAX_COLLECTORS_PER_ZONE: usize = 3;
 
-/// The open connections, each with its task.
+/// The open connections and their tasks.
 pub(crate) struct Clients {
     events: EventSender,
     max_open: usize,
     last_id: u64,
     open: BTreeMap<u64, Client>,
-    /// Closed connections by reason, for the log.
+    /// The number of closed connections by reason, for the log.
     closed: BTreeMap<CloseReason, u64>,
 }
 
 struct Client {
     accepted_at: Instant,
-    /// The zone of a collector; none: the connection is not identified.
+    /// The zone of a collector; `None` while the connection is unidentified.
     zone: Option<ZoneId>,
     /// Tells the task that the client has been accepted as a collector.
     joined: watch::Sender<bool>,
@@ -47,19 +48,19 @@
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(crate) fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Closed connections by reason.
+    /// Returns the number of closed connections by reason.
     pub(crate) fn closed(&self) -> &BTreeMap<CloseReason, u64> {
         &self.closed
     }
 
-    /// From when on one more connection is accepted; none: now. Hundreds that arrived at once evicted a collector whose
-    /// name was not read yet.
-    pub(crate) fn capacity_from(&self) -> Option<Instant> {
+    /// Returns when one more connection may be accepted, or `None` if it may be accepted now. Without this delay,
+    /// hundreds of connections that arrived at once evicted a collector whose first message was not read yet.
+    pub(crate) fn capacity_available_at(&self) -> Option<Instant> {
         if self.open.len() < self.max_open {
             return None;
         }
@@ -67,7 +68,7 @@
             .map(|(_, client)| client.accepted_at + MIN_UNIDENTIFIED_TIME)
     }
 
-    /// Accepts a connection; without capacity, the oldest unidentified connection is evicted.
+    /// Accepts a connection. At the limit, the oldest unidentified connection is evicted.
     pub(crate) fn accept(&mut self, stream: TcpStream) {
         if self.open.len() >= self.max_open {
             let Some(oldest) = self.oldest_unidentified().map(|(id, _)| id) else {
@@ -82,7 +83,7 @@
         let task = tokio::spawn(async move {
             let reason = client_session::run(stream, client, joined_receiver, &events).await;
             let event = ClientEvent::Closed(reason);
-            send_unless_ending(&events, TaskEvent::Client { client, event }).await;
+            send_unless_shutting_down(&events, TaskEvent::Client { client, event }).await;
         });
         self.open.insert(
             client,
@@ -102,7 +103,8 @@
             .map(|(id, client)| (*id, client))
     }
 
-    /// A client named its zone; none: there is no such zone.
+    /// Accepts a client as the collector of its zone, or closes it if the zone is unknown (`None`). If the zone has too
+    /// many collectors, the oldest ones are evicted.
     pub(crate) fn join(&mut self, id: u64, zone: Option<ZoneId>) {
         let Some(zone) = zone else {
             return self.close(id, CloseReason::NotACollector);
@@ -111,7 +113,7 @@
             return;
         };
         client.zone = Some(zone);
-        // The task may just have ended; then its last event is on its way, and nothing waits for this.
+        // This fails only if the task has just ended; the event for that is already queued.
         client.joined.send(true).ok();
         let in_zone: Vec<u64> = self
             .open
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: the environment, the file that it names, and the file's reload.
+//! The configuration: the environment, the file that it names, and the reload of that file.
 
 use crate::error::{ConfigFileError, PlatformError};
 use pondarch_platform_protocol::config::{
@@ -9,17 +9,17 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Between two attempts to read a configuration that could not be read.
+/// Delay between two attempts to reload an unreadable or invalid configuration file.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The configuration file, and the values of the environment for what it lacks.
+/// The configuration file, and the values from the environment for keys that it does not set.
 pub(crate) struct ConfigFile {
     path: PathBuf,
     defaults: EnvironmentDefaults,
 }
 
 impl ConfigFile {
-    /// The file that the environment names.
+    /// Returns the file that the environment names.
     pub(crate) fn from_environment() -> Result<ConfigFile, PlatformError> {
         let variable = |name| std::env::var(name).ok().filter(|value| !value.is_empty());
         let path = variable("RELAY_CONFIG").ok_or(PlatformError::NoConfig)?;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The reload of the upstreams' addresses after SIGHUP, which is repeated until the file can be read.
+/// The reload of the upstreams' addresses after SIGHUP, which is retried until the file is valid.
 pub(crate) struct Reload {
     file: ConfigFile,
     due_at: Option<Instant>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When the file is to be read; none: no reload was requested.
+    /// Returns when to read the file, or `None` if no reload is pending.
     pub(crate) fn due_at(&self) -> Option<Instant> {
         self.due_at
     }
@@ -76,7 +76,7 @@
         self.failure_logged = false;
     }
 
-    /// Reads the upstreams' addresses. If that fails, it is logged once and repeated later.
+    /// Reads the upstreams' addresses. A failure is logged once per requested reload and retried after a delay.
     pub(crate) fn read(&mut self) -> Option<UpstreamAddresses> {
         match self.file.read_upstreams() {
             Ok(upstreams) => {
--- a/crates/platform/src/dial.rs
+++ b/crates/platform/src/dial.rs
@@ -1,4 +1,4 @@
-//! Dialling the relay and the registry, and reading the relay's lines.
+//! Connects to the relay and the registry, and reads the relay's lines.
 
 use crate::error::ConnectionError;
 use futures_util::StreamExt;
@@ -10,12 +10,13 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, LinesCodec};
 
-/// A connection is established within this time or never: all upstreams are near.
+/// Maximum time to establish a connection. All upstreams are close by, so a connection that takes longer is not
+/// established at all.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Between two attempts to dial.
+/// Delay between two attempts to connect.
 pub(crate) const DIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Dials an upstream.
+/// Connects to an upstream.
 pub(crate) async fn dial(address: SocketAddr) -> Result<TcpStream, ConnectionError> {
     let stream = timeout(DIAL_TIMEOUT, TcpStream::connect(address))
         .await
@@ -24,7 +25,8 @@
     Ok(stream)
 }
 
-/// Sends small messages at once. Where the system can't, they are only late, so an error is dropped.
+/// Disables Nagle's algorithm, so that small messages are sent at once. An error is ignored, since without this the
+/// messages are only delayed.
 pub(crate) fn disable_nagle(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
 }
@@ -40,7 +42,7 @@
         ))
     }
 
-    /// The next line. Nothing is lost if this is dropped before it ends.
+    /// Returns the next line. This is cancel-safe: no data is lost if the future is dropped.
     pub(crate) async fn next(&mut self) -> Result<String, ConnectionError> {
         match self.0.next().await {
             Some(line) => Ok(line?),
--- a/crates/platform/src/dispatch.rs
+++ b/crates/platform/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The tasks' events to the controller's inputs, and the controller's outputs to the tasks.
+//! Passes the tasks' events to the controller and the controller's outputs to the tasks.
 
 use crate::events::{ClientEvent, DisconnectReason, TaskEvent, UpstreamEvent};
 use crate::program::Program;
@@ -8,8 +8,8 @@
 use tracing::{info, warn};
 
 impl Program {
-    /// Does what the controller wants done, until nothing is left.
-    pub(crate) fn carry_out(&mut self) {
+    /// Executes the controller's outputs until there are none left, and logs the hosts' phase transitions.
+    pub(crate) fn execute_outputs(&mut self) {
         while let Some(output) = self.controller.next_output(self.clock.now()) {
             match output {
                 Output::Call { call, line } => self.send_call(Call { number: call, line }),
@@ -23,14 +23,14 @@
 
     fn send_call(&mut self, call: Call) {
         if let Err(call) = self.upstreams.call(call) {
-            self.input(Input::CallEnded {
+            self.handle_input(Input::CallEnded {
                 call: call.number,
                 outcome: CallOutcome::Rejected,
             });
         }
     }
 
-    pub(crate) fn input(&mut self, input: Input) {
+    pub(crate) fn handle_input(&mut self, input: Input) {
         self.controller.handle(self.clock.now(), input);
     }
 
@@ -45,7 +45,7 @@
                 host,
                 healthy,
                 load,
-            } => self.input(Input::HealthChecked {
+            } => self.handle_input(Input::HealthChecked {
                 host,
                 healthy,
                 load,
@@ -65,19 +65,19 @@
                         "endpoint list applied"
                     );
                 });
-                self.input(Input::WallClock(self.clock.wall()));
-                self.input(Input::EndpointList(list));
+                self.handle_input(Input::WallClock(self.clock.wall()));
+                self.handle_input(Input::EndpointList(list));
             }
             UpstreamEvent::EndpointWatchFailed(error) => {
                 self.log_limit
                     .log(|| warn!(%error, "registry watch failed"));
-                self.input(Input::EndpointListFailed);
+                self.handle_input(Input::EndpointListFailed);
             }
             UpstreamEvent::MembershipWatchStarted => {
                 self.log_limit.log(|| info!("membership watch started"));
-                self.input(Input::MembershipWatchStarted);
+                self.handle_input(Input::MembershipWatchStarted);
             }
-            UpstreamEvent::Membership(event) => self.input(Input::Membership(event)),
+            UpstreamEvent::Membership(event) => self.handle_input(Input::Membership(event)),
             UpstreamEvent::MembershipWatchFailed(error) => self
                 .log_limit
                 .log(|| warn!(%error, "membership watch failed")),
@@ -92,7 +92,7 @@
                     self.log_limit
                         .log(|| warn!(call, %error, "update call failed"));
                 }
-                self.input(Input::CallEnded { call, outcome });
+                self.handle_input(Input::CallEnded { call, outcome });
             }
         }
     }
@@ -106,15 +106,15 @@
         self.on_reachability_changed();
     }
 
-    /// A connection for calls was established, ended or dropped.
+    /// Handles that a connection for update calls was established, ended or dropped.
     fn on_reachability_changed(&mut self) {
         let reachable = self.upstreams.can_call();
-        // That a connection was renewed because it was idle is not logged.
+        // The replacement of an idle connection is not logged.
         if reachable && self.relay_connection_failed {
             self.relay_connection_failed = false;
             self.log_limit.log(|| info!("relay connection established"));
         }
-        self.input(Input::RelayReachability { reachable });
+        self.handle_input(Input::RelayReachability { reachable });
     }
 
     fn on_client_event(&mut self, client: u64, event: ClientEvent) {
@@ -127,8 +127,8 @@
                 }
                 self.clients.join(client, known);
             }
-            ClientEvent::Report(message) => self.input(Input::Report(message)),
-            ClientEvent::Malformed(reason) => self.input(Input::MalformedReport(reason)),
+            ClientEvent::Report(message) => self.handle_input(Input::Report(message)),
+            ClientEvent::Malformed(reason) => self.handle_input(Input::MalformedReport(reason)),
             ClientEvent::Closed(reason) => self.clients.close(client, reason),
         }
     }
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the registry: the complete endpoint list once from each address, then its changes.
+//! The watch of the registry: fetches the complete endpoint list once from each address, then follows its changes.
 
 use crate::dial::{DIAL_RETRY_DELAY, dial};
 use crate::error::ConnectionError;
@@ -12,42 +12,46 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The registry sends an empty line every 2 s. A change counts as announced 6 s later: silence is noticed well within
-/// that.
+/// Maximum time without data. The registry sends an empty line every 2 s. A change counts as announced 6 s after it was
+/// made, so a silent connection must be noticed well within that time.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// From a line's first byte to its end. Bytes that arrive one by one are signs of life, and delayed the changes of an
-/// incomplete line for as long as they arrived; with a new connection, this too is within the 6 s.
+/// Maximum time from a line's first byte to its end. Bytes that arrive one by one keep the connection from being
+/// silent, and delayed the changes in an incomplete line for as long as they kept arriving. Together with the time to
+/// reconnect, this limit is within the 6 s.
 const LINE_TIMEOUT: Duration = Duration::from_millis(4_000);
-const PATH: &str = "/registry/instances";
+const ENDPOINTS_PATH: &str = "/registry/instances";
 
-/// The task that watches one registry.
+/// The task that watches the endpoint list of one registry.
 pub(crate) struct EndpointWatch {
     pub(crate) registry: SocketAddr,
-    /// The generation of the list that is known already from this address. None: the complete list is requested first,
-    /// since a new address may number its lists otherwise.
+    /// The generation of the known list from this address. If it is `None`, the complete list is fetched first, since a
+    /// registry at a new address may number its lists differently.
     pub(crate) generation: Option<u64>,
     pub(crate) events: UpstreamEvents,
 }
 
 impl EndpointWatch {
-    /// Watches the registry, and dials again when the connection ends.
+    /// Watches the registry, and reconnects when the connection ends.
     pub(crate) async fn run(mut self) {
         loop {
             let Err(error) = self.watch().await;
             self.events
-                .send_unless_ending(UpstreamEvent::EndpointWatchFailed(error))
+                .send_unless_shutting_down(UpstreamEvent::EndpointWatchFailed(error))
                 .await;
             sleep(DIAL_RETRY_DELAY).await;
         }
     }
 
-    /// Watches on one connection until it ends.
+    /// Watches the changes on one connection until it ends.
     async fn watch(&mut self) -> Result<Infallible, ConnectionError> {
         if self.generation.is_none() {
             self.fetch_complete_list().await?;
         }
-        let path = format!("{PATH}?follow=1&since={}", self.generation.unwrap_or(0));
+        let path = format!(
+            "{ENDPOINTS_PATH}?follow=1&since={}",
+            self.generation.unwrap_or(0)
+        );
         let request = async {
             let stream = dial(self.registry).await?;
             let response = start_get(stream, self.registry, &path, ConnectionOption::KeepAlive);
@@ -78,11 +82,14 @@
     }
 
     async fn fetch_complete_list(&mut self) -> Result<(), ConnectionError> {
-        let answer = timeout(ANSWER_TIMEOUT, get(self.registry, PATH, MAX_LIST_BYTES))
-            .await
-            .ok()
-            .flatten()
-            .ok_or(ConnectionError::NoCompleteList)?;
+        let answer = timeout(
+            ANSWER_TIMEOUT,
+            get(self.registry, ENDPOINTS_PATH, MAX_LIST_BYTES),
+        )
+        .await
+        .ok()
+        .flatten()
+        .ok_or(ConnectionError::NoCompleteList)?;
         let mut list = registry::parse(&answer.body)?;
         list.complete = true;
         self.send_list(list).await;
@@ -96,8 +103,8 @@
         let list = registry::parse(line)?;
         let outdated = self.generation.is_some_and(|known| list.generation < known);
         if outdated && !list.complete {
-            // The registry numbers otherwise than before, or we have missed something: without the complete list all
-            // changes would be ignored as old.
+            // The registry numbers its lists differently than before, or changes were missed. The complete list is
+            // needed, since all further changes would be ignored as outdated.
             self.generation = None;
             return Err(ConnectionError::OutdatedChanges);
         }
@@ -108,16 +115,16 @@
     async fn send_list(&mut self, list: RegistryList) {
         self.generation = Some(list.generation);
         self.events
-            .send_unless_ending(UpstreamEvent::EndpointList(list))
+            .send_unless_shutting_down(UpstreamEvent::EndpointList(list))
             .await;
     }
 }
 
-/// The bytes of a watch, cut into lines.
+/// Splits the bytes of a watch into lines.
 #[derive(Default)]
 struct LineBuffer {
     bytes: BytesMut,
-    /// Bytes that are known to hold no line end.
+    /// The number of bytes at the start of the buffer that are known to contain no line end.
     scanned: usize,
     /// When the first byte of an incomplete line arrived.
     line_started: Option<Instant>,
@@ -155,7 +162,7 @@
         Ok(())
     }
 
-    /// When the next bytes are due at the latest.
+    /// Returns the latest time at which the next bytes must arrive.
     fn deadline(&self) -> Instant {
         let silent = Instant::now() + SILENCE_TIMEOUT;
         self.line_started
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -9,39 +9,39 @@
 use thiserror::Error;
 use tokio_util::codec::LinesCodecError;
 
-/// Why the program can't start.
+/// Why the program cannot start.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum PlatformError {
-    /// The environment doesn't name the configuration file.
+    /// The environment does not name the configuration file.
     #[error("RELAY_CONFIG is not set")]
     NoConfig,
-    /// The configuration can't be read.
+    /// The configuration file is unreadable or invalid.
     #[error("{}: {source}", path.display())]
     Config {
         /// The configuration file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The reason.
         source: ConfigFileError,
     },
-    /// The program can't listen at its address.
-    #[error("cannot listen at {address}: {source}")]
+    /// The program cannot listen on its address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The program can't receive signals.
-    #[error("cannot follow signals: {0}")]
+    /// The program cannot register its signal handlers.
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
 }
 
-/// Why the configuration file can't be read.
+/// Why the configuration file is unreadable or invalid.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ConfigFileError {
-    /// The system can't read the file.
+    /// The operating system cannot read the file.
     #[error(transparent)]
     Read(#[from] io::Error),
     /// The file's content is invalid.
@@ -49,22 +49,22 @@
     Content(#[from] ConfigError),
 }
 
-/// Why there is no connection to an upstream, or why it is of no further use.
+/// Why a connection to an upstream could not be established or is no longer used.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectionError {
-    /// It was not established in time.
-    #[error("never came up")]
+    /// The connection was not established in time.
+    #[error("connection timed out")]
     DialTimeout,
-    /// The system's error.
+    /// The operating system reported an error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The registry's answer is no HTTP, or has another status.
+    /// The registry's answer is not valid HTTP or has an unexpected status.
     #[error(transparent)]
     Request(#[from] GetError),
-    /// The registry's answer ended with an error.
+    /// The body of the registry's answer ended with an error.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// A line of the relay is too long or no text.
+    /// A line of the relay is too long or is not valid UTF-8.
     #[error(transparent)]
     Line(#[from] LinesCodecError),
     /// The registry sent an invalid endpoint list.
@@ -76,26 +76,26 @@
     /// The registry closed the connection.
     #[error("closed by the registry")]
     ClosedByRegistry,
-    /// There was no answer in time.
-    #[error("no answer")]
+    /// The upstream did not answer in time.
+    #[error("timed out waiting for an answer")]
     AnswerTimeout,
-    /// There was no sign of life in time.
-    #[error("silent")]
+    /// The upstream did not send the expected data in time.
+    #[error("timed out waiting for data")]
     Silent,
-    /// The registry gave no complete endpoint list in time.
+    /// The registry did not return a complete endpoint list in time.
     #[error("no complete list")]
     NoCompleteList,
-    /// The registry sent changes that are older than the list.
-    #[error("changes older than the list")]
+    /// The registry sent changes that are older than the known endpoint list.
+    #[error("changes are older than the known list")]
     OutdatedChanges,
-    /// A line of the registry has more bytes than are allowed.
-    #[error("a line without end")]
+    /// A line of the registry exceeds the size limit.
+    #[error("line exceeds the size limit")]
     LineTooLong,
     /// The relay sent a line while no call was in flight.
     #[error("a line that answers no call")]
     UnsolicitedLine,
     /// The relay's answer to a call is malformed.
-    #[error("an answer that cannot be read")]
+    #[error("malformed answer")]
     MalformedAnswer,
     /// The relay sent a malformed membership event.
     #[error("an event that cannot be read")]
@@ -103,7 +103,7 @@
     /// The relay rejected a request, with this error object.
     #[error("{0}")]
     Rejected(String),
-    /// The program is ending.
+    /// The program is shutting down.
     #[error("the controller ends")]
-    ProgramEnds,
+    ShuttingDown,
 }
--- a/crates/platform/src/events.rs
+++ b/crates/platform/src/events.rs
@@ -1,4 +1,4 @@
-//! What the program's tasks send to its event loop.
+//! The events that tasks send to the event loop.
 
 use crate::error::ConnectionError;
 use pondarch_controller::{HostId, HostLoad};
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// An event of a task.
+/// An event from a task.
 #[derive(Debug)]
 pub(crate) enum TaskEvent {
-    /// From a connection to the registry or the relay.
+    /// An event from a connection to the registry or the relay.
     Upstream {
         /// The revision of the upstreams' addresses that the connection belongs to.
         revision: u64,
@@ -24,11 +24,11 @@
         healthy: bool,
         load: Option<HostLoad>,
     },
-    /// From a connection to the controller's own address.
+    /// An event from a connection to the controller's own address.
     Client { client: u64, event: ClientEvent },
 }
 
-/// An event of a connection to the registry or the relay.
+/// An event from a connection to the registry or the relay.
 #[derive(Debug)]
 pub(crate) enum UpstreamEvent {
     EndpointList(RegistryList),
@@ -36,30 +36,31 @@
     MembershipWatchStarted,
     Membership(MembershipEvent),
     MembershipWatchFailed(ConnectionError),
-    /// The connection for calls is established.
+    /// The connection for update calls is established.
     CallsConnected,
-    /// The connection for calls ended.
+    /// The connection for update calls ended or could not be established.
     CallsDisconnected(DisconnectReason),
     CallEnded {
         call: u64,
         outcome: CallOutcome,
-        /// Why not all of it was surely applied; none if the relay answered so.
+        /// Why the call was rejected or is in doubt. `None` if the relay applied it in whole or in part, or if it was
+        /// rejected because an idle connection was being replaced.
         error: Option<Arc<ConnectionError>>,
     },
 }
 
-/// Why a connection for calls ended.
+/// Why a connection for update calls ended.
 #[derive(Clone, Debug)]
 pub(crate) enum DisconnectReason {
-    /// It was idle and is renewed.
+    /// The connection was idle, and is replaced by a new one.
     Idle,
     Failed(Arc<ConnectionError>),
 }
 
-/// An event of a connection to the controller's own address.
+/// An event from a connection to the controller's own address.
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
-    /// The client is a collector of this zone.
+    /// The client identified itself as a collector of this zone.
     Identified {
         zone: String,
     },
@@ -71,29 +72,29 @@
 /// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CloseReason {
-    /// The client closed it.
+    /// The client closed the connection.
     Closed,
     /// The connection failed.
     Broken,
-    /// The client sent what can't be read, or too many malformed messages.
+    /// The client sent an invalid frame, or too many malformed messages in a row.
     Unreadable,
-    /// The client is no collector of a known zone.
+    /// The client is not a collector of a known zone.
     NotACollector,
     /// The client did not identify itself in time.
     NeverIdentified,
-    /// Another client needed its place.
+    /// The connection was closed in favor of another client's.
     Evicted,
 }
 
-/// Where the tasks' events go.
+/// The sender for the tasks' events.
 pub(crate) type EventSender = mpsc::Sender<TaskEvent>;
 
-/// Sends an event. If the program is ending, nothing needs the event any more, and it is dropped.
-pub(crate) async fn send_unless_ending(sender: &EventSender, event: TaskEvent) {
+/// Sends an event. While the program is shutting down, the event is no longer needed and is dropped.
+pub(crate) async fn send_unless_shutting_down(sender: &EventSender, event: TaskEvent) {
     sender.send(event).await.ok();
 }
 
-/// Where a connection to an upstream sends its events.
+/// The sender for the events of one connection to an upstream.
 #[derive(Clone)]
 pub(crate) struct UpstreamEvents {
     pub(crate) sender: EventSender,
@@ -102,20 +103,20 @@
 }
 
 impl UpstreamEvents {
-    /// Sends an event; fails if the program is ending.
+    /// Sends an event. Fails while the program is shutting down.
     pub(crate) async fn send(&self, event: UpstreamEvent) -> Result<(), ConnectionError> {
         self.sender
-            .send(self.tag(event))
+            .send(self.with_revision(event))
             .await
-            .map_err(|_| ConnectionError::ProgramEnds)
+            .map_err(|_| ConnectionError::ShuttingDown)
     }
 
-    /// Sends an event, or drops it if the program is ending.
-    pub(crate) async fn send_unless_ending(&self, event: UpstreamEvent) {
-        send_unless_ending(&self.sender, self.tag(event)).await;
+    /// Sends an event. While the program is shutting down, the event is dropped.
+    pub(crate) async fn send_unless_shutting_down(&self, event: UpstreamEvent) {
+        send_unless_shutting_down(&self.sender, self.with_revision(event)).await;
     }
 
-    fn tag(&self, event: UpstreamEvent) -> TaskEvent {
+    fn with_revision(&self, event: UpstreamEvent) -> TaskEvent {
         TaskEvent::Upstream {
             revision: self.revision,
             event,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,17 +1,18 @@
-//! A controller on the platform: sockets, signals and files around `pondarch-platform-core`, on one thread.
+//! The program of a controller on the platform: the I/O around the state machine of `pondarch-platform-core`, with the
+//! event loop and all of its tasks on one thread.
 //!
-//! - `program`: start-up, the event loop, and the end.
-//! - `dispatch`: events of the tasks to the controller's inputs, the controller's outputs to the tasks.
+//! - `program`: start-up, the event loop and shutdown.
+//! - `dispatch`: passes the tasks' events to the controller and the controller's outputs to the tasks.
 //! - `configuration`: the environment, the configuration file and its reload.
-//! - `listener`, `signals`: the listening socket and the signals.
-//! - `upstreams`: the connections to registry and relay, and their move to new addresses.
-//! - `update_calls`, `membership_watch`, `endpoint_watch`: one such connection each, as a task that dials again.
-//! - `dial`: dialling, and the relay's lines.
-//! - `clients`, `client_session`: the connections to the controller's own address, and one of them.
+//! - `listener`, `signals`: the listening socket and the signal handlers.
+//! - `upstreams`: the connections to the registry and the relay, and their replacement when an address changes.
+//! - `update_calls`, `membership_watch`, `endpoint_watch`: the tasks that each maintain one of these connections.
+//! - `dial`: connecting to an upstream, and reading the relay's lines.
+//! - `clients`, `client_session`: the connections to the controller's own address, and the session of one of them.
 //! - `health_checks`: health checks of hosts.
-//! - `events`: what all of these tasks send to the program.
-//! - `error`: why a connection ended, and why the program did.
-//! - `status_log`, `log_limit`: the periodic log lines, and a limit on all others.
+//! - `events`: the events that the tasks send to the event loop.
+//! - `error`: the errors of the program and of its connections.
+//! - `status_log`, `log_limit`: the periodic log lines, and a rate limit on the other log lines.
 
 mod client_session;
 mod clients;
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that wait to be accepted; the system may allow fewer. The usual 128 places are full when very many
-/// clients connect at once, and a client without a place tries again only after a second, collectors too.
+/// Maximum number of connections that wait to be accepted; the system may allow fewer. The usual 128 are exceeded when
+/// very many clients connect at once, and a client over the limit, collectors included, retries only after a second.
 const BACKLOG: u32 = 4_096;
 
 pub(crate) fn listen(address: SocketAddr) -> Result<TcpListener, PlatformError> {
@@ -19,7 +19,7 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // After a kill the address can be bound again at once.
+    // Allows the address to be bound again at once after the program was killed.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
--- a/crates/platform/src/log_limit.rs
+++ b/crates/platform/src/log_limit.rs
@@ -1,11 +1,11 @@
-//! A limit on log lines a second; lines over the limit are counted.
+//! A limit on log lines per second. Lines over the limit are not written but counted.
 
 use std::time::{Duration, Instant};
 use tracing::info;
 
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// The log lines of the present second.
+/// The log lines of the current second.
 pub(crate) struct LogLimit {
     second_started: Instant,
     written: u32,
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Writes a line if the limit allows one more now, or counts it as suppressed.
+    /// Writes a line if the limit allows it, or counts it as suppressed. The number of suppressed lines is logged at
+    /// the first line after their second.
     pub(crate) fn log(&mut self, write: impl FnOnce()) {
         if self.second_started.elapsed() >= Duration::from_secs(1) {
             if self.suppressed > 0 {
--- a/crates/platform/src/membership_watch.rs
+++ b/crates/platform/src/membership_watch.rs
@@ -1,4 +1,4 @@
-//! The connection that carries the relay's membership events.
+//! The connection for the relay's membership events.
 
 use crate::dial::{DIAL_RETRY_DELAY, RelayLines, dial};
 use crate::error::ConnectionError;
@@ -10,17 +10,17 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, timeout};
 
-/// The relay pings every second.
+/// Maximum time between two messages of the relay, which sends a ping every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// The relay answers the request for events at once, as it does any request.
+/// Maximum time until the answer to the watch request. The relay answers this request at once, as it does any request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Watches the membership events of a relay, and dials again when the connection ends.
+/// Watches the membership events of a relay, and reconnects when the connection ends.
 pub(crate) async fn run(relay: SocketAddr, events: UpstreamEvents) {
     loop {
         let Err(error) = watch(relay, &events).await;
         events
-            .send_unless_ending(UpstreamEvent::MembershipWatchFailed(error))
+            .send_unless_shutting_down(UpstreamEvent::MembershipWatchFailed(error))
             .await;
         sleep(DIAL_RETRY_DELAY).await;
     }
@@ -31,7 +31,7 @@
     let mut stream = dial(relay).await?;
     stream.write_all(relay::watch_request().as_bytes()).await?;
     let mut lines = RelayLines::new(stream);
-    // Nothing counts as an event before the answer to the request.
+    // Events are accepted only after the answer to the watch request.
     let first = next_message(&mut lines, ANSWER_TIMEOUT).await?;
     events.send(started(first)?).await?;
     loop {
--- a/crates/platform/src/program.rs
+++ b/crates/platform/src/program.rs
@@ -1,4 +1,4 @@
-//! Start-up, the event loop, and the end.
+//! Start-up, the event loop and shutdown.
 
 use crate::clients::Clients;
 use crate::configuration::{ConfigFile, Reload};
@@ -22,19 +22,22 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{info, warn};
 
-/// Events that wait for the event loop; a task with one more waits, and its connection is read later.
+/// Capacity of the event queue. While the queue is full, a task that sends an event waits and does not read its
+/// connection.
 const MAX_WAITING_EVENTS: usize = 512;
-/// Clients' connections, and never over half of the descriptors: the rest is for the controller's own.
+/// Maximum number of client connections. At most half of the file descriptors are used for them; the rest is left for
+/// the controller's own connections.
 const MAX_CLIENTS: usize = 512;
-/// After a connection could not be accepted: the system may be out of descriptors.
+/// Delay after a connection could not be accepted, since the system may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs a controller as the platform's environment variables say, until SIGTERM or SIGINT.
+/// Runs a controller, configured by the platform's environment variables, until SIGTERM or SIGINT.
 pub async fn run() -> Result<(), PlatformError> {
     let file = ConfigFile::from_environment()?;
-    // Signals are followed before the file is read: a SIGHUP while the file was being read ended the program or was lost.
-    let signals = Signals::follow().map_err(PlatformError::Signals)?;
+    // Signal handlers are registered before the file is read: a SIGHUP while the file was being read ended the program
+    // or was lost.
+    let signals = Signals::register().map_err(PlatformError::Signals)?;
     let config = file.read()?;
     let listener = listen(config.listen)?;
     Program::start(config, file, listener).run(signals).await;
@@ -49,7 +52,7 @@
     pub(crate) health_checks: HealthChecks,
     pub(crate) clients: Clients,
     pub(crate) log_limit: LogLimit,
-    /// Whether the connection for calls has failed, or has not been established yet, since calls were last possible.
+    /// Whether the connection for update calls has failed, or was not established yet, since calls were last possible.
     pub(crate) relay_connection_failed: bool,
     events: mpsc::Receiver<TaskEvent>,
     listener: TcpListener,
@@ -84,35 +87,35 @@
         }
     }
 
-    /// The event loop. All tasks end with it.
+    /// Runs the event loop. All tasks end when it returns.
     async fn run(mut self, mut signals: Signals) {
         loop {
-            self.carry_out();
-            let accept_from = self.accept_from();
+            self.execute_outputs();
+            let accept_resumes_at = self.accept_resumes_at();
             let timer_at = self.timer_at();
-            // Without an order of rank: while collectors send reports faster than they can be read, events are always
-            // there, and pings and SIGHUP waited until that was over.
+            // Not `biased`: while collectors send reports faster than they can be handled, an event is always ready,
+            // and with a fixed order pings and SIGHUP waited until that was over.
             tokio::select! {
                 _ = signals.terminate.recv() => break,
                 _ = signals.interrupt.recv() => break,
                 _ = signals.hangup.recv() => self.reload.request(),
                 Some(event) = self.events.recv() => self.on_task_event(event),
-                () = sleep_until_or_forever(timer_at) => self.input(Input::Timer),
+                () = sleep_until_or_forever(timer_at) => self.handle_input(Input::Timer),
                 () = sleep_until_or_forever(self.reload.due_at()) => self.reload_upstreams(),
                 () = sleep_until(self.status_log_at) => self.write_status_log(),
-                accepted = self.listener.accept(), if Instant::now() >= accept_from => {
+                accepted = self.listener.accept(), if Instant::now() >= accept_resumes_at => {
                     self.on_accepted(accepted).await;
                 }
-                () = sleep_until(accept_from), if Instant::now() < accept_from => {}
+                () = sleep_until(accept_resumes_at), if Instant::now() < accept_resumes_at => {}
             }
         }
         self.write_status_log();
         info!("stopped");
     }
 
-    fn accept_from(&self) -> Instant {
+    fn accept_resumes_at(&self) -> Instant {
         self.clients
-            .capacity_from()
+            .capacity_available_at()
             .map_or(self.accept_paused_until, |from| {
                 from.max(self.accept_paused_until)
             })
@@ -126,9 +129,9 @@
 
     fn reload_upstreams(&mut self) {
         if let Some(addresses) = self.reload.read() {
-            self.upstreams.move_to(addresses);
-            // The connection that took calls may have been dropped.
-            self.input(Input::RelayReachability {
+            self.upstreams.change_addresses(addresses);
+            // The connection that was used for calls may have been dropped.
+            self.handle_input(Input::RelayReachability {
                 reachable: self.upstreams.can_call(),
             });
         }
@@ -143,7 +146,7 @@
         match accepted {
             Ok((stream, _)) => {
                 self.clients.accept(stream);
-                // Very many new connections do not keep the earlier ones from being read.
+                // Lets earlier connections be read while many new ones arrive.
                 yield_now().await;
             }
             Err(error) => {
--- a/crates/platform/src/signals.rs
+++ b/crates/platform/src/signals.rs
@@ -1,20 +1,20 @@
-//! The signals that the program follows.
+//! The signals that the program handles.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// The streams of signals.
 pub(crate) struct Signals {
-    /// SIGTERM: end.
+    /// SIGTERM: shut down.
     pub(crate) terminate: Signal,
-    /// SIGINT: end.
+    /// SIGINT: shut down.
     pub(crate) interrupt: Signal,
-    /// SIGHUP: read the upstreams' addresses again.
+    /// SIGHUP: reload the upstreams' addresses.
     pub(crate) hangup: Signal,
 }
 
 impl Signals {
-    pub(crate) fn follow() -> io::Result<Signals> {
+    pub(crate) fn register() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
--- a/crates/platform/src/status_log.rs
+++ b/crates/platform/src/status_log.rs
@@ -1,4 +1,5 @@
-//! The periodic log lines: the controller's status, the update queue, and the counters.
+//! The periodic log lines: status, update queue, message cap, warming hosts and counters; and the log line for a host's
+//! phase change.
 
 use crate::clients::Clients;
 use pondarch_controller::{
@@ -8,10 +9,10 @@
 use pondarch_platform_core::{Counters, PlatformController};
 use tracing::{info, warn};
 
-/// Part of the lines that may wait in the update queue from which on the queue is reported as nearly full.
+/// Fraction of the update queue's line limit above which the queue is reported as nearly full.
 const NEARLY_FULL_FRACTION: f64 = 0.75;
 
-/// What the last log lines said.
+/// The values that were last logged, to detect changes.
 #[derive(Default)]
 pub(crate) struct StatusLog {
     counters: Counters,
@@ -28,7 +29,7 @@
         self.log_counters(controller, clients);
     }
 
-    /// Logs the update queue, and when it becomes nearly full or ceases to be so.
+    /// Logs the update queue, with a warning when it becomes nearly full or is no longer so.
     fn log_update_queue(&mut self, queue: &UpdateQueueStatus) {
         let waiting = queue.unconfirmed.unwrap_or(queue.queued_at_stated_rate);
         let nearly_full = waiting > queue.line_limit * NEARLY_FULL_FRACTION;
@@ -72,10 +73,10 @@
 fn log_status(status: &StatusSnapshot) {
     info!(
         ready_hosts = status.ready_hosts,
-        ejected = names(&status.ejected),
-        on_probation = names(&status.on_probation),
-        weight_reduced = names(&status.weight_reduced),
-        failing = failing_hosts(status),
+        ejected = join_names(&status.ejected),
+        on_probation = join_names(&status.on_probation),
+        weight_reduced = join_names(&status.weight_reduced),
+        failing = format_failing_hosts(status),
         admitted_fractions = ?status.admitted_fractions,
         overload = format!("{:.2}", status.overload),
         median_load = format!("{:.2}", status.median_load),
@@ -101,17 +102,17 @@
     if warming.is_empty() {
         return;
     }
-    let text = |host: &WarmingHost| {
+    let format_host = |host: &WarmingHost| {
         format!(
             "{}:{:.2}part,{:.2}per_s,{:.2}load",
             host.host.0, host.warm_part, host.requests_per_s, host.relative_load
         )
     };
-    let hosts: Vec<String> = warming.iter().map(text).collect();
+    let hosts: Vec<String> = warming.iter().map(format_host).collect();
     info!(hosts = hosts.join(" "), "warming hosts");
 }
 
-/// Logs that a host has come into another phase.
+/// Logs that a host has entered another phase.
 pub(crate) fn log_transition(transition: &HostTransition) {
     info!(
         host = &*transition.host.0,
@@ -123,12 +124,12 @@
     );
 }
 
-fn names(hosts: &[HostId]) -> String {
+fn join_names(hosts: &[HostId]) -> String {
     let names: Vec<&str> = hosts.iter().map(|host| &*host.0).collect();
     names.join(",")
 }
 
-fn failing_hosts(status: &StatusSnapshot) -> String {
+fn format_failing_hosts(status: &StatusSnapshot) -> String {
     let texts: Vec<String> = status
         .failing
         .iter()
--- a/crates/platform/src/update_calls.rs
+++ b/crates/platform/src/update_calls.rs
@@ -1,4 +1,4 @@
-//! The connection for update calls to the relay: at most one call is in flight.
+//! The connection for update calls to the relay. At most one call is in flight.
 
 use crate::dial::{DIAL_RETRY_DELAY, RelayLines, dial};
 use crate::error::ConnectionError;
@@ -14,12 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// An answer arrives within 50 ms or never; this leaves some for a loaded machine.
+/// The relay answers within 50 ms or not at all; the rest is a margin for a loaded machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The relay closes a connection that was idle for some seconds: it is renewed before an update needs it.
+/// Idle time after which a connection is replaced. The relay closes a connection that is idle for some seconds, so the
+/// connection is replaced before an update needs it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// An update call to be sent.
+/// An update call to send.
 #[derive(Debug)]
 pub(crate) struct Call {
     /// The number of the call.
@@ -28,13 +29,13 @@
     pub(crate) line: String,
 }
 
-/// How a call ended, and why not all of it was surely applied.
+/// The outcome of a call, and the error behind a rejection or a doubt, if there is one.
 struct CallResult {
     outcome: CallOutcome,
     error: Option<Arc<ConnectionError>>,
 }
 
-/// The task that carries calls to one relay.
+/// The task that sends calls to one relay.
 pub(crate) struct CallTask {
     pub(crate) relay: SocketAddr,
     pub(crate) calls: mpsc::Receiver<Call>,
@@ -42,14 +43,14 @@
 }
 
 impl CallTask {
-    /// Dials, sends calls, and dials again, until no more calls can arrive; the last call is carried to its end.
+    /// Connects, sends calls and reconnects until the sender of calls is dropped. A call in flight is completed first.
     pub(crate) async fn run(mut self) {
         loop {
-            let dialled = Instant::now();
+            let dialled_at = Instant::now();
             let reason = match dial(self.relay).await {
                 Ok(stream) => {
                     self.events
-                        .send_unless_ending(UpstreamEvent::CallsConnected)
+                        .send_unless_shutting_down(UpstreamEvent::CallsConnected)
                         .await;
                     match self.send_calls(stream).await {
                         Some(reason) => reason,
@@ -59,11 +60,11 @@
                 Err(error) => DisconnectReason::Failed(Arc::new(error)),
             };
             let disconnected = UpstreamEvent::CallsDisconnected(reason.clone());
-            self.events.send_unless_ending(disconnected).await;
-            // A relay that accepts a connection and closes it at once was dialled again without a pause. A connection
-            // that has lasted longer than the delay is renewed at once.
+            self.events.send_unless_shutting_down(disconnected).await;
+            // The delay counts from the dial, so that a connection that has lasted longer is replaced at once. Without
+            // a delay, a relay that accepted connections and closed them at once was dialled continuously.
             if !self
-                .reject_calls_until(dialled + DIAL_RETRY_DELAY, &reason)
+                .reject_calls_until(dialled_at + DIAL_RETRY_DELAY, &reason)
                 .await
             {
                 return;
@@ -71,14 +72,15 @@
         }
     }
 
-    /// Waits, and rejects calls meanwhile: there is no connection for them. Gives whether more calls can arrive.
+    /// Waits until `until` and rejects the calls that arrive meanwhile, since there is no connection for them. Returns
+    /// whether more calls can arrive.
     async fn reject_calls_until(&mut self, until: Instant, reason: &DisconnectReason) -> bool {
         while Instant::now() < until {
             tokio::select! {
                 () = sleep_until(until) => {}
                 call = self.calls.recv() => {
                     let Some(call) = call else { return false };
-                    self.report_end(call.number, CallResult {
+                    self.report_call_ended(call.number, CallResult {
                         outcome: CallOutcome::Rejected,
                         error: match reason {
                             DisconnectReason::Idle => None,
@@ -91,7 +93,7 @@
         true
     }
 
-    /// Sends calls on one connection; gives why it ended, or none if no more calls can arrive.
+    /// Sends calls on one connection. Returns why the connection ended, or `None` if no more calls can arrive.
     async fn send_calls(&mut self, mut stream: TcpStream) -> Option<DisconnectReason> {
         let (reader, mut writer) = stream.split();
         let mut lines = RelayLines::new(reader);
@@ -112,24 +114,25 @@
             let in_doubt = (result.outcome == CallOutcome::InDoubt)
                 .then(|| result.error.clone())
                 .flatten();
-            self.report_end(call.number, result).await;
+            self.report_call_ended(call.number, result).await;
             if let Some(error) = in_doubt {
                 return Some(DisconnectReason::Failed(error));
             }
         }
     }
 
-    async fn report_end(&self, call: u64, result: CallResult) {
+    async fn report_call_ended(&self, call: u64, result: CallResult) {
         let ended = UpstreamEvent::CallEnded {
             call,
             outcome: result.outcome,
             error: result.error,
         };
-        self.events.send_unless_ending(ended).await;
+        self.events.send_unless_shutting_down(ended).await;
     }
 }
 
-/// Sends a call and waits for its answer. A call that may have reached the relay without an answer is in doubt.
+/// Sends a call and waits for its answer. A call without a valid answer is in doubt, since the relay may have applied
+/// it.
 async fn send_call(
     call: &Call,
     writer: &mut WriteHalf<'_>,
--- a/crates/platform/src/upstreams.rs
+++ b/crates/platform/src/upstreams.rs
@@ -1,6 +1,6 @@
-//! The connections to registry and relay. When these move, the new connections are dialled while the old ones still
-//! serve, and each old one is dropped when its new one serves: a registry once it has sent its endpoint list, a relay
-//! once it has started its membership events.
+//! The connections to the registry and the relay. When an address changes, the new connection is established while the
+//! old one stays in use. The old one is dropped when the new one is ready: a registry is ready once it has sent its
+//! endpoint list, a relay once it has started its membership events.
 
 use crate::endpoint_watch::EndpointWatch;
 use crate::events::{EventSender, UpstreamEvent, UpstreamEvents};
@@ -11,47 +11,48 @@
 use tokio::task::JoinSet;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The revision of the addresses that the program starts with.
+/// The revision of the addresses at the program's start.
 const FIRST_REVISION: u64 = 1;
 
-/// The connections to registry and relay.
+/// The connections to the registry and the relay.
 pub(crate) struct Upstreams {
     events: EventSender,
     addresses: UpstreamAddresses,
-    /// Counts the moves of the addresses.
+    /// Incremented with each change of the addresses.
     revision: u64,
     endpoint_watch: Handover<AbortOnDropHandle<()>>,
     membership_watch: Handover<AbortOnDropHandle<()>>,
     calls: Handover<CallConnection>,
-    /// The tasks of the connections for calls: each ends by itself, once its sender is dropped and its call has ended.
+    /// The tasks of the connections for update calls. Each ends by itself once its sender is dropped and its call has
+    /// ended.
     call_tasks: JoinSet<()>,
 }
 
-/// A connection of one revision.
+/// A connection to an address of one revision.
 struct Revisioned<T> {
     revision: u64,
     connection: T,
 }
 
-/// The newest connection, and the one before, which serves until the newest does.
+/// The current connection, and the previous one, which stays in use until the current one is ready.
 struct Handover<T> {
     current: Revisioned<T>,
     previous: Option<Revisioned<T>>,
 }
 
-/// Whether an event shows that its connection serves.
+/// Whether an event shows that its connection is ready for use.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Proof {
-    Serves,
-    Nothing,
+enum Readiness {
+    Ready,
+    Unknown,
 }
 
 struct CallConnection {
     calls: mpsc::Sender<Call>,
     connected: bool,
-    /// Whether that relay has started its membership events. One that only accepts connections may answer nothing at
-    /// all.
-    membership_started: bool,
+    /// Whether the relay has started its membership events. A relay that only accepts connections may never answer a
+    /// call.
+    membership_watch_started: bool,
 }
 
 impl<T> Handover<T> {
@@ -65,8 +66,9 @@
         }
     }
 
-    /// Of two moves in a row the connection in the middle is dropped, which never served; what still serves stays. It
-    /// was dropped with the second move, and nothing served until the third connection did.
+    /// Replaces the current connection. If that one is not ready yet, it is dropped and the previous one is kept: when
+    /// the previous one was dropped at a second change of address, there was no connection until the third one was
+    /// ready.
     fn replace(&mut self, revision: u64, connection: T) {
         let next = Revisioned {
             revision,
@@ -76,11 +78,11 @@
         self.previous.get_or_insert(last);
     }
 
-    /// Whether an event of this revision still counts. The proof that the current connection serves drops the previous
-    /// one.
-    fn accepts(&mut self, revision: u64, proof: Proof) -> bool {
+    /// Returns whether an event of this revision is still relevant. If the event shows that the current connection is
+    /// ready, the previous one is dropped.
+    fn accept_event(&mut self, revision: u64, readiness: Readiness) -> bool {
         if revision == self.current.revision {
-            self.previous.take_if(|_| proof == Proof::Serves);
+            self.previous.take_if(|_| readiness == Readiness::Ready);
             return true;
         }
         self.previous
@@ -88,7 +90,7 @@
             .is_some_and(|previous| previous.revision == revision)
     }
 
-    /// The connections, the one before first.
+    /// Returns the connections, the previous one first.
     fn connections(&self) -> impl Iterator<Item = &T> {
         self.previous
             .iter()
@@ -96,7 +98,7 @@
             .map(|revisioned| &revisioned.connection)
     }
 
-    /// The connection of a revision, if it still exists.
+    /// Returns the connection of a revision, if it still exists.
     fn get_mut(&mut self, revision: u64) -> Option<&mut T> {
         std::iter::once(&mut self.current)
             .chain(self.previous.as_mut())
@@ -106,7 +108,7 @@
 }
 
 impl Upstreams {
-    /// Dials the registry and the relay. `generation`: of the endpoint list that is known already.
+    /// Connects to the registry and the relay. `generation` is that of the endpoint list in the configuration, if any.
     pub(crate) fn start(
         addresses: UpstreamAddresses,
         generation: Option<u64>,
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Dials the upstreams whose address has changed.
-    pub(crate) fn move_to(&mut self, addresses: UpstreamAddresses) {
+    /// Connects to the upstreams whose address has changed.
+    pub(crate) fn change_addresses(&mut self, addresses: UpstreamAddresses) {
         self.revision += 1;
         let tagged = UpstreamEvents {
             sender: self.events.clone(),
@@ -148,58 +150,68 @@
         self.addresses = addresses;
     }
 
-    /// Applies an event of this revision to the connections; gives whether it still counts.
+    /// Updates the connections by an event of this revision. Returns whether the event is still relevant.
     pub(crate) fn apply(&mut self, revision: u64, event: &UpstreamEvent) -> bool {
         while self.call_tasks.try_join_next().is_some() {}
         match event {
-            UpstreamEvent::EndpointList(_) => self.endpoint_watch.accepts(revision, Proof::Serves),
-            UpstreamEvent::EndpointWatchFailed(_) => {
-                self.endpoint_watch.accepts(revision, Proof::Nothing)
+            UpstreamEvent::EndpointList(_) => {
+                self.endpoint_watch.accept_event(revision, Readiness::Ready)
             }
+            UpstreamEvent::EndpointWatchFailed(_) => self
+                .endpoint_watch
+                .accept_event(revision, Readiness::Unknown),
             UpstreamEvent::MembershipWatchStarted => {
-                self.update_calls(revision, |calls| calls.membership_started = true);
-                self.membership_watch.accepts(revision, Proof::Serves)
-            }
-            UpstreamEvent::Membership(_) | UpstreamEvent::MembershipWatchFailed(_) => {
-                self.membership_watch.accepts(revision, Proof::Nothing)
+                self.update_call_connection(revision, |calls| {
+                    calls.membership_watch_started = true
+                });
+                self.membership_watch
+                    .accept_event(revision, Readiness::Ready)
             }
+            UpstreamEvent::Membership(_) | UpstreamEvent::MembershipWatchFailed(_) => self
+                .membership_watch
+                .accept_event(revision, Readiness::Unknown),
             UpstreamEvent::CallsConnected => {
-                self.update_calls(revision, |calls| calls.connected = true)
+                self.update_call_connection(revision, |calls| calls.connected = true)
             }
             UpstreamEvent::CallsDisconnected(_) => {
-                self.update_calls(revision, |calls| calls.connected = false)
+                self.update_call_connection(revision, |calls| calls.connected = false)
             }
             UpstreamEvent::CallEnded { .. } => true,
         }
     }
 
-    /// Changes what is known of the connection for calls of this revision; gives whether its events still count.
-    fn update_calls(&mut self, revision: u64, update: impl FnOnce(&mut CallConnection)) -> bool {
+    /// Updates the state of the connection for update calls of this revision. Returns whether its events are still
+    /// relevant.
+    fn update_call_connection(
+        &mut self,
+        revision: u64,
+        update: impl FnOnce(&mut CallConnection),
+    ) -> bool {
         if let Some(calls) = self.calls.get_mut(revision) {
             update(calls);
         }
         let current = &self.calls.current.connection;
-        let proof = if current.connected && current.membership_started {
-            Proof::Serves
+        let readiness = if current.connected && current.membership_watch_started {
+            Readiness::Ready
         } else {
-            Proof::Nothing
+            Readiness::Unknown
         };
-        self.calls.accepts(revision, proof)
+        self.calls.accept_event(revision, readiness)
     }
 
-    /// The connection that takes calls: the previous one, until the current one is known to serve.
-    fn serving(&self) -> Option<&CallConnection> {
+    /// Returns the connection to use for calls: the previous one until the current one is ready.
+    fn call_connection(&self) -> Option<&CallConnection> {
         self.calls.connections().find(|calls| calls.connected)
     }
 
-    /// Whether a call can be sent now.
+    /// Returns whether a call can be sent now.
     pub(crate) fn can_call(&self) -> bool {
-        self.serving().is_some()
+        self.call_connection().is_some()
     }
 
-    /// Hands a call over; gives it back if no connection can take it.
+    /// Passes a call to the connection for update calls. Returns the call as an error if no connection can take it.
     pub(crate) fn call(&self, call: Call) -> Result<(), Call> {
-        let Some(connection) = self.serving() else {
+        let Some(connection) = self.call_connection() else {
             return Err(call);
         };
         connection
@@ -209,7 +221,7 @@
     }
 }
 
-/// Spawns a task that ends with its owner.
+/// Spawns a task that is aborted when its handle is dropped.
 fn spawn_owned(task: impl Future<Output = ()> + Send + 'static) -> AbortOnDropHandle<()> {
     AbortOnDropHandle::new(tokio::spawn(task))
 }
@@ -250,6 +262,6 @@
     CallConnection {
         calls,
         connected: false,
-        membership_started: false,
+        membership_watch_started: false,
     }
 }
