--- a/crates/platform-core/src/lib.rs
+++ b/crates/platform-core/src/lib.rs
@@ -1,6 +1,6 @@
 //! The state machine of a controller on the platform, without I/O and without a clock. The caller passes inputs to
-//! [`PlatformController::handle`], executes the outputs of [`PlatformController::next_output`] until there are none left,
-//! and calls `handle` again at [`PlatformController::timer_at`] at the latest.
+//! [`PlatformController::handle`], executes the outputs of [`PlatformController::next_output`] until there are none
+//! left, and calls `handle` again at [`PlatformController::timer_at`] at the latest.
 //!
 //! The state machine owns the decision module, the list of connected proxies, the hosts' health check addresses and the
 //! update call that is in flight. All decisions are made by the decision module.
--- a/crates/platform-core/src/membership.rs
+++ b/crates/platform-core/src/membership.rs
@@ -1,5 +1,5 @@
-//! Tracks the connected proxies by the relay's membership events. Each watch begins with a list of the connected proxies,
-//! as join events.
+//! Tracks the connected proxies by the relay's membership events. Each watch begins with a list of the connected
+//! proxies, as join events.
 
 use pondarch_controller::{ProxyId, ZoneId};
 use std::collections::BTreeMap;
--- a/crates/platform-core/src/updates.rs
+++ b/crates/platform-core/src/updates.rs
@@ -39,8 +39,8 @@
 }
 
 impl PlatformController {
-    /// Takes one batch of decisions and sends it as one call. Decisions are taken only while a call can be sent, so that
-    /// they are based on the latest state when they are sent.
+    /// Takes one batch of decisions and sends it as one call. Decisions are taken only while a call can be sent, so
+    /// that they are based on the latest state when they are sent.
     pub(crate) fn take_decisions(&mut self, now: Time) {
         if !self.relay_reachable || self.update_call.is_some() {
             return;
--- a/crates/platform-core/src/wall_clock.rs
+++ b/crates/platform-core/src/wall_clock.rs
@@ -1,11 +1,11 @@
-//! Converts wall-clock times to monotonic times. Host start times are listed by the wall clock; everything else is timed
-//! by the monotonic clock.
+//! Converts wall-clock times to monotonic times. Host start times are listed by the wall clock; everything else is
+//! timed by the monotonic clock.
 
 use pondarch_controller::{DurationExt, Time};
 use std::time::Duration;
 
-/// Minimum change of the offset that counts as a step of the wall clock. Smaller changes are drift, which must not turn a
-/// listed start time into a different one.
+/// Minimum change of the offset that counts as a step of the wall clock. Smaller changes are drift, which must not turn
+/// a listed start time into a different one.
 const MIN_STEP: Duration = Duration::from_millis(500);
 
 /// The offset between the clocks, which agreed at the program's start.
--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -188,7 +188,7 @@
         self.schedule(delay, Event::EndpointList(text));
     }
 
-    fn schedule_event(&mut self, delay: u64, method: &str, params: &str) {
+    fn schedule_relay_event(&mut self, delay: u64, method: &str, params: &str) {
         let text = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"{method}\",\"params\":{params}}}");
         self.schedule(delay, Event::RelayLine(text));
     }
@@ -198,7 +198,7 @@
         let (zone, rate) = (ZONES[joining.zone], decimal(joining.rate));
         let params =
             format!("{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{fresh}}}");
-        self.schedule_event(delay, "joined", &params);
+        self.schedule_relay_event(delay, "joined", &params);
     }
 
     /// Starts a membership watch, which lists all connected proxies and then sends a ping.
@@ -212,7 +212,7 @@
                 self.schedule_join(0, proxy, false);
             }
         }
-        self.schedule_event(0, "ping", "{}");
+        self.schedule_relay_event(0, "ping", "{}");
     }
 
     /// Schedules the lists and membership events that tell the controller of these changes.
@@ -228,7 +228,7 @@
                     self.schedule_join(proxy as u64 * 1_000, proxy, fresh)
                 }
                 Change::Left(proxy) => {
-                    self.schedule_event(
+                    self.schedule_relay_event(
                         200_000 + proxy as u64 * 1_000,
                         "left",
                         &format!("{{\"id\":{proxy}}}"),
@@ -268,8 +268,8 @@
         }
         if self.fleet.random.percent(self.site.trouble) {
             let changes = self.fleet.incident(self.now);
-            // The membership watch may restart at this time. The new watch lists the connected proxies; endpoint lists still
-            // arrive.
+            // The membership watch may restart at this time. The new watch lists the connected proxies; endpoint lists
+            // still arrive.
             if self.fleet.random.percent(25) {
                 let is_of_hosts = |change: &Change| matches!(change, Change::Hosts(_));
                 self.announce_changes(changes.into_iter().filter(is_of_hosts).collect());
@@ -277,7 +277,7 @@
             }
             self.announce_changes(changes);
         }
-        self.schedule_event(0, "ping", "{}");
+        self.schedule_relay_event(0, "ping", "{}");
     }
 
     fn schedule_host_report(&mut self, report: &HostReport) {
@@ -322,8 +322,8 @@
             self.schedule(0, Event::Report(text));
         }
         self.schedule(0, Event::EndpointList("{\"generation\":".to_string()));
-        self.schedule_event(0, "left", "{\"id\":60001}");
-        self.schedule_event(0, "applied", "{\"id\":1,\"seq\":65535,\"ms\":1.0}");
+        self.schedule_relay_event(0, "left", "{\"id\":60001}");
+        self.schedule_relay_event(0, "applied", "{\"id\":1,\"seq\":65535,\"ms\":1.0}");
         self.schedule(
             0,
             Event::RelayLine(
--- a/crates/platform-core/tests/decision_streams/session/relay.rs
+++ b/crates/platform-core/tests/decision_streams/session/relay.rs
@@ -1,5 +1,5 @@
-//! Executes the controller's outputs: the simulated relay applies or rejects calls, and the simulated hosts answer health
-//! checks.
+//! Executes the controller's outputs: the simulated relay applies or rejects calls, and the simulated hosts answer
+//! health checks.
 
 use super::{Event, START, Session};
 use crate::controller::Action;
@@ -132,7 +132,7 @@
             };
             let delay = self.fleet.random.between(150, 900) * 1_000 + extra_delay;
             let params = format!("{{\"id\":{proxy},\"seq\":{ack},\"ms\":{}}}", delay / 1_000);
-            self.schedule_event(delay, "applied", &params);
+            self.schedule_relay_event(delay, "applied", &params);
         }
     }
 
--- a/crates/platform-core/tests/simulated_fleet/invariants.rs
+++ b/crates/platform-core/tests/simulated_fleet/invariants.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Checks that each proxy has a host, that no proxy uses a draining or removed host, and that the weight of a host in
-    /// slow start exceeds its current capacity by half at most.
+    /// Checks that each proxy has a host, that no proxy uses a draining or removed host, and that the weight of a host
+    /// in slow start exceeds its current capacity by half at most.
     pub(crate) fn assert_invariants(&self) {
         for (proxy, since) in &self.without_host_since {
             assert!(!self.grace_is_over(*since), "{proxy:?} has no host");
--- a/crates/platform-core/tests/unreliable_relay.rs
+++ b/crates/platform-core/tests/unreliable_relay.rs
@@ -1,5 +1,6 @@
 //! Tests of the controller with a simulated relay that rejects calls, applies them in part or does not answer, while
-//! proxies and hosts join, leave and restart. The invariants are checked against the updates that the relay has applied.
+//! proxies and hosts join, leave and restart. The invariants are checked against the updates that the relay has
+//! applied.
 
 mod simulated_fleet;
 
@@ -20,7 +21,8 @@
     assert!(fleet.proxies_using(3) == 0, "the drain is sent promptly");
 }
 
-/// The updates for 400 joins are split into several calls, each within the relay's size limit, and keep the message cap.
+/// The updates for 400 joins are split into several calls, each within the relay's size limit, and keep the message
+/// cap.
 #[test]
 fn four_hundred_proxies_join_at_once() {
     let mut fleet = SimulatedFleet::new(30, 400);
@@ -32,8 +34,9 @@
     assert!(fleet.calls > 1, "one call can't hold all updates");
 }
 
-/// The controller restarts while most hosts are in slow start: 400 proxies join within a second, many of them with tables
-/// from before the restart. Each proxy gets a host, no host in slow start is overloaded, and the message cap is kept.
+/// The controller restarts while most hosts are in slow start: 400 proxies join within a second, many of them with
+/// tables from before the restart. Each proxy gets a host, no host in slow start is overloaded, and the message cap is
+/// kept.
 #[test]
 fn all_proxies_join_a_new_controller_while_hosts_warm_up() {
     let mut fleet = SimulatedFleet::new(30, 400);
@@ -91,8 +94,8 @@
     }
 }
 
-/// The relay stops a call at the update of a proxy that has left. A drain after that update must not wait for the proxy's
-/// membership event.
+/// The relay stops a call at the update of a proxy that has left. A drain after that update must not wait for the
+/// proxy's membership event.
 #[test]
 fn updates_after_a_rejected_update_are_sent() {
     let mut fleet = SimulatedFleet::new(20, 8);
@@ -338,8 +341,8 @@
     }
 }
 
-/// Host start times are listed by the wall clock. A clock that was set back made a host that had just started look warm,
-/// and a clock that was set forward extended a host's slow start by the size of the step.
+/// Host start times are listed by the wall clock. A clock that was set back made a host that had just started look
+/// warm, and a clock that was set forward extended a host's slow start by the size of the step.
 #[test]
 fn a_stepped_wall_clock_does_not_change_slow_start() {
     const STEP_MICROS: u64 = 120_000_000;
--- a/crates/platform-protocol/src/load.rs
+++ b/crates/platform-protocol/src/load.rs
@@ -1,5 +1,5 @@
-//! The load report that a host sends about itself: `TEXT inflight=7, queue=2, util=0.61` in the answer to a health check,
-//! or `inflight:7,queue:2,util:0.61` in a collector's report.
+//! The load report that a host sends about itself: `TEXT inflight=7, queue=2, util=0.61` in the answer to a health
+//! check, or `inflight:7,queue:2,util:0.61` in a collector's report.
 
 use pondarch_controller::HostLoad;
 use pondarch_deployment::record_load_value;
--- a/crates/platform-protocol/src/relay.rs
+++ b/crates/platform-protocol/src/relay.rs
@@ -1,5 +1,5 @@
-//! The relay's protocol, which is JSON-RPC 2.0 with one object per line: calls that carry update batches, the answers to
-//! them, and membership events.
+//! The relay's protocol, which is JSON-RPC 2.0 with one object per line: calls that carry update batches, the answers
+//! to them, and membership events.
 
 use pondarch_controller::{AckId, Decision, ProxyId, RequestClassId};
 use pondarch_deployment::retry_policy_number;
--- a/crates/platform-protocol/src/resp.rs
+++ b/crates/platform-protocol/src/resp.rs
@@ -1,5 +1,5 @@
-//! Strict decoder for RESP2 arrays of bulk strings: the first byte that cannot be part of such an array is an error. Each
-//! bulk string is one word of a message.
+//! Strict decoder for RESP2 arrays of bulk strings: the first byte that cannot be part of such an array is an error.
+//! Each bulk string is one word of a message.
 
 use bytes::{Buf, BytesMut};
 use std::ops::Range;
