--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -2,7 +2,7 @@
 
 use crate::dial::{DIAL_RETRY_DELAY, dial};
 use crate::error::ConnectionError;
-use crate::events::{UpstreamEvent, UpstreamEvents};
+use crate::events::{UpstreamEvent, UpstreamEventSender};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use pondarch_io_util::{ConnectionOption, StreamedResponse, get, start_get};
@@ -28,7 +28,7 @@
     /// The generation of the known list from this address. If it is `None`, the complete list is fetched first, since a
     /// registry at a new address may number its lists differently.
     pub(crate) generation: Option<u64>,
-    pub(crate) events: UpstreamEvents,
+    pub(crate) events: UpstreamEventSender,
 }
 
 impl EndpointWatch {
--- a/crates/platform/src/events.rs
+++ b/crates/platform/src/events.rs
@@ -96,13 +96,13 @@
 
 /// The sender for the events of one connection to an upstream.
 #[derive(Clone)]
-pub(crate) struct UpstreamEvents {
+pub(crate) struct UpstreamEventSender {
     pub(crate) sender: EventSender,
     /// The revision of the upstreams' addresses that the connection belongs to.
     pub(crate) revision: u64,
 }
 
-impl UpstreamEvents {
+impl UpstreamEventSender {
     /// Sends an event. Fails while the program is shutting down.
     pub(crate) async fn send(&self, event: UpstreamEvent) -> Result<(), ConnectionError> {
         self.sender
--- a/crates/platform/src/membership_watch.rs
+++ b/crates/platform/src/membership_watch.rs
@@ -2,7 +2,7 @@
 
 use crate::dial::{DIAL_RETRY_DELAY, RelayLines, dial};
 use crate::error::ConnectionError;
-use crate::events::{UpstreamEvent, UpstreamEvents};
+use crate::events::{UpstreamEvent, UpstreamEventSender};
 use pondarch_platform_protocol::relay::{self, RelayMessage};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Watches the membership events of a relay, and reconnects when the connection ends.
-pub(crate) async fn run(relay: SocketAddr, events: UpstreamEvents) {
+pub(crate) async fn run(relay: SocketAddr, events: UpstreamEventSender) {
     loop {
         let Err(error) = watch(relay, &events).await;
         events
@@ -27,7 +27,10 @@
 }
 
 /// Watches the events on one connection until it ends.
-async fn watch(relay: SocketAddr, events: &UpstreamEvents) -> Result<Infallible, ConnectionError> {
+async fn watch(
+    relay: SocketAddr,
+    events: &UpstreamEventSender,
+) -> Result<Infallible, ConnectionError> {
     let mut stream = dial(relay).await?;
     stream.write_all(relay::watch_request().as_bytes()).await?;
     let mut lines = RelayLines::new(stream);
--- a/crates/platform/src/update_calls.rs
+++ b/crates/platform/src/update_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::dial::{DIAL_RETRY_DELAY, RelayLines, dial};
 use crate::error::ConnectionError;
-use crate::events::{DisconnectReason, UpstreamEvent, UpstreamEvents};
+use crate::events::{DisconnectReason, UpstreamEvent, UpstreamEventSender};
 use pondarch_platform_core::CallOutcome;
 use pondarch_platform_protocol::relay::{self, RelayMessage};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 pub(crate) struct CallTask {
     pub(crate) relay: SocketAddr,
     pub(crate) calls: mpsc::Receiver<Call>,
-    pub(crate) events: UpstreamEvents,
+    pub(crate) events: UpstreamEventSender,
 }
 
 impl CallTask {
--- a/crates/platform/src/upstreams.rs
+++ b/crates/platform/src/upstreams.rs
@@ -3,7 +3,7 @@
 //! endpoint list, a relay once it has started its membership events.
 
 use crate::endpoint_watch::EndpointWatch;
-use crate::events::{EventSender, UpstreamEvent, UpstreamEvents};
+use crate::events::{EventSender, UpstreamEvent, UpstreamEventSender};
 use crate::membership_watch;
 use crate::update_calls::{Call, CallTask};
 use pondarch_platform_protocol::config::UpstreamAddresses;
@@ -114,15 +114,15 @@
         generation: Option<u64>,
         events: EventSender,
     ) -> Upstreams {
-        let tagged = UpstreamEvents {
+        let event_sender = UpstreamEventSender {
             sender: events.clone(),
             revision: FIRST_REVISION,
         };
         let mut call_tasks = JoinSet::new();
         Upstreams {
-            endpoint_watch: Handover::new(watch_endpoints(addresses, generation, &tagged)),
-            membership_watch: Handover::new(watch_membership(addresses, &tagged)),
-            calls: Handover::new(connect_calls(addresses, &tagged, &mut call_tasks)),
+            endpoint_watch: Handover::new(watch_endpoints(addresses, generation, &event_sender)),
+            membership_watch: Handover::new(watch_membership(addresses, &event_sender)),
+            calls: Handover::new(connect_calls(addresses, &event_sender, &mut call_tasks)),
             call_tasks,
             revision: FIRST_REVISION,
             addresses,
@@ -133,18 +133,20 @@
     /// Connects to the upstreams whose address has changed.
     pub(crate) fn change_addresses(&mut self, addresses: UpstreamAddresses) {
         self.revision += 1;
-        let tagged = UpstreamEvents {
+        let event_sender = UpstreamEventSender {
             sender: self.events.clone(),
             revision: self.revision,
         };
         if addresses.registry != self.addresses.registry {
-            self.endpoint_watch
-                .replace(self.revision, watch_endpoints(addresses, None, &tagged));
+            self.endpoint_watch.replace(
+                self.revision,
+                watch_endpoints(addresses, None, &event_sender),
+            );
         }
         if addresses.relay != self.addresses.relay {
             self.membership_watch
-                .replace(self.revision, watch_membership(addresses, &tagged));
-            let calls = connect_calls(addresses, &tagged, &mut self.call_tasks);
+                .replace(self.revision, watch_membership(addresses, &event_sender));
+            let calls = connect_calls(addresses, &event_sender, &mut self.call_tasks);
             self.calls.replace(self.revision, calls);
         }
         self.addresses = addresses;
@@ -229,7 +231,7 @@
 fn watch_endpoints(
     addresses: UpstreamAddresses,
     generation: Option<u64>,
-    events: &UpstreamEvents,
+    events: &UpstreamEventSender,
 ) -> AbortOnDropHandle<()> {
     let watch = EndpointWatch {
         registry: addresses.registry,
@@ -241,14 +243,14 @@
 
 fn watch_membership(
     addresses: UpstreamAddresses,
-    events: &UpstreamEvents,
+    events: &UpstreamEventSender,
 ) -> AbortOnDropHandle<()> {
     spawn_owned(membership_watch::run(addresses.relay, events.clone()))
 }
 
 fn connect_calls(
     addresses: UpstreamAddresses,
-    events: &UpstreamEvents,
+    events: &UpstreamEventSender,
     tasks: &mut JoinSet<()>,
 ) -> CallConnection {
     // At most one call is in flight.
