--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -52,6 +52,7 @@
     },
 }
 
+/// A run in progress: the simulated surroundings of the controller, and the events scheduled for it.
 struct Session {
     site: Site,
     now: u64,
--- a/crates/platform-core/tests/decision_streams/session/relay.rs
+++ b/crates/platform-core/tests/decision_streams/session/relay.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// Time after which a call counts as unanswered, in microseconds.
-const ANSWER_TIME: u64 = 50_000;
+const ANSWER_TIMEOUT: u64 = 50_000;
 
 impl Session {
     /// Executes an action. Returns its text for the digest.
@@ -62,7 +62,7 @@
                 if fault < 11 {
                     self.apply_updates(&updates);
                 }
-                self.schedule(ANSWER_TIME, Event::AnswerTimeout(id));
+                self.schedule(ANSWER_TIMEOUT, Event::AnswerTimeout(id));
             }
             // The answer counts more updates than the call had, which is malformed.
             14 => {
