--- a/crates/platform/src/membership_watch.rs
+++ b/crates/platform/src/membership_watch.rs
@@ -1,8 +1,8 @@
-//! The connection that carries the relay's membership events.
+//! The connection for the relay's membership events.
 
 use crate::dial::{DIAL_RETRY_DELAY, RelayLines, dial};
 use crate::error::ConnectionError;
-use crate::events::{UpstreamEvent, UpstreamEvents};
+use crate::events::{UpstreamEvent, UpstreamEventSender};
 use pondarch_platform_protocol::relay::{self, RelayMessage};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -10,28 +10,31 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, timeout};
 
-/// The relay pings every second.
+/// Maximum time between two messages of the relay, which sends a ping every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// The relay answers the request for events at once, as it does any request.
+/// Maximum time until the answer to the watch request. The relay answers this request at once, as it does any request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Watches the membership events of a relay, and dials again when the connection ends.
-pub(crate) async fn run(relay: SocketAddr, events: UpstreamEvents) {
+/// Watches the membership events of a relay, and reconnects when the connection ends.
+pub(crate) async fn run(relay: SocketAddr, events: UpstreamEventSender) {
     loop {
         let Err(error) = watch(relay, &events).await;
         events
-            .send_unless_ending(UpstreamEvent::MembershipWatchFailed(error))
+            .send_unless_shutting_down(UpstreamEvent::MembershipWatchFailed(error))
             .await;
         sleep(DIAL_RETRY_DELAY).await;
     }
 }
 
 /// Watches the events on one connection until it ends.
-async fn watch(relay: SocketAddr, events: &UpstreamEvents) -> Result<Infallible, ConnectionError> {
+async fn watch(
+    relay: SocketAddr,
+    events: &UpstreamEventSender,
+) -> Result<Infallible, ConnectionError> {
     let mut stream = dial(relay).await?;
     stream.write_all(relay::watch_request().as_bytes()).await?;
     let mut lines = RelayLines::new(stream);
-    // Nothing counts as an event before the answer to the request.
+    // Events are accepted only after the answer to the watch request.
     let first = next_message(&mut lines, ANSWER_TIMEOUT).await?;
     events.send(started(first)?).await?;
     loop {
@@ -47,7 +50,7 @@
     let line = timeout(limit, lines.next())
         .await
         .map_err(|_| ConnectionError::Silent)??;
-    Ok(relay::read(&line))
+    Ok(relay::parse(&line))
 }
 
 fn started(message: Option<RelayMessage>) -> Result<UpstreamEvent, ConnectionError> {
