--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -43,7 +43,7 @@
     }
 
     /// What the DNS front is to answer from, after `Output::DnsViewChanged`.
-    pub fn view(&self) -> Arc<View> {
+    pub fn dns_view(&self) -> Arc<View> {
         self.state
             .dns
             .as_ref()
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -3,7 +3,7 @@
 
 use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
-use crate::time::micros;
+use crate::time::unix_micros;
 use pondarch_config::Site;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, ProxyId, RequestClassId, TableId, Time};
@@ -298,7 +298,7 @@
         let serial = old
             .serial
             .wrapping_add(1)
-            .max((micros(now) / 1_000_000) as u32);
+            .max((unix_micros(now) / 1_000_000) as u32);
         for (table, lines) in &view.tables {
             if old.tables.get(table) != Some(lines) {
                 self.held
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The hosts as the file lists them, with what operators changed in it.
 
 use crate::recovered_state::{Edit, RecoveredHost, RecoveredList};
-use crate::time::micros;
+use crate::time::unix_micros;
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
 use pondarch_controller::DurationExt;
@@ -165,13 +165,13 @@
     pub(crate) fn to_recovered(&self) -> RecoveredList {
         let host = |(_, k): (&HostId, &ListedHost)| RecoveredHost {
             entry: k.entry.clone(),
-            started_us: micros(k.started),
+            started_us: unix_micros(k.started),
             state: match k.state {
                 EndpointState::Ready => HostState::Ready,
                 EndpointState::Draining => HostState::Drain,
                 EndpointState::Removed => HostState::Gone,
             },
-            draining_since_us: k.draining_since.map(micros),
+            draining_since_us: k.draining_since.map(unix_micros),
         };
         RecoveredList {
             file: self.file.clone(),
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -40,7 +40,7 @@
     info.put("Uptime_sec", (now - core.started).micros() / 1_000_000);
     info.put(
         "Start_time_sec",
-        crate::time::micros(core.started) / 1_000_000,
+        crate::time::unix_micros(core.started) / 1_000_000,
     );
     info.put("Node", &core.name);
 }
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -55,4 +55,4 @@
 pub use output::Output;
 pub use recovered_state::{RecoveredHost, RecoveredList, RecoveredState};
 pub use reported_load::ReportedLoad;
-pub use time::micros;
+pub use time::unix_micros;
--- a/crates/daemon-core/src/output.rs
+++ b/crates/daemon-core/src/output.rs
@@ -46,7 +46,7 @@
         /// Whether only the load was asked for; otherwise it was a health check.
         for_load: bool,
     },
-    /// The DNS server has other answers to give: `Core::view`.
+    /// The DNS server has other answers to give: `Core::dns_view`.
     #[serde(rename = "ViewChanged")]
     DnsViewChanged {
         /// Serial of the DNS zone.
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -61,7 +61,7 @@
 impl RecoveredState {
     /// The same by another clock, by which it is `now_us` when `passed_us` have passed since then. Where the machine's
     /// clock jumped, that is not what it shows: a cold host would be warm, or a drain be owed from tomorrow.
-    pub fn by_clock(mut self, now_us: u64, passed_us: u64) -> RecoveredState {
+    pub fn rebased_to_clock(mut self, now_us: u64, passed_us: u64) -> RecoveredState {
         let then = now_us.saturating_sub(passed_us);
         let old = self.at_us;
         let moved = |at: u64| (at + then).saturating_sub(old);
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use crate::recovered_state::RecoveredState;
 use crate::state::DaemonState;
-use crate::time::micros;
+use crate::time::unix_micros;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, Time};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     pub(crate) fn state_to_recover(&self) -> RecoveredState {
         let serial = self.dns.as_ref().map_or(0, |names| names.view().serial);
         RecoveredState {
-            at_us: micros(self.now),
+            at_us: unix_micros(self.now),
             list: self.endpoints.to_recovered(),
             zones: self.zones.entries().clone(),
             dns_serial: serial,
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -5,7 +5,7 @@
 use crate::pushed_reports::{AcceptedReport, REPORT_CREDIT, Sender, row};
 use crate::reported_load::ReportedLoad;
 use crate::state::DaemonState;
-use crate::time::micros;
+use crate::time::unix_micros;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::age;
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
@@ -49,7 +49,7 @@
                 incarnation,
             },
         );
-        let at_us = micros(self.now);
+        let at_us = unix_micros(self.now);
         self.outputs.push_back(Output::GrantCredit {
             connection,
             reports: REPORT_CREDIT,
@@ -96,7 +96,7 @@
         self.outputs.push_back(Output::GrantCredit {
             connection,
             reports: 1,
-            at_us: micros(now),
+            at_us: unix_micros(now),
         });
         let Some(AcceptedReport {
             sent_at: sent,
--- a/crates/daemon-core/tests/in_memory/dns.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -42,7 +42,7 @@
 }
 
 fn query(fleet: &mut SimulatedFleet, proxy: u16) {
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     let table = view
         .table_of(
             Some(ProxyId(proxy)),
@@ -60,7 +60,7 @@
 fn bound(fleet: &SimulatedFleet, proxy: u16) -> Option<TableId> {
     fleet
         .core
-        .view()
+        .dns_view()
         .bindings
         .get(&(ProxyId(proxy), pondarch_controller::RequestClassId(0)))
         .copied()
@@ -73,7 +73,7 @@
     query(&mut fleet, 2);
     fleet.run(1_000);
     let table = bound(&fleet, 2).expect("bound");
-    assert!(!fleet.core.view().table_hosts(table).is_empty());
+    assert!(!fleet.core.dns_view().table_hosts(table).is_empty());
     assert!(bound(&fleet, 3).is_none());
     for _ in 0..10 {
         fleet.run(3_000);
@@ -101,7 +101,7 @@
 #[test]
 fn unknown_proxies_are_bound_like_proxies_and_no_other_table_is_answered() {
     let mut fleet = fleet();
-    let first = fleet.core.view();
+    let first = fleet.core.dns_view();
     let standing = first
         .table_of(None, pondarch_controller::RequestClassId(0), 77)
         .expect("the list itself");
@@ -126,7 +126,7 @@
     query(&mut fleet, 2);
     fleet.run(500);
     for _ in 0..20 {
-        let view = fleet.core.view();
+        let view = fleet.core.dns_view();
         let used: std::collections::BTreeSet<_> = view
             .bindings
             .values()
@@ -213,7 +213,7 @@
 
 /// The weight of a host over all tables but the list's own.
 fn weight_outside_list(fleet: &SimulatedFleet, name: &str) -> f64 {
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     let lines = view
         .tables
         .iter()
--- a/crates/daemon-core/tests/in_memory/dns/answers.rs
+++ b/crates/daemon-core/tests/in_memory/dns/answers.rs
@@ -11,8 +11,8 @@
     fleet.run(1_000);
     query(&mut fleet, 2);
     let table = bound(&fleet, 2).expect("bound");
-    let host_of = fleet.core.view().table_hosts(table)[0].host.clone();
-    let serial = fleet.core.view().serial;
+    let host_of = fleet.core.dns_view().table_hosts(table)[0].host.clone();
+    let serial = fleet.core.dns_view().serial;
     // The drain comes just after an answer.
     let drained_at = fleet.now;
     let mut hosts: Vec<_> = (0..12).map(host).collect();
@@ -21,7 +21,7 @@
         .filter(|host| *host.name == *host_of.0)
         .for_each(|host| host.state = HostState::Drain);
     fleet.list(hosts);
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     assert!(view.serial > serial);
     assert!(
         view.tables
@@ -43,26 +43,26 @@
     query(&mut fleet, 2);
     fleet.run(1_000);
     let table = bound(&fleet, 2).expect("bound");
-    let before = fleet.core.view().table_hosts(table).to_vec();
+    let before = fleet.core.dns_view().table_hosts(table).to_vec();
     fleet.list(Vec::new());
     fleet.run(1_000);
     // What the table last had is given for as long as it runs out within the grace, and no longer.
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     assert!(view.last_answers.contains(&table) && view.table_hosts(table) == before);
     fleet.run(2_450);
-    assert!(!fleet.core.view().table_hosts(table).is_empty());
+    assert!(!fleet.core.dns_view().table_hosts(table).is_empty());
     fleet.run(100);
     assert!(
-        fleet.core.view().table_hosts(table).is_empty(),
+        fleet.core.dns_view().table_hosts(table).is_empty(),
         "the grace ends in 2.5 s: 0.5 to learn, 1 held, 1 counted"
     );
     assert_eq!(bound(&fleet, 2), Some(table), "still bound");
-    let serial = fleet.core.view().serial;
+    let serial = fleet.core.dns_view().serial;
     fleet.list((0..12).map(host).collect());
     fleet.run(2_000);
     query(&mut fleet, 2);
     fleet.run(1_000);
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     assert!(view.serial > serial && view.last_answers.is_empty());
     assert!(bound(&fleet, 2).is_some_and(|table| !view.table_hosts(table).is_empty()));
 }
@@ -82,7 +82,7 @@
     fleet.run(5_000);
     fleet.list(Vec::new());
     fleet.run(500);
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     let named: Vec<_> = view
         .tables
         .values()
@@ -104,7 +104,7 @@
         first.list(hosts);
         first.run(1_500);
     }
-    let before = first.core.view().serial;
+    let before = first.core.dns_view().serial;
     assert!(u64::from(before) >= START / SECOND, "seconds since 1970");
     // Another process starts later than the first one's last input.
     assert!(u64::from(before) <= first.now / SECOND + 8, "{before}");
--- a/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
+++ b/crates/daemon-core/tests/in_memory/dns/restarted_hosts.rs
@@ -25,7 +25,7 @@
                 .is_none_or(|(until, _)| *until <= fleet.now)
             {
                 query(fleet, proxy);
-                let view = fleet.core.view();
+                let view = fleet.core.dns_view();
                 let table = view.table_of(
                     Some(ProxyId(proxy)),
                     pondarch_controller::RequestClassId(0),
@@ -129,7 +129,7 @@
 fn is_answered(fleet: &SimulatedFleet, name: &str) -> bool {
     fleet
         .core
-        .view()
+        .dns_view()
         .tables
         .values()
         .flatten()
@@ -147,7 +147,7 @@
     again.started = Some(fleet.now as f64 / 1e6);
     fleet.list(vec![again]);
     fleet.run(300);
-    let view = fleet.core.view();
+    let view = fleet.core.dns_view();
     assert!(
         view.tables.values().any(|lines| !lines.is_empty()),
         "a cold host is better than none"
--- a/crates/daemon-core/tests/in_memory/dns/secondaries.rs
+++ b/crates/daemon-core/tests/in_memory/dns/secondaries.rs
@@ -28,7 +28,7 @@
     };
     let mut fleet = fleet_with_secondaries(vec![secondary(0), secondary(1)]);
     fleet.run(2_000);
-    let serial = fleet.core.view().serial;
+    let serial = fleet.core.dns_view().serial;
     for n in [0, 1] {
         observe(&mut fleet, n, SecondaryEvent::Transferred(serial));
     }
@@ -39,7 +39,7 @@
     let drained_at = fleet.now;
     fleet.list(hosts);
     assert_eq!(notified(&mut fleet), [0, 1]);
-    let serial = fleet.core.view().serial;
+    let serial = fleet.core.dns_view().serial;
     observe(&mut fleet, 0, SecondaryEvent::Acknowledged);
     observe(&mut fleet, 0, SecondaryEvent::Transferred(serial));
     assert!(
@@ -53,7 +53,7 @@
     let late = |event: &&Event| matches!(event, Event::SecondaryBehind { secondary } if secondary == "second-1");
     assert_eq!(fleet.events.iter().filter(late).count(), 1);
     assert!(fleet.command(1, "show map lingering").contains("host-3"));
-    let serial = fleet.core.view().serial;
+    let serial = fleet.core.dns_view().serial;
     observe(&mut fleet, 0, SecondaryEvent::Transferred(serial));
     observe(&mut fleet, 1, SecondaryEvent::Transferred(serial));
     let fetched = fleet.now;
--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -2,7 +2,7 @@
 
 use pondarch_config::{HostEntry, Site};
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Core, Input, Output, micros};
+use pondarch_daemon_core::{Core, Input, Output, unix_micros};
 use pondarch_proxy_core::proxy_state::ProxyState;
 use pondarch_replay::RunStart;
 use std::collections::VecDeque;
@@ -99,7 +99,7 @@
                 (Time::from_micros(self.now_us), input)
             }
             None => {
-                let wake = micros(self.core.wake_at()).max(self.now_us + 1);
+                let wake = unix_micros(self.core.wake_at()).max(self.now_us + 1);
                 self.now_us = wake;
                 (Time::from_micros(wake), Input::TimerExpired)
             }
@@ -148,8 +148,8 @@
         settings: text.into(),
         seed: 7,
         process: 1,
-        incarnation: micros(at),
-        at_us: micros(at),
+        incarnation: unix_micros(at),
+        at_us: unix_micros(at),
         boot: None,
     }
 }
--- a/crates/daemon/benches/recording/latency.rs
+++ b/crates/daemon/benches/recording/latency.rs
@@ -5,7 +5,7 @@
 use pondarch_config::site_from_text;
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
-use pondarch_daemon_core::{Input, Output, micros};
+use pondarch_daemon_core::{Input, Output, unix_micros};
 use pondarch_event_log::{DiskFault, Folder};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -68,7 +68,7 @@
             };
             Recorder::start(open, &records, start(&text, clock.now()), clock, to_core)
         });
-        let fleet = SimulatedFleet::new(&site, micros(clock.now()));
+        let fleet = SimulatedFleet::new(&site, unix_micros(clock.now()));
         RecordedFleet {
             fleet,
             recorder,
--- a/crates/daemon/benches/recording/sizes.rs
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -4,7 +4,7 @@
 use pondarch_config::{Site, site_from_text};
 use pondarch_controller::Time;
 use pondarch_daemon::Clock;
-use pondarch_daemon_core::{Input, Output, micros};
+use pondarch_daemon_core::{Input, Output, unix_micros};
 use pondarch_event_log::{Disk, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
 use pondarch_replay::{Decision, Record, recover};
@@ -46,7 +46,7 @@
             sync_within: UNLIMITED,
         };
         let folder = Folder::lock(folder).expect("a lock");
-        let log = EventLog::new(folder, retention, micros(at)).expect("a log");
+        let log = EventLog::new(folder, retention, unix_micros(at)).expect("a log");
         let mut frames = Vec::new();
         let start = Record::Start(Box::new(start(text, at)));
         frame::write(&mut frames, &start.to_bytes());
@@ -70,7 +70,7 @@
         let begun = Instant::now();
         self.push(&Record::Input {
             number,
-            at_us: micros(at),
+            at_us: unix_micros(at),
             input,
         });
         if !outputs.is_empty() {
@@ -98,7 +98,7 @@
     let site = site_from_text(&text).expect("settings");
     let start = Clock::start().now();
     let mut writer = LogWriter::start(folder.path(), &text, start);
-    let mut fleet = SimulatedFleet::new(&site, micros(start));
+    let mut fleet = SimulatedFleet::new(&site, unix_micros(start));
     let mut number = 0;
     while writer.frame_bytes < bytes {
         number += 1;
@@ -110,7 +110,7 @@
             fleet.carry_out(output);
         }
     }
-    let span = Duration::from_micros(fleet.now_us - micros(start));
+    let span = Duration::from_micros(fleet.now_us - unix_micros(start));
     let written = writer.end();
     time_recovery(folder.path(), &site, &written, span);
     time_replay(folder.path(), span);
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::recorder::{self, Recorder};
 use pondarch_config::Site;
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Core, Input, Output, micros};
+use pondarch_daemon_core::{Core, Input, Output, unix_micros};
 use pondarch_io_util::Clock;
 use pondarch_replay::RunStart;
 use pondarch_transport::{Listener, serve};
@@ -66,11 +66,11 @@
     async fn start(site: Site, text: String, options: Options) -> Result<Daemon, DaemonError> {
         let clock = Clock::start();
         let now = clock.now();
-        let seed = options.seed.unwrap_or(micros(now));
+        let seed = options.seed.unwrap_or(unix_micros(now));
         let (inputs, queue) = mpsc::channel(MAX_WAITING_INPUTS);
         let previous = recorder::previous_run(&site, now)?;
         // Above that of any run before, whatever the clock says: proxies refuse the updates of an older one.
-        let incarnation = micros(now).max(previous.incarnation + 1);
+        let incarnation = unix_micros(now).max(previous.incarnation + 1);
         let start = run_start(text, seed, incarnation, now);
         let process = start.process;
         let folder = previous.folder;
@@ -165,7 +165,7 @@
 
     fn carry_out(&mut self, output: Output) {
         match (&output, &self.dns) {
-            (Output::DnsViewChanged { .. }, Some(dns)) => dns.set_view(self.core.view()),
+            (Output::DnsViewChanged { .. }, Some(dns)) => dns.set_view(self.core.dns_view()),
             (Output::NotifySecondary { secondary }, Some(dns)) => dns.notify(*secondary),
             _ => self.outputs.carry_out(output),
         }
@@ -191,7 +191,7 @@
         seed,
         process: std::process::id(),
         incarnation,
-        at_us: micros(now),
+        at_us: unix_micros(now),
         boot: recorder::boot(),
     }
 }
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -6,7 +6,7 @@
 
 use pondarch_config::site::Records;
 use pondarch_controller::Time;
-use pondarch_daemon_core::{Input, Output, RecoveredState, micros};
+use pondarch_daemon_core::{Input, Output, RecoveredState, unix_micros};
 use pondarch_event_log::{Disk, LockError, RetentionConfig};
 use pondarch_io_util::Clock;
 use pondarch_replay::{RunStart, Snapshot};
@@ -182,7 +182,7 @@
         let snapshot = Snapshot {
             incarnation: self.incarnation,
             number: self.number,
-            at_us: micros(now),
+            at_us: unix_micros(now),
             boot: boot(),
             state,
         };
--- a/crates/daemon/src/recorder/previous_run.rs
+++ b/crates/daemon/src/recorder/previous_run.rs
@@ -3,7 +3,7 @@
 use crate::error::DaemonError;
 use pondarch_config::Site;
 use pondarch_controller::Time;
-use pondarch_daemon_core::{RecoveredState, micros};
+use pondarch_daemon_core::{RecoveredState, unix_micros};
 use pondarch_event_log::{Folder, LockError};
 use pondarch_replay::{Boot, recover};
 use std::path::PathBuf;
@@ -78,12 +78,14 @@
         incarnation = found.incarnation,
         "event log read"
     );
-    let now_us = micros(now);
+    let now_us = unix_micros(now);
     let elapsed_us = elapsed_us(found.boot.as_ref(), boot().as_ref(), found.last_us, now_us);
     PreviousRun {
         folder: None,
         incarnation: found.incarnation,
-        state: found.state.map(|state| state.by_clock(now_us, elapsed_us)),
+        state: found
+            .state
+            .map(|state| state.rebased_to_clock(now_us, elapsed_us)),
     }
 }
 
--- a/crates/daemon/src/recorder/writer.rs
+++ b/crates/daemon/src/recorder/writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes the event log: what is written when, and what the core is notified of.
 
 use super::{Entry, InputRange, queue_bytes};
-use pondarch_daemon_core::{EventLogState, Input, micros};
+use pondarch_daemon_core::{EventLogState, Input, unix_micros};
 use pondarch_event_log::{Disk, DiskState, EventLog, LockError, LogError, RetentionConfig, frame};
 use pondarch_io_util::Clock;
 use pondarch_replay::{Decision, Record, RunStart, Snapshot};
@@ -157,7 +157,7 @@
                     self.config.waiting.fetch_sub(queue_bytes(&input), Relaxed);
                     let record = Record::Input {
                         number,
-                        at_us: micros(at),
+                        at_us: unix_micros(at),
                         input: *input,
                     };
                     batch.push(number, &record);
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -149,7 +149,7 @@
     pub(super) fn names(&mut self) {
         use pondarch_dns_core::SecondaryEvent;
         for round in 0..3 {
-            let view = self.core.view();
+            let view = self.core.dns_view();
             let table = view
                 .table_of(Some(ProxyId(2)), RequestClassId(0), 1)
                 .map(|table| table.0);
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -57,7 +57,7 @@
     let known = found
         .state
         .ok_or("nothing was known")?
-        .by_clock(at, 2_000_000);
+        .rebased_to_clock(at, 2_000_000);
     let mut second = Run::start(folder, found.incarnation + 1, at)?;
     second.generation = first.generation;
     second.give(Input::Recovered(Box::new(known)));
--- a/crates/replay/src/what_if/player.rs
+++ b/crates/replay/src/what_if/player.rs
@@ -205,7 +205,7 @@
 
     /// A query by this proxy of the scenario, which has this number in the settings.
     fn apply_dns_query(&mut self, recorded: Option<u16>, proxy: Option<u16>) {
-        let view = self.core.view();
+        let view = self.core.dns_view();
         let key = u64::from(recorded.unwrap_or(0));
         let proxy = proxy.map(ProxyId);
         let table = view
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -243,7 +243,7 @@
             }
             Step::Operator(n) => run.command(LINES[*n]),
             Step::DnsQuery => {
-                let view = run.core.view();
+                let view = run.core.dns_view();
                 let proxy = view.anonymous_proxies.first().map(|id| id.0);
                 let table = view
                     .table_of(None, pondarch_controller::RequestClassId(0), 5)
--- a/crates/replay/tests/recovery/restart.rs
+++ b/crates/replay/tests/recovery/restart.rs
@@ -37,7 +37,7 @@
     for jump in [-600_000_000i64, 600_000_000] {
         // 3 s later by the machine's own count.
         let now = (START as i64 + 8_000_000 + jump) as u64;
-        let moved = state.clone().by_clock(now, 3_000_000);
+        let moved = state.clone().rebased_to_clock(now, 3_000_000);
         let of = |n: usize| moved.hosts()[n].clone();
         assert_eq!(
             now - of(2).draining_since_us.expect("a time"),
