--- a/crates/daemon-core/src/apply.rs
+++ b/crates/daemon-core/src/apply.rs
@@ -1,4 +1,4 @@
-//! Each input is applied: noted, given to the decisions, and followed up.
+//! Applies each input to the state and to the controller, then sends out what follows from it.
 
 use crate::event::Event;
 use crate::input::{EventLogState, Input};
@@ -10,12 +10,12 @@
 use pondarch_controller::{HostId, Time};
 use pondarch_load_ingestion::Purpose;
 
-/// What a request to a host was for.
+/// Purpose of a request to a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CheckPurpose {
-    /// Whether the host serves.
+    /// To check whether the host serves.
     Health,
-    /// Its load alone.
+    /// To read only its load.
     Load,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl DaemonState {
-    /// Takes one input; a line of an operator is answered by `answer`, which is given the level and the line.
+    /// Applies one input. `answer` replies to a command line of an operator; it is given the access level and the line.
     pub(crate) fn apply_input(
         &mut self,
         now: Time,
@@ -58,9 +58,9 @@
 
     fn dispatch_input(&mut self, input: Input) {
         match input {
-            // Commands are answered by `apply_input`; timers run after each input.
+            // `apply_input` replies to commands, and runs timers after each input.
             Input::TimerExpired | Input::Command { .. } => {}
-            Input::Recovered(known) => self.recover(*known),
+            Input::Recovered(recovered) => self.recover(*recovered),
             Input::EventLog(state) => self.on_event_log(state),
             Input::EndpointList { generation, hosts } => {
                 self.on_endpoint_list(generation, hosts);
@@ -145,29 +145,30 @@
         }
     }
 
+    /// The text for an input in the causes of events; stored with these, so it must not change.
     pub(crate) fn describe_input(&self, input: &Input) -> String {
-        let proxy = |n: u16| {
+        let proxy_name = |index: u16| {
             self.peers
-                .get(n as usize)
+                .get(index as usize)
                 .map_or("?", |peer| peer.name.as_str())
         };
         match input {
             Input::TimerExpired => "beat".into(),
             Input::Recovered(_) => "recovered".into(),
             Input::EventLog(_) => "records".into(),
-            Input::EndpointList {
-                generation: version,
-                ..
-            } => {
-                format!("list {}", version.map_or("-".into(), |v| v.to_string()))
+            Input::EndpointList { generation, .. } => {
+                let generation = generation.map_or("-".into(), |generation| generation.to_string());
+                format!("list {generation}")
             }
             Input::EndpointListRejected { .. } => "list refused".into(),
-            Input::Connected { proxy: n, .. } => format!("{} connected", proxy(*n)),
-            Input::Answer { proxy: n, .. } => format!("answer of {}", proxy(*n)),
-            Input::Disconnected { proxy: n, .. } => format!("{} lost", proxy(*n)),
+            Input::Connected { proxy, .. } => format!("{} connected", proxy_name(*proxy)),
+            Input::Answer { proxy, .. } => format!("answer of {}", proxy_name(*proxy)),
+            Input::Disconnected { proxy, .. } => format!("{} lost", proxy_name(*proxy)),
             Input::HealthCheckCompleted { host, .. } => format!("probe of {host}"),
-            Input::DnsQueried { proxy: n, .. } => format!("{} asked", n.map_or("somebody", proxy)),
-            Input::SecondaryObserved { index: n, .. } => format!("secondary {n}"),
+            Input::DnsQueried { proxy, .. } => {
+                format!("{} asked", proxy.map_or("somebody", proxy_name))
+            }
+            Input::SecondaryObserved { index, .. } => format!("secondary {index}"),
             Input::SenderConnected { name, .. } => format!("{name} pushes"),
             Input::ReportReceived { .. } | Input::SenderDisconnected { .. } => "a report".into(),
             Input::MemoryUsage { .. } => "memory".into(),
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The core as its surroundings see it.
+//! The public interface of the state machine.
 
 use crate::dns_state::DnsState;
 use crate::input::Input;
@@ -11,38 +11,38 @@
 use pondarch_dns_server::View;
 use std::sync::Arc;
 
-/// The controller without its sockets: `handle` takes one input; then `next_output` is called until it gives `None`, and
-/// `Input::TimerExpired` is given at `wake_at`.
+/// The controller without its sockets. After each call of `handle`, the caller drains `next_output` until it returns
+/// `None`, and passes in `Input::TimerExpired` at `wake_at`.
 pub struct Core {
     state: DaemonState,
 }
 
 impl Core {
-    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
-    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
-    /// any start before, or proxies refuse its orders as older ones.
-    pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
+    /// `seed` determines all random choices of this run; `process_id` is the `Pid` of `show info`. Joined proxies store
+    /// `incarnation` with the controller's name: it must be higher than in any earlier run, or proxies reject this run's
+    /// updates as outdated.
+    pub fn new(site: &Site, seed: u64, process_id: u32, incarnation: u64, now: Time) -> Core {
         Core {
-            state: DaemonState::new(site, seed, process, epoch, now),
+            state: DaemonState::new(site, seed, process_id, incarnation, now),
         }
     }
 
-    /// What a controller that starts again must still know, for `Input::Recovered`.
+    /// The state that a restarted controller needs, for `Input::Recovered`.
     pub fn state_to_recover(&self) -> RecoveredState {
         self.state.state_to_recover()
     }
 
-    /// Applies one input; its outputs are given by `next_output`.
+    /// Applies one input; `next_output` returns the resulting outputs.
     pub fn handle(&mut self, now: Time, input: Input) {
         self.state.apply_input(now, input, operator::answer);
     }
 
-    /// The next thing to be done, in order; none: all is given out.
+    /// The next output, in the order in which they are to be carried out; none: there are no more.
     pub fn next_output(&mut self) -> Option<Output> {
         self.state.next_output()
     }
 
-    /// What the DNS front is to answer from, after `Output::DnsViewChanged`.
+    /// The data that the DNS server answers from; changed with each `Output::DnsViewChanged`.
     pub fn dns_view(&self) -> Arc<View> {
         self.state
             .dns
@@ -51,8 +51,8 @@
             .unwrap_or_default()
     }
 
-    /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
-    /// with each.
+    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted: they are checked with
+    /// every input.
     pub fn wake_at(&self) -> Time {
         self.state.wake_at()
     }
--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -1,8 +1,8 @@
-//! What follows from an input: proxies there is room for are joined, decisions pulled, and differences written.
+//! Carries out what follows from an input: joins waiting proxies, takes the controller's decisions, and sends updates.
 
 use crate::event::Event;
 use crate::output::Output;
-use crate::peer::{Link, Peer};
+use crate::peer::{LinkState, Peer};
 use crate::state::DaemonState;
 use crate::table_assignments::ClassAdmission;
 use crate::update_queue::QueueCapacity;
@@ -12,20 +12,20 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A difference that one proxy is to get.
+/// An update that is due to one proxy.
 struct DueUpdate {
-    /// When it became due.
+    /// Since when it is due.
     since: Option<Time>,
-    /// Number of the proxy.
+    /// Index of the proxy.
     proxy: usize,
     batch: Batch,
 }
 
 impl DaemonState {
-    /// Joins those there is room for, pulls decisions, and brings proxies up to date.
+    /// Joins the waiting proxies that the update queue has room for, takes decisions, and sends updates.
     pub(crate) fn follow_up(&mut self) {
-        // Before the first list nothing is decided: the state of proxies is read, they keep what they hold, and are
-        // joined when the list arrives.
+        // Nothing is decided before the first endpoint list. Until then proxies keep the tables they hold and only their
+        // state is read; they are joined when the list arrives.
         if self.endpoints.generation == 0 {
             return;
         }
@@ -39,12 +39,12 @@
         if !self
             .peers
             .iter()
-            .any(|peer| matches!(peer.link, Link::Waiting { .. }))
+            .any(|peer| matches!(peer.link, LinkState::AwaitingJoin { .. }))
         {
             return;
         }
-        // Two commands a line and request class for the largest table so far, and the maps.
-        let largest = self
+        // A join takes two commands for each line and request class of the largest table so far, plus the map entries.
+        let max_lines = self
             .tables
             .by_id
             .values()
@@ -52,26 +52,27 @@
             .max()
             .unwrap_or(0)
             .max(8);
-        let lines =
-            (2 * largest * self.request_classes.len() + 2 * self.request_classes.len() + 1) as f64;
+        let commands = (2 * max_lines * self.request_classes.len()
+            + 2 * self.request_classes.len()
+            + 1) as f64;
         let pending = self
             .peers
             .iter()
-            .filter(|p| p.is_joined() && p.pending_update.is_some())
+            .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
             .count();
-        let mut room = self.update_queue.possible_joins(lines, pending);
-        for n in 0..self.peers.len() {
-            let Link::Waiting { fresh } = self.peers[n].link else {
+        let mut remaining_joins = self.update_queue.possible_joins(commands, pending);
+        for index in 0..self.peers.len() {
+            let LinkState::AwaitingJoin { fresh } = self.peers[index].link else {
                 continue;
             };
-            if room == 0 {
+            if remaining_joins == 0 {
                 break;
             }
-            room -= 1;
+            remaining_joins -= 1;
             let now = self.now;
             let cause = self.cause.clone();
-            let peer = &mut self.peers[n];
-            peer.link = Link::Joined;
+            let peer = &mut self.peers[index];
+            peer.link = LinkState::Joined;
             peer.require_update(now, &cause);
             self.controller.proxy_joined(
                 now,
@@ -92,8 +93,8 @@
     }
 
     fn take_decisions(&mut self) {
-        let mut lines: BTreeMap<TableId, Vec<(String, f64)>> = BTreeMap::new();
-        let mut touched: BTreeSet<TableId> = BTreeSet::new();
+        let mut changed_weights: BTreeMap<TableId, Vec<(String, f64)>> = BTreeMap::new();
+        let mut changed_tables: BTreeSet<TableId> = BTreeSet::new();
         while let Some(decision) = self.controller.next_decision(self.now) {
             self.mark_dns_view_outdated();
             match decision {
@@ -102,12 +103,12 @@
                     host,
                     weight,
                 } => {
-                    lines
+                    changed_weights
                         .entry(table)
                         .or_default()
                         .push((host.0.to_string(), weight.unwrap_or(0.0)));
                     self.tables.set_weight(table, host, weight);
-                    touched.insert(table);
+                    changed_tables.insert(table);
                 }
                 Decision::BindProxy {
                     proxy,
@@ -125,17 +126,17 @@
                         retry_policy,
                     };
                     self.tables.set_admission(table, class, admission);
-                    touched.insert(table);
+                    changed_tables.insert(table);
                     self.log_admission_change(table, class, admission);
                 }
                 Decision::CheckHealth(host) => self.request_health_check(&host),
-                // The daemon watches the list at all times; a session knows by itself what its proxy has applied.
+                // The daemon watches the endpoint list at all times, and sessions track acknowledgements by themselves.
                 Decision::WatchEndpoints | Decision::RequestAck(_) => {}
-                Decision::SetTimer(span) => self.timer_at = Some(self.now + span),
+                Decision::SetTimer(delay) => self.timer_at = Some(self.now + delay),
             }
         }
-        self.log_weight_changes(lines);
-        self.require_touched_updates(touched);
+        self.log_weight_changes(changed_weights);
+        self.require_updates_of_tables(changed_tables);
     }
 
     fn log_admission_change(
@@ -175,8 +176,9 @@
         }
     }
 
-    fn require_touched_updates(&mut self, touched: BTreeSet<TableId>) {
-        for table in touched {
+    /// Marks the proxies of these tables for an update, and logs hosts whose weight has become too small to be sent.
+    fn require_updates_of_tables(&mut self, tables: BTreeSet<TableId>) {
+        for table in tables {
             self.require_table_update(table);
             for host in self
                 .tables
@@ -191,11 +193,12 @@
         }
     }
 
+    /// Binds a proxy to a table, for these request classes; an empty slice stands for all.
     fn bind_proxy(&mut self, proxy: u16, table: TableId, classes: &[RequestClassId]) {
         let now = self.now;
         let cause = self.cause.clone();
         let all: Vec<RequestClassId> = (0..self.request_classes.len())
-            .map(|k| RequestClassId(k as u8))
+            .map(|index| RequestClassId(index as u8))
             .collect();
         let Some(peer) = self.peers.get_mut(proxy as usize) else {
             return;
@@ -212,22 +215,23 @@
         });
     }
 
+    /// Marks the proxies that are bound to a table for an update.
     pub(crate) fn require_table_update(&mut self, table: TableId) {
         let now = self.now;
         let cause = self.cause.clone();
         for peer in self
             .peers
             .iter_mut()
-            .filter(|peer| peer.bindings.values().any(|t| *t == table))
+            .filter(|peer| peer.bindings.values().any(|bound| *bound == table))
         {
             peer.require_update(now, &cause);
         }
     }
 
-    /// All that a proxy should hold.
-    fn wanted_state(&mut self, n: usize) -> Wanted {
+    /// The lines and admission that a proxy should hold.
+    fn wanted_state(&mut self, index: usize) -> Wanted {
         let mut wanted = Wanted::default();
-        for (&class, &table) in &self.peers[n].bindings {
+        for (&class, &table) in &self.peers[index].bindings {
             wanted
                 .lines
                 .insert(class, self.tables.lines(table, &self.endpoints, self.now));
@@ -241,10 +245,10 @@
         wanted
     }
 
-    /// Writes the differences that are due: drains first, then joins, then the longest waiting.
+    /// Sends the updates that are due: drains first, then joins, then in the order in which they became due.
     fn send_updates(&mut self) {
         let now = self.now;
-        let mut full = false;
+        let mut queue_full = false;
         for DueUpdate { proxy, batch, .. } in self.due_updates() {
             let peer = &mut self.peers[proxy];
             let urgency = batch.urgency;
@@ -253,7 +257,7 @@
                 .update_queue
                 .capacity(now, &mut peer.sent_messages, commands, urgency)
             {
-                QueueCapacity::Available if !full || urgency == Urgency::Drain => {
+                QueueCapacity::Available if !queue_full || urgency == Urgency::Drain => {
                     self.send_update(proxy, batch);
                 }
                 QueueCapacity::AvailableAt(at, reason) => {
@@ -266,24 +270,26 @@
                         });
                     }
                 }
-                // Whoever is behind this one waits as well, or small messages would keep a large one out for ever.
-                QueueCapacity::Available | QueueCapacity::AvailableAfterReplies => full = true,
+                // Updates after this one wait as well; otherwise small messages could keep a large one waiting for ever.
+                QueueCapacity::Available | QueueCapacity::AvailableAfterReplies => {
+                    queue_full = true;
+                }
             }
         }
     }
 
-    /// The differences that may be written now, in the order in which they are to be.
+    /// The updates that may be sent now, in the order of sending.
     fn due_updates(&mut self) -> Vec<DueUpdate> {
         let now = self.now;
-        let may = |peer: &Peer| {
-            let waits = peer.blocked_until.is_some_and(|until| until > now);
-            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_quiet()
+        let is_sendable = |peer: &Peer| {
+            let blocked = peer.blocked_until.is_some_and(|until| until > now);
+            peer.is_joined() && peer.pending_update.is_some() && !blocked && peer.session.is_quiet()
         };
-        let ready: Vec<usize> = (0..self.peers.len())
-            .filter(|&n| may(&self.peers[n]))
+        let sendable: Vec<usize> = (0..self.peers.len())
+            .filter(|&index| is_sendable(&self.peers[index]))
             .collect();
         let mut due = Vec::new();
-        for proxy in ready {
+        for proxy in sendable {
             let wanted = self.wanted_state(proxy);
             let list = &self.endpoints;
             let peer = &mut self.peers[proxy];
@@ -293,7 +299,7 @@
                     proxy,
                     batch,
                 }),
-                // Nothing to do, unless a refused line is left for later.
+                // The proxy is up to date, unless a rejected line is to be retried later.
                 None if peer.session.next_due().is_none() => peer.pending_update = None,
                 None => {}
             }
@@ -306,7 +312,7 @@
         let now = self.now;
         let peer = &mut self.peers[proxy];
         let urgency = urgency_word(batch.urgency).into();
-        // The version is one more.
+        // One more command sets the version of the update.
         let commands = batch.steps.len() + 1;
         peer.in_flight = self
             .update_queue
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -1,5 +1,5 @@
-//! Proxies that take their tables from the DNS server: joined while they query it, what is answered to them, and what may still
-//! be held of it.
+//! Proxies that get their tables from the DNS server: which of them are joined, what is answered to them, and which answers
+//! caches may still hold.
 
 use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
@@ -15,76 +15,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Proxies that are tracked at most: those of the settings.
+/// Maximum number of proxies that are tracked; only those of the settings are.
 const MAX_MEMBERS: usize = 60_000;
-/// How late the daemon may report an answer: it reports each table and proxy once in this time.
+/// How late the daemon may report an answer: it reports each table and proxy at most once in this interval.
 pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Proxies that are not known count as one of so many unknown proxies. Each is bound like a known one, so that no table is
-/// answered that the decisions keep no longer, and unknown proxies do not all use the same few hosts.
+/// Clients that are not known count as one of this many unknown proxies. Each of these is bound like a known proxy, so that
+/// only tables in use are answered, and clients that are not known do not all use the same few hosts.
 const UNKNOWN_PROXIES: usize = 4;
-/// Serials that an earlier run may have given out after its last record: some a second, for the seconds that records may
-/// be late.
+/// Number of serials that the previous run may have published after its last record: a few per second, for the seconds
+/// that the event log may be behind.
 const UNRECORDED_SERIALS: u32 = 100;
-/// Stands for all that an earlier run gave away.
+/// The table id under which all answers of the previous run are kept.
 const PREVIOUS_RUN: TableId = TableId(u16::MAX - 2);
-/// How often it is noted that copies of the zone are being answered from.
+/// How often the answers that secondaries give from their copies of the zone are recorded.
 pub(crate) const SECONDARY_ANSWER_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) struct DnsState {
     pub(crate) members: Members,
-    pub(crate) held: CachedAnswers,
+    pub(crate) cached_answers: CachedAnswers,
     pub(crate) cache_lifetime: Duration,
     pub(crate) view: Arc<View>,
-    /// Tables, bindings or the list may have changed since the view was made.
+    /// Whether tables, bindings or the endpoint list may have changed since the view was built.
     pub(crate) view_outdated: bool,
-    /// After its hosts were taken away, a table's last answer may be given for so long.
-    pub(crate) last_answer_for: Duration,
-    /// When the first such answer must end.
+    /// For how long the last answer of a table may still be given after all its hosts were removed.
+    pub(crate) last_answer_window: Duration,
+    /// When the first of these last answers must end.
     pub(crate) last_answer_until: Option<Time>,
-    /// Hosts that started anew and still get requests by older answers, with until when.
+    /// Restarted hosts that still get requests by answers from before the restart, with the end of their exclusion.
     pub(crate) excluded_until: BTreeMap<HostId, Time>,
     pub(crate) secondaries: Secondaries,
     pub(crate) secondary_names: Vec<String>,
     pub(crate) secondaries_answered_at: Time,
-    /// When the load reports of hosts were last taken for counters.
+    /// When the load reports of hosts were last used in place of proxy counters.
     pub(crate) self_reports_taken_at: Time,
     pub(crate) unknown_proxies: Vec<ProxyId>,
 }
 
-/// Unknown proxies as proxies of a deployment: after those of the settings, one after the other from each zone.
+/// The proxies that stand for unknown ones; their ids follow those of the settings, and their zones take turns.
 pub(crate) fn unknown_proxies(site: &Site) -> Vec<pondarch_config::site::Proxy> {
     if site.dns.is_none() {
         return Vec::new();
     }
-    let usual: f64 = site.proxies.iter().map(|proxy| proxy.usual_rate).sum();
+    let total_usual_rate: f64 = site.proxies.iter().map(|proxy| proxy.usual_rate).sum();
     let unknown_proxy = |n: usize| pondarch_config::site::Proxy {
         name: format!("strangers-{n}"),
         zone: site.zones[n % site.zones.len()].clone(),
         runtime: None,
         sources: Vec::new(),
-        usual_rate: usual / site.proxies.len().max(1) as f64,
+        usual_rate: total_usual_rate / site.proxies.len().max(1) as f64,
     };
     (0..UNKNOWN_PROXIES).map(unknown_proxy).collect()
 }
 
 impl DnsState {
-    /// None without a DNS server, or with one whose lifetime does not fit its grace, which `check` refuses.
+    /// None without a DNS server, or if its lifetime does not fit its grace period, which `check` rejects.
     pub(crate) fn new(site: &Site) -> Option<DnsState> {
         let dns = site.dns.as_ref()?;
         let lifetime: Lifetime = dns.lifetime().ok()?;
-        let holds = lifetime.max_cache_time() + DNS_QUERY_REPORT_INTERVAL;
-        let spare = dns
+        let cache_lifetime = lifetime.max_cache_time() + DNS_QUERY_REPORT_INTERVAL;
+        let grace_left_us = dns
             .grace
             .0
             .micros()
             .saturating_sub(dns.learns_within.0.micros());
         Some(DnsState {
-            members: Members::new(holds, MAX_MEMBERS),
-            held: CachedAnswers::default(),
-            cache_lifetime: holds,
+            members: Members::new(cache_lifetime, MAX_MEMBERS),
+            cached_answers: CachedAnswers::default(),
+            cache_lifetime,
             view: Arc::default(),
             view_outdated: true,
-            last_answer_for: Lifetime::last_answer_window(Duration::from_micros(spare))
+            last_answer_window: Lifetime::last_answer_window(Duration::from_micros(grace_left_us))
                 .unwrap_or(Duration::ZERO),
             last_answer_until: None,
             excluded_until: BTreeMap::new(),
@@ -97,7 +97,7 @@
             secondaries_answered_at: Time::default(),
             self_reports_taken_at: Time::default(),
             unknown_proxies: (0..UNKNOWN_PROXIES)
-                .map(|n| ProxyId((site.proxies.len() + n) as u16))
+                .map(|index| ProxyId((site.proxies.len() + index) as u16))
                 .collect(),
         })
     }
@@ -107,10 +107,10 @@
     }
 
     pub(crate) fn wake_at(&self) -> Option<Time> {
-        let exclusion = self.excluded_until.values().min().copied();
+        let exclusion_end = self.excluded_until.values().min().copied();
         [
             self.members.next_expiry(),
-            exclusion,
+            exclusion_end,
             self.last_answer_until,
             self.secondaries.next_due_at(),
         ]
@@ -119,48 +119,48 @@
         .min()
     }
 
-    /// Tables or bindings may have changed.
+    /// Tables, bindings or the endpoint list may have changed: the view is to be built again.
     pub(crate) fn mark_outdated(&mut self) {
         self.view_outdated = true;
     }
 
-    /// Proxies of the settings that query.
-    pub(crate) fn members(&self) -> usize {
-        self.members.len() - self.unknown_proxies_asking()
+    /// Number of proxies of the settings that query the DNS server.
+    pub(crate) fn querying_proxies(&self) -> usize {
+        self.members.len() - self.querying_unknown_proxies()
     }
 
-    pub(crate) fn unknown_proxies(&self) -> usize {
+    pub(crate) fn unknown_proxy_count(&self) -> usize {
         self.unknown_proxies.len()
     }
 
-    /// Of the unknown proxies, those that somebody queried as.
-    pub(crate) fn unknown_proxies_asking(&self) -> usize {
+    /// Number of unknown proxies that a client currently counts as.
+    pub(crate) fn querying_unknown_proxies(&self) -> usize {
         self.unknown_proxies
             .iter()
             .filter(|id| self.members.contains(**id))
             .count()
     }
 
-    /// Proxies that hold answers longer than they may, by their places.
-    pub(crate) fn holds_too_long(&self) -> impl Iterator<Item = ProxyId> {
-        // Unknown proxies are many, each with a cache of its own.
+    /// Proxies that cache answers for longer than they may.
+    pub(crate) fn caching_too_long(&self) -> impl Iterator<Item = ProxyId> {
+        // Not the unknown ones: each stands for many clients, each of which has a cache of its own.
         self.members
             .caching_too_long()
             .filter(|id| !self.unknown_proxies.contains(id))
     }
 
-    /// Hosts that no table names any more and caches may still hold, each with until when.
+    /// Hosts that are in no table any more but may still be in caches, each with the end of that time.
     pub(crate) fn lingering(&self, now: Time) -> BTreeMap<String, Time> {
-        self.held
+        self.cached_answers
             .lingering(now)
             .into_iter()
             .map(|(host, until)| (host.0.to_string(), until))
             .collect()
     }
 
-    /// Each secondary by its key: what it holds, and for how long it is behind.
+    /// The state of each secondary, by its key name: the serial that it holds, and for how long it has been behind.
     pub(crate) fn secondary_states(&self, now: Time) -> BTreeMap<String, String> {
-        let text_of = |state: SecondaryState| {
+        let describe = |state: SecondaryState| {
             let holds = state.serial.map_or("nothing yet".to_string(), |serial| {
                 format!("holds {serial}")
             });
@@ -172,14 +172,16 @@
         self.secondary_names
             .iter()
             .cloned()
-            .zip(self.secondaries.states().map(text_of))
+            .zip(self.secondaries.states().map(describe))
             .collect()
     }
 
-    /// Serials go on from there. Whatever caches were given in the run's last moment they may hold for a while: any host that
-    /// was known then, and of one that had just started the process before it.
+    /// Restores the state of the previous run, whose last record is of `last`. Serials continue from its serial. Caches may
+    /// hold answers from its last moment: these are taken to name every host that was known then and, for a host that had
+    /// just started, also the process before it.
     pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RecoveredHost]) {
-        // What the run gave out after its last record is not known: a secondary that has it must see a newer one.
+        // The previous run may have published further serials after its last record: a secondary that has one of them must
+        // see a newer one.
         self.view = Arc::new(View {
             serial: serial.wrapping_add(UNRECORDED_SERIALS),
             ..View::default()
@@ -188,36 +190,36 @@
         if until <= now {
             return;
         }
-        let mut known = BTreeMap::new();
-        let mut before = BTreeMap::new();
+        let mut answered = BTreeMap::new();
+        let mut earlier_processes = BTreeMap::new();
         for host in hosts {
             let id = HostId(host.entry.name.as_str().into());
             let started = Time::from_micros(host.started_us);
-            let long_away = host
+            let drained_long_ago = host
                 .draining_since_us
                 .is_some_and(|at| Time::from_micros(at) + self.cache_lifetime <= last);
-            if long_away {
+            if drained_long_ago {
                 continue;
             }
-            let named = AnsweredHost {
+            let answered_host = AnsweredHost {
                 share: 1.0,
                 address: host.entry.address,
                 started,
             };
             if !started.is_unset() && last - started < self.cache_lifetime {
-                before.insert(
+                earlier_processes.insert(
                     id.clone(),
                     AnsweredHost {
                         started: Time::default(),
-                        ..named
+                        ..answered_host
                     },
                 );
             }
-            known.insert(id, named);
+            answered.insert(id, answered_host);
         }
-        self.held.recover(
+        self.cached_answers.recover(
             now,
-            [before, known]
+            [earlier_processes, answered]
                 .map(|hosts| RecoveredVersion {
                     table: PREVIOUS_RUN,
                     serial,
@@ -228,48 +230,48 @@
         );
     }
 
-    /// Hosts of the list that started anew and still get requests by older answers.
+    /// Restarted hosts that still get requests by answers from before the restart, with the end of that time.
     pub(crate) fn hosts_to_exclude(
         &self,
         now: Time,
         list: &EndpointList,
     ) -> BTreeMap<HostId, Time> {
-        let cold = |(host, known): &(&HostId, &ListedHost)| {
-            known.state == EndpointState::Ready && list.is_warming_up(host, now)
+        let is_warming_up = |(id, host): &(&HostId, &ListedHost)| {
+            host.state == EndpointState::Ready && list.is_warming_up(id, now)
         };
-        let exclusion = |(host, known): (&HostId, &ListedHost)| {
+        let exclusion = |(id, host): (&HostId, &ListedHost)| {
             Some((
-                host.clone(),
-                self.held.earlier_incarnation_cached_until(
+                id.clone(),
+                self.cached_answers.earlier_incarnation_cached_until(
                     now,
-                    host,
-                    known.entry.address,
-                    known.started,
+                    id,
+                    host.entry.address,
+                    host.started,
                 )?,
             ))
         };
         list.hosts
             .iter()
-            .filter(cold)
+            .filter(is_warming_up)
             .filter_map(exclusion)
             .collect()
     }
 
-    /// What is to be answered from these weights; its serial is that of the present view.
+    /// The view for these bindings and weights, with the serial of the current view.
     pub(crate) fn build_view(
         &mut self,
         now: Time,
-        bound: BTreeMap<(ProxyId, RequestClassId), TableId>,
+        bindings: BTreeMap<(ProxyId, RequestClassId), TableId>,
         weights: &[(TableId, BTreeMap<HostId, f64>)],
         list: &EndpointList,
     ) -> View {
         let mut tables = BTreeMap::new();
-        let mut last = BTreeSet::new();
+        let mut last_answers = BTreeSet::new();
         self.last_answer_until = None;
         for (table, weights) in weights {
-            let (lines, until) = self.lines(now, weights, *table, list);
+            let (lines, until) = self.table_answer(now, weights, *table, list);
             if let Some(until) = until {
-                last.insert(*table);
+                last_answers.insert(*table);
                 self.last_answer_until = Some(
                     self.last_answer_until
                         .map_or(until, |other| other.min(until)),
@@ -280,29 +282,29 @@
         View {
             serial: self.view.serial,
             tables,
-            bindings: bound,
+            bindings,
             hosts: list
                 .hosts
                 .iter()
-                .map(|(host, known)| (host.clone(), known.entry.address))
+                .map(|(id, host)| (id.clone(), host.entry.address))
                 .collect(),
-            last_answers: last,
+            last_answers,
             anonymous_proxies: self.unknown_proxies.clone(),
         }
     }
 
-    /// Replaces the view, and notes what caches may hold of each table that changed; gives the new serial.
+    /// Replaces the view, and records what caches may hold of each changed table; returns the new serial.
     pub(crate) fn publish_view(&mut self, now: Time, view: View, list: &EndpointList) -> u32 {
         let old = &self.view;
-        // Seconds since 1970, so that a controller that starts again never goes back.
+        // At least the seconds since 1970, so that serials never go back when the controller restarts.
         let serial = old
             .serial
             .wrapping_add(1)
             .max((unix_micros(now) / 1_000_000) as u32);
         for (table, lines) in &view.tables {
             if old.tables.get(table) != Some(lines) {
-                self.held
-                    .record_table(now, serial, *table, named_lines(lines, list));
+                self.cached_answers
+                    .record_table(now, serial, *table, answered_hosts(lines, list));
             }
         }
         for table in old
@@ -310,14 +312,16 @@
             .keys()
             .filter(|table| !view.tables.contains_key(table))
         {
-            self.held.record_table(now, serial, *table, BTreeMap::new());
+            self.cached_answers
+                .record_table(now, serial, *table, BTreeMap::new());
         }
         self.view = Arc::new(View { serial, ..view });
         serial
     }
 
-    /// A table's lines as they are to be answered, and whether they are only what it last had.
-    pub(crate) fn lines(
+    /// The lines to answer for a table. If it has none, those of its last answer, with the time when the first of these
+    /// must end.
+    pub(crate) fn table_answer(
         &self,
         now: Time,
         weights: &BTreeMap<HostId, f64>,
@@ -325,16 +329,16 @@
         list: &EndpointList,
     ) -> (Vec<TableHost>, Option<Time>) {
         let line = |(host, weight): (&HostId, &f64)| {
-            let addr = list.address(host).filter(|_| !list.must_drain(host))?;
+            let address = list.address(host).filter(|_| !list.must_drain(host))?;
             Some(TableHost {
                 host: host.clone(),
-                address: addr,
+                address,
                 weight: *weight,
                 warming_up: list.is_warming_up(host, now),
             })
         };
         let mut lines: Vec<TableHost> = weights.iter().filter_map(line).collect();
-        // An excluded host is better than none.
+        // If all hosts are excluded, they are answered: an excluded host is better than none.
         if lines
             .iter()
             .any(|line| !self.excluded_until.contains_key(&line.host))
@@ -344,37 +348,37 @@
         if !lines.is_empty() {
             return (lines, None);
         }
-        let until = |line: &TableHost| {
-            Some(list.hosts.get(&line.host)?.draining_since? + self.last_answer_for)
+        let answered_until = |line: &TableHost| {
+            Some(list.hosts.get(&line.host)?.draining_since? + self.last_answer_window)
         };
-        let still = |line: &&TableHost| until(line).is_some_and(|until| until > now);
-        let last: Vec<TableHost> = self
+        let is_answered = |line: &&TableHost| answered_until(line).is_some_and(|until| until > now);
+        let last_answer: Vec<TableHost> = self
             .view
             .table_hosts(table)
             .iter()
-            .filter(still)
+            .filter(is_answered)
             .cloned()
             .collect();
-        let ends = last.iter().filter_map(until).min();
-        (last, ends)
+        let first_end = last_answer.iter().filter_map(answered_until).min();
+        (last_answer, first_end)
     }
 }
 
-/// The lines of a table as caches may hold them.
-fn named_lines(lines: &[TableHost], list: &EndpointList) -> BTreeMap<HostId, AnsweredHost> {
-    let all: f64 = lines.iter().map(|line| line.weight).sum();
+/// The hosts that an answer with these lines names, as caches may hold them.
+fn answered_hosts(lines: &[TableHost], list: &EndpointList) -> BTreeMap<HostId, AnsweredHost> {
+    let total_weight: f64 = lines.iter().map(|line| line.weight).sum();
     lines
         .iter()
         .map(|line| {
             let started = list
                 .hosts
                 .get(&line.host)
-                .map(|known| known.started)
+                .map(|host| host.started)
                 .unwrap_or_default();
             (
                 line.host.clone(),
                 AnsweredHost {
-                    share: line.weight / all.max(1e-9),
+                    share: line.weight / total_weight.max(1e-9),
                     address: line.address,
                     started,
                 },
--- a/crates/daemon-core/src/event.rs
+++ b/crates/daemon-core/src/event.rs
@@ -1,9 +1,9 @@
-//! What there is to log, each with the input that led to it.
+//! The events that are logged, most with the input that caused them.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Something that the operators should know. `show events` writes its `Debug` text, see `recorded_debug`.
+/// An event for operators. `show events` writes its `Debug` text, see `recorded_debug`.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An endpoint list was applied.
@@ -12,19 +12,19 @@
         /// Generation of the list.
         #[serde(rename = "version")]
         generation: u64,
-        /// Hosts that serve.
+        /// Number of hosts that serve.
         #[serde(rename = "open")]
         ready: usize,
-        /// Hosts that drain.
+        /// Number of hosts that drain.
         draining: usize,
-        /// Hosts that are no longer listed.
+        /// Number of hosts that were removed.
         #[serde(rename = "gone")]
         removed: usize,
     },
-    /// An endpoint list was rejected; the last good one stays in force.
+    /// An endpoint list was rejected; the last valid one stays in force.
     #[serde(rename = "ListRefused")]
     EndpointListRejected {
-        /// What was wrong.
+        /// The error.
         #[serde(rename = "wrong")]
         error: String,
     },
@@ -33,9 +33,9 @@
     ProxyJoined {
         /// Name of the proxy.
         proxy: String,
-        /// Whether the proxy joined without anything set by this controller.
+        /// Whether the proxy held nothing set by a controller, as after a restart of the proxy.
         fresh: bool,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
     /// A proxy left, or could not be reached.
@@ -43,7 +43,7 @@
     ProxyLeft {
         /// Name of the proxy.
         proxy: String,
-        /// Why.
+        /// Why it left.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -54,20 +54,20 @@
         proxy: String,
         /// The table.
         table: u16,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
-    /// Weights in a table that changed; 0: the host was taken out of it.
+    /// Weights in a table changed; 0: the host was removed from the table.
     TableChanged {
         /// The table.
         table: u16,
         /// Hosts and their new weights.
         #[serde(rename = "lines")]
         weights: Vec<(String, f64)>,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
-    /// Admission of a request class in a table changed.
+    /// The admission of a request class in a table changed.
     #[serde(rename = "LevelChanged")]
     AdmissionChanged {
         /// The table.
@@ -80,7 +80,7 @@
         /// The retry policy, in its wire text.
         #[serde(rename = "tries")]
         retry_policy: Cow<'static, str>,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
     /// An update was sent to a proxy.
@@ -90,9 +90,9 @@
         proxy: String,
         /// Number of commands.
         commands: usize,
-        /// How urgent the update was.
+        /// Urgency of the update: ordinary, join or drain.
         urgency: Cow<'static, str>,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
     /// A proxy acknowledged an update.
@@ -108,86 +108,86 @@
     UpdateRejected {
         /// Name of the proxy.
         proxy: String,
-        /// What was wrong.
+        /// The error.
         #[serde(rename = "wrong")]
         error: String,
     },
-    /// The update queue or the limit of messages delays the updates of this proxy.
+    /// The limit on messages delays an update of this proxy.
     #[serde(rename = "Waits")]
     UpdateDelayed {
         /// Name of the proxy.
         proxy: String,
-        /// Why.
+        /// Why it left.
         #[serde(rename = "why")]
         reason: Cow<'static, str>,
     },
-    /// Where the target weights come from has changed.
+    /// The source of the target weights changed.
     #[serde(rename = "WeightsFrom")]
     WeightSourceChanged {
         /// Source of the weights: solved, last good or listed.
         source: Cow<'static, str>,
     },
-    /// Target weights that changed.
+    /// Target weights of hosts changed.
     #[serde(rename = "Weighed")]
     TargetWeightsChanged {
         /// Hosts and their new target weights.
         #[serde(rename = "moved")]
         weights: Vec<(String, f64)>,
-        /// The input that led to it.
+        /// The input that caused it.
         cause: String,
     },
     /// The solver found no plan.
     PlanFailed {
-        /// What was wrong.
+        /// The error.
         #[serde(rename = "wrong")]
         error: String,
     },
-    /// The state from before the restart was recovered.
+    /// The state of the previous run was recovered.
     Recovered {
-        /// Hosts that serve.
+        /// Number of hosts that serve.
         ready: usize,
-        /// Hosts that drain.
+        /// Number of hosts that drain.
         draining: usize,
-        /// Hosts that are no longer listed.
+        /// Number of hosts that were removed.
         #[serde(rename = "gone")]
         removed: usize,
     },
-    /// The event log is written again, or no longer.
+    /// The state of the event log changed.
     #[serde(rename = "Records")]
     EventLogChanged {
-        /// Why nothing is written; none: it is.
+        /// Why the event log is not written; none: it is.
         #[serde(rename = "stopped")]
         stopped_reason: Option<String>,
-        /// Inputs that were not recorded so far.
+        /// Number of inputs so far that were not recorded.
         #[serde(rename = "lost")]
         lost_inputs: u64,
     },
-    /// A report had impossible figures.
+    /// A report had implausible figures and was rejected.
     #[serde(rename = "ReportRefused")]
     ReportRejected {
-        /// What was wrong.
+        /// The error.
         #[serde(rename = "wrong")]
         error: String,
-        /// Reports rejected so far.
+        /// Number of reports rejected so far.
         #[serde(rename = "refused")]
         rejected_total: u64,
     },
-    /// A host that started again is left out of all tables while DNS caches hold answers from before its start.
+    /// A restarted host is excluded from all tables while DNS caches hold answers from before the restart.
     #[serde(rename = "KeptOut")]
     HostExcluded {
         /// Name of the host.
         host: String,
-        /// For how long, in seconds.
+        /// Duration of the exclusion, in seconds.
         #[serde(rename = "for_s")]
         duration_s: f64,
     },
-    /// A secondary has not fetched a change for longer than it may be behind: drain grace periods are not kept there.
+    /// A secondary has not fetched a change within the allowed time, so that its answers may not keep drain grace periods.
     #[serde(rename = "SecondaryLate")]
     SecondaryBehind {
         /// Name of the secondary.
         secondary: String,
     },
-    /// The weight of a host that warms up is too small to be expressed in whole numbers.
+    /// The weight of a host that is warming up is too small to be expressed in whole numbers.
     #[serde(rename = "HeldBack")]
     WeightTooSmall {
         /// The table.
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -1,4 +1,4 @@
-//! `show info`: the controller's own figures.
+//! `show info`: figures of the controller itself.
 
 use crate::dns_state::DnsState;
 use crate::input::EventLogState;
@@ -8,55 +8,55 @@
 use pondarch_controller::EndpointState;
 use pondarch_runtime_api::info::Info;
 
-/// All figures, in the order in which operators read them.
-pub(crate) fn info(core: &DaemonState) -> Info {
+/// All figures, in the order of the reply.
+pub(crate) fn info(state: &DaemonState) -> Info {
     let mut info = Info::default();
-    put_process(&mut info, core);
-    put_endpoints(&mut info, core);
-    put_proxies(&mut info, core);
-    put_weights(&mut info, core);
-    if let Some(dns) = &core.dns {
-        put_dns(&mut info, core, dns);
+    put_process(&mut info, state);
+    put_endpoints(&mut info, state);
+    put_proxies(&mut info, state);
+    put_weights(&mut info, state);
+    if let Some(dns) = &state.dns {
+        put_dns(&mut info, state, dns);
     }
-    if let Some(event_log) = &core.event_log {
+    if let Some(event_log) = &state.event_log {
         put_event_log(&mut info, event_log);
     }
-    if core.pushed_reports.enabled {
-        put_reports(&mut info, core);
+    if state.pushed_reports.enabled {
+        put_reports(&mut info, state);
     }
     for purpose in pondarch_load_ingestion::account::PURPOSES {
         let name = purpose.word();
-        info.put(&format!("Memory_{name}"), core.memory.of(purpose).bytes);
+        info.put(&format!("Memory_{name}"), state.memory.of(purpose).bytes);
     }
-    put_updates(&mut info, core);
+    put_updates(&mut info, state);
     info
 }
 
-fn put_process(info: &mut Info, core: &DaemonState) {
-    let now = core.now;
+fn put_process(info: &mut Info, state: &DaemonState) {
+    let now = state.now;
     info.put("Name", "pondarch");
     info.put("Version", env!("CARGO_PKG_VERSION"));
-    info.put("Pid", core.process);
-    info.put("Uptime_sec", (now - core.started).micros() / 1_000_000);
+    info.put("Pid", state.process_id);
+    info.put("Uptime_sec", (now - state.started).micros() / 1_000_000);
     info.put(
         "Start_time_sec",
-        crate::time::unix_micros(core.started) / 1_000_000,
+        crate::time::unix_micros(state.started) / 1_000_000,
     );
-    info.put("Node", &core.name);
+    info.put("Node", &state.name);
 }
 
-fn put_endpoints(info: &mut Info, core: &DaemonState) {
-    let list = &core.endpoints;
-    let count = |state: EndpointState| {
+fn put_endpoints(info: &mut Info, state: &DaemonState) {
+    let list = &state.endpoints;
+    let count = |wanted: EndpointState| {
         list.hosts
             .values()
-            .filter(|known| known.state == state)
+            .filter(|host| host.state == wanted)
             .count()
     };
-    let cold = list
+    let warming_up = list
         .hosts
         .keys()
-        .filter(|host| list.is_warming_up(host, core.now))
+        .filter(|host| list.is_warming_up(host, state.now))
         .count();
     info.put("ListVersion", list.generation);
     info.put(
@@ -66,63 +66,74 @@
     info.put("HostsReady", count(EndpointState::Ready));
     info.put("HostsDraining", count(EndpointState::Draining));
     info.put("HostsGone", count(EndpointState::Removed));
-    info.put("HostsCold", cold);
+    info.put("HostsCold", warming_up);
 }
 
-fn put_proxies(info: &mut Info, core: &DaemonState) {
-    let joined = core.peers.iter().filter(|peer| peer.is_joined()).count();
-    let behind = core
+fn put_proxies(info: &mut Info, state: &DaemonState) {
+    let joined = state.peers.iter().filter(|peer| peer.is_joined()).count();
+    let behind = state
         .peers
         .iter()
         .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
         .count();
-    let unknown_proxies = core.dns.as_ref().map_or(0, DnsState::unknown_proxies);
-    info.put("Proxies", core.peers.len() - unknown_proxies);
+    let unknown_proxies = state.dns.as_ref().map_or(0, DnsState::unknown_proxy_count);
+    info.put("Proxies", state.peers.len() - unknown_proxies);
     info.put("ProxiesJoined", joined);
     info.put("ProxiesBehind", behind);
-    info.put("Tables", core.tables.by_id.len());
+    info.put("Tables", state.tables.by_id.len());
 }
 
-fn put_weights(info: &mut Info, core: &DaemonState) {
-    let source = core
+fn put_weights(info: &mut Info, state: &DaemonState) {
+    let source = state
         .weight_planner
         .as_ref()
         .map_or("listed", WeightPlanner::source);
     info.put("Weights", source);
     info.put(
         "WeightsFailed",
-        core.weight_planner
+        state
+            .weight_planner
             .as_ref()
             .and_then(WeightPlanner::failed)
             .unwrap_or("-"),
     );
 }
 
-fn put_updates(info: &mut Info, core: &DaemonState) {
-    info.put("LinesWaiting", core.update_queue.waiting().round() as u64);
+fn put_updates(info: &mut Info, state: &DaemonState) {
+    info.put(
+        "LinesWaiting",
+        state.update_queue.in_flight().round() as u64,
+    );
     info.put(
         "LinesOrdered",
-        core.peers
+        state
+            .peers
             .iter()
             .map(|peer| peer.commands_sent)
             .sum::<u64>(),
     );
     info.put(
         "LinesRefused",
-        core.peers
+        state
+            .peers
             .iter()
             .map(|peer| peer.commands_rejected)
             .sum::<u64>(),
     );
 }
 
-fn put_dns(info: &mut Info, core: &DaemonState, dns: &DnsState) {
+fn put_dns(info: &mut Info, state: &DaemonState, dns: &DnsState) {
     let too_long: Vec<&str> = dns
-        .holds_too_long()
-        .filter_map(|id| core.peers.get(id.0 as usize).map(|peer| peer.name.as_str()))
+        .caching_too_long()
+        .filter_map(|id| {
+            state
+                .peers
+                .get(id.0 as usize)
+                .map(|peer| peer.name.as_str())
+        })
         .collect();
-    info.put("NamesAsking", dns.members());
-    info.put("NamesStrangersAsking", dns.unknown_proxies_asking());
+    info.put("NamesAsking", dns.querying_proxies());
+    info.put("NamesStrangersAsking", dns.querying_unknown_proxies());
     info.put("NamesSerial", dns.view().serial);
     info.put(
         "NamesHoldTooLong",
@@ -145,17 +156,17 @@
     info.put("RecordsLost", event_log.lost_inputs);
 }
 
-fn put_reports(info: &mut Info, core: &DaemonState) {
-    let counts = &core.pushed_reports.counters;
-    info.put("Senders", core.pushed_reports.senders());
-    info.put("Reports", counts.received);
-    info.put("ReportsLate", counts.late);
-    info.put("ReportsDoubled", counts.duplicate);
-    info.put("ReportsMissing", counts.missing);
-    info.put("ReportsRestarted", counts.restarted);
-    info.put("ReportsStale", counts.stale);
-    info.put("ReportsRefused", counts.rejected);
-    info.put("ReportsOfStrangers", counts.unknown_senders);
-    info.put("ReportsUnlisted", counts.unlisted_hosts);
-    info.put("ClockJumps", counts.clock_jumps);
+fn put_reports(info: &mut Info, state: &DaemonState) {
+    let counters = &state.pushed_reports.counters;
+    info.put("Senders", state.pushed_reports.senders());
+    info.put("Reports", counters.received);
+    info.put("ReportsLate", counters.late);
+    info.put("ReportsDoubled", counters.duplicate);
+    info.put("ReportsMissing", counters.missing);
+    info.put("ReportsRestarted", counters.restarted);
+    info.put("ReportsStale", counters.stale);
+    info.put("ReportsRefused", counters.rejected);
+    info.put("ReportsOfStrangers", counters.unknown_senders);
+    info.put("ReportsUnlisted", counters.unlisted_hosts);
+    info.put("ClockJumps", counters.clock_jumps);
 }
--- a/crates/daemon-core/src/input.rs
+++ b/crates/daemon-core/src/input.rs
@@ -1,4 +1,4 @@
-//! What goes into the core. Inputs are recorded in the event log, by the names of their variants and fields there.
+//! The inputs of the core. The event log records them under the serde names of their variants and fields.
 
 use crate::recovered_state::RecoveredState;
 use crate::reported_load::ReportedLoad;
@@ -8,91 +8,90 @@
 use pondarch_weight_solver::Plan;
 use serde::{Deserialize, Serialize};
 
-/// Something that happened.
+/// An event outside the core.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// What a controller of this name knew before it started again: the first input of a run, or none.
+    /// The state of the previous run of this controller; if there is one, it is the first input of a run.
     Recovered(Box<RecoveredState>),
-    /// The state of the event log, where it changed.
+    /// The state of the event log has changed.
     #[serde(rename = "Records")]
     EventLog(EventLogState),
-    /// The time that `Core::wake_at` asked for has come.
+    /// The time that `Core::wake_at` returned has come.
     #[serde(rename = "Tick")]
     TimerExpired,
     /// The endpoint list was read.
     #[serde(rename = "List")]
     EndpointList {
-        /// Number of the list, if its source numbers lists.
+        /// Generation of the list, if its source numbers its lists.
         #[serde(rename = "version")]
         generation: Option<u64>,
         /// All hosts of the list.
         hosts: Vec<HostEntry>,
     },
-    /// The endpoint list could not be read: the last good one stays in force.
+    /// The endpoint list could not be read; the last valid one stays in force.
     #[serde(rename = "ListRefused")]
     EndpointListRejected {
-        /// What was wrong.
+        /// Why it could not be read.
         #[serde(rename = "wrong")]
         error: String,
     },
     /// A connection to a proxy is open.
     Connected {
-        /// Position of the proxy in the settings.
+        /// Index of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
     },
-    /// One reply of a proxy, as it stands on the wire.
+    /// One reply of a proxy.
     Answer {
-        /// Position of the proxy in the settings.
+        /// Index of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
-        /// The text, as it stands on the wire.
+        /// The text of the reply, as received.
         text: String,
     },
-    /// The connection is gone, or could not be opened.
+    /// The connection to a proxy was lost, or could not be opened.
     #[serde(rename = "Lost")]
     Disconnected {
-        /// Position of the proxy in the settings.
+        /// Index of the proxy in the settings.
         proxy: u16,
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
-        /// Why.
+        /// Why the connection was lost.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A health check, or a read of the load of a host, has ended.
+    /// A health check of a host, or a read of its load, has ended.
     #[serde(rename = "Probed")]
     HealthCheckCompleted {
         /// Name of the host.
         host: String,
-        /// Whether only the load was asked for; otherwise it was a health check.
+        /// Whether only the load was read; otherwise this was a health check.
         for_load: bool,
-        /// Whether the host answered that it serves.
+        /// Whether the host replied that it serves.
         #[serde(rename = "good")]
         healthy: bool,
-        /// What the host reported of its load.
+        /// The load that the host reported.
         load: Option<ReportedLoad>,
     },
-    /// The DNS server gave a table away as it was at this serial, to a proxy if it is known which. Reported at
-    /// intervals, once for many answers.
+    /// The DNS server answered a query with a table as of this serial. Reported at intervals, once for many answers.
     #[serde(rename = "AskedByName")]
     DnsQueried {
-        /// Position of the proxy in the settings.
+        /// Index of the proxy in the settings; none: the sender of the query is not known.
         proxy: Option<u16>,
-        /// The table.
+        /// The table that was answered; none: there was none.
         table: Option<u16>,
         /// Serial of the DNS zone.
         serial: u32,
     },
-    /// A client that pushes reports has said who it is.
+    /// A client that pushes reports has identified itself.
     #[serde(rename = "SenderCame")]
     SenderConnected {
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
         /// Name of the sender.
@@ -100,62 +99,62 @@
         /// Whether it is a proxy or a host.
         #[serde(rename = "is")]
         role: SenderIs,
-        /// Tells the starts of this sender apart.
+        /// Distinguishes the runs of this sender.
         #[serde(rename = "run")]
         incarnation: u64,
     },
-    /// A report from a sender.
+    /// A sender pushed a report.
     #[serde(rename = "Pushed")]
     ReportReceived {
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
-        /// What it reported.
+        /// The report.
         report: Box<Report>,
     },
-    /// The connection of a sender is gone.
+    /// The connection of a sender was lost.
     #[serde(rename = "SenderLeft")]
     SenderDisconnected {
-        /// Which connection, so that late events of an older one can be distinguished.
+        /// Id of the connection, so that late events of an earlier connection are recognized.
         #[serde(rename = "conn")]
         connection: u64,
     },
-    /// Memory that the process outside the core uses, where it changed.
+    /// The memory that the process uses outside the core has changed.
     #[serde(rename = "Memory")]
     MemoryUsage {
-        /// Bytes of reports that wait to be applied.
+        /// Bytes of reports that are queued to be applied.
         #[serde(rename = "waiting")]
         queued_bytes: u64,
-        /// Bytes that wait to be written to the event log.
+        /// Bytes that are queued to be written to the event log.
         #[serde(rename = "records")]
         event_log_bytes: u64,
-        /// Bytes that open connections take.
+        /// Bytes that open connections use.
         #[serde(rename = "connections")]
         connection_bytes: u64,
         /// Connections that were rejected since the last such input.
         #[serde(rename = "capped")]
         rejected_connections: u64,
     },
-    /// Something was observed of a DNS secondary.
+    /// A DNS secondary did something.
     #[serde(rename = "Secondary")]
     SecondaryObserved {
-        /// Position of the secondary in the settings.
+        /// Index of the secondary in the settings.
         #[serde(rename = "n")]
         index: u16,
         /// What it did.
         #[serde(rename = "heard")]
         observation: SecondaryEvent,
     },
-    /// The result of a problem that was given to the solver.
+    /// The solver has finished a problem.
     Solved {
-        /// Which of the problems given to the solver.
+        /// Number of the problem, from `Output::Solve`.
         number: u64,
         /// The plan, or why there is none.
         plan: Result<Plan, String>,
     },
-    /// One command line of an operator.
+    /// An operator sent a command line.
     Command {
-        /// Which connection waits for the reply.
+        /// Id of the connection that waits for the reply.
         caller: u64,
         /// Access level: 0 user, 1 operator, 2 admin.
         level: u8,
@@ -165,8 +164,8 @@
 }
 
 impl Input {
-    /// Whether it changes the state that is recovered after a restart. What is seen of proxies and hosts is outdated by
-    /// then, and read anew.
+    /// Whether it changes the state that is recovered after a restart. Observations of proxies and hosts do not: they
+    /// would be outdated by then, and are made again.
     pub fn changes_recovered_state(&self) -> bool {
         match self {
             Input::Recovered(_) | Input::EndpointList { .. } => true,
@@ -179,10 +178,10 @@
 /// The state of the event log.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EventLogState {
-    /// Why nothing is written; none: it is.
+    /// Why the event log is not written; none: it is.
     #[serde(rename = "stopped")]
     pub stopped_reason: Option<String>,
-    /// Inputs that were not recorded so far.
+    /// Number of inputs so far that were not recorded.
     #[serde(rename = "lost")]
     pub lost_inputs: u64,
 }
--- a/crates/daemon-core/src/lib.rs
+++ b/crates/daemon-core/src/lib.rs
@@ -1,22 +1,22 @@
-//! The state machine of the stand-alone controller: inputs in, outputs out. No I/O and no clock, so that a recorded run,
-//! replayed, gives the same outputs byte for byte.
+//! The state machine of the stand-alone controller: it takes inputs and produces outputs. It does no I/O and reads no
+//! clock, so that replaying a recorded run gives the same outputs byte for byte.
 //!
-//! - `input`, `output`, `event`: what goes in and comes out, and the events that say what led to what; `reported_load`,
-//!   `time`: parts of them. `recorded_debug`: their `Debug` texts, which are on the wire.
-//! - `core`: the state machine as its surroundings see it.
-//! - `state`, `apply`, `timers`, `decisions`: the state; inputs and timers are applied to the decisions, and what these
-//!   decide is carried out.
-//! - `endpoint_list`: the hosts as the file and the operators have them.
-//! - `dns_state`, `dns_events`: proxies that take their tables from the DNS server; the inputs and timers of these.
-//! - `table_assignments`: the tables as they were decided, and as proxies are to hold them.
-//! - `update_queue`: how much may be sent to proxies, and when.
-//! - `peer`, `peer_events`: one proxy and its connection; what happens on it.
-//! - `weight_planner`, `weight_events`: weights that a solver sets, between the endpoint list and the decisions.
-//! - `pushed_reports`, `report_events`: reports that proxies and hosts push; the inputs and intervals of these.
-//! - `outcome_aggregator`, `outcome_events`: outcomes of all proxies, summed up by host over a report interval; how they
+//! - `input`, `output`, `event`: the inputs, the outputs, and the events that are logged with their causes;
+//!   `reported_load`, `time`: types that these use. `recorded_debug`: their `Debug` texts, which are on the wire.
+//! - `core`: the public interface of the state machine.
+//! - `state`, `apply`, `timers`, `decisions`: the state; applies inputs and timers to the controller, and carries out the
+//!   controller's decisions.
+//! - `endpoint_list`: the hosts of the hosts file, with the operators' changes.
+//! - `dns_state`, `dns_events`: proxies that get their tables from the DNS server; their inputs and timers.
+//! - `table_assignments`: the tables as decided, and in the form in which proxies hold them.
+//! - `update_queue`: limits how much is sent to proxies, and when.
+//! - `peer`, `peer_events`: one proxy and its connection; the events of that connection.
+//! - `weight_planner`, `weight_events`: weights set by a solver, which replace those of the endpoint list.
+//! - `pushed_reports`, `report_events`: reports that proxies and hosts push; how they are received and recorded.
+//! - `outcome_aggregator`, `outcome_events`: outcomes of all proxies, summed by host over a report interval; how they
 //!   are applied.
-//! - `recovered_state`, `recovery`: what a controller that starts again must still know; taken over and given out.
-//! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the map that operators set.
+//! - `recovered_state`, `recovery`: the state that survives a restart; how it is exported and restored.
+//! - `operator`, `info`, `zone_map`: the runtime API of the controller itself, and the zone map that operators set.
 
 mod apply;
 mod core;
--- a/crates/daemon-core/src/operator/maps.rs
+++ b/crates/daemon-core/src/operator/maps.rs
@@ -2,7 +2,7 @@
 
 use super::error::OperatorError;
 use crate::endpoint_list::ListedHost;
-use crate::peer::{Link, Peer};
+use crate::peer::{LinkState, Peer};
 use crate::state::DaemonState;
 use crate::table_assignments::{ClassAdmission, TableAssignment};
 use pondarch_config::HostEntry;
@@ -220,12 +220,12 @@
 
 fn link_text(peer: &Peer) -> String {
     match peer.link {
-        Link::Down(_) => "down".into(),
-        Link::Dialling => "dialling".into(),
-        Link::ReadingState => "looking".into(),
-        Link::Waiting { .. } => "waits".into(),
-        Link::Dns { joined: false } => "by name, not asking".into(),
-        Link::Dns { joined: true } | Link::Joined => {
+        LinkState::Disconnected(_) => "down".into(),
+        LinkState::Dialling => "dialling".into(),
+        LinkState::ReadingState => "looking".into(),
+        LinkState::AwaitingJoin { .. } => "waits".into(),
+        LinkState::Dns { joined: false } => "by name, not asking".into(),
+        LinkState::Dns { joined: true } | LinkState::Joined => {
             let tables: BTreeSet<_> = peer.bindings.values().collect();
             let names = tables.iter().map(|table| format!(" table-{}", table.0));
             let suffix = if !peer.is_joined() {
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -1,4 +1,4 @@
-//! One proxy: dialled, read, joined, lost, and dialled again.
+//! One proxy and the state of its connection.
 
 use crate::update_queue::SentMessages;
 use pondarch_config::site::Links;
@@ -8,31 +8,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Where a proxy's connection stands.
+/// State of the connection to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Link {
+pub(crate) enum LinkState {
     /// Not connected; to be dialled at this time.
-    Down(Time),
+    Disconnected(Time),
     Dialling,
-    /// Connected; it is being asked what it holds.
+    /// Connected; the state that the proxy holds is being read.
     ReadingState,
-    /// What it holds is known; it waits for room in the update queue to be joined.
-    Waiting {
+    /// The proxy's state is known; its join waits for room in the update queue.
+    AwaitingJoin {
+        /// Whether the proxy held nothing set by a controller, as after a restart of the proxy.
         fresh: bool,
     },
     Joined,
-    /// It has no runtime API and takes tables from the DNS server: joined while it queries.
+    /// The proxy has no runtime API and gets its tables from the DNS server; it is joined while it queries.
     Dns {
         joined: bool,
     },
 }
 
-/// A difference that may be due to a proxy.
+/// An update that a proxy may need.
 #[derive(Debug)]
 pub(crate) struct PendingUpdate {
-    /// Since when.
+    /// Since when it is pending.
     pub(crate) since: Time,
-    /// The input that led to it.
+    /// The input that caused it.
     pub(crate) cause: String,
 }
 
@@ -42,17 +43,19 @@
     pub(crate) name: String,
     pub(crate) zone: ZoneId,
     pub(crate) usual_rate: f64,
-    pub(crate) link: Link,
+    pub(crate) link: LinkState,
+    /// Id of the current or latest connection.
     pub(crate) connection: u64,
     pub(crate) session: Session,
     pub(crate) bindings: BTreeMap<RequestClassId, TableId>,
     pub(crate) sent_messages: SentMessages,
-    /// What its message under way cost in the update queue.
+    /// Cost in the update queue of the message that is in flight.
     pub(crate) in_flight: f64,
-    /// Whether it may differ from what it should hold.
+    /// Set while the proxy may hold something else than it should.
     pub(crate) pending_update: Option<PendingUpdate>,
+    /// Until when the update queue delays the pending update.
     pub(crate) blocked_until: Option<Time>,
-    /// Since when answers are awaited; none: no answer is due.
+    /// Since when replies are awaited; none: no reply is due.
     pub(crate) silent_since: Option<Time>,
     pub(crate) failed_dials: u32,
     pub(crate) commands_sent: u64,
@@ -61,19 +64,19 @@
 
 impl Peer {
     pub(crate) fn new(
-        n: usize,
+        index: usize,
         settings: &pondarch_config::site::Proxy,
         zone: u16,
         front: Arc<Front>,
         now: Time,
     ) -> Peer {
         let link = if settings.runtime.is_some() {
-            Link::Down(now)
+            LinkState::Disconnected(now)
         } else {
-            Link::Dns { joined: false }
+            LinkState::Dns { joined: false }
         };
         Peer {
-            id: ProxyId(n as u16),
+            id: ProxyId(index as u16),
             name: settings.name.clone(),
             zone: ZoneId(zone),
             usual_rate: settings.usual_rate,
@@ -93,15 +96,18 @@
     }
 
     pub(crate) fn is_connected(&self) -> bool {
-        !matches!(self.link, Link::Down(_) | Link::Dialling | Link::Dns { .. })
+        !matches!(
+            self.link,
+            LinkState::Disconnected(_) | LinkState::Dialling | LinkState::Dns { .. }
+        )
     }
 
     pub(crate) fn has_runtime(&self) -> bool {
-        !matches!(self.link, Link::Dns { .. })
+        !matches!(self.link, LinkState::Dns { .. })
     }
 
     pub(crate) fn is_joined(&self) -> bool {
-        self.link == Link::Joined
+        self.link == LinkState::Joined
     }
 
     pub(crate) fn require_update(&mut self, now: Time, cause: &str) {
@@ -111,16 +117,16 @@
         });
     }
 
-    /// The connection is gone: when to dial again. Doubling waits with jitter, so that proxies that were lost
-    /// together do not come back together.
+    /// Schedules the next dial after a lost connection: exponential backoff with jitter, so that proxies that were lost
+    /// together are not dialled together.
     pub(crate) fn on_disconnected(&mut self, now: Time, links: &Links, random: &mut fastrand::Rng) {
         let min_delay = links.redial_least.0;
         let max_delay = links.redial_most.0;
-        let doubled = min_delay
+        let delay = min_delay
             .scaled(f64::from(1u32 << self.failed_dials.min(16)))
             .min(max_delay);
         self.failed_dials = self.failed_dials.saturating_add(1);
-        self.link = Link::Down(now + doubled.scaled(0.5 + random.f64()));
+        self.link = LinkState::Disconnected(now + delay.scaled(0.5 + random.f64()));
         self.bindings.clear();
         self.pending_update = None;
         self.blocked_until = None;
--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -1,25 +1,26 @@
-//! What happens on the connections to proxies.
+//! Events of the connections to proxies.
 
 use crate::event::Event;
 use crate::output::Output;
-use crate::peer::{Link, Peer};
+use crate::peer::{LinkState, Peer};
 use crate::state::DaemonState;
 use pondarch_controller::DurationExt;
 use pondarch_proxy_session::Told;
 use std::time::Duration;
 
 impl DaemonState {
-    /// The peer, if this is still its connection: late events of an older one have no effect.
+    /// The peer, if this is still its connection: late events of an earlier connection have no effect.
     pub(crate) fn peer(&mut self, proxy: u16, connection: u64) -> Option<&mut Peer> {
-        let current =
-            |peer: &&mut Peer| peer.connection == connection && !matches!(peer.link, Link::Down(_));
-        self.peers.get_mut(proxy as usize).filter(current)
+        let is_current = |peer: &&mut Peer| {
+            peer.connection == connection && !matches!(peer.link, LinkState::Disconnected(_))
+        };
+        self.peers.get_mut(proxy as usize).filter(is_current)
     }
 
     pub(crate) fn on_connected(&mut self, proxy: u16, connection: u64) {
         let now = self.now;
         if let Some(peer) = self.peer(proxy, connection) {
-            peer.link = Link::ReadingState;
+            peer.link = LinkState::ReadingState;
             peer.silent_since = Some(now);
             let lines = peer.session.begin();
             self.outputs.push_back(Output::Write {
@@ -54,10 +55,10 @@
             None => {}
             Some(Told::Learned { fresh }) => {
                 let peer = &mut self.peers[proxy as usize];
-                if peer.link == Link::ReadingState {
-                    peer.link = Link::Waiting { fresh };
+                if peer.link == LinkState::ReadingState {
+                    peer.link = LinkState::AwaitingJoin { fresh };
                 } else {
-                    // Its state was read again after a refusal: what is still different is due.
+                    // The proxy's state was read again after it rejected a command; what still differs is to be sent.
                     peer.require_update(now, &self.cause);
                 }
             }
@@ -77,7 +78,7 @@
             .record_acknowledged(std::mem::take(&mut peer.in_flight));
         peer.failed_dials = 0;
         peer.commands_rejected += refused.len() as u64;
-        // There may be a second part that waited for this one.
+        // Part of the update may have waited for this acknowledgement.
         peer.require_update(now, &cause);
         peer.blocked_until = None;
         let name = peer.name.clone();
@@ -102,24 +103,24 @@
 
     pub(crate) fn on_disconnected(&mut self, proxy: u16, reason: &str) {
         let peer = &mut self.peers[proxy as usize];
-        let joined = peer.is_joined();
-        let dialled = peer.is_connected();
+        let was_joined = peer.is_joined();
+        let was_connected = peer.is_connected();
         self.update_queue
             .record_acknowledged(std::mem::take(&mut peer.in_flight));
         peer.on_disconnected(self.now, &self.links, &mut self.random);
         let id = peer.id;
         let name = peer.name.clone();
-        let again = peer.failed_dials > 1;
+        let failed_before = peer.failed_dials > 1;
         self.outcomes.proxy_lost(proxy);
         self.pushed_reports.silence.left(id);
-        if joined {
+        if was_joined {
             if let Some(weights) = &mut self.weight_planner {
                 weights.estimates().left(id);
             }
             self.controller.proxy_left(self.now, id);
         }
-        // A proxy that is simply not there is logged once, not at every dial.
-        if dialled || !again {
+        // A proxy that cannot be reached is logged once and not at every dial.
+        if was_connected || !failed_before {
             self.log_error(format!("{name}: {reason}"));
             self.log_event(Event::ProxyLeft {
                 proxy: name,
--- a/crates/daemon-core/src/recorded_debug.rs
+++ b/crates/daemon-core/src/recorded_debug.rs
@@ -1,9 +1,9 @@
 //! The `Debug` texts of inputs, outputs, events and recovered state.
 //!
-//! `show events` writes the `Debug` text of an event to operators, `pondarch replay` that of inputs and decisions, and
-//! the event log holds checksums of replies to `show events`. These texts must therefore stay as they are, whatever the
-//! types, variants and fields are called in the code: each is listed here with the name that the text has for it, which
-//! is also the name that the event log stores.
+//! `show events` writes the `Debug` text of events to operators, `pondarch replay` writes that of inputs and decisions,
+//! and the event log holds checksums of replies to `show events`. These texts must therefore not change when a type,
+//! variant or field is renamed in the code: each is listed here with its name in the text, which is also the name under
+//! which the event log stores it.
 
 use crate::event::Event;
 use crate::input::{EventLogState, Input};
@@ -12,8 +12,9 @@
 use crate::reported_load::ReportedLoad;
 use std::fmt;
 
-/// Implements `Debug` with exactly the text that `derive(Debug)` gives for the names at the right of the equals signs:
-/// of an enum first the variants with named fields or none, then, after a semicolon, those with one unnamed field.
+/// Implements `Debug` with exactly the text that `derive(Debug)` would give for the names at the right of the equals
+/// signs. Of an enum, variants with named fields or none come first, then, after a semicolon, those with one unnamed
+/// field.
 macro_rules! debug_as_recorded {
     (struct $type:ident = $type_text:literal { $($field:ident = $field_text:literal),* }) => {
         impl fmt::Debug for $type {
--- a/crates/daemon-core/src/reported_load.rs
+++ b/crates/daemon-core/src/reported_load.rs
@@ -1,4 +1,4 @@
-//! What a host reports of its own load.
+//! The load that a host reports of itself.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostLoad};
@@ -8,19 +8,19 @@
 /// The load of a host, as the host itself reports it.
 #[derive(Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Busy part of all cores, 0 to 1.
+    /// Utilization of all cores, 0 to 1.
     #[serde(rename = "busy")]
     pub utilization: Option<f64>,
-    /// Requests that wait.
+    /// Number of requests that wait.
     #[serde(rename = "queue")]
     pub queue_length: Option<f64>,
-    /// Recent service time without waiting, in milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     #[serde(rename = "service_ms")]
     pub service_time_ms: Option<f64>,
-    /// Requests that ended, a second.
+    /// Requests that ended per second.
     #[serde(default, rename = "rate")]
     pub request_rate: Option<f64>,
-    /// Requests that failed, a second.
+    /// Requests that failed per second.
     #[serde(default, rename = "errored_rate")]
     pub failure_rate: Option<f64>,
 }
@@ -36,11 +36,12 @@
         }
     }
 
-    /// What the host reports, as if proxies had seen it over this period.
+    /// The reported rates as attempt outcomes that proxies would have observed over this period.
     pub(crate) fn attempt_outcomes(&self, period: Duration) -> AttemptOutcomes {
-        let count = |rate: Option<f64>| rate.unwrap_or(0.0).clamp(0.0, 1e6) * period.seconds();
-        let attempts = count(self.request_rate);
-        let failures = count(self.failure_rate);
+        let count_over_period =
+            |rate: Option<f64>| rate.unwrap_or(0.0).clamp(0.0, 1e6) * period.seconds();
+        let attempts = count_over_period(self.request_rate);
+        let failures = count_over_period(self.failure_rate);
         let mean_latency = self.host_load().service_time.unwrap_or(Duration::ZERO);
         AttemptOutcomes {
             attempts,
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -1,5 +1,6 @@
-//! The state of the controller. `apply` applies inputs to it, `timers` what is due by time, and `decisions` carries out
-//! what was decided. The order within an input is always the same: note it, ask for decisions, bring proxies up to date.
+//! The state of the controller. `apply` applies inputs to it, `timers` runs what is due by time, and `decisions` carries
+//! out the controller's decisions. Each input is processed in the same order: update the state, take decisions, send
+//! updates to proxies.
 
 use crate::dns_state::{self, DnsState};
 use crate::endpoint_list::EndpointList;
@@ -24,9 +25,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Events that are kept for `show events`, the newest; and errors for `show errors`.
+/// Number of latest events kept for `show events`, and of latest errors kept for `show errors`.
 const MAX_EVENTS: usize = 256;
-/// Load reports older than this many of their periods are not passed on: the decisions take each for new.
+/// Load reports older than this many of their periods are not passed to the controller, which takes each as current.
 pub(crate) const MAX_LOAD_REPORT_PERIODS: f64 = 3.0;
 
 /// An event and its time, for `show events`.
@@ -41,7 +42,7 @@
     pub(crate) text: String,
 }
 
-/// All that the controller knows.
+/// The whole state of the controller.
 pub(crate) struct DaemonState {
     /// Name of the controller, from the settings.
     pub(crate) name: String,
@@ -51,75 +52,79 @@
     pub(crate) links: Links,
     /// How often the loads of hosts are read; none: never.
     pub(crate) load_interval: Option<Duration>,
-    /// How often counters of proxies are read, and outcomes applied.
+    /// How often counters of proxies are read and outcomes are applied.
     pub(crate) report_interval: Duration,
     /// Whether proxies admit requests by rate rather than by fraction.
     pub(crate) admits_by_rate: bool,
-    /// The process number that `show info` gives.
-    pub(crate) process: u32,
-    /// When this run began.
+    /// The `Pid` of `show info`.
+    pub(crate) process_id: u32,
+    /// Start of this run.
     pub(crate) started: Time,
     /// Time of the latest input.
     pub(crate) now: Time,
-    /// The decisions.
+    /// Decides tables, weights, bindings and admission.
     pub(crate) controller: Controller,
-    /// The hosts as the file and the operators have them.
+    /// The hosts of the hosts file, with the operators' changes.
     pub(crate) endpoints: EndpointList,
     /// The zone map that operators set.
     pub(crate) zones: ZoneMap,
-    /// None: listed weights are used as they are.
+    /// Sets the weights; none: listed weights are used as they are.
     pub(crate) weight_planner: Option<WeightPlanner>,
-    /// None: no DNS server.
+    /// State of the proxies that use the DNS server; none: there is no DNS server.
     pub(crate) dns: Option<DnsState>,
-    /// The tables as they were decided.
+    /// The tables as decided.
     pub(crate) tables: TableAssignments,
-    /// The proxies, by their numbers; those that stand for unknown proxies are last.
+    /// The proxies by their ids: those of the settings, then those that stand for unknown proxies.
     pub(crate) peers: Vec<Peer>,
-    /// How much may be sent to proxies.
+    /// Limits what is sent to proxies.
     pub(crate) update_queue: UpdateQueue,
-    /// Outcomes of the report interval that is open.
+    /// Outcomes of the current report interval.
     pub(crate) outcomes: OutcomeAggregator,
     /// Source of all jitter of this run.
     pub(crate) random: fastrand::Rng,
-    /// When the decisions asked to be called.
+    /// When the controller is to be called next.
     pub(crate) timer_at: Option<Time>,
-    /// The latest reported load of each host, and of when it is.
+    /// The latest reported load of each host, with its time.
     pub(crate) loads: BTreeMap<HostId, (Time, ReportedLoad)>,
-    /// The outcomes of each host that were applied last.
+    /// The latest applied outcomes of each host.
     pub(crate) last_outcomes: BTreeMap<HostId, AttemptOutcomes>,
-    /// When loads are read next.
+    /// When the loads of hosts are read next.
     pub(crate) next_load_read_at: Option<Time>,
-    /// When outcomes of a host were last applied.
+    /// When outcomes of each host were last applied.
     pub(crate) outcomes_applied_at: BTreeMap<HostId, Time>,
-    /// Hosts whose outcomes are applied, a second; none: all.
+    /// Maximum number of hosts whose outcomes are applied per second; none: no limit.
     pub(crate) max_outcomes_per_second: Option<f64>,
-    /// Chooses the hosts whose outcomes are applied where not all may be.
+    /// Chooses the hosts whose outcomes are applied when the limit does not allow all.
     pub(crate) selection: Choice,
-    /// Senders of reports.
+    /// State of the senders that push reports.
     pub(crate) pushed_reports: PushedReports,
-    /// Memory by purpose.
+    /// Memory use by purpose.
     pub(crate) memory: Account,
-    /// None: nothing is recorded.
+    /// State of the event log; none: nothing is recorded.
     pub(crate) event_log: Option<EventLogState>,
-    /// Inputs so far.
+    /// Number of inputs so far.
     pub(crate) input_count: u64,
-    /// The input that is applied now, as events name it.
+    /// The input that is being applied, as events name it.
     pub(crate) cause: String,
     /// The latest events, for `show events`.
     pub(crate) events: VecDeque<LoggedEvent>,
     /// The latest errors, for `show errors`.
     pub(crate) errors: VecDeque<LoggedError>,
-    /// What was not yet given out.
+    /// Outputs that were not returned yet.
     pub(crate) outputs: VecDeque<Output>,
 }
 
 impl DaemonState {
-    /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
-    /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
-    /// any start before, or proxies refuse its orders as older ones.
-    pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
+    /// See `Core::new`.
+    pub(crate) fn new(
+        site: &Site,
+        seed: u64,
+        process_id: u32,
+        incarnation: u64,
+        now: Time,
+    ) -> DaemonState {
         let deployment = site.ticket();
-        let mark = format!("{}:{epoch}", site.name);
+        let mark = format!("{}:{incarnation}", site.name);
         let load_interval = site
             .probes
             .as_ref()
@@ -132,7 +137,7 @@
             load_interval,
             report_interval: site.reports.every.0,
             admits_by_rate: deployment.admission == AdmissionMode::Rate,
-            process,
+            process_id,
             started: now,
             now,
             endpoints: EndpointList::new(site.zones.clone(), deployment.slow_start_window),
@@ -170,36 +175,36 @@
 
     pub(crate) fn apply_endpoints(&mut self, mut endpoints: Vec<Endpoint>) {
         self.plan_listed_weights();
-        for listing in &mut endpoints {
-            listing.weight = self
+        for endpoint in &mut endpoints {
+            endpoint.weight = self
                 .endpoints
                 .planned_weights
-                .get(&listing.host)
+                .get(&endpoint.host)
                 .copied()
-                .unwrap_or(listing.weight);
+                .unwrap_or(endpoint.weight);
         }
-        let count = |wanted| {
+        let count = |state| {
             self.endpoints
                 .hosts
                 .values()
-                .filter(|k| k.state == wanted)
+                .filter(|host| host.state == state)
                 .count()
         };
         use pondarch_controller::EndpointState::{Draining, Ready, Removed};
-        let open = count(Ready);
+        let ready = count(Ready);
         let draining = count(Draining);
-        let gone = count(Removed);
-        let version = self.endpoints.generation;
+        let removed = count(Removed);
+        let generation = self.endpoints.generation;
         self.log_event(Event::EndpointListApplied {
-            generation: version,
-            ready: open,
+            generation,
+            ready,
             draining,
-            removed: gone,
+            removed,
         });
         self.controller.apply_endpoint_list(
             self.now,
             pondarch_controller::EndpointList {
-                generation: version,
+                generation,
                 complete: true,
                 endpoints,
             },
@@ -236,15 +241,15 @@
     }
 }
 
-/// The proxies by their numbers: those of the settings, then those that stand for unknown ones.
+/// The proxies by their ids: those of the settings, then those that stand for unknown proxies.
 fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
     let front = Arc::new(front(site, mark));
-    let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
+    let zone = |name: &str| site.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
     site.proxies
         .iter()
         .chain(&dns_state::unknown_proxies(site))
         .enumerate()
-        .map(|(n, proxy)| Peer::new(n, proxy, zone(&proxy.zone), front.clone(), now))
+        .map(|(index, proxy)| Peer::new(index, proxy, zone(&proxy.zone), front.clone(), now))
         .collect()
 }
 
--- a/crates/daemon-core/src/table_assignments.rs
+++ b/crates/daemon-core/src/table_assignments.rs
@@ -1,4 +1,4 @@
-//! The tables as they were decided, and as proxies are to hold them.
+//! The tables as decided, and in the form in which proxies hold them.
 
 use crate::endpoint_list::EndpointList;
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, TableId, Time};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What a proxy may admit of a request class, and when it may retry.
+/// How much of a request class a proxy may admit, and when it may retry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassAdmission {
     pub(crate) quota: f64,
@@ -19,15 +19,16 @@
 pub(crate) struct TableAssignment {
     pub(crate) weights: BTreeMap<HostId, f64>,
     pub(crate) admission: BTreeMap<RequestClassId, ClassAdmission>,
-    /// As proxies are to hold it; none: to be made anew.
+    /// The lines that proxies should hold; none: they have to be computed again.
     lines: Option<Arc<Lines>>,
+    /// Hosts that are warming up whose weight is too small to be sent.
     too_small: Vec<HostId>,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct TableAssignments {
     pub(crate) by_id: BTreeMap<TableId, TableAssignment>,
-    /// Hosts that are left out of updates for now, as long as their tables have others.
+    /// Hosts that are left out of tables for now, except of those that have no other host.
     excluded: BTreeSet<HostId>,
 }
 
@@ -54,15 +55,16 @@
             .insert(class, admission);
     }
 
-    /// Addresses may have changed: tables that hold one of these hosts are made anew. Gives those tables.
+    /// Drops the lines of tables in which the address of a host has changed; returns these tables.
     pub(crate) fn refresh_addresses(&mut self, list: &EndpointList) -> Vec<TableId> {
         let mut changed = Vec::new();
         for (id, assignment) in &mut self.by_id {
             let Some(lines) = &assignment.lines else {
                 continue;
             };
-            let same = |(host, line): (&HostId, &WantedLine)| list.address(host) == Some(line.addr);
-            if !lines.iter().all(same) {
+            let is_current =
+                |(host, line): (&HostId, &WantedLine)| list.address(host) == Some(line.addr);
+            if !lines.iter().all(is_current) {
                 assignment.lines = None;
                 changed.push(*id);
             }
@@ -70,39 +72,40 @@
         changed
     }
 
-    /// These hosts are kept out from now on; gives the tables that hold one of those that `changed`.
+    /// Replaces the excluded hosts; returns the tables that contain a host whose exclusion `changed`.
     pub(crate) fn exclude(
         &mut self,
         hosts: BTreeSet<HostId>,
         changed: &BTreeSet<&HostId>,
     ) -> Vec<TableId> {
         self.excluded = hosts;
-        let holds = |(_, assignment): &(&TableId, &mut TableAssignment)| {
+        let contains_changed = |(_, assignment): &(&TableId, &mut TableAssignment)| {
             changed
                 .iter()
                 .any(|host| assignment.weights.contains_key(*host))
         };
-        let of = self.by_id.iter_mut().filter(holds);
-        of.map(|(table, assignment)| {
-            assignment.lines = None;
-            *table
-        })
-        .collect()
+        let affected = self.by_id.iter_mut().filter(contains_changed);
+        affected
+            .map(|(table, assignment)| {
+                assignment.lines = None;
+                *table
+            })
+            .collect()
     }
 
-    /// A table as proxies are to hold it.
+    /// The lines of a table that proxies should hold.
     pub(crate) fn lines(&mut self, table: TableId, list: &EndpointList, now: Time) -> Arc<Lines> {
         let assignment = self.by_id.entry(table).or_default();
         if let Some(lines) = &assignment.lines {
             return lines.clone();
         }
         let excluded = &self.excluded;
-        let others = assignment
+        let has_other_hosts = assignment
             .weights
             .keys()
             .any(|host| !excluded.contains(host) && list.address(host).is_some());
         let share = |(host, &weight): (&HostId, &f64)| {
-            let weight = if others && excluded.contains(host) {
+            let weight = if has_other_hosts && excluded.contains(host) {
                 0.0
             } else {
                 weight
@@ -121,7 +124,7 @@
                     lines.insert(host.clone(), WantedLine { addr, units });
                 }
                 (_, None) => assignment.too_small.push(host.clone()),
-                // A host the list no longer knows at all cannot be reached by anybody.
+                // No address is known: the host is no longer in the endpoint list at all.
                 (None, _) => {}
             }
         }
@@ -130,33 +133,34 @@
         lines
     }
 
-    /// Warming hosts of a table whose weight is too small to be sent, and was not before its last change.
+    /// Hosts of a table that are warming up and whose weight has become too small to be sent with the latest change.
     pub(crate) fn newly_too_small(
         &mut self,
         table: TableId,
         list: &EndpointList,
         now: Time,
     ) -> Vec<HostId> {
-        let before = self
+        let previous = self
             .by_id
             .get(&table)
             .map(|assignment| assignment.too_small.clone())
             .unwrap_or_default();
         self.lines(table, list, now);
-        let held = self
+        let current = self
             .by_id
             .get(&table)
             .map(|assignment| assignment.too_small.as_slice())
             .unwrap_or_default();
-        held.iter()
-            .filter(|host| !before.contains(host))
+        current
+            .iter()
+            .filter(|host| !previous.contains(host))
             .cloned()
             .collect()
     }
 
-    /// What all tables take, in bytes, roughly: as decided, and as proxies are to hold them.
+    /// Estimated memory of all tables with their lines, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
-        let ready = |assignment: &TableAssignment| {
+        let lines_bytes = |assignment: &TableAssignment| {
             assignment
                 .lines
                 .as_ref()
@@ -164,19 +168,22 @@
         };
         self.by_id
             .values()
-            .map(|assignment| 200 + assignment.weights.len() as u64 * 100 + ready(assignment))
+            .map(|assignment| 200 + assignment.weights.len() as u64 * 100 + lines_bytes(assignment))
             .sum()
     }
 
-    /// Gives up what is kept ready of tables that no proxy uses; gives of how many.
+    /// Drops the lines of tables that no proxy uses; returns the number of these tables.
     pub(crate) fn drop_unused(&mut self, used: &BTreeSet<TableId>) -> u64 {
-        let idle = |(table, assignment): &(&TableId, &mut TableAssignment)| {
+        let is_unused = |(table, assignment): &(&TableId, &mut TableAssignment)| {
             !used.contains(table) && assignment.lines.is_some()
         };
-        let idle = self.by_id.iter_mut().filter(idle);
-        idle.map(|(_, assignment)| assignment.lines = None).count() as u64
+        let unused = self.by_id.iter_mut().filter(is_unused);
+        unused
+            .map(|(_, assignment)| assignment.lines = None)
+            .count() as u64
     }
 
+    /// The admission and the retry policy of a request class, in their wire texts.
     pub(crate) fn admission(
         &self,
         table: TableId,
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -1,40 +1,41 @@
-//! What is due by time: timers of the decisions, reads of counters and loads, silent connections and dials.
+//! What is due by time: timers of the controller, reads of counters and loads, closing of silent connections, and dials.
 
 use crate::dns_state::DnsState;
 use crate::output::Output;
-use crate::peer::{Link, Peer};
+use crate::peer::{LinkState, Peer};
 use crate::state::DaemonState;
 use crate::weight_planner::WeightPlanner;
 use pondarch_controller::EndpointState;
 use pondarch_controller::Time;
 
-/// Dials under way at one time: a fleet that comes back at once must not flood this machine's sockets.
+/// Maximum number of concurrent dials, so that a fleet that comes back all at once does not exhaust the sockets of this
+/// machine.
 const MAX_CONCURRENT_DIALS: usize = 64;
 
 impl DaemonState {
-    /// When the next `Input::TimerExpired` is due. What is overdue already waits for some other input, and is looked at
-    /// with each: it must not make the clock run in circles.
+    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted, as they are checked
+    /// with every input: otherwise the caller would wake up in a busy loop.
     pub(crate) fn wake_at(&self) -> Time {
         let mut at = self.outcomes.wake_at();
-        let mut sooner = |other: Option<Time>| {
+        let mut consider = |other: Option<Time>| {
             at = other
                 .filter(|other| *other > self.now)
                 .map_or(at, |other| at.min(other));
         };
-        sooner(self.timer_at);
-        sooner(self.next_load_read_at);
-        sooner(self.dns.as_ref().and_then(DnsState::wake_at));
-        sooner(self.weight_planner.as_ref().map(WeightPlanner::wake_at));
+        consider(self.timer_at);
+        consider(self.next_load_read_at);
+        consider(self.dns.as_ref().and_then(DnsState::wake_at));
+        consider(self.weight_planner.as_ref().map(WeightPlanner::wake_at));
         for peer in &self.peers {
-            sooner(
+            consider(
                 peer.silent_since
                     .map(|since| since + self.links.answer_limit.0),
             );
             match peer.link {
-                Link::Down(dial_at) => sooner(Some(dial_at)),
-                Link::Joined if peer.pending_update.is_some() => {
-                    sooner(peer.blocked_until);
-                    sooner(peer.session.next_due());
+                LinkState::Disconnected(dial_at) => consider(Some(dial_at)),
+                LinkState::Joined if peer.pending_update.is_some() => {
+                    consider(peer.blocked_until);
+                    consider(peer.session.next_due());
                 }
                 _ => {}
             }
@@ -68,8 +69,8 @@
             .iter()
             .map(|peer| self.pushes_reports(peer.id))
             .collect();
-        let is_read = |(peer, pushes): &(&mut Peer, bool)| peer.is_joined() && !pushes;
-        for (peer, _) in self.peers.iter_mut().zip(pushing).filter(is_read) {
+        let must_be_read = |(peer, pushes): &(&mut Peer, bool)| peer.is_joined() && !pushes;
+        for (peer, _) in self.peers.iter_mut().zip(pushing).filter(must_be_read) {
             let Some(line) = peer.session.read_stat() else {
                 continue;
             };
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Reads the loads of all hosts that serve, when it is time.
+    /// Reads the loads of all hosts that serve, if that is due.
     fn read_loads(&mut self) {
         let now = self.now;
         let Some(interval) = self.load_interval else {
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Closes connections whose answers are overdue.
     fn hang_up_silent_proxies(&mut self) {
         let now = self.now;
         let limit = self.links.answer_limit.0;
@@ -119,19 +121,21 @@
         }
     }
 
-    /// Dials proxies whose wait is over, as many at one time as may be.
+    /// Dials proxies whose backoff is over, up to the maximum number of concurrent dials.
     fn dial_proxies(&mut self) {
         let now = self.now;
         let mut dialling = self
             .peers
             .iter()
-            .filter(|peer| peer.link == Link::Dialling)
+            .filter(|peer| peer.link == LinkState::Dialling)
             .count();
         for peer in &mut self.peers {
-            if matches!(peer.link, Link::Down(at) if at <= now) && dialling < MAX_CONCURRENT_DIALS {
+            if matches!(peer.link, LinkState::Disconnected(at) if at <= now)
+                && dialling < MAX_CONCURRENT_DIALS
+            {
                 dialling += 1;
                 peer.connection += 1;
-                peer.link = Link::Dialling;
+                peer.link = LinkState::Dialling;
                 self.outputs.push_back(Output::Dial {
                     proxy: peer.id.0,
                     connection: peer.connection,
--- a/crates/daemon-core/src/update_queue.rs
+++ b/crates/daemon-core/src/update_queue.rs
@@ -1,5 +1,5 @@
-//! How much may be sent, and when: the budgets of the update queue, kept whatever the decisions or the proxies do. The
-//! decisions plan well within them; this is what holds when proxies refuse, stall or connect all at once.
+//! Limits how much is sent to proxies, and when. The controller plans well within these limits; they take effect when
+//! proxies reject updates, stall, or connect all at once.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
@@ -7,58 +7,65 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Messages of the cap that are kept for drains.
+/// Number of messages of the cap that are reserved for drains.
 const DRAIN_RESERVE: usize = 2;
-/// Parts of the lines that may wait which ordinary orders and joins may fill: room is left for drains.
+/// Fractions of the limit on lines in flight that ordinary updates and joins may use; the rest is reserved for drains.
 const MAX_ORDINARY_FRACTION: f64 = 0.5;
 const MAX_JOIN_FRACTION: f64 = 0.75;
-/// Duration whose lines may be sent at one time after a pause.
+/// Maximum burst after a pause: the lines of this duration at the configured rate.
 const BURST: Duration = Duration::from_millis(100);
 
-/// The update queue of one controller; figures in commands ("lines"), as the proxies count them.
+/// The update queue of one controller. Figures are in commands ("lines"), as the proxies count them.
 #[derive(Debug)]
 pub(crate) struct UpdateQueue {
     lines_per_second: f64,
+    /// Cost of each message in addition to its lines.
     message_overhead: f64,
-    max_waiting: f64,
+    /// Maximum of `in_flight`.
+    max_in_flight: f64,
+    /// Maximum number of messages to one proxy within the window.
     max_messages: usize,
     window: Duration,
-    /// Lines that may go now; under 0 after a large message.
+    /// Lines that may be sent now; below 0 after a large message.
     credit: f64,
     credit_at: Time,
-    /// Written and not answered, heads included.
+    /// Lines that were sent and not acknowledged, including the overhead of their messages.
     in_flight: f64,
 }
 
-/// The messages written to one proxy within the window.
+/// Times of the messages that were sent to one proxy within the window.
 #[derive(Debug, Default)]
 pub(crate) struct SentMessages(VecDeque<Time>);
 
-/// Whether a message may be written now.
+/// Whether a message may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QueueCapacity {
     Available,
-    /// The cap or the pace: not before this time.
+    /// Not before this time, for this reason: the message cap or the rate.
     AvailableAt(Time, &'static str),
-    /// Too much is unanswered: as soon as answers arrive.
+    /// Too many lines are in flight: after further acknowledgements.
     AvailableAfterReplies,
 }
 
 impl UpdateQueue {
     pub(crate) fn new(
-        rate: f64,
-        head: f64,
-        most_waiting: f64,
-        cap: u64,
+        lines_per_second: f64,
+        message_overhead: f64,
+        max_in_flight: f64,
+        message_cap: u64,
         window: Duration,
         now: Time,
     ) -> UpdateQueue {
-        let cap = if cap == 0 { usize::MAX } else { cap as usize };
+        let max_messages = if message_cap == 0 {
+            usize::MAX
+        } else {
+            message_cap as usize
+        };
         UpdateQueue {
-            lines_per_second: rate,
-            message_overhead: head,
-            max_waiting: most_waiting,
-            max_messages: cap,
+            lines_per_second,
+            message_overhead,
+            max_in_flight,
+            max_messages,
             window,
             credit: 0.0,
             credit_at: now,
@@ -66,19 +73,23 @@
         }
     }
 
-    pub(crate) fn waiting(&self) -> f64 {
+    /// Lines in flight, including the overhead of their messages.
+    pub(crate) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// How many joins of this many lines may be answered beside those that wait already.
+    /// How many joins of this many lines fit in addition to the `pending` updates.
     pub(crate) fn possible_joins(&self, lines: f64, pending: usize) -> usize {
-        let free = self.max_waiting * MAX_JOIN_FRACTION - self.in_flight;
-        let fit = (free / (lines + self.message_overhead)).max(0.0) as usize;
-        // One at a time always may, or a large table would keep all out.
-        fit.saturating_sub(pending)
+        let free = self.max_in_flight * MAX_JOIN_FRACTION - self.in_flight;
+        let fitting = (free / (lines + self.message_overhead)).max(0.0) as usize;
+        // One join at a time is always allowed; otherwise a table that exceeds the limit would prevent all joins.
+        fitting
+            .saturating_sub(pending)
             .max(usize::from(pending == 0 && self.in_flight == 0.0))
     }
 
+    /// Whether a message of this many lines may be sent to a proxy now. A message that exceeds the limit by itself is sent
+    /// when nothing else is in flight.
     pub(crate) fn capacity(
         &mut self,
         now: Time,
@@ -93,19 +104,19 @@
             self.max_messages.saturating_sub(DRAIN_RESERVE)
         };
         if sent_messages.0.len() >= cap {
-            let frees = sent_messages.0[sent_messages.0.len() - cap];
+            let blocking = sent_messages.0[sent_messages.0.len() - cap];
             return QueueCapacity::AvailableAt(
-                frees + self.window + Duration::from_millis(1),
+                blocking + self.window + Duration::from_millis(1),
                 "message cap",
             );
         }
-        let part = match urgency {
+        let fraction = match urgency {
             Urgency::Ordinary => MAX_ORDINARY_FRACTION,
             Urgency::Join => MAX_JOIN_FRACTION,
             Urgency::Drain => 1.0,
         };
-        let all = self.in_flight + lines as f64 + self.message_overhead;
-        if all > self.max_waiting * part && self.in_flight > 0.0 {
+        let total = self.in_flight + lines as f64 + self.message_overhead;
+        if total > self.max_in_flight * fraction && self.in_flight > 0.0 {
             return QueueCapacity::AvailableAfterReplies;
         }
         self.credit = (self.credit + (now - self.credit_at).seconds() * self.lines_per_second)
@@ -119,6 +130,7 @@
         QueueCapacity::Available
     }
 
+    /// Records a message that is sent; returns its cost, for `record_acknowledged`.
     pub(crate) fn record_sent(
         &mut self,
         now: Time,
@@ -132,7 +144,7 @@
         cost
     }
 
-    /// A message is answered, or its proxy is lost.
+    /// Records that a message was acknowledged, or that the connection to its proxy was lost.
     pub(crate) fn record_acknowledged(&mut self, cost: f64) {
         self.in_flight = (self.in_flight - cost).max(0.0);
     }
