--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -158,7 +158,7 @@
 
 fn put_reports(info: &mut Info, state: &DaemonState) {
     let counters = &state.pushed_reports.counters;
-    info.put("Senders", state.pushed_reports.senders());
+    info.put("Senders", state.pushed_reports.sender_count());
     info.put("Reports", counters.received);
     info.put("ReportsLate", counters.late);
     info.put("ReportsDoubled", counters.duplicate);
--- a/crates/daemon-core/src/operator.rs
+++ b/crates/daemon-core/src/operator.rs
@@ -1,10 +1,10 @@
-//! The controller's own runtime API. The backend `hosts` is the endpoint list; each table is a backend `table-<n>` that
-//! can be shown. Operators' changes to `hosts` go to the decisions like those of the file.
+//! The runtime API of the controller itself. The backend `hosts` is the endpoint list; each table is a read-only backend
+//! `table-<n>`. Operators' changes to `hosts` are applied like those of the hosts file.
 //!
 //! - `show`: commands that show figures, hosts and events.
-//! - `maps`: the maps, of which that of zones can be set.
+//! - `maps`: the maps, of which only the zone map can be set.
 //! - `servers`: commands that change hosts.
-//! - `error`: why a command is refused.
+//! - `error`: why a command is rejected.
 
 mod error;
 mod maps;
@@ -19,7 +19,7 @@
 /// The backend that stands for the endpoint list.
 const HOSTS: &str = "hosts";
 
-/// The answers to one line, each ended as the protocol wants it.
+/// The replies to one command line, each framed as the protocol requires.
 pub(crate) fn answer(state: &mut DaemonState, level: u8, line: &str) -> String {
     let level = match level {
         0 => Level::User,
@@ -54,7 +54,7 @@
 fn run_command(state: &mut DaemonState, command: Command) -> Result<String, OperatorError> {
     match command {
         Command::Help => Ok(command::HELP.into()),
-        // Kept by the connection itself; here there is nothing to do.
+        // The connection itself handles these.
         Command::Quit | Command::Prompt(_) => Ok(String::new()),
         Command::ShowInfo { json } => Ok(show::info(state, json)),
         Command::ShowStat { json } => Ok(show::stat(state, json)),
--- a/crates/daemon-core/src/operator/error.rs
+++ b/crates/daemon-core/src/operator/error.rs
@@ -1,12 +1,12 @@
-//! Why a command is refused. The texts are on the wire: each is the whole answer, with its line end.
+//! Why a command is rejected. The texts are on the wire: each is the whole reply, with its line end.
 
 use crate::zone_map::ZoneMapError;
 
-/// Why a command is refused.
+/// Why a command is rejected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum OperatorError {
-    /// The connection's level is too low for the command.
+    /// The access level of the connection is too low for the command.
     #[error("Permission denied\n")]
     PermissionDenied,
     /// A command that shows a backend names one that does not exist.
@@ -24,7 +24,7 @@
     /// A host of that name is listed already.
     #[error("Already exists a server with the same name in the backend.\n")]
     ServerExists,
-    /// The name can't be that of a host.
+    /// The name is not valid for a host.
     #[error("A host's name has 1 to 64 letters, digits, '-', '_', '.' or ':'.\n")]
     InvalidName,
     /// The host is not in maintenance.
@@ -38,13 +38,13 @@
     /// A weight that is not positive.
     #[error("A listed weight is above 0.\n")]
     WeightNotPositive,
-    /// The address is the one that the host has.
+    /// The host has this address already.
     #[error("no need to change the addr, no need to change the port\n")]
     AddressUnchanged,
     /// No map has that name.
     #[error("Unknown map identifier. Please use #<id> or <name>.\n")]
     UnknownMap,
-    /// The map shows decisions.
+    /// The map shows decisions and can't be set.
     #[error("The map '{map}' shows what the steward decided; it can't be set.\n")]
     MapIsReadOnly {
         /// Name of the map.
@@ -58,13 +58,13 @@
     UnknownZone {
         /// The zone that was given.
         zone: String,
-        /// Those of the settings.
+        /// The zones of the settings.
         zones: Vec<String>,
     },
-    /// The host is one of the file, which names its zone.
+    /// The host is listed in the file, which gives its zone.
     #[error("The file names this host's zone; change it there.\n")]
     ZoneIsFromFile,
-    /// The map of zones could not be changed.
+    /// The zone map could not be changed or shown.
     #[error(transparent)]
     ZoneMap(#[from] ZoneMapError),
 }
--- a/crates/daemon-core/src/operator/maps.rs
+++ b/crates/daemon-core/src/operator/maps.rs
@@ -1,4 +1,4 @@
-//! The maps. They show what was decided and observed; that of zones can be set.
+//! The maps. They show decisions and observations; the zone map can be set.
 
 use super::error::OperatorError;
 use crate::endpoint_list::ListedHost;
@@ -12,10 +12,10 @@
 use pondarch_runtime_api::info::write_map;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Name of the map of hosts' zones; it can be set, as `add server` has no argument for a zone.
+/// Name of the zone map; it can be set because `add server` has no argument for a zone.
 const ZONES: &str = "zones";
 
-/// Each map with its description, in the order of `show map`.
+/// Each map with its description, in the order of `show map`. The descriptions are part of the reply.
 const MAPS: [(&str, &str); 8] = [
     ("levels", "share let in by table and kind"),
     ("tries", "when proxies try again, by table and kind"),
@@ -40,8 +40,8 @@
 type Entries = BTreeMap<String, String>;
 
 pub(super) fn list() -> String {
-    let line = |(n, (name, description)): (usize, &(&str, &str))| {
-        format!("{n} ({name}) pondarch: {description}\n")
+    let line = |(id, (name, description)): (usize, &(&str, &str))| {
+        format!("{id} ({name}) pondarch: {description}\n")
     };
     std::iter::once("# id (file) description\n".to_string())
         .chain(MAPS.iter().enumerate().map(line))
@@ -162,7 +162,7 @@
     Ok(String::new())
 }
 
-/// Hosts that operators added take the zones that the map has for them now.
+/// Moves the hosts that operators added to the zones that the map gives them.
 fn apply_zones(state: &mut DaemonState) {
     let zone = |id: &HostId| state.zones.zone_of_host(&id.0).cloned();
     let added = state
@@ -202,7 +202,7 @@
 }
 
 fn by_class(state: &DaemonState, value: fn(&ClassAdmission) -> String) -> Entries {
-    let of_table = |(table, assignment): (&TableId, &TableAssignment)| {
+    let entries_of_table = |(table, assignment): (&TableId, &TableAssignment)| {
         let key = |class: usize| format!("table-{}/{}", table.0, state.request_classes[class]);
         let entries = assignment
             .admission
@@ -210,7 +210,12 @@
             .map(|(class, admission)| (key(class.0 as usize), value(admission)));
         entries.collect::<Vec<_>>()
     };
-    state.tables.by_id.iter().flat_map(of_table).collect()
+    state
+        .tables
+        .by_id
+        .iter()
+        .flat_map(entries_of_table)
+        .collect()
 }
 
 fn proxies(state: &DaemonState) -> Entries {
@@ -218,6 +223,7 @@
     state.peers.iter().map(entry).collect()
 }
 
+/// The text for the state of a proxy's connection in the map `proxies`.
 fn link_text(peer: &Peer) -> String {
     match peer.link {
         LinkState::Disconnected(_) => "down".into(),
--- a/crates/daemon-core/src/operator/servers.rs
+++ b/crates/daemon-core/src/operator/servers.rs
@@ -11,6 +11,7 @@
 use pondarch_runtime_api::{AdminState, ServerRef};
 use std::net::{IpAddr, SocketAddr};
 
+/// The host that a command names.
 fn find(state: &DaemonState, server: &ServerRef) -> Result<(HostId, ListedHost), OperatorError> {
     if server.backend != HOSTS {
         let is_table = state
@@ -103,8 +104,8 @@
     ))
 }
 
-/// As the management guide has it, a new server is in maintenance until it is made ready. Its zone is the one that the
-/// map has for it, or the first of the settings.
+/// Adds a host. As the management guide requires, a new server is in maintenance until it is made ready. Its zone is that of
+/// the zone map or, if it is not in the map, the first zone of the settings.
 pub(super) fn add(
     state: &mut DaemonState,
     server: &ServerRef,
--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -80,7 +80,7 @@
     format!("table-{}", table.0)
 }
 
-/// A row for each host of the list with its latest outcomes, and one for each member of a table.
+/// A row for each host of the endpoint list with its latest outcomes, and one for each member of each table.
 fn stat_rows(state: &DaemonState) -> Vec<StatRow> {
     let mut rows: Vec<StatRow> = state
         .endpoints
@@ -128,7 +128,7 @@
             server: id.0.to_string(),
             of: RowType::Server,
             status: status(host_state).into(),
-            // Thousandths: the resolution of the decisions.
+            // In thousandths, which is the resolution of decided weights.
             weight: (weight * 1e3).round() as u64,
             ..StatRow::default()
         }
@@ -153,8 +153,8 @@
         let hosts = state.endpoints.hosts.iter();
         servers.extend(hosts.map(|(id, host)| host_state(state, id, host)));
     }
-    let all: Vec<TableId> = state.tables.by_id.keys().copied().collect();
-    let tables: Vec<TableId> = all
+    let all_tables: Vec<TableId> = state.tables.by_id.keys().copied().collect();
+    let tables: Vec<TableId> = all_tables
         .into_iter()
         .filter(|table| wanted(&table_name(*table)))
         .collect();
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -1,4 +1,5 @@
-//! Outcomes of all proxies, summed up by host over a report interval: the decisions weigh each record the same.
+//! Sums the outcomes of all proxies by host over a report interval, because the controller gives each record the same
+//! weight.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, Time};
@@ -6,19 +7,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Part of the report period that an interval waits for slow proxies; later answers count in the next one.
+/// Fraction of the report interval during which replies of proxies are awaited; later ones count in the next interval.
 const WAIT_FRACTION: f64 = 0.4;
 
 #[derive(Debug)]
 pub(crate) struct OutcomeAggregator {
     interval: Duration,
+    /// When the next interval begins.
     next_at: Time,
+    /// When the current interval is closed at the latest; none: it is closed.
     closes_at: Option<Time>,
+    /// Proxies whose replies are awaited.
     awaited: BTreeSet<u16>,
     by_host: BTreeMap<HostId, AggregatedOutcomes>,
 }
 
-/// Outcomes of attempts at a host, and of when the oldest of them are.
+/// Outcomes of attempts at a host, with the time of the oldest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AggregatedOutcomes {
     pub(crate) outcomes: AttemptOutcomes,
@@ -41,11 +45,11 @@
             .map_or(self.next_at, |at| at.min(self.next_at))
     }
 
-    /// Whether an interval is to begin.
+    /// Begins an interval if it is due; returns whether one began.
     pub(crate) fn begin_if_due(&mut self, now: Time) -> bool {
         let due = now >= self.next_at;
         if due {
-            // A stop of the machine is not made up for by many intervals at once.
+            // Intervals missed while the machine was suspended are skipped.
             let next = self.next_at + self.interval;
             self.next_at = if next > now {
                 next
@@ -58,6 +62,7 @@
         due
     }
 
+    /// Records that a proxy was asked for its counters.
     pub(crate) fn request_sent(&mut self, proxy: u16) {
         self.awaited.insert(proxy);
     }
@@ -66,60 +71,61 @@
         self.awaited.remove(&proxy);
     }
 
-    /// Adds the counters of one proxy as of then, of which this part counts. Those of several proxies add up; their
-    /// periods are the same.
-    pub(crate) fn record(&mut self, proxy: u16, counters: &Look, part: f64, at: Time) {
+    /// Adds the counters of one proxy as of `at`, scaled by `fraction`. Those of several proxies are summed; their periods
+    /// are the same.
+    pub(crate) fn record(&mut self, proxy: u16, counters: &Look, fraction: f64, at: Time) {
         self.awaited.remove(&proxy);
-        if part <= 0.0 {
+        if fraction <= 0.0 {
             return;
         }
         for (host, outcomes) in &counters.met {
             let outcomes = AttemptOutcomes {
-                attempts: outcomes.attempts * part,
-                failures: outcomes.failures * part,
+                attempts: outcomes.attempts * fraction,
+                failures: outcomes.failures * fraction,
                 ..*outcomes
             };
-            let all = self
+            let aggregated = self
                 .by_host
                 .entry(host.clone())
                 .or_insert(AggregatedOutcomes {
                     outcomes: AttemptOutcomes::default(),
                     oldest_at: at,
                 });
-            all.oldest_at = all.oldest_at.min(at);
-            let all = &mut all.outcomes;
-            let done = all.attempts - all.failures;
-            let more = outcomes.attempts - outcomes.failures;
-            if more > 0.0 {
-                let sum = all.mean_latency.micros() as f64 * done
-                    + outcomes.mean_latency.micros() as f64 * more;
-                all.mean_latency = Duration::from_micros((sum / (done + more)) as u64);
+            aggregated.oldest_at = aggregated.oldest_at.min(at);
+            let total = &mut aggregated.outcomes;
+            let total_successes = total.attempts - total.failures;
+            let successes = outcomes.attempts - outcomes.failures;
+            if successes > 0.0 {
+                let latency_sum_us = total.mean_latency.micros() as f64 * total_successes
+                    + outcomes.mean_latency.micros() as f64 * successes;
+                total.mean_latency =
+                    Duration::from_micros((latency_sum_us / (total_successes + successes)) as u64);
             }
-            all.attempts += outcomes.attempts;
-            all.failures += outcomes.failures;
-            all.period = all.period.max(outcomes.period);
+            total.attempts += outcomes.attempts;
+            total.failures += outcomes.failures;
+            total.period = total.period.max(outcomes.period);
         }
     }
 
-    /// All that was gathered, once everybody answered or the wait is over.
+    /// Returns the sums once all awaited proxies replied or the time for this is over.
     pub(crate) fn take_closed(
         &mut self,
         now: Time,
     ) -> Option<BTreeMap<HostId, AggregatedOutcomes>> {
-        let at = self.closes_at?;
-        if now < at && !self.awaited.is_empty() {
+        let closes_at = self.closes_at?;
+        if now < closes_at && !self.awaited.is_empty() {
             return None;
         }
         self.closes_at = None;
         Some(std::mem::take(&mut self.by_host))
     }
 
-    /// Keeps outcomes that were not applied in this interval for the next one, with what is added until then.
-    pub(crate) fn defer(&mut self, host: HostId, gathered: AggregatedOutcomes) {
-        self.by_host.insert(host, gathered);
+    /// Keeps outcomes that were not applied in this interval; those of the next interval are added to them.
+    pub(crate) fn defer(&mut self, host: HostId, outcomes: AggregatedOutcomes) {
+        self.by_host.insert(host, outcomes);
     }
 
-    /// What is gathered takes, in bytes, roughly.
+    /// Estimated memory, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.by_host.len() as u64 * 160
     }
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -1,4 +1,4 @@
-//! Outcomes of a report interval that has ended are applied to the decisions.
+//! Applies the outcomes of a report interval that has ended.
 
 use crate::outcome_aggregator::AggregatedOutcomes;
 use crate::output::Output;
@@ -10,38 +10,39 @@
 use std::time::Duration;
 
 impl DaemonState {
-    /// Applies the outcomes of an interval that has ended, within the budget, each with its age.
-    pub(crate) fn apply_outcomes(&mut self, gathered: BTreeMap<HostId, AggregatedOutcomes>) {
+    /// Applies the outcomes of an interval that has ended. Those that are too old are dropped, and those beyond the budget
+    /// are deferred to the next interval.
+    pub(crate) fn apply_outcomes(&mut self, aggregated: BTreeMap<HostId, AggregatedOutcomes>) {
         let now = self.now;
         let interval = self.report_interval;
-        let stale = gathered
+        let stale = aggregated
             .iter()
-            .filter(|(_, of)| now - of.oldest_at >= age::STALE)
+            .filter(|(_, outcomes)| now - outcomes.oldest_at >= age::STALE)
             .count();
-        let mut gathered: Vec<(HostId, AggregatedOutcomes)> = gathered
+        let mut aggregated: Vec<(HostId, AggregatedOutcomes)> = aggregated
             .into_iter()
-            .filter(|(_, of)| now - of.oldest_at < age::STALE)
+            .filter(|(_, outcomes)| now - outcomes.oldest_at < age::STALE)
             .collect();
-        let deferred = self.defer_beyond_budget(&mut gathered);
-        let oldest = gathered
+        let deferred = self.defer_beyond_budget(&mut aggregated);
+        let max_age = aggregated
             .iter()
-            .map(|(_, of)| now - of.oldest_at)
+            .map(|(_, outcomes)| now - outcomes.oldest_at)
             .max()
             .unwrap_or(Duration::ZERO);
-        let mut lines: BTreeMap<HostId, AttemptOutcomes> = gathered
+        let mut outcomes_by_host: BTreeMap<HostId, AttemptOutcomes> = aggregated
             .into_iter()
-            .map(|(host, of)| (host, of.outcomes))
+            .map(|(host, aggregated)| (host, aggregated.outcomes))
             .collect();
         for (host, outcomes) in self
             .self_reported_outcomes()
             .into_iter()
             .chain(self.unobservable_hosts())
         {
-            lines.entry(host).or_insert(outcomes);
+            outcomes_by_host.entry(host).or_insert(outcomes);
         }
-        if !lines.is_empty() || deferred > 0 {
-            let hosts = lines.len();
-            let oldest_us = oldest.micros();
+        if !outcomes_by_host.is_empty() || deferred > 0 {
+            let hosts = outcomes_by_host.len();
+            let oldest_us = max_age.micros();
             self.outputs.push_back(Output::LoadReportsApplied {
                 hosts,
                 deferred,
@@ -49,19 +50,19 @@
                 dropped: stale,
             });
         }
-        let fresh = self
+        let max_load_age = self
             .load_interval
             .unwrap_or(Duration::ZERO)
             .max(interval)
             .scaled(MAX_LOAD_REPORT_PERIODS);
-        self.record_outcomes(lines, fresh);
-        self.record_observations(fresh);
+        self.record_outcomes(outcomes_by_host, max_load_age);
+        self.record_observations(max_load_age);
         self.log_rejected_reports();
         self.enforce_memory_limits();
     }
 
-    /// Keeps as many as may be applied now and puts the others off to the next interval; gives how many were put off.
-    fn defer_beyond_budget(&mut self, gathered: &mut Vec<(HostId, AggregatedOutcomes)>) -> usize {
+    /// Keeps the outcomes that the budget allows, and defers the others to the next interval; returns how many were deferred.
+    fn defer_beyond_budget(&mut self, aggregated: &mut Vec<(HostId, AggregatedOutcomes)>) -> usize {
         let now = self.now;
         let interval = self.report_interval;
         let budget = self
@@ -69,40 +70,52 @@
             .map_or(usize::MAX, |per_second| {
                 (per_second * interval.seconds()).max(1.0) as usize
             });
-        if gathered.len() <= budget {
+        if aggregated.len() <= budget {
             return 0;
         }
-        let candidates: Vec<Candidate> = gathered
+        let candidates: Vec<Candidate> = aggregated
             .iter()
-            .map(|(host, of)| self.candidate(host, of))
+            .map(|(host, outcomes)| self.candidate(host, outcomes))
             .collect();
         let chosen = self.selection.among(now, interval, &candidates, budget);
-        let mut n = 0;
+        let mut visited = 0;
         let not_chosen = |_: &mut (HostId, AggregatedOutcomes)| {
-            n += 1;
-            chosen.binary_search(&(n - 1)).is_err()
+            visited += 1;
+            chosen.binary_search(&(visited - 1)).is_err()
         };
-        let rest: Vec<_> = gathered.extract_if(.., not_chosen).collect();
-        let deferred = rest.len();
+        let deferred_outcomes: Vec<_> = aggregated.extract_if(.., not_chosen).collect();
+        let deferred = deferred_outcomes.len();
         let decay = age::faded(interval);
-        for (host, of) in rest {
+        for (host, aggregated) in deferred_outcomes {
             let outcomes = AttemptOutcomes {
-                attempts: of.outcomes.attempts * decay,
-                failures: of.outcomes.failures * decay,
-                period: of.outcomes.period + interval,
-                ..of.outcomes
+                attempts: aggregated.outcomes.attempts * decay,
+                failures: aggregated.outcomes.failures * decay,
+                period: aggregated.outcomes.period + interval,
+                ..aggregated.outcomes
             };
-            self.outcomes
-                .defer(host, AggregatedOutcomes { outcomes, ..of });
+            self.outcomes.defer(
+                host,
+                AggregatedOutcomes {
+                    outcomes,
+                    ..aggregated
+                },
+            );
         }
         deferred
     }
 
-    /// Gives outcomes to the decisions, each with the load of its host if that is recent enough.
-    fn record_outcomes(&mut self, lines: BTreeMap<HostId, AttemptOutcomes>, fresh: Duration) {
+    /// Passes outcomes to the controller, each with the load of its host if that is not older than `max_load_age`.
+    fn record_outcomes(
+        &mut self,
+        outcomes_by_host: BTreeMap<HostId, AttemptOutcomes>,
+        max_load_age: Duration,
+    ) {
         let now = self.now;
-        for (host, outcomes) in lines {
-            let load = self.loads.get(&host).filter(|(at, _)| now - *at <= fresh);
+        for (host, outcomes) in outcomes_by_host {
+            let load = self
+                .loads
+                .get(&host)
+                .filter(|(at, _)| now - *at <= max_load_age);
             let load = load.map(|(_, load)| load.host_load());
             let outcomes = AttemptOutcomes { load, ..outcomes };
             self.controller.record_outcomes(now, &host, outcomes);
@@ -111,33 +124,34 @@
         }
     }
 
+    /// Records the memory of reports and tables; over a limit, drops report histories or the lines of unused tables.
     fn enforce_memory_limits(&mut self) {
-        let reports =
+        let report_bytes =
             self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
-        if !self.memory.takes(Purpose::Reports, reports) {
-            let times = self
+        if !self.memory.takes(Purpose::Reports, report_bytes) {
+            let dropped = self
                 .pushed_reports
-                .drop_histories(reports - Purpose::Reports.cap());
-            self.memory.capped(Purpose::Reports, times);
+                .drop_histories(report_bytes - Purpose::Reports.cap());
+            self.memory.capped(Purpose::Reports, dropped);
         }
-        let tables = self.tables.bytes()
+        let table_bytes = self.tables.bytes()
             + self
                 .peers
                 .iter()
                 .map(|peer| peer.session.bytes())
                 .sum::<u64>();
-        if !self.memory.takes(Purpose::Tables, tables) {
+        if !self.memory.takes(Purpose::Tables, table_bytes) {
             let used = self
                 .peers
                 .iter()
                 .flat_map(|peer| peer.bindings.values().copied())
                 .collect();
-            let times = self.tables.drop_unused(&used);
-            self.memory.capped(Purpose::Tables, times);
+            let dropped = self.tables.drop_unused(&used);
+            self.memory.capped(Purpose::Tables, dropped);
         }
     }
 
-    fn candidate(&self, host: &HostId, of: &AggregatedOutcomes) -> Candidate {
+    fn candidate(&self, host: &HostId, aggregated: &AggregatedOutcomes) -> Candidate {
         Candidate {
             host: host.clone(),
             told: self
@@ -145,8 +159,8 @@
                 .get(host)
                 .copied()
                 .unwrap_or_default(),
-            tries: of.outcomes.attempts,
-            errored: of.outcomes.failures,
+            tries: aggregated.outcomes.attempts,
+            errored: aggregated.outcomes.failures,
             changing: self.endpoints.is_warming_up(host, self.now)
                 || self.endpoints.must_drain(host),
         }
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -1,6 +1,6 @@
-//! Reports that proxies and hosts push: who sends them, what of them counts, and how old it is. A proxy's pushed counters are
-//! the same as those of `show stat`: each count is taken once, whichever way it arrives, and where pushes fall silent it is
-//! read again.
+//! Reports that proxies and hosts push: their senders, which reports are accepted, and how old they are. The counters that a
+//! proxy pushes are those of `show stat`: each difference is counted once, whichever way it arrives, and when a proxy stops
+//! pushing, its counters are read again.
 
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
@@ -9,12 +9,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Reports of one sender that may be under way: one that is taken, one that waits.
+/// Number of reports of one sender that may be in flight: while one is applied, others may wait.
 pub(crate) const REPORT_CREDIT: u32 = 3;
-/// What a counter may rise by in a second: far beyond what a proxy can do.
+/// Maximum plausible rise of a counter per second, far above what a proxy can do.
 const MAX_COUNT_RATE: f64 = 1e6;
-/// The highest plausible utilization of all cores, and number of requests waiting.
+/// Maximum plausible utilization of all cores.
 const MAX_UTILIZATION: f64 = 1.5;
+/// Maximum plausible number of waiting requests.
 const MAX_QUEUE_LENGTH: f64 = 1e6;
 
 /// A sender that has identified itself, on one connection.
@@ -25,13 +26,16 @@
     pub(crate) incarnation: u64,
 }
 
-/// What is known of a name over its connections.
+/// What is known of a sender across its connections.
 #[derive(Debug, Default)]
 pub(crate) struct SenderHistory {
     pub(crate) order: Order,
     pub(crate) clocks: Clocks,
+    /// The latest connection under this name.
     pub(crate) connection: u64,
+    /// Requests, and attempts that ended, by backend and server, as of the latest accepted report.
     pub(crate) last_counts: BTreeMap<(String, Option<String>), (u64, u64)>,
+    /// When the latest accepted report was sent.
     pub(crate) last_at: Time,
 }
 
@@ -41,7 +45,7 @@
     }
 }
 
-/// What became of reports so far.
+/// Counters of received reports, by what became of them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportCounters {
     pub(crate) received: u64,
@@ -49,51 +53,53 @@
     pub(crate) duplicate: u64,
     pub(crate) missing: u64,
     pub(crate) restarted: u64,
-    /// Too old to be evidence.
+    /// Reports too old for their figures to be used.
     pub(crate) stale: u64,
-    /// Figures that cannot be.
+    /// Reports with implausible figures.
     pub(crate) rejected: u64,
     pub(crate) clock_jumps: u64,
     pub(crate) unknown_senders: u64,
-    /// Lines of hosts that are not listed.
+    /// Rows of hosts that are not listed.
     pub(crate) unlisted_hosts: u64,
+    /// The latest rejected report that was not logged yet: its sender and figure.
     pub(crate) last_rejected: Option<String>,
 }
 
-/// A report that counts.
+/// A report that was accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AcceptedReport {
-    /// When it was sent, by the controller's clock, as far as that is known.
+    /// When it was sent, by the controller's clock; none: not known.
     pub(crate) sent_at: Option<Time>,
-    /// Whether it is recent enough to be evidence.
+    /// Whether it is recent enough for its figures to be used.
     pub(crate) fresh: bool,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct PushedReports {
-    /// Whether there is anywhere to push to.
+    /// Whether the settings have a socket for pushed reports.
     pub(crate) enabled: bool,
+    /// Connected senders, by connection.
     pub(crate) senders: BTreeMap<u64, Sender>,
-    /// By name: those of the settings and of the list alone, so that it is bounded.
+    /// By name of the sender. Bounded, as only names of the settings and of the endpoint list are accepted.
     pub(crate) histories: BTreeMap<String, SenderHistory>,
     pub(crate) silence: Silence,
     pub(crate) counters: ReportCounters,
 }
 
 impl PushedReports {
-    pub(crate) fn new(on: bool) -> PushedReports {
+    pub(crate) fn new(enabled: bool) -> PushedReports {
         PushedReports {
-            enabled: on,
+            enabled,
             ..PushedReports::default()
         }
     }
 
-    /// Senders that are connected.
-    pub(crate) fn senders(&self) -> usize {
+    /// Number of connected senders.
+    pub(crate) fn sender_count(&self) -> usize {
         self.senders.len()
     }
 
-    /// Counts a report of this sender, and decides whether its contents count.
+    /// Counts a report of this sender, and returns whether and how it is accepted.
     pub(crate) fn accept(
         &mut self,
         now: Time,
@@ -125,11 +131,11 @@
                 Duration::from_micros(report.had_us.min(86_400_000_000)),
             )
         });
-        let mapped = history.clocks.came(now, report.sent_us, echo);
-        if mapped.jumped {
+        let mapped_time = history.clocks.came(now, report.sent_us, echo);
+        if mapped_time.jumped {
             counters.clock_jumps += 1;
         }
-        let sent_at = mapped.sent();
+        let sent_at = mapped_time.sent();
         let elapsed = sent_at
             .map_or(Duration::ZERO, |sent| sent - history.last_at)
             .max(Duration::from_millis(100));
@@ -139,7 +145,7 @@
             return None;
         }
         history.last_at = sent_at.unwrap_or(history.last_at);
-        // When it was sent is not known at all: it brings counters up to date, and is no evidence.
+        // A report whose time of sending is not known counts as stale: it only updates the counters.
         let fresh = sent_at.is_some_and(|sent| now - sent < age::STALE);
         if !fresh {
             counters.stale += 1;
@@ -147,7 +153,7 @@
         Some(AcceptedReport { sent_at, fresh })
     }
 
-    /// What all of it takes, in bytes, roughly.
+    /// Estimated memory, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.histories
             .values()
@@ -156,53 +162,56 @@
             + self.senders.len() as u64 * 150
     }
 
-    /// Gives up what figures are checked by until so many bytes are free, the largest first; gives of how many senders.
+    /// Drops the counters that figures are checked against, largest first, until this many bytes are free; returns the number
+    /// of senders whose counters were dropped.
     pub(crate) fn drop_histories(&mut self, bytes: u64) -> u64 {
         let mut freed = 0;
-        let mut times = 0;
+        let mut dropped = 0;
         let mut largest: Vec<&mut SenderHistory> = self.histories.values_mut().collect();
-        largest.sort_by_key(|known| std::cmp::Reverse(known.last_counts.len()));
-        for known in largest {
+        largest.sort_by_key(|history| std::cmp::Reverse(history.last_counts.len()));
+        for history in largest {
             if freed >= bytes {
                 break;
             }
-            let before = known.bytes();
-            known.last_counts.clear();
-            freed += before - known.bytes();
-            times += 1;
+            let before = history.bytes();
+            history.last_counts.clear();
+            freed += before - history.bytes();
+            dropped += 1;
         }
-        times
+        dropped
     }
 }
 
-pub(crate) fn row(of: Counted) -> StatRow {
+/// The row of `show stat` that has these counters.
+pub(crate) fn stat_row(counted: Counted) -> StatRow {
     let sums = Sums {
-        done: of.done,
-        errored: of.errored,
-        done_time: Duration::from_micros(of.done_us),
+        done: counted.done,
+        errored: counted.errored,
+        done_time: Duration::from_micros(counted.done_us),
     };
     StatRow {
-        of: if of.server.is_some() {
+        of: if counted.server.is_some() {
             RowType::Server
         } else {
             RowType::Backend
         },
-        backend: of.backend,
-        server: of.server.unwrap_or_else(|| "BACKEND".into()),
-        total: of.done.saturating_add(of.errored),
-        reqs: of.reqs,
+        backend: counted.backend,
+        server: counted.server.unwrap_or_else(|| "BACKEND".into()),
+        total: counted.done.saturating_add(counted.errored),
+        reqs: counted.reqs,
         sums: Some(sums),
-        busy: of.busy,
-        waiting: of.waiting,
+        busy: counted.busy,
+        waiting: counted.waiting,
         ..StatRow::default()
     }
 }
 
-/// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-fn implausible_figure(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
-    let within = |what: &str, figure: Option<f64>, max: f64| {
+/// The first implausible figure of a report, if there is one: a report is accepted whole or not at all. `elapsed_s` is the
+/// time since the previous report.
+fn implausible_figure(body: &Body, history: &mut SenderHistory, elapsed_s: f64) -> Option<String> {
+    let check = |name: &str, figure: Option<f64>, max: f64| {
         let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
-        Some(format!("{what} of {implausible}"))
+        Some(format!("{name} of {implausible}"))
     };
     if let Some(own) = &body.own {
         let figures = [
@@ -214,35 +223,35 @@
         ];
         if let Some(implausible) = figures
             .into_iter()
-            .find_map(|(what, figure, max)| within(what, figure, max))
+            .find_map(|(name, figure, max)| check(name, figure, max))
         {
             return Some(implausible);
         }
     }
-    let mut last = BTreeMap::new();
-    for of in &body.counted {
-        let load = within("busy", of.busy, MAX_UTILIZATION)
-            .or_else(|| within("waiting", of.waiting, MAX_QUEUE_LENGTH));
-        let place = of.server.as_deref().unwrap_or("the backend");
+    let mut counts = BTreeMap::new();
+    for counted in &body.counted {
+        let load = check("busy", counted.busy, MAX_UTILIZATION)
+            .or_else(|| check("waiting", counted.waiting, MAX_QUEUE_LENGTH));
+        let place = counted.server.as_deref().unwrap_or("the backend");
         if let Some(implausible) = load {
-            return Some(format!("{}/{place}: {implausible}", of.backend));
+            return Some(format!("{}/{place}: {implausible}", counted.backend));
         }
-        let key = (of.backend.clone(), of.server.clone());
-        let now = (of.reqs, of.done.saturating_add(of.errored));
-        if let Some(then) = known.last_counts.get(&key) {
-            let more = now
+        let key = (counted.backend.clone(), counted.server.clone());
+        let current = (counted.reqs, counted.done.saturating_add(counted.errored));
+        if let Some(previous) = history.last_counts.get(&key) {
+            let increase = current
                 .0
-                .saturating_sub(then.0)
-                .max(now.1.saturating_sub(then.1));
-            if more as f64 > MAX_COUNT_RATE * seconds {
+                .saturating_sub(previous.0)
+                .max(current.1.saturating_sub(previous.1));
+            if increase as f64 > MAX_COUNT_RATE * elapsed_s {
                 return Some(format!(
-                    "{}/{place}: {more} reqs within {seconds:.1} s",
-                    of.backend
+                    "{}/{place}: {increase} reqs within {elapsed_s:.1} s",
+                    counted.backend
                 ));
             }
         }
-        last.insert(key, now);
+        counts.insert(key, current);
     }
-    known.last_counts = last;
+    history.last_counts = counts;
     None
 }
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -1,15 +1,16 @@
-//! What a controller that starts again must still know, and what it leaves behind.
+//! The state that survives a restart of the controller.
 //!
-//! | kept | because |
+//! | kept | reason |
 //! | --- | --- |
-//! | the list, its version, operators' changes to it | an older copy of the file must still be rejected, a change must still hold |
-//! | when hosts started, as far as it was learnt | a host that is warming up would be taken for one that has long run |
-//! | since when hosts are to be left alone | the grace runs from there, not from the restart |
-//! | the DNS zone's serial | secondaries do not start again with us |
+//! | the endpoint list, its generation, operators' changes to it | an older copy of the file must still be rejected, and changes must still apply |
+//! | start times of hosts, as far as known | otherwise a host that is warming up would count as running for long |
+//! | since when hosts drain | the drain grace period runs from then, not from the restart |
+//! | the serial of the DNS zone | secondaries do not restart with the controller |
 //!
-//! Left behind: health, load, admitted rates, estimates, bindings. They are old when they are read, and old ones do harm: a host
-//! ejected that is well, or a rate cut for an overload that is over. What proxies hold is read from them. What caches
-//! hold cannot be read: every host that was known is taken to be held until answers of the last moment have run out.
+//! Not kept: health, load, admitted rates, estimates and bindings. They would be outdated after a restart and do harm: a
+//! host that is well could stay ejected, or a rate stay cut for an overload that is over. What proxies hold is read from
+//! them. What DNS caches hold cannot be read: every host that was known counts as cached until the last answers of the
+//! previous run have expired.
 
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
@@ -17,11 +18,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a controller knows again after a restart. Times are in microseconds since 1970, by the clock of the run that
-/// wrote them.
+/// The state that a controller recovers after a restart. Times are in microseconds since 1970, by the clock of the run
+/// that wrote them.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecoveredState {
-    /// When this was the state.
+    /// Time of this state.
     pub at_us: u64,
     /// The endpoint list.
     pub list: RecoveredList,
@@ -48,7 +49,7 @@
 pub struct RecoveredHost {
     /// Its entry in the list.
     pub entry: HostEntry,
-    /// When it started, as far as it is known; 0: not known.
+    /// When it started; 0: not known.
     pub started_us: u64,
     /// Whether it serves, drains or was removed.
     #[serde(rename = "standing")]
@@ -59,20 +60,21 @@
 }
 
 impl RecoveredState {
-    /// The same by another clock, by which it is `now_us` when `passed_us` have passed since then. Where the machine's
-    /// clock jumped, that is not what it shows: a cold host would be warm, or a drain be owed from tomorrow.
-    pub fn rebased_to_clock(mut self, now_us: u64, passed_us: u64) -> RecoveredState {
-        let then = now_us.saturating_sub(passed_us);
-        let old = self.at_us;
-        let moved = |at: u64| (at + then).saturating_sub(old);
+    /// Converts its times to the clock of the current run, which shows `now_us` when `elapsed_us` have passed since this
+    /// state. If the machine's clock jumped, unconverted times would make a host count as warm that is not, or a drain start
+    /// in the future.
+    pub fn rebased_to_clock(mut self, now_us: u64, elapsed_us: u64) -> RecoveredState {
+        let rebased_at = now_us.saturating_sub(elapsed_us);
+        let recorded_at = self.at_us;
+        let rebase = |at: u64| (at + rebased_at).saturating_sub(recorded_at);
         for host in &mut self.list.hosts {
-            // A start that the list itself names is by the list's clock.
+            // A start time that the endpoint list gives is by the clock of the list's source.
             if host.started_us > 0 && host.entry.started.is_none() {
-                host.started_us = moved(host.started_us).max(1);
+                host.started_us = rebase(host.started_us).max(1);
             }
-            host.draining_since_us = host.draining_since_us.map(moved);
+            host.draining_since_us = host.draining_since_us.map(rebase);
         }
-        self.at_us = then;
+        self.at_us = rebased_at;
         self
     }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// What an operator changed of a host; it goes over the file until taken back or the file drops the host.
+/// An operator's changes to a host. They override the file until they are changed again or the file drops the host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Edit {
     pub(crate) state: Option<HostState>,
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovered state: taken over after a start, and given out.
+//! Exports the state that survives a restart, and restores it; lists the drains that are not done.
 
 use crate::event::Event;
 use crate::recovered_state::RecoveredState;
@@ -10,75 +10,76 @@
 
 impl DaemonState {
     pub(crate) fn state_to_recover(&self) -> RecoveredState {
-        let serial = self.dns.as_ref().map_or(0, |names| names.view().serial);
+        let dns_serial = self.dns.as_ref().map_or(0, |dns| dns.view().serial);
         RecoveredState {
             at_us: unix_micros(self.now),
             list: self.endpoints.to_recovered(),
             zones: self.zones.entries().clone(),
-            dns_serial: serial,
+            dns_serial,
         }
     }
 
-    pub(crate) fn recover(&mut self, old: RecoveredState) {
+    pub(crate) fn recover(&mut self, recovered: RecoveredState) {
         let now = self.now;
-        let last = Time::from_micros(old.at_us);
-        if let Some(names) = &mut self.dns {
-            names.recover(now, last, old.dns_serial, &old.list.hosts);
+        let last = Time::from_micros(recovered.at_us);
+        if let Some(dns) = &mut self.dns {
+            dns.recover(now, last, recovered.dns_serial, &recovered.list.hosts);
         }
-        let endpoints = self.endpoints.recover(old.list);
-        self.zones.recover(old.zones);
+        let endpoints = self.endpoints.recover(recovered.list);
+        self.zones.recover(recovered.zones);
         let count = |wanted| {
             self.endpoints
                 .hosts
                 .values()
-                .filter(|known| known.state == wanted)
+                .filter(|host| host.state == wanted)
                 .count()
         };
         let ready = count(EndpointState::Ready);
         let draining = count(EndpointState::Draining);
-        let gone = count(EndpointState::Removed);
+        let removed = count(EndpointState::Removed);
         self.log_event(Event::Recovered {
             ready,
             draining,
-            removed: gone,
+            removed,
         });
         if let Some(endpoints) = endpoints {
             self.apply_endpoints(endpoints);
         }
     }
 
-    /// Hosts that are to be left alone and that proxies still hold, or may: since when, and by whom.
+    /// Hosts that drain or were removed and that proxies hold or may hold, each with a text that says since when and by
+    /// which proxies.
     pub(crate) fn undrained_hosts(&self) -> BTreeMap<String, String> {
-        let mut owed = BTreeMap::new();
-        for (host, known) in self
+        let mut undrained = BTreeMap::new();
+        for (id, host) in self
             .endpoints
             .hosts
             .iter()
-            .filter(|(_, known)| known.state != EndpointState::Ready)
+            .filter(|(_, host)| host.state != EndpointState::Ready)
         {
-            let mut holding = Vec::new();
-            let mut unknown = 0;
+            let mut holding_proxies = Vec::new();
+            let mut unknown_proxies = 0;
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
-                match peer.session.holds(host) {
-                    Some(true) => holding.push(peer.name.as_str()),
+                match peer.session.holds(id) {
+                    Some(true) => holding_proxies.push(peer.name.as_str()),
                     Some(false) => {}
-                    None => unknown += 1,
+                    None => unknown_proxies += 1,
                 }
             }
-            if holding.is_empty() && unknown == 0 {
+            if holding_proxies.is_empty() && unknown_proxies == 0 {
                 continue;
             }
-            let since = (self.now - known.draining_since.unwrap_or(Time::default())).seconds();
-            let not_seen = if unknown > 0 {
-                format!(" and {unknown} not looked at")
+            let since = (self.now - host.draining_since.unwrap_or(Time::default())).seconds();
+            let unknown = if unknown_proxies > 0 {
+                format!(" and {unknown_proxies} not looked at")
             } else {
                 String::new()
             };
-            owed.insert(
-                host.0.to_string(),
-                format!("for {since:.1} s: {}{not_seen}", holding.join(" ")),
+            undrained.insert(
+                id.0.to_string(),
+                format!("for {since:.1} s: {}{unknown}", holding_proxies.join(" ")),
             );
         }
-        owed
+        undrained
     }
 }
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -1,8 +1,8 @@
-//! Reports as they arrive: pushed or read, each is added to the open interval.
+//! Events of load reports: pushed or read, their figures are recorded for the current report interval.
 
 use crate::event::Event;
 use crate::output::Output;
-use crate::pushed_reports::{AcceptedReport, REPORT_CREDIT, Sender, row};
+use crate::pushed_reports::{AcceptedReport, REPORT_CREDIT, Sender, stat_row};
 use crate::reported_load::ReportedLoad;
 use crate::state::DaemonState;
 use crate::time::unix_micros;
@@ -28,16 +28,16 @@
                 reason: reason.into(),
             });
         }
-        // The latest connection under a name is the valid one: the other is a connection that nobody has closed yet.
-        let known = self
+        // The latest connection under a name is the valid one; the other is a stale one that was not closed yet.
+        let history = self
             .pushed_reports
             .histories
             .entry(name.clone())
             .or_default();
-        let old = std::mem::replace(&mut known.connection, connection);
-        if old != connection && self.pushed_reports.senders.remove(&old).is_some() {
+        let previous = std::mem::replace(&mut history.connection, connection);
+        if previous != connection && self.pushed_reports.senders.remove(&previous).is_some() {
             self.outputs.push_back(Output::RejectSender {
-                connection: old,
+                connection: previous,
                 reason: "another connection has the name".into(),
             });
         }
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Why a sender of this name is not accepted, if it is not.
+    /// Why a sender of this name is rejected; none: it is accepted.
     fn sender_rejection(&self, name: &str, role: SenderIs) -> Option<&'static str> {
         match role {
             SenderIs::Proxy
@@ -98,16 +98,14 @@
             reports: 1,
             at_us: unix_micros(now),
         });
-        let Some(AcceptedReport {
-            sent_at: sent,
-            fresh,
-        }) = self.pushed_reports.accept(now, &name, incarnation, &report)
+        let Some(AcceptedReport { sent_at, fresh }) =
+            self.pushed_reports.accept(now, &name, incarnation, &report)
         else {
             return;
         };
         match role {
             SenderIs::Host => {
-                if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
+                if let (Some(own), Some(sent_at), true) = (report.body.own, sent_at, fresh) {
                     let load = ReportedLoad {
                         utilization: own.busy,
                         queue_length: own.waiting,
@@ -116,30 +114,31 @@
                         failure_rate: own.errored_rate,
                     };
                     self.loads
-                        .insert(HostId(name.as_str().into()), (sent, load));
+                        .insert(HostId(name.as_str().into()), (sent_at, load));
                 }
             }
-            SenderIs::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counted),
+            SenderIs::Proxy => self.on_proxy_report(&name, sent_at, fresh, report.body.counted),
         }
     }
 
     fn retain_listed_hosts(&mut self, report: &mut Report) {
-        // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
+        // Rows of hosts that are not listed are of no use, and storing them would let a sender grow the state without limit.
         let hosts = &self.endpoints.hosts;
-        let listed = |of: &Counted| {
-            of.server
+        let is_listed = |counted: &Counted| {
+            counted
+                .server
                 .as_ref()
                 .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
         };
         let before = report.body.counted.len();
-        report.body.counted.retain(listed);
+        report.body.counted.retain(is_listed);
         self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
     }
 
     fn on_proxy_report(
         &mut self,
         name: &str,
-        sent: Option<Time>,
+        sent_at: Option<Time>,
         fresh: bool,
         counted: Vec<Counted>,
     ) {
@@ -152,8 +151,8 @@
             return;
         };
         let id = peer.id;
-        let at = sent.unwrap_or(now);
-        let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
+        let at = sent_at.unwrap_or(now);
+        let rows: Vec<StatRow> = counted.into_iter().map(stat_row).collect();
         let Some(counters) = peer.session.counted(at, &rows) else {
             return;
         };
@@ -163,16 +162,16 @@
         }
     }
 
-    /// Records the counters of a proxy as of then, pushed or read.
+    /// Records the counters of a proxy as of `at`, pushed or read.
     pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
         let now = self.now;
-        for &(class, many) in &counters.reqs {
+        for &(class, requests) in &counters.reqs {
             self.controller
-                .record_arrivals(now, id, class, many, counters.over);
-            self.record_requests(id.0, class, many, counters.over);
+                .record_arrivals(now, id, class, requests, counters.over);
+            self.record_requests(id.0, class, requests, counters.over);
         }
-        if let Some(weights) = &mut self.weight_planner {
-            weights.record(&counters);
+        if let Some(planner) = &mut self.weight_planner {
+            planner.record(&counters);
         }
         self.outcomes
             .record(id.0, &counters, age::counts(now - at, counters.over), at);
@@ -184,7 +183,7 @@
         );
     }
 
-    /// Whether the counters of a proxy are pushed now; those of the others are read.
+    /// Whether a proxy currently pushes its counters; those of other proxies are read.
     pub(crate) fn pushes_reports(&self, id: ProxyId) -> bool {
         self.pushed_reports.enabled
             && self
@@ -193,7 +192,7 @@
                 .speaks(self.now, self.report_interval, id)
     }
 
-    /// Hosts whose proxies are silent, so that nothing is known of them: each with outcomes that count nothing.
+    /// Hosts that cannot be observed because the proxies that use them are silent, each with empty outcomes.
     pub(crate) fn unobservable_hosts(&self) -> BTreeMap<HostId, AttemptOutcomes> {
         if !self.pushed_reports.enabled
             || self
@@ -225,20 +224,23 @@
             self.pushed_reports
                 .silence
                 .excused(self.now, self.report_interval, &hosts_by_proxy);
-        let nothing = AttemptOutcomes {
+        let no_attempts = AttemptOutcomes {
             period: self.report_interval,
             ..AttemptOutcomes::default()
         };
-        excused.into_iter().map(|host| (host, nothing)).collect()
+        excused
+            .into_iter()
+            .map(|host| (host, no_attempts))
+            .collect()
     }
 
-    /// Logs the last rejected report since the last time, if there is one: once an interval, however many arrived.
+    /// Logs the latest rejected report of this interval, if there is one; at most one is logged in each interval.
     pub(crate) fn log_rejected_reports(&mut self) {
         if let Some(error) = self.pushed_reports.counters.last_rejected.take() {
-            let refused = self.pushed_reports.counters.rejected;
+            let rejected_total = self.pushed_reports.counters.rejected;
             self.log_event(Event::ReportRejected {
                 error,
-                rejected_total: refused,
+                rejected_total,
             });
         }
     }
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -1,4 +1,4 @@
-//! Weights that a solver sets, as events come in: observations go to it, and its plans to the decisions.
+//! Events of the weights that a solver sets: passes observations to the planner, and its plans to the controller.
 
 use crate::event::Event;
 use crate::output::Output;
@@ -8,50 +8,51 @@
 use std::time::Duration;
 
 impl DaemonState {
-    /// Weights for a list that has just come; the listed ones where nobody solves.
+    /// Sets the planned weights for a new list; without a solver the listed ones are used.
     pub(crate) fn plan_listed_weights(&mut self) {
         let now = self.now;
         let list = &mut self.endpoints;
-        let Some(weights) = &mut self.weight_planner else {
+        let Some(planner) = &mut self.weight_planner else {
             return;
         };
-        let listed = weights.planner_hosts(now, list);
-        let before = std::mem::take(&mut weights.started);
-        weights.started = list
+        let listed = planner.planner_hosts(now, list);
+        let previous_starts = std::mem::take(&mut planner.started);
+        planner.started = list
             .hosts
             .iter()
-            .map(|(host, known)| (host.clone(), known.started))
+            .map(|(id, host)| (id.clone(), host.started))
             .collect();
-        let anew = |host: &HostId| before.get(host) != weights.started.get(host);
-        weights.planner.list_came(&listed, anew);
-        list.planned_weights = weights.planner.handed(now, &listed);
+        let has_restarted = |host: &HostId| previous_starts.get(host) != planner.started.get(host);
+        planner.planner.list_came(&listed, has_restarted);
+        list.planned_weights = planner.planner.handed(now, &listed);
     }
 
-    pub(crate) fn record_observations(&mut self, fresh: Duration) {
+    /// Ends the planner's report interval, with the reported loads that are not older than `max_age`.
+    pub(crate) fn record_observations(&mut self, max_age: Duration) {
         let now = self.now;
-        let Some(weights) = &mut self.weight_planner else {
+        let Some(planner) = &mut self.weight_planner else {
             return;
         };
         let loads = &self.loads;
-        weights.interval_closed(now, &self.endpoints, |host| {
+        planner.close_interval(now, &self.endpoints, |host| {
             let (at, load) = loads.get(host)?;
-            (now - *at <= fresh).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
+            (now - *at <= max_age).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
         });
     }
 
-    /// Asks for a plan when it is time, and gives up one that is late.
+    /// Poses the next problem to the solver if it is due, and gives up one whose plan is overdue.
     pub(crate) fn request_plan(&mut self) {
         let now = self.now;
-        let Some(weights) = &mut self.weight_planner else {
+        let Some(planner) = &mut self.weight_planner else {
             return;
         };
-        if now < weights.wake_at() {
+        if now < planner.wake_at() {
             return;
         }
-        let late = weights.planner.gave_up(now);
-        let listed = weights.planner_hosts(now, &self.endpoints);
-        let problem = weights.planner.due(now, &listed);
-        if late {
+        let gave_up = planner.planner.gave_up(now);
+        let listed = planner.planner_hosts(now, &self.endpoints);
+        let problem = planner.planner.due(now, &listed);
+        if gave_up {
             self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
             });
@@ -60,52 +61,54 @@
             Some(Problem { number, fleet }) => {
                 self.outputs.push_back(Output::Solve { number, fleet })
             }
-            // Without answers, weights return to the listed ones in time; with one, the step is taken when it arrives.
+            // Without plans, the weights return step by step to the listed ones; after a problem was posed, the next step is
+            // taken when its plan arrives.
             None => self.apply_plan_step(),
         }
     }
 
-    pub(crate) fn on_plan(&mut self, number: u64, answer: Result<Plan, String>) {
+    pub(crate) fn on_plan(&mut self, number: u64, result: Result<Plan, String>) {
         let now = self.now;
-        let Some(weights) = &mut self.weight_planner else {
+        let Some(planner) = &mut self.weight_planner else {
             return;
         };
-        let failed = answer.as_ref().err().cloned();
-        weights.planner.answered(now, number, answer);
-        match failed {
+        let error = result.as_ref().err().cloned();
+        planner.planner.answered(now, number, result);
+        match error {
             Some(error) => self.log_event(Event::PlanFailed { error }),
             None => self.apply_plan_step(),
         }
     }
 
+    /// Takes one step towards the weights of the plan, or back to the listed ones, and passes the result to the controller.
     fn apply_plan_step(&mut self) {
         let now = self.now;
-        let Some(weights) = &mut self.weight_planner else {
+        let Some(planner) = &mut self.weight_planner else {
             return;
         };
-        let listed = weights.planner_hosts(now, &self.endpoints);
-        let stepped = weights.planner.step(now, &listed);
-        let source = weights.planner.source();
-        let admitted_rates = weights.planner.let_in();
-        let source_changed = std::mem::replace(&mut weights.last_source, source) != source;
+        let listed = planner.planner_hosts(now, &self.endpoints);
+        let new_weights = planner.planner.step(now, &listed);
+        let source = planner.planner.source();
+        let admitted_rates = planner.planner.let_in();
+        let source_changed = std::mem::replace(&mut planner.last_source, source) != source;
         self.controller.apply_capacity_plan(now, admitted_rates);
         if source_changed {
             self.log_event(Event::WeightSourceChanged {
                 source: source.word().into(),
             });
         }
-        let Some(planned_weights) = stepped else {
+        let Some(planned_weights) = new_weights else {
             return;
         };
-        let moved = planned_weights
+        let changed = planned_weights
             .iter()
             .filter(|(host, weight)| self.endpoints.planned_weights.get(host) != Some(weight));
-        let moved = moved
+        let changed = changed
             .map(|(host, weight)| (host.0.to_string(), *weight))
             .collect();
         let cause = self.cause.clone();
         self.log_event(Event::TargetWeightsChanged {
-            weights: moved,
+            weights: changed,
             cause,
         });
         let endpoints = self.endpoints.set_planned_weights(planned_weights);
@@ -119,18 +122,19 @@
         );
     }
 
+    /// Adds the requests that a proxy received over a period to the estimates.
     pub(crate) fn record_requests(
         &mut self,
         proxy: u16,
         class: RequestClassId,
-        many: f64,
-        over: Duration,
+        requests: f64,
+        period: Duration,
     ) {
         let peer = &self.peers[proxy as usize];
         let id = peer.id;
         let zone = peer.zone;
-        if let Some(weights) = &mut self.weight_planner {
-            weights.estimates().asked(id, zone, class, many, over);
+        if let Some(planner) = &mut self.weight_planner {
+            planner.estimates().asked(id, zone, class, requests, period);
         }
     }
 }
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -1,5 +1,5 @@
-//! Weights between the list and the decisions: observations go to the estimates, problems go out to be solved, and what
-//! the planner makes of the plans is given to the decisions as listed weights.
+//! Weights set by a solver: observations go into the planner's estimates, the planner poses problems to the solver, and
+//! the weights that follow from its plans are given to the controller in place of the listed ones.
 
 use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
@@ -12,8 +12,9 @@
 pub(crate) struct WeightPlanner {
     pub(crate) planner: Planner,
     start_share: f64,
-    /// Observations of the interval that is open, by host.
+    /// Observations of the current report interval, by host.
     observed: BTreeMap<HostId, Seen>,
+    /// Start time of each host in the latest list; another one means that the host restarted.
     pub(crate) started: BTreeMap<HostId, Time>,
     pub(crate) last_source: Source,
 }
@@ -26,11 +27,11 @@
             benefit: class.benefit,
         };
         let classes = site.kinds.iter().map(class).collect();
-        let all = site
+        let proxies_of_site = site
             .proxies_of_site
             .unwrap_or(site.proxies.len() as u64)
             .max(1);
-        let own_part = site.proxies.len() as f64 / all as f64;
+        let own_part = site.proxies.len() as f64 / proxies_of_site as f64;
         WeightPlanner {
             planner: Planner::new(
                 classes,
@@ -46,10 +47,12 @@
         }
     }
 
+    /// The current source of the weights, in its wire text.
     pub(crate) fn source(&self) -> &'static str {
         self.planner.source().word()
     }
 
+    /// Why the latest problem got no plan; none: it got one.
     pub(crate) fn failed(&self) -> Option<&str> {
         self.planner.failed()
     }
@@ -62,48 +65,53 @@
         &mut self.planner.estimates
     }
 
-    /// Counters of one proxy, of which each figure counts once.
+    /// Adds counters of one proxy to the observations; each counter difference is recorded only once.
     pub(crate) fn record(&mut self, look: &Look) {
         for (host, class, done, took) in &look.done {
-            let seen = self.observed.entry(host.clone()).or_default();
-            match seen.done.iter_mut().find(|(k, _, _)| k == class) {
-                Some((_, all, time)) => (*all, *time) = (*all + done, *time + *took),
-                None => seen.done.push((*class, *done, *took)),
+            let observed = self.observed.entry(host.clone()).or_default();
+            match observed
+                .done
+                .iter_mut()
+                .find(|(known, _, _)| known == class)
+            {
+                Some((_, total, time)) => (*total, *time) = (*total + done, *time + *took),
+                None => observed.done.push((*class, *done, *took)),
             }
-            seen.over = seen.over.max(look.over);
+            observed.over = observed.over.max(look.over);
         }
     }
 
-    /// The interval is over: its observations of warm hosts are evidence.
-    pub(crate) fn interval_closed(
+    /// Ends the report interval: its observations of hosts that are not warming up go into the estimates.
+    pub(crate) fn close_interval(
         &mut self,
         now: Time,
         list: &EndpointList,
         loads: impl Fn(&HostId) -> Option<(f64, f64)>,
     ) {
-        for (host, mut seen) in std::mem::take(&mut self.observed) {
+        for (host, mut observed) in std::mem::take(&mut self.observed) {
             if list.hosts.contains_key(&host)
                 && list.warm_fraction(&host, now, self.start_share) >= 1.0
             {
-                seen.load = loads(&host);
-                self.planner.estimates.seen(now, &host, &seen);
+                observed.load = loads(&host);
+                self.planner.estimates.seen(now, &host, &observed);
             }
         }
     }
 
+    /// The hosts of the list in the planner's form.
     pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<Listed> {
-        let known = list
+        let listed = list
             .hosts
             .iter()
-            .filter(|(_, k)| k.state != EndpointState::Removed);
-        known
-            .map(|(host, k)| Listed {
-                host: host.clone(),
-                zone: list.zone_of(k),
-                cores: k.entry.cores,
-                weight: k.entry.weight,
-                warm: list.warm_fraction(host, now, self.start_share),
-                open: k.state == EndpointState::Ready,
+            .filter(|(_, host)| host.state != EndpointState::Removed);
+        listed
+            .map(|(id, host)| Listed {
+                host: id.clone(),
+                zone: list.zone_of(host),
+                cores: host.entry.cores,
+                weight: host.entry.weight,
+                warm: list.warm_fraction(id, now, self.start_share),
+                open: host.state == EndpointState::Ready,
             })
             .collect()
     }
--- a/crates/daemon-core/src/zone_map.rs
+++ b/crates/daemon-core/src/zone_map.rs
@@ -1,21 +1,21 @@
-//! The map of zones that operators give for hosts they add: `add server` has no argument for a zone. It is set entry by
-//! entry, or swapped whole by a prepared version (management guide, `prepare map`, `add map @<ver>`, `commit map`).
+//! The zone map: the zones of hosts that operators add, because `add server` has no argument for a zone. It is set entry by
+//! entry, or replaced as a whole by a prepared version (management guide, `prepare map`, `add map @<ver>`, `commit map`).
 
 use std::collections::BTreeMap;
 
-/// Entries at most, of the map and of each version.
+/// Maximum number of entries of the map, and of each prepared version.
 const MAX_ENTRIES: usize = 10_000;
-/// Versions under way at most: beyond that the oldest is dropped, as nobody may ever commit it.
+/// Maximum number of prepared versions: beyond that the oldest is dropped, as it may never be committed.
 const MAX_VERSIONS: usize = 8;
 
-/// Why the map could not be changed or shown. The texts are answers to operators, with their line ends.
+/// Why the map could not be changed or shown. The texts are replies to operators, with their line ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum ZoneMapError {
-    /// No such version is under way.
+    /// No prepared version has this number.
     #[error("Version not found.\n")]
     VersionNotFound,
-    /// The map or the version has as many entries as it may have.
+    /// The map or the version has the maximum number of entries.
     #[error("The map is full.\n")]
     Full,
 }
@@ -26,8 +26,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct ZoneMap {
     entries: Entries,
+    /// Versions that were prepared and not committed.
     prepared: BTreeMap<u64, Entries>,
-    last: u64,
+    /// Number of the latest prepared version.
+    last_version: u64,
 }
 
 impl ZoneMap {
@@ -39,7 +41,7 @@
         &self.entries
     }
 
-    /// Takes over the recovered map; versions under way are dropped.
+    /// Restores the map of the previous run; prepared versions are not kept over a restart.
     pub(crate) fn recover(&mut self, entries: Entries) {
         self.entries = entries;
     }
@@ -51,15 +53,15 @@
     }
 
     pub(crate) fn prepare(&mut self) -> u64 {
-        self.last += 1;
-        self.prepared.insert(self.last, Entries::new());
+        self.last_version += 1;
+        self.prepared.insert(self.last_version, Entries::new());
         if self.prepared.len() > MAX_VERSIONS {
             self.prepared.pop_first();
         }
-        self.last
+        self.last_version
     }
 
-    /// Adds or changes an entry, of a version or of the map itself.
+    /// Adds or changes an entry of a prepared version or of the map itself.
     pub(crate) fn set(
         &mut self,
         version: Option<u64>,
@@ -96,7 +98,7 @@
         Ok(())
     }
 
-    /// A version becomes the map; older ones under way can't be committed any more.
+    /// Replaces the map by a prepared version; older prepared versions are dropped.
     pub(crate) fn commit(&mut self, version: u64) -> Result<(), ZoneMapError> {
         self.entries = self
             .prepared
