--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/updates.rs
@@ -1,4 +1,4 @@
-//! What the codec and the core cost in one thread: `cargo bench -p pondarch-daemon-core`.
+//! Time and allocations of the codec and the core in one thread: `cargo bench -p pondarch-daemon-core`.
 
 #[path = "../tests/in_memory/simulated_fleet.rs"]
 #[allow(dead_code)]
@@ -14,38 +14,38 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
 
-/// Counts what is allocated, so that it can be given for each command.
-struct Counting;
+/// An allocator that counts allocations, so that their number for each command can be printed.
+struct CountingAllocator;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 static BYTES: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: every call is passed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Relaxed);
         BYTES.fetch_add(layout.size() as u64, Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Allocations and bytes for each of `many` things that `act` does.
-fn allocated<T>(what: &str, many: usize, act: impl FnOnce() -> T) {
+/// Prints the allocations of `run`, divided by the `count` of items that it processes.
+fn print_allocations<T>(label: &str, count: usize, run: impl FnOnce() -> T) {
     let (before, bytes) = (ALLOCATIONS.load(Relaxed), BYTES.load(Relaxed));
-    black_box(act());
-    let per =
-        |counter: &AtomicU64, before: u64| (counter.load(Relaxed) - before) as f64 / many as f64;
+    black_box(run());
+    let per_item =
+        |counter: &AtomicU64, before: u64| (counter.load(Relaxed) - before) as f64 / count as f64;
     println!(
-        "{what}: {:.1} allocations, {:.0} bytes each",
-        per(&ALLOCATIONS, before),
-        per(&BYTES, bytes)
+        "{label}: {:.1} allocations, {:.0} bytes each",
+        per_item(&ALLOCATIONS, before),
+        per_item(&BYTES, bytes)
     );
 }
 
@@ -95,8 +95,8 @@
     };
     let line = write(&commands);
     println!("a line of 48 commands: {} bytes", line.len());
-    allocated("writing a command", 48, || write(&commands));
-    allocated("reading a command", 48, || parse_line(&line));
+    print_allocations("writing a command", 48, || write(&commands));
+    print_allocations("reading a command", 48, || parse_line(&line));
     let mut group = c.benchmark_group("line of 48 commands");
     group.throughput(Throughput::Elements(48));
     group.bench_function("write", |b| b.iter(|| write(black_box(&commands))));
@@ -104,49 +104,53 @@
     group.finish();
 }
 
-/// Every other host's listed weight changes back and forth; 20 proxies get the difference and acknowledge it. The
-/// proxies' own reading and answering is counted too, as they are in the same thread.
+/// The listed weight of every other host alternates; 20 proxies get the update and acknowledge it. The work of the
+/// simulated proxies is included, as they run in the same thread.
 fn core(c: &mut Criterion) {
     let mut site = site(20);
     site.channel.message_cap = 0;
-    let mut fleet = SimulatedFleet::open(&site, 40);
+    let mut fleet = SimulatedFleet::new(&site, 40);
     fleet.run(5_000);
-    let mut heavy = false;
+    let mut raised = false;
     let mut change = |fleet: &mut SimulatedFleet| {
-        heavy = !heavy;
+        raised = !raised;
         let mut hosts: Vec<_> = (0..40).map(host).collect();
         hosts
             .iter_mut()
             .step_by(2)
-            .for_each(|host| host.weight = if heavy { 3.0 } else { 1.0 });
-        fleet.list(hosts);
+            .for_each(|host| host.weight = if raised { 3.0 } else { 1.0 });
+        fleet.apply_list(hosts);
         fleet.run(2_000);
-        // What the harness keeps for tests is not the core's.
-        let ordered: usize = fleet
-            .fronts
+        // What the test harness records is cleared, as it is no part of the core.
+        let commands: usize = fleet
+            .proxies
             .iter()
-            .flat_map(|f| &f.orders)
+            .flat_map(|proxy| &proxy.updates)
             .map(|(_, commands)| commands.len())
             .sum();
         fleet
-            .fronts
+            .proxies
             .iter_mut()
-            .for_each(|front| front.orders.clear());
+            .for_each(|proxy| proxy.updates.clear());
         fleet.inputs.clear();
         fleet.outputs.clear();
         fleet.events.clear();
-        ordered
+        commands
     };
     change(&mut fleet);
-    let ordered = change(&mut fleet);
-    println!("a change of the list: {ordered} commands to 20 proxies, and 2 s of looks and beats");
-    allocated("an order, with its share of looks", ordered, || {
-        change(&mut fleet)
-    });
+    let commands = change(&mut fleet);
+    println!(
+        "a change of the list: {commands} commands to 20 proxies, and 2 s of counter reads and timers"
+    );
+    print_allocations(
+        "a command, with its share of counter reads",
+        commands,
+        || change(&mut fleet),
+    );
     let mut group = c.benchmark_group("core");
-    group.throughput(Throughput::Elements(ordered as u64));
+    group.throughput(Throughput::Elements(commands as u64));
     group.sample_size(20);
-    group.bench_function("orders", |b| b.iter(|| change(&mut fleet)));
+    group.bench_function("updates", |b| b.iter(|| change(&mut fleet)));
     group.finish();
 }
 
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -19,8 +19,8 @@
 
 impl Core {
     /// `seed` determines all random choices of this run; `process_id` is the `Pid` of `show info`. Joined proxies store
-    /// `incarnation` with the controller's name: it must be higher than in any earlier run, or proxies reject this run's
-    /// updates as outdated.
+    /// `incarnation` with the controller's name: it must be higher than in any earlier run, or proxies reject this
+    /// run's updates as outdated.
     pub fn new(site: &Site, seed: u64, process_id: u32, incarnation: u64, now: Time) -> Core {
         Core {
             state: DaemonState::new(site, seed, process_id, incarnation, now),
@@ -51,8 +51,8 @@
             .unwrap_or_default()
     }
 
-    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted: they are checked with
-    /// every input.
+    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted: they are checked
+    /// with every input.
     pub fn wake_at(&self) -> Time {
         self.state.wake_at()
     }
--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -24,8 +24,8 @@
 impl DaemonState {
     /// Joins the waiting proxies that the update queue has room for, takes decisions, and sends updates.
     pub(crate) fn follow_up(&mut self) {
-        // Nothing is decided before the first endpoint list. Until then proxies keep the tables they hold and only their
-        // state is read; they are joined when the list arrives.
+        // Nothing is decided before the first endpoint list. Until then proxies keep the tables they hold and only
+        // their state is read; they are joined when the list arrives.
         if self.endpoints.generation == 0 {
             return;
         }
@@ -270,7 +270,8 @@
                         });
                     }
                 }
-                // Updates after this one wait as well; otherwise small messages could keep a large one waiting for ever.
+                // Updates after this one wait as well; otherwise small messages could keep a large one waiting for
+                // ever.
                 QueueCapacity::Available | QueueCapacity::AvailableAfterReplies => {
                     queue_full = true;
                 }
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -1,5 +1,5 @@
-//! Events of proxies that query the DNS server: joins and leaves them, changes the answers, and excludes restarted hosts
-//! that caches still name.
+//! Events of proxies that query the DNS server: joins and leaves them, changes the answers, and excludes restarted
+//! hosts that caches still name.
 
 use crate::dns_state::SECONDARY_ANSWER_INTERVAL;
 use crate::event::Event;
@@ -160,9 +160,9 @@
         }
     }
 
-    /// Excludes hosts that restarted under the same name and address from all tables, of DNS and of the runtime API, until
-    /// DNS answers with their old, higher weights have expired: requests sent by cached answers cannot be called back, and
-    /// those by the new weights on top could overload the host.
+    /// Excludes hosts that restarted under the same name and address from all tables, of DNS and of the runtime API,
+    /// until DNS answers with their old, higher weights have expired: requests sent by cached answers cannot be called
+    /// back, and those by the new weights on top could overload the host.
     pub(crate) fn update_exclusions(&mut self) {
         let now = self.now;
         let Some(dns) = &mut self.dns else { return };
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -1,5 +1,5 @@
-//! Proxies that get their tables from the DNS server: which of them are joined, what is answered to them, and which answers
-//! caches may still hold.
+//! Proxies that get their tables from the DNS server: which of them are joined, what is answered to them, and which
+//! answers caches may still hold.
 
 use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
@@ -19,8 +19,8 @@
 const MAX_MEMBERS: usize = 60_000;
 /// How late the daemon may report an answer: it reports each table and proxy at most once in this interval.
 pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Clients that are not known count as one of this many unknown proxies. Each of these is bound like a known proxy, so that
-/// only tables in use are answered, and clients that are not known do not all use the same few hosts.
+/// Clients that are not known count as one of this many unknown proxies. Each of these is bound like a known proxy, so
+/// that only tables in use are answered, and clients that are not known do not all use the same few hosts.
 const UNKNOWN_PROXIES: usize = 4;
 /// Number of serials that the previous run may have published after its last record: a few per second, for the seconds
 /// that the event log may be behind.
@@ -176,12 +176,12 @@
             .collect()
     }
 
-    /// Restores the state of the previous run, whose last record is of `last`. Serials continue from its serial. Caches may
-    /// hold answers from its last moment: these are taken to name every host that was known then and, for a host that had
-    /// just started, also the process before it.
+    /// Restores the state of the previous run, whose last record is of `last`. Serials continue from its serial. Caches
+    /// may hold answers from its last moment: these are taken to name every host that was known then and, for a host
+    /// that had just started, also the process before it.
     pub(crate) fn recover(&mut self, now: Time, last: Time, serial: u32, hosts: &[RecoveredHost]) {
-        // The previous run may have published further serials after its last record: a secondary that has one of them must
-        // see a newer one.
+        // The previous run may have published further serials after its last record: a secondary that has one of them
+        // must see a newer one.
         self.view = Arc::new(View {
             serial: serial.wrapping_add(UNRECORDED_SERIALS),
             ..View::default()
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -104,8 +104,8 @@
         self.merge(now)
     }
 
-    /// Removes a host. One that only an operator listed is dropped; one of the file stays removed until an operator changes
-    /// its state again.
+    /// Removes a host. One that only an operator listed is dropped; one of the file stays removed until an operator
+    /// changes its state again.
     pub(crate) fn remove(&mut self, now: Time, host: &HostId) -> Vec<Endpoint> {
         if self.added.remove(host).is_some() {
             self.edits.remove(host);
@@ -194,8 +194,8 @@
     }
 
     /// Restores the list of the previous run; returns the complete list for the controller. Hosts in zones that the
-    /// settings no longer have are dropped: the file says where they are now. Returns none if no host was known: applying
-    /// that as a list had joined proxies to tables without a host.
+    /// settings no longer have are dropped: the file says where they are now. Returns none if no host was known:
+    /// applying that as a list had joined proxies to tables without a host.
     pub(crate) fn recover(&mut self, recovered: RecoveredList) -> Option<Vec<Endpoint>> {
         let id = |name: &str| HostId(name.into());
         let zones = self.zones.clone();
--- a/crates/daemon-core/src/event.rs
+++ b/crates/daemon-core/src/event.rs
@@ -181,7 +181,8 @@
         #[serde(rename = "for_s")]
         duration_s: f64,
     },
-    /// A secondary has not fetched a change within the allowed time, so that its answers may not keep drain grace periods.
+    /// A secondary has not fetched a change within the allowed time, so that its answers may not keep drain grace
+    /// periods.
     #[serde(rename = "SecondaryLate")]
     SecondaryBehind {
         /// Name of the secondary.
--- a/crates/daemon-core/src/operator.rs
+++ b/crates/daemon-core/src/operator.rs
@@ -1,5 +1,5 @@
-//! The runtime API of the controller itself. The backend `hosts` is the endpoint list; each table is a read-only backend
-//! `table-<n>`. Operators' changes to `hosts` are applied like those of the hosts file.
+//! The runtime API of the controller itself. The backend `hosts` is the endpoint list; each table is a read-only
+//! backend `table-<n>`. Operators' changes to `hosts` are applied like those of the hosts file.
 //!
 //! - `show`: commands that show figures, hosts and events.
 //! - `maps`: the maps, of which only the zone map can be set.
--- a/crates/daemon-core/src/operator/servers.rs
+++ b/crates/daemon-core/src/operator/servers.rs
@@ -104,8 +104,8 @@
     ))
 }
 
-/// Adds a host. As the management guide requires, a new server is in maintenance until it is made ready. Its zone is that of
-/// the zone map or, if it is not in the map, the first zone of the settings.
+/// Adds a host. As the management guide requires, a new server is in maintenance until it is made ready. Its zone is
+/// that of the zone map or, if it is not in the map, the first zone of the settings.
 pub(super) fn add(
     state: &mut DaemonState,
     server: &ServerRef,
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -71,8 +71,8 @@
         self.awaited.remove(&proxy);
     }
 
-    /// Adds the counters of one proxy as of `at`, scaled by `fraction`. Those of several proxies are summed; their periods
-    /// are the same.
+    /// Adds the counters of one proxy as of `at`, scaled by `fraction`. Those of several proxies are summed; their
+    /// periods are the same.
     pub(crate) fn record(&mut self, proxy: u16, counters: &Look, fraction: f64, at: Time) {
         self.awaited.remove(&proxy);
         if fraction <= 0.0 {
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 impl DaemonState {
-    /// Applies the outcomes of an interval that has ended. Those that are too old are dropped, and those beyond the budget
-    /// are deferred to the next interval.
+    /// Applies the outcomes of an interval that has ended. Those that are too old are dropped, and those beyond the
+    /// budget are deferred to the next interval.
     pub(crate) fn apply_outcomes(&mut self, aggregated: BTreeMap<HostId, AggregatedOutcomes>) {
         let now = self.now;
         let interval = self.report_interval;
@@ -61,7 +61,8 @@
         self.enforce_memory_limits();
     }
 
-    /// Keeps the outcomes that the budget allows, and defers the others to the next interval; returns how many were deferred.
+    /// Keeps the outcomes that the budget allows, and defers the others to the next interval; returns how many were
+    /// deferred.
     fn defer_beyond_budget(&mut self, aggregated: &mut Vec<(HostId, AggregatedOutcomes)>) -> usize {
         let now = self.now;
         let interval = self.report_interval;
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -1,6 +1,6 @@
-//! Reports that proxies and hosts push: their senders, which reports are accepted, and how old they are. The counters that a
-//! proxy pushes are those of `show stat`: each difference is counted once, whichever way it arrives, and when a proxy stops
-//! pushing, its counters are read again.
+//! Reports that proxies and hosts push: their senders, which reports are accepted, and how old they are. The counters
+//! that a proxy pushes are those of `show stat`: each difference is counted once, whichever way it arrives, and when a
+//! proxy stops pushing, its counters are read again.
 
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
@@ -162,8 +162,8 @@
             + self.senders.len() as u64 * 150
     }
 
-    /// Drops the counters that figures are checked against, largest first, until this many bytes are free; returns the number
-    /// of senders whose counters were dropped.
+    /// Drops the counters that figures are checked against, largest first, until this many bytes are free; returns the
+    /// number of senders whose counters were dropped.
     pub(crate) fn drop_histories(&mut self, bytes: u64) -> u64 {
         let mut freed = 0;
         let mut dropped = 0;
@@ -206,8 +206,8 @@
     }
 }
 
-/// The first implausible figure of a report, if there is one: a report is accepted whole or not at all. `elapsed_s` is the
-/// time since the previous report.
+/// The first implausible figure of a report, if there is one: a report is accepted whole or not at all. `elapsed_s` is
+/// the time since the previous report.
 fn implausible_figure(body: &Body, history: &mut SenderHistory, elapsed_s: f64) -> Option<String> {
     let check = |name: &str, figure: Option<f64>, max: f64| {
         let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -7,10 +7,10 @@
 //! | since when hosts drain | the drain grace period runs from then, not from the restart |
 //! | the serial of the DNS zone | secondaries do not restart with the controller |
 //!
-//! Not kept: health, load, admitted rates, estimates and bindings. They would be outdated after a restart and do harm: a
-//! host that is well could stay ejected, or a rate stay cut for an overload that is over. What proxies hold is read from
-//! them. What DNS caches hold cannot be read: every host that was known counts as cached until the last answers of the
-//! previous run have expired.
+//! Not kept: health, load, admitted rates, estimates and bindings. They would be outdated after a restart and do harm:
+//! a host that is well could stay ejected, or a rate stay cut for an overload that is over. What proxies hold is read
+//! from them. What DNS caches hold cannot be read: every host that was known counts as cached until the last answers of
+//! the previous run have expired.
 
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
@@ -60,9 +60,9 @@
 }
 
 impl RecoveredState {
-    /// Converts its times to the clock of the current run, which shows `now_us` when `elapsed_us` have passed since this
-    /// state. If the machine's clock jumped, unconverted times would make a host count as warm that is not, or a drain start
-    /// in the future.
+    /// Converts its times to the clock of the current run, which shows `now_us` when `elapsed_us` have passed since
+    /// this state. If the machine's clock jumped, unconverted times would make a host count as warm that is not, or a
+    /// drain start in the future.
     pub fn rebased_to_clock(mut self, now_us: u64, elapsed_us: u64) -> RecoveredState {
         let rebased_at = now_us.saturating_sub(elapsed_us);
         let recorded_at = self.at_us;
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -122,7 +122,8 @@
     }
 
     fn retain_listed_hosts(&mut self, report: &mut Report) {
-        // Rows of hosts that are not listed are of no use, and storing them would let a sender grow the state without limit.
+        // Rows of hosts that are not listed are of no use, and storing them would let a sender grow the state without
+        // limit.
         let hosts = &self.endpoints.hosts;
         let is_listed = |counted: &Counted| {
             counted
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -1,6 +1,6 @@
-//! The state of the controller. `apply` applies inputs to it, `timers` runs what is due by time, and `decisions` carries
-//! out the controller's decisions. Each input is processed in the same order: update the state, take decisions, send
-//! updates to proxies.
+//! The state of the controller. `apply` applies inputs to it, `timers` runs what is due by time, and `decisions`
+//! carries out the controller's decisions. Each input is processed in the same order: update the state, take decisions,
+//! send updates to proxies.
 
 use crate::dns_state::{self, DnsState};
 use crate::endpoint_list::EndpointList;
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -1,4 +1,5 @@
-//! What is due by time: timers of the controller, reads of counters and loads, closing of silent connections, and dials.
+//! What is due by time: timers of the controller, reads of counters and loads, closing of silent connections, and
+//! dials.
 
 use crate::dns_state::DnsState;
 use crate::output::Output;
--- a/crates/daemon-core/src/update_queue.rs
+++ b/crates/daemon-core/src/update_queue.rs
@@ -88,8 +88,8 @@
             .max(usize::from(pending == 0 && self.in_flight == 0.0))
     }
 
-    /// Whether a message of this many lines may be sent to a proxy now. A message that exceeds the limit by itself is sent
-    /// when nothing else is in flight.
+    /// Whether a message of this many lines may be sent to a proxy now. A message that exceeds the limit by itself is
+    /// sent when nothing else is in flight.
     pub(crate) fn capacity(
         &mut self,
         now: Time,
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -61,8 +61,8 @@
             Some(Problem { number, fleet }) => {
                 self.outputs.push_back(Output::Solve { number, fleet })
             }
-            // Without plans, the weights return step by step to the listed ones; after a problem was posed, the next step is
-            // taken when its plan arrives.
+            // Without plans, the weights return step by step to the listed ones; after a problem was posed, the next
+            // step is taken when its plan arrives.
             None => self.apply_plan_step(),
         }
     }
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Takes one step towards the weights of the plan, or back to the listed ones, and passes the result to the controller.
+    /// Takes one step towards the weights of the plan, or back to the listed ones, and passes the result to the
+    /// controller.
     fn apply_plan_step(&mut self) {
         let now = self.now;
         let Some(planner) = &mut self.weight_planner else {
--- a/crates/daemon-core/src/zone_map.rs
+++ b/crates/daemon-core/src/zone_map.rs
@@ -1,5 +1,6 @@
-//! The zone map: the zones of hosts that operators add, because `add server` has no argument for a zone. It is set entry by
-//! entry, or replaced as a whole by a prepared version (management guide, `prepare map`, `add map @<ver>`, `commit map`).
+//! The zone map: the zones of hosts that operators add, because `add server` has no argument for a zone. It is set
+//! entry by entry, or replaced as a whole by a prepared version (management guide, `prepare map`, `add map @<ver>`,
+//! `commit map`).
 
 use std::collections::BTreeMap;
 
--- a/crates/daemon-core/tests/in_memory/dns.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -1,4 +1,4 @@
-//! Proxies that take their tables from the DNS server.
+//! Tests of proxies that get their tables from the DNS server.
 
 mod answers;
 mod restarted_hosts;
@@ -11,7 +11,7 @@
 use pondarch_daemon_core::{Event, Input, ReportedLoad};
 use pondarch_dns_server::UNBOUND_TABLE;
 
-/// Two proxies with a runtime API, and two that query the DNS server; answers live 4 s, or 3 s with secondaries.
+/// Two proxies with a runtime API, and two that query the DNS server. Answers live 4 s, or 3 s with secondaries.
 fn fleet() -> SimulatedFleet {
     fleet_with_secondaries(Vec::new())
 }
@@ -20,8 +20,8 @@
     fleet_with_dns_proxies(secondaries, &[2, 3])
 }
 
-/// Four proxies, of which these query the DNS server.
-fn fleet_with_dns_proxies(secondaries: Vec<Secondary>, by_name: &[usize]) -> SimulatedFleet {
+/// Four proxies, of which `dns_proxies` query the DNS server.
+fn fleet_with_dns_proxies(secondaries: Vec<Secondary>, dns_proxies: &[usize]) -> SimulatedFleet {
     let mut site = site(4);
     site.dns = Some(Dns {
         zone: "pond.example".into(),
@@ -34,13 +34,16 @@
         behind: Length::millis(1_000),
         expires: Length::millis(60_000),
     });
-    by_name.iter().for_each(|&n| site.proxies[n].runtime = None);
-    let mut fleet = SimulatedFleet::open(&site, 12);
+    dns_proxies
+        .iter()
+        .for_each(|&n| site.proxies[n].runtime = None);
+    let mut fleet = SimulatedFleet::new(&site, 12);
     fleet.run(3_000);
-    assert_eq!(fleet.info("ProxiesJoined"), 4 - by_name.len() as u64);
+    assert_eq!(fleet.info("ProxiesJoined"), 4 - dns_proxies.len() as u64);
     fleet
 }
 
+/// Lets a proxy query the table that it is bound to.
 fn query(fleet: &mut SimulatedFleet, proxy: u16) {
     let view = fleet.core.dns_view();
     let table = view
@@ -50,14 +53,15 @@
             1,
         )
         .map(|table| table.0);
-    fleet.give(Input::DnsQueried {
+    fleet.apply(Input::DnsQueried {
         proxy: Some(proxy),
         table,
         serial: view.serial,
     });
 }
 
-fn bound(fleet: &SimulatedFleet, proxy: u16) -> Option<TableId> {
+/// The table that a proxy is bound to.
+fn bound_table(fleet: &SimulatedFleet, proxy: u16) -> Option<TableId> {
     fleet
         .core
         .dns_view()
@@ -67,48 +71,48 @@
 }
 
 #[test]
-fn a_proxy_that_queries_is_joined_and_bound_and_one_that_stopped_has_left() {
+fn a_proxy_joins_when_it_queries_and_leaves_when_it_stops() {
     let mut fleet = fleet();
-    assert!(bound(&fleet, 2).is_none());
+    assert!(bound_table(&fleet, 2).is_none());
     query(&mut fleet, 2);
     fleet.run(1_000);
-    let table = bound(&fleet, 2).expect("bound");
+    let table = bound_table(&fleet, 2).expect("bound");
     assert!(!fleet.core.dns_view().table_hosts(table).is_empty());
-    assert!(bound(&fleet, 3).is_none());
+    assert!(bound_table(&fleet, 3).is_none());
     for _ in 0..10 {
         fleet.run(3_000);
         query(&mut fleet, 2);
     }
     assert_eq!(
-        bound(&fleet, 2),
+        bound_table(&fleet, 2),
         Some(table),
-        "asking again changes nothing"
+        "further queries change the binding"
     );
     fleet.run(30_000);
-    assert!(bound(&fleet, 2).is_none());
-    let left =
+    assert!(bound_table(&fleet, 2).is_none());
+    let has_left =
         |event: &&Event| matches!(event, Event::ProxyLeft { proxy, .. } if proxy == "front-2");
-    assert_eq!(fleet.events.iter().filter(left).count(), 1);
+    assert_eq!(fleet.events.iter().filter(has_left).count(), 1);
     assert_eq!(fleet.info("NamesAsking"), 0);
-    // Those with a runtime API are not touched by any of it.
+    // Proxies with a runtime API are not affected by DNS queries.
     assert_eq!(fleet.info("ProxiesJoined"), 2);
     query(&mut fleet, 0);
     assert_eq!(fleet.info("NamesAsking"), 0);
 }
 
-/// A table that the decisions keep no longer may name hosts that hang or start cold: unknown proxies are bound like
-/// known ones, and a table that nobody is bound to is answered to nobody.
+/// A table that no proxy is bound to is no longer maintained, and may contain hosts that hang or are warming up.
+/// Unknown proxies are therefore bound like known ones, and only bound tables are answered.
 #[test]
-fn unknown_proxies_are_bound_like_proxies_and_no_other_table_is_answered() {
+fn unknown_proxies_are_bound_and_only_bound_tables_are_answered() {
     let mut fleet = fleet();
     let first = fleet.core.dns_view();
-    let standing = first
+    let unbound = first
         .table_of(None, pondarch_controller::RequestClassId(0), 77)
-        .expect("the list itself");
-    assert!(standing == UNBOUND_TABLE && first.table_hosts(standing).len() == 12);
-    for mark in 0..40 {
-        let unknown_proxy = first.anonymous_proxy(mark).map(|id| id.0);
-        fleet.give(Input::DnsQueried {
+        .expect("the table of the whole list");
+    assert!(unbound == UNBOUND_TABLE && first.table_hosts(unbound).len() == 12);
+    for source in 0..40 {
+        let unknown_proxy = first.anonymous_proxy(source).map(|id| id.0);
+        fleet.apply(Input::DnsQueried {
             proxy: unknown_proxy,
             table: Some(UNBOUND_TABLE.0),
             serial: first.serial,
@@ -127,13 +131,13 @@
     fleet.run(500);
     for _ in 0..20 {
         let view = fleet.core.dns_view();
-        let used: std::collections::BTreeSet<_> = view
+        let bound_tables: std::collections::BTreeSet<_> = view
             .bindings
             .values()
             .copied()
             .chain([UNBOUND_TABLE])
             .collect();
-        assert!(view.tables.keys().all(|table| used.contains(table)));
+        assert!(view.tables.keys().all(|table| bound_tables.contains(table)));
         assert!(
             view.table_of(None, pondarch_controller::RequestClassId(0), 77)
                 .is_some()
@@ -144,14 +148,15 @@
     assert_eq!(
         fleet.info("NamesStrangersAsking"),
         0,
-        "they stopped querying"
+        "unknown proxies stay joined although they stopped querying"
     );
     assert_eq!(fleet.info("NamesAsking"), 1);
 }
 
-/// Load reports of the hosts themselves, where no proxy reports outcomes: one host is fully busy, one is silent.
+/// If no proxy reports outcomes, the load reports of the hosts themselves take their place. Here the utilization of
+/// host 5 rises to 1, and host 7 stops reporting: both must lose weight.
 #[test]
-fn a_host_that_only_dns_proxies_use_is_judged_by_its_own_load_report() {
+fn a_host_that_only_dns_proxies_use_is_weighted_by_its_own_load_reports() {
     let mut fleet = fleet_with_dns_proxies(Vec::new(), &[0, 1, 2, 3]);
     let mut before = (0.0, 0.0);
     for step in 0..60 {
@@ -161,12 +166,12 @@
                 ReportedLoad {
                     utilization: Some(0.3),
                     queue_length: Some(0.0),
-                    ..load_of(n)
+                    ..load_report(n)
                 }
             } else {
-                load_of(n)
+                load_report(n)
             });
-            fleet.give(Input::HealthCheckCompleted {
+            fleet.apply(Input::HealthCheckCompleted {
                 host: format!("host-{n}"),
                 for_load: true,
                 healthy: true,
@@ -175,33 +180,33 @@
         }
         if step == 19 {
             before = (
-                weight_outside_list(&fleet, "host-5"),
-                weight_outside_list(&fleet, "host-7"),
+                weight_in_bound_tables(&fleet, "host-5"),
+                weight_in_bound_tables(&fleet, "host-7"),
             );
         }
         fleet.run(500);
     }
     assert!(before.0 > 0.0 && before.1 > 0.0);
     let after = (
-        weight_outside_list(&fleet, "host-5"),
-        weight_outside_list(&fleet, "host-7"),
+        weight_in_bound_tables(&fleet, "host-5"),
+        weight_in_bound_tables(&fleet, "host-7"),
     );
     assert!(
         after.0 < before.0 * 0.7,
-        "busy: {} after {}",
+        "fully utilized host: {} after {}",
         after.0,
         before.0
     );
     assert!(
         after.1 < before.1 * 0.1,
-        "silent: {} after {}",
+        "silent host: {} after {}",
         after.1,
         before.1
     );
 }
 
-/// The load of host `n` in the second part: host 5 is fully busy.
-fn load_of(n: usize) -> ReportedLoad {
+/// The load report of host `n` in the second part of the test: host 5 is fully utilized.
+fn load_report(n: usize) -> ReportedLoad {
     ReportedLoad {
         utilization: Some(if n == 5 { 1.0 } else { 0.3 }),
         queue_length: Some(if n == 5 { 9.0 } else { 0.0 }),
@@ -211,8 +216,8 @@
     }
 }
 
-/// The weight of a host over all tables but the list's own.
-fn weight_outside_list(fleet: &SimulatedFleet, name: &str) -> f64 {
+/// The sum of a host's weights in all tables that proxies are bound to.
+fn weight_in_bound_tables(fleet: &SimulatedFleet, name: &str) -> f64 {
     let view = fleet.core.dns_view();
     let lines = view
         .tables
--- a/crates/daemon-core/tests/in_memory/main.rs
+++ b/crates/daemon-core/tests/in_memory/main.rs
@@ -1,4 +1,4 @@
-//! The core against proxies in memory.
+//! Tests of the core against simulated proxies in memory.
 
 mod dns;
 mod faults;
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -1,15 +1,15 @@
-//! The controller's own runtime API.
+//! Tests of the runtime API of the controller itself.
 
 use crate::simulated_fleet::*;
 
 fn fleet() -> SimulatedFleet {
-    let mut fleet = SimulatedFleet::open(&site(2), 8);
+    let mut fleet = SimulatedFleet::new(&site(2), 8);
     fleet.run(3_000);
     fleet
 }
 
 #[test]
-fn levels_bind() {
+fn commands_need_their_access_level() {
     let mut fleet = fleet();
     let denied = "Permission denied\n\n";
     assert_eq!(fleet.command(0, "show servers state"), denied);
@@ -30,22 +30,22 @@
 }
 
 #[test]
-fn several_commands_give_as_many_answers_and_errors_spoil_nothing() {
+fn each_command_of_a_line_gets_a_reply_and_errors_do_not_stop_the_rest() {
     let mut fleet = fleet();
     let text = fleet.command(
         2,
         "show backend; bogus word; set server hosts/nobody weight 3; get weight hosts/host-0",
     );
-    let answers: Vec<&str> = text.split("\n\n").collect();
-    assert_eq!(answers.len(), 5, "{text}");
-    assert!(answers[0].starts_with("# name\nhosts"));
-    assert!(answers[1].starts_with("Unknown command: 'bogus word'"));
-    assert_eq!(answers[2], "No such server.");
-    assert_eq!(answers[3], "1 (initial 1)");
+    let replies: Vec<&str> = text.split("\n\n").collect();
+    assert_eq!(replies.len(), 5, "{text}");
+    assert!(replies[0].starts_with("# name\nhosts"));
+    assert!(replies[1].starts_with("Unknown command: 'bogus word'"));
+    assert_eq!(replies[2], "No such server.");
+    assert_eq!(replies[3], "1 (initial 1)");
 }
 
 #[test]
-fn a_drain_by_an_operator_reaches_the_proxies_and_outlives_the_file() {
+fn a_drain_by_an_operator_reaches_the_proxies_and_survives_a_new_list() {
     let mut fleet = fleet();
     assert_eq!(
         fleet.command(2, "set server hosts/host-3 state drain"),
@@ -54,7 +54,7 @@
     fleet.run(300);
     let holds = |fleet: &SimulatedFleet, n: usize| fleet.serving(n, "proof").contains_key("host-3");
     assert!(!holds(&fleet, 0) && !holds(&fleet, 1));
-    fleet.list((0..8).map(host).collect());
+    fleet.apply_list((0..8).map(host).collect());
     fleet.run(3_000);
     assert!(!holds(&fleet, 0) && !holds(&fleet, 1));
     assert_eq!(fleet.command(2, "enable server hosts/host-3"), "\n");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn hosts_come_and_go_by_command() {
+fn operators_can_add_and_delete_hosts() {
     let mut fleet = fleet();
     assert_eq!(
         fleet.command(2, "add server hosts/extra 127.0.0.9:80 weight 2"),
@@ -95,7 +95,7 @@
     assert_eq!(fleet.info("HostsReady"), 9);
     assert!(
         fleet.info("HostsCold") >= 1,
-        "a host that has just come is cold"
+        "a host that was just added is warming up"
     );
     assert!(
         fleet
@@ -109,10 +109,10 @@
     );
     fleet.run(2_000);
     assert_eq!(fleet.info("HostsReady"), 8);
-    refuses_what_is_not_settable(&mut fleet);
+    assert_rejects_changes_of_read_only_values(&mut fleet);
 }
 
-fn refuses_what_is_not_settable(fleet: &mut SimulatedFleet) {
+fn assert_rejects_changes_of_read_only_values(fleet: &mut SimulatedFleet) {
     assert!(
         fleet
             .command(2, "set server table-0/host-1 weight 4")
@@ -131,12 +131,12 @@
 }
 
 #[test]
-fn what_it_shows_can_be_read_again() {
+fn replies_of_show_commands_can_be_parsed() {
     let mut fleet = fleet();
     fleet.traffic(0, 30, 3, 80);
     fleet.run(2_500);
     let stat = fleet.command(0, "show stat");
-    let rows = pondarch_runtime_api::stat::read(stat.trim_end()).expect("stat");
+    let rows = pondarch_runtime_api::stat::read(stat.trim_end()).expect("a valid stat");
     assert!(rows.iter().any(|row| row.backend == "table-0"));
     assert!(
         rows.iter()
@@ -146,13 +146,13 @@
     let state = fleet.command(2, "show servers state");
     assert!(
         pondarch_runtime_api::state::read_state(state.trim_end())
-            .expect("state")
+            .expect("a valid state")
             .len()
             > 8
     );
     let maps =
         pondarch_runtime_api::info::read_map(fleet.command(2, "show map proxies").trim_end())
-            .expect("map");
+            .expect("a valid map");
     assert!(maps["front-0"].starts_with("joined table-"), "{maps:?}");
     let json = fleet.command(0, "show stat json");
     assert!(serde_json::from_str::<serde_json::Value>(json.trim()).is_ok());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn zones_of_added_hosts_are_swapped_whole_or_not_at_all() {
+fn a_prepared_zone_map_takes_effect_only_when_committed() {
     let mut fleet = fleet();
     fleet.command(
         2,
@@ -178,7 +178,7 @@
         |fleet: &mut SimulatedFleet, host: &str| fleet.command(2, &format!("get map zones {host}"));
     assert!(
         zone(&mut fleet, "two").contains("\"ede\""),
-        "not before the commit"
+        "the zone changed before the commit"
     );
     assert!(fleet.command(2, "show map @1 zones").contains("two arnhem"));
     assert_eq!(fleet.command(2, "commit map @1 zones"), "\n");
@@ -201,21 +201,21 @@
 }
 
 #[test]
-fn a_cold_host_with_too_small_a_weight_is_held_back_and_logged() {
-    let mut fleet = SimulatedFleet::open(&site(1), 12);
+fn a_warming_host_with_too_small_a_weight_is_not_sent_and_is_logged() {
+    let mut fleet = SimulatedFleet::new(&site(1), 12);
     fleet.run(3_000);
     let mut hosts: Vec<_> = (0..12).map(host).collect();
     hosts.iter_mut().for_each(|host| host.weight = 900.0);
     hosts[4].weight = 0.01;
     hosts[4].started = Some(fleet.now as f64 / 1e6);
-    fleet.list(hosts);
+    fleet.apply_list(hosts);
     fleet.run(4_000);
     assert!(!fleet.serving(0, "proof").contains_key("host-4"));
-    let too_small = |e: &pondarch_daemon_core::Event| matches!(e, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
-    assert!(fleet.events.iter().any(too_small));
+    let is_too_small = |event: &pondarch_daemon_core::Event| matches!(event, pondarch_daemon_core::Event::WeightTooSmall { host, .. } if host == "host-4");
+    assert!(fleet.events.iter().any(is_too_small));
     fleet.run(20_000);
     assert!(
         fleet.serving(0, "proof").contains_key("host-4"),
-        "warm, and still held back"
+        "still not sent after the slow start window"
     );
 }
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -1,4 +1,4 @@
-//! Reports that are pushed: late, twice, out of order, by clocks that are off, by senders that rave, and not at all.
+//! Tests of pushed reports: late, repeated, out of order, missing, by wrong clocks, and with implausible figures.
 
 mod counted_once;
 mod rejected;
@@ -13,34 +13,40 @@
 use pondarch_runtime_api::stat::RowType;
 use std::collections::BTreeMap;
 
+/// Age from which figures are not used, as `age::STALE`.
 const STALE_US: u64 = 6_000_000;
 
-/// One that pushes, with a clock of its own.
-struct Pusher {
+/// A sender of pushed reports, with a clock of its own.
+struct ReportSender {
     name: String,
-    is: SenderIs,
-    conn: u64,
-    run: u64,
+    role: SenderIs,
+    connection: u64,
+    incarnation: u64,
+    /// Number of the latest report.
     number: u64,
-    /// Its clock less ours.
-    off: i64,
-    word: (u64, u64),
+    /// Difference of its clock from the controller's, in microseconds.
+    clock_offset_us: i64,
+    /// The latest credit: when it was sent by the controller's clock, and received by the sender's.
+    last_credit_us: (u64, u64),
     credit: u32,
 }
 
+/// A fleet of six joined proxies that accepts pushed reports; `lines_per_second` limits the hosts whose outcomes are
+/// applied.
 fn fleet(lines_per_second: Option<f64>, hosts: usize) -> SimulatedFleet {
     let mut site = site(6);
-    site.reports.push = Some("unix:/push".parse().expect("a path"));
+    site.reports.push = Some("unix:/push".parse().expect("a socket path"));
     site.reports.lines_per_second = lines_per_second;
     site.reports.every = Length::millis(1_000);
-    let mut fleet = SimulatedFleet::open(&site, hosts);
+    let mut fleet = SimulatedFleet::new(&site, hosts);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), 6);
     fleet
 }
 
-fn body(tables: &ProxyState) -> Body {
-    let counted = tables.stat_rows().into_iter().map(|row| {
+/// The body of a report with the counters of a proxy.
+fn report_body(state: &ProxyState) -> Body {
+    let counted = state.stat_rows().into_iter().map(|row| {
         let sums = row.sums.unwrap_or_default();
         Counted {
             backend: row.backend,
@@ -58,141 +64,146 @@
     }
 }
 
-impl Pusher {
-    fn proxy(n: usize, off_s: i64) -> Pusher {
+impl ReportSender {
+    /// The sender of a proxy whose clock differs by this many seconds.
+    fn proxy(n: usize, clock_offset_s: i64) -> ReportSender {
         let name = format!("front-{n}");
-        Pusher {
+        ReportSender {
             name,
-            is: SenderIs::Proxy,
-            conn: 100 + n as u64,
-            run: 5,
+            role: SenderIs::Proxy,
+            connection: 100 + n as u64,
+            incarnation: 5,
             number: 0,
-            off: off_s * 1_000_000,
-            word: (0, 0),
+            clock_offset_us: clock_offset_s * 1_000_000,
+            last_credit_us: (0, 0),
             credit: 0,
         }
     }
 
-    fn theirs(&self, now: u64) -> u64 {
-        now.saturating_add_signed(self.off)
+    /// The sender's time at a time of the controller's clock.
+    fn local_time(&self, now: u64) -> u64 {
+        now.saturating_add_signed(self.clock_offset_us)
     }
 
-    fn come(&mut self, fleet: &mut SimulatedFleet) {
-        let conn = self.conn;
-        let name = self.name.clone();
-        let is = self.is;
-        let run = self.run;
-        fleet.give(Input::SenderConnected {
-            connection: conn,
-            name,
-            role: is,
-            incarnation: run,
+    fn connect(&mut self, fleet: &mut SimulatedFleet) {
+        fleet.apply(Input::SenderConnected {
+            connection: self.connection,
+            name: self.name.clone(),
+            role: self.role,
+            incarnation: self.incarnation,
         });
-        self.hear(fleet);
+        self.receive_credit(fleet);
     }
 
-    /// Takes the outputs that were meant for it.
-    fn hear(&mut self, fleet: &mut SimulatedFleet) {
-        let now = self.theirs(fleet.now);
+    /// Takes the credit for this sender out of the outputs.
+    fn receive_credit(&mut self, fleet: &mut SimulatedFleet) {
+        let now = self.local_time(fleet.now);
         let outputs = std::mem::take(&mut fleet.outputs);
         for output in outputs {
             match output {
                 Output::GrantCredit {
-                    connection: conn,
-                    reports: more,
+                    connection,
+                    reports,
                     at_us,
-                } if conn == self.conn => {
-                    self.credit += more;
-                    self.word = (at_us, now);
+                } if connection == self.connection => {
+                    self.credit += reports;
+                    self.last_credit_us = (at_us, now);
                 }
                 other => fleet.outputs.push(other),
             }
         }
     }
 
-    /// The report that it would send now.
+    /// The next report, as of now.
     fn report(&mut self, fleet: &SimulatedFleet, body: Body) -> Report {
         self.number += 1;
-        let sent_us = self.theirs(fleet.now);
-        let had_us = sent_us - self.word.1;
+        let sent_us = self.local_time(fleet.now);
+        let had_us = sent_us - self.last_credit_us.1;
         Report {
             number: self.number,
             sent_us,
-            word_us: self.word.0,
+            word_us: self.last_credit_us.0,
             had_us,
             body,
         }
     }
 
     fn send(&mut self, fleet: &mut SimulatedFleet, report: Report) {
-        fleet.give(Input::ReportReceived {
-            connection: self.conn,
+        fleet.apply(Input::ReportReceived {
+            connection: self.connection,
             report: Box::new(report),
         });
-        self.hear(fleet);
+        self.receive_credit(fleet);
     }
 
+    /// Sends a report with the current counters of proxy `n`.
     fn push(&mut self, fleet: &mut SimulatedFleet, n: usize) {
-        let report = self.report(fleet, body(&fleet.fronts[n].tables));
+        let report = self.report(fleet, report_body(&fleet.proxies[n].state));
         self.send(fleet, report);
     }
 }
 
-/// A second of traffic at each proxy; each pushes.
-fn second(fleet: &mut SimulatedFleet, pushers: &mut [Pusher]) {
+/// Runs a second of traffic. The sender with index `n` in the slice pushes the counters of proxy `n`.
+fn run_second(fleet: &mut SimulatedFleet, senders: &mut [ReportSender]) {
     fleet.run(500);
-    for (n, pusher) in pushers.iter_mut().enumerate() {
+    for (n, sender) in senders.iter_mut().enumerate() {
         fleet.traffic(n, 5, 0, 40);
-        pusher.push(fleet, n);
+        sender.push(fleet, n);
     }
     fleet.run(500);
 }
 
-/// What was applied since the last call: intervals, and the oldest figure of all.
-fn looked(fleet: &mut SimulatedFleet) -> (usize, u64) {
-    let mut all = (0, 0);
+/// Number of intervals applied since the last call, and the highest age of their figures in microseconds.
+fn take_applied_intervals(fleet: &mut SimulatedFleet) -> (usize, u64) {
+    let mut applied = (0, 0);
     fleet.outputs.retain(|output| match output {
         Output::LoadReportsApplied { oldest_us, .. } => {
-            all = (all.0 + 1, all.1.max(*oldest_us));
+            applied = (applied.0 + 1, applied.1.max(*oldest_us));
             false
         }
         _ => true,
     });
-    all
+    applied
 }
 
-fn stat_reads(fleet: &mut SimulatedFleet) -> usize {
-    let reads = |output: &Output| matches!(output, Output::Write { lines, .. } if lines.iter().any(|line| line == "show stat"));
-    let count = fleet.outputs.iter().filter(|output| reads(output)).count();
+/// Number of reads of `show stat` since the last call; clears the outputs.
+fn take_stat_reads(fleet: &mut SimulatedFleet) -> usize {
+    let reads_stat = |output: &Output| matches!(output, Output::Write { lines, .. } if lines.iter().any(|line| line == "show stat"));
+    let count = fleet
+        .outputs
+        .iter()
+        .filter(|output| reads_stat(output))
+        .count();
     fleet.outputs.clear();
     count
 }
 
-/// Requests done at all hosts in the interval that was applied last.
-fn done(fleet: &mut SimulatedFleet) -> u64 {
+/// Requests completed at all hosts in the interval that was applied last.
+fn completed_requests(fleet: &mut SimulatedFleet) -> u64 {
     let stat = fleet.command(1, "show stat");
     let header: Vec<&str> = stat.lines().next().unwrap_or_default().split(',').collect();
-    let at = header
+    let column = header
         .iter()
         .position(|name| *name == "pond_done")
-        .expect("our column");
+        .expect("a column pond_done");
     let hosts = stat.lines().filter(|line| line.starts_with("hosts,"));
     hosts
-        .filter_map(|line| line.split(',').nth(at)?.parse::<u64>().ok())
+        .filter_map(|line| line.split(',').nth(column)?.parse::<u64>().ok())
         .sum()
 }
 
-fn weights(fleet: &mut SimulatedFleet) -> BTreeMap<String, f64> {
+/// The sum of each host's weights in all tables, in thousandths.
+fn table_weights(fleet: &mut SimulatedFleet) -> BTreeMap<String, f64> {
     let stat = fleet.command(1, "show stat");
     let rows = stat.lines().filter(|line| line.starts_with("table-"));
-    let mut all = BTreeMap::new();
+    let mut weights = BTreeMap::new();
     for row in rows {
         let fields: Vec<&str> = row.split(',').collect();
         let weight: f64 = fields
             .get(18)
             .and_then(|weight| weight.parse().ok())
             .unwrap_or(0.0);
-        *all.entry(fields[1].to_string()).or_default() += weight;
+        *weights.entry(fields[1].to_string()).or_default() += weight;
     }
-    all
+    weights
 }
--- a/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/counted_once.rs
@@ -1,23 +1,23 @@
-//! Each count is taken once, whichever way and however late it comes.
+//! Tests that each counter difference is counted once, whichever way and however late it arrives.
 
 use super::*;
 
 #[test]
-fn who_pushes_is_not_read_and_who_falls_silent_is_read_again_and_no_count_is_taken_twice() {
+fn counters_of_a_proxy_are_read_only_while_it_does_not_push_and_counted_once() {
     let mut fleet = fleet(None, 12);
-    let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
-    pushers
+    let mut senders: Vec<ReportSender> = (0..6).map(|n| ReportSender::proxy(n, 0)).collect();
+    senders
         .iter_mut()
-        .for_each(|pusher| pusher.come(&mut fleet));
+        .for_each(|sender| sender.connect(&mut fleet));
     for _ in 0..5 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
     }
-    stat_reads(&mut fleet);
+    take_stat_reads(&mut fleet);
     for _ in 0..5 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
     }
-    assert_eq!(stat_reads(&mut fleet), 0);
-    let attempts = |fleet: &mut SimulatedFleet| {
+    assert_eq!(take_stat_reads(&mut fleet), 0);
+    let reports = |fleet: &mut SimulatedFleet| {
         let stat = fleet.command(1, "show stat");
         let hosts = stat
             .lines()
@@ -26,117 +26,118 @@
         assert_eq!(hosts, 12);
         fleet.info("Reports")
     };
-    assert_eq!(attempts(&mut fleet), 60);
-    // Two of them push no more: their counters are read, and go on from where they were.
+    assert_eq!(reports(&mut fleet), 60);
+    // Two proxies stop pushing: their counters are read, and continue from the pushed ones.
     for _ in 0..6 {
-        second(&mut fleet, &mut pushers[2..]);
+        run_second(&mut fleet, &mut senders[2..]);
     }
-    let reads = stat_reads(&mut fleet);
+    let reads = take_stat_reads(&mut fleet);
     assert!((4..=8).contains(&reads), "{reads}");
     assert_eq!(fleet.info("ReportsStale"), 0);
-    fleet.drop_link(0);
+    fleet.disconnect(0);
     fleet.run(2_000);
-    second(&mut fleet, &mut pushers[2..]);
+    run_second(&mut fleet, &mut senders[2..]);
 }
 
 #[test]
-fn twenty_seconds_of_delayed_reports_at_once_are_no_evidence_but_the_newest() {
+fn of_twenty_seconds_of_delayed_reports_only_the_latest_are_used() {
     let mut fleet = fleet(None, 12);
-    let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
-    pushers
+    let mut senders: Vec<ReportSender> = (0..6).map(|n| ReportSender::proxy(n, 0)).collect();
+    senders
         .iter_mut()
-        .for_each(|pusher| pusher.come(&mut fleet));
+        .for_each(|sender| sender.connect(&mut fleet));
     for _ in 0..5 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
     }
-    // The way is blocked for 20 s: reports are sent, and wait somewhere; the controller reads on its own meanwhile.
-    let mut under_way: Vec<(usize, Report)> = Vec::new();
+    // The network delays all reports for 20 s; the controller reads the counters meanwhile.
+    let mut delayed: Vec<(usize, Report)> = Vec::new();
     for _ in 0..20 {
         fleet.run(1_000);
-        for (n, pusher) in pushers.iter_mut().enumerate() {
+        for (n, sender) in senders.iter_mut().enumerate() {
             fleet.traffic(n, 5, 2, 40);
-            let report = pusher.report(&fleet, body(&fleet.fronts[n].tables));
-            under_way.push((n, report));
+            let report = sender.report(&fleet, report_body(&fleet.proxies[n].state));
+            delayed.push((n, report));
         }
     }
-    looked(&mut fleet);
+    take_applied_intervals(&mut fleet);
     let before = fleet.info("ReportsStale");
-    for (n, report) in under_way {
-        pushers[n].send(&mut fleet, report);
+    for (n, report) in delayed {
+        senders[n].send(&mut fleet, report);
     }
-    // What they count was read meanwhile: none of it is taken again as that of a proxy that began anew.
-    let counted = done(&mut fleet);
+    // Their counters were read meanwhile: they must not be counted again as those of a restarted proxy.
+    let completed = completed_requests(&mut fleet);
     fleet.run(1_500);
-    let (_, oldest) = looked(&mut fleet);
+    let (_, oldest) = take_applied_intervals(&mut fleet);
     assert!(oldest < STALE_US, "{oldest} us old");
     assert!(
-        done(&mut fleet) <= counted.max(60),
-        "{} after {counted}",
-        done(&mut fleet)
+        completed_requests(&mut fleet) <= completed.max(60),
+        "{} after {completed}",
+        completed_requests(&mut fleet)
     );
-    // 14 s of them are too old to be evidence in any case.
+    // Those of the first 14 s are stale in any case.
     let stale = fleet.info("ReportsStale") - before;
     assert!((6 * 13..=6 * 15).contains(&stale), "{stale}");
     for _ in 0..3 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
     }
-    let (_, oldest) = looked(&mut fleet);
+    let (_, oldest) = take_applied_intervals(&mut fleet);
     assert!(oldest < 2_000_000);
 }
 
 #[test]
-fn clocks_ten_minutes_apart_change_nothing_and_a_jump_is_noticed() {
-    for off in [-600, 600] {
+fn clock_offsets_of_ten_minutes_have_no_effect_and_a_clock_jump_is_counted() {
+    for offset_s in [-600, 600] {
         let mut fleet = fleet(None, 12);
-        let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, off)).collect();
-        pushers
+        let mut senders: Vec<ReportSender> =
+            (0..6).map(|n| ReportSender::proxy(n, offset_s)).collect();
+        senders
             .iter_mut()
-            .for_each(|pusher| pusher.come(&mut fleet));
+            .for_each(|sender| sender.connect(&mut fleet));
         for _ in 0..8 {
-            second(&mut fleet, &mut pushers);
+            run_second(&mut fleet, &mut senders);
         }
-        let (rounds, oldest) = looked(&mut fleet);
-        assert!(rounds >= 6 && oldest < 1_500_000, "{oldest}");
+        let (intervals, oldest) = take_applied_intervals(&mut fleet);
+        assert!(intervals >= 6 && oldest < 1_500_000, "{oldest}");
         assert_eq!(
             (fleet.info("ReportsStale"), fleet.info("ClockJumps")),
             (0, 0)
         );
-        pushers[3].off += 3_600_000_000;
-        pushers[3].word.1 = pushers[3].word.1.wrapping_add(3_600_000_000);
+        senders[3].clock_offset_us += 3_600_000_000;
+        senders[3].last_credit_us.1 = senders[3].last_credit_us.1.wrapping_add(3_600_000_000);
         for _ in 0..4 {
-            second(&mut fleet, &mut pushers);
+            run_second(&mut fleet, &mut senders);
         }
         assert_eq!(fleet.info("ClockJumps"), 1);
-        assert!(looked(&mut fleet).1 < 1_500_000);
+        assert!(take_applied_intervals(&mut fleet).1 < 1_500_000);
     }
 }
 
 #[test]
-fn repeated_numbers_and_restarts_at_0_are_distinguished_and_harm_nothing() {
+fn duplicates_restarts_and_missing_reports_are_counted_separately() {
     let mut fleet = fleet(None, 12);
-    let mut pusher = Pusher::proxy(0, 0);
-    pusher.come(&mut fleet);
+    let mut sender = ReportSender::proxy(0, 0);
+    sender.connect(&mut fleet);
     fleet.run(1_000);
-    pusher.push(&mut fleet, 0);
+    sender.push(&mut fleet, 0);
     for _ in 0..50 {
         fleet.traffic(0, 5, 0, 40);
-        pusher.number -= 1;
-        pusher.push(&mut fleet, 0);
+        sender.number -= 1;
+        sender.push(&mut fleet, 0);
     }
     assert_eq!(fleet.info("ReportsDoubled"), 50);
-    (pusher.number, pusher.run) = (0, 6);
-    fleet.fronts[0].tables = {
-        let mut fresh = fleet.fronts[0].tables.clone();
-        fresh
+    (sender.number, sender.incarnation) = (0, 6);
+    fleet.proxies[0].state = {
+        let mut restarted = fleet.proxies[0].state.clone();
+        restarted
             .backends
             .values_mut()
             .for_each(|backend| backend.requests = 0);
-        fresh
+        restarted
     };
-    pusher.come(&mut fleet);
-    pusher.push(&mut fleet, 0);
+    sender.connect(&mut fleet);
+    sender.push(&mut fleet, 0);
     assert_eq!(fleet.info("ReportsRestarted"), 1);
-    pusher.number += 10;
-    pusher.push(&mut fleet, 0);
+    sender.number += 10;
+    sender.push(&mut fleet, 0);
     assert_eq!(fleet.info("ReportsMissing"), 10);
 }
--- a/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
@@ -1,43 +1,46 @@
-//! Reports that are rejected, and senders and hosts that nobody listed.
+//! Tests of rejected reports, unknown senders, and hosts that are not listed.
 
 use super::*;
 
 #[test]
-fn figures_that_cannot_be_are_refused_whole_counted_and_named() {
+fn reports_with_implausible_figures_are_rejected_whole_counted_and_logged() {
     let mut fleet = fleet(None, 12);
-    let mut pusher = Pusher::proxy(0, 0);
-    pusher.come(&mut fleet);
+    let mut sender = ReportSender::proxy(0, 0);
+    sender.connect(&mut fleet);
     fleet.run(1_000);
-    pusher.push(&mut fleet, 0);
+    sender.push(&mut fleet, 0);
     fleet.run(1_000);
     for (n, busy) in [-1.0, f64::NAN, 1e300, 40.0].into_iter().enumerate() {
-        let mut body = body(&fleet.fronts[0].tables);
+        let mut body = report_body(&fleet.proxies[0].state);
         body.counted
             .iter_mut()
             .take(1)
-            .for_each(|of| of.busy = Some(busy));
-        let report = pusher.report(&fleet, body);
-        pusher.send(&mut fleet, report);
+            .for_each(|counted| counted.busy = Some(busy));
+        let report = sender.report(&fleet, body);
+        sender.send(&mut fleet, report);
         assert_eq!(fleet.info("ReportsRefused"), n as u64 + 1);
     }
-    let mut wild = body(&fleet.fronts[0].tables);
-    wild.counted.iter_mut().for_each(|of| of.done = u64::MAX);
-    let report = pusher.report(&fleet, wild);
-    pusher.send(&mut fleet, report);
+    let mut implausible = report_body(&fleet.proxies[0].state);
+    implausible
+        .counted
+        .iter_mut()
+        .for_each(|counted| counted.done = u64::MAX);
+    let report = sender.report(&fleet, implausible);
+    sender.send(&mut fleet, report);
     assert_eq!(fleet.info("ReportsRefused"), 5);
     fleet.run(1_500);
-    let rejected = |event: &&Event| matches!(event, Event::ReportRejected { error, .. } if error.starts_with("front-0: "));
+    let is_rejected = |event: &&Event| matches!(event, Event::ReportRejected { error, .. } if error.starts_with("front-0: "));
     assert_eq!(
-        fleet.events.iter().filter(rejected).count(),
+        fleet.events.iter().filter(is_rejected).count(),
         1,
-        "once an interval"
+        "logged more than once in an interval"
     );
-    let mut host = Pusher {
+    let mut host = ReportSender {
         name: "host-3".into(),
-        is: SenderIs::Host,
-        ..Pusher::proxy(50, 0)
+        role: SenderIs::Host,
+        ..ReportSender::proxy(50, 0)
     };
-    host.come(&mut fleet);
+    host.connect(&mut fleet);
     let own = Own {
         rate: Some(1e9),
         ..Own::default()
@@ -54,22 +57,22 @@
 }
 
 #[test]
-fn a_hundred_thousand_names_leave_no_trace() {
+fn a_hundred_thousand_unknown_senders_use_no_memory() {
     let mut fleet = fleet(None, 12);
     let before = fleet.command(1, "show memory");
     for n in 0..100_000u64 {
-        let is = if n % 2 == 0 {
+        let role = if n % 2 == 0 {
             SenderIs::Proxy
         } else {
             SenderIs::Host
         };
-        fleet.give(Input::SenderConnected {
+        fleet.apply(Input::SenderConnected {
             connection: 1_000 + n,
             name: format!("nobody-{n}"),
-            role: is,
+            role,
             incarnation: n,
         });
-        fleet.give(Input::ReportReceived {
+        fleet.apply(Input::ReportReceived {
             connection: 1_000 + n,
             report: Box::default(),
         });
@@ -91,23 +94,23 @@
     );
 }
 
-/// Hosts that nobody listed, made up by the thousand in each report.
+/// Each report names thousands of hosts that are not listed.
 #[test]
-fn made_up_hosts_are_counted_and_not_kept() {
+fn rows_of_unlisted_hosts_are_counted_and_dropped() {
     let mut fleet = fleet(None, 12);
-    let mut pusher = Pusher::proxy(0, 0);
-    pusher.come(&mut fleet);
+    let mut sender = ReportSender::proxy(0, 0);
+    sender.connect(&mut fleet);
     for batch in 0..20 {
         fleet.run(1_000);
-        let mut body = body(&fleet.fronts[0].tables);
+        let mut body = report_body(&fleet.proxies[0].state);
         body.counted.extend((0..5_000).map(|n| Counted {
             backend: "proof".into(),
             server: Some(format!("made-up-{batch}-{n}")),
             done: 3,
             ..Counted::default()
         }));
-        let report = pusher.report(&fleet, body);
-        pusher.send(&mut fleet, report);
+        let report = sender.report(&fleet, body);
+        sender.send(&mut fleet, report);
         fleet.inputs.clear();
     }
     fleet.run(1_500);
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -1,23 +1,23 @@
-//! Senders that fall silent, pauses of the controller, limits; and a replay of all of it.
+//! Tests of senders that stop reporting, pauses of the controller, and the limit on applied outcomes; and of a replay.
 
 use super::*;
 
-/// A host that serves and tells nothing of itself any more is judged by what proxies meet there.
+/// A host that serves but stops reporting its load is still weighted by the outcomes that proxies observe.
 #[test]
-fn a_host_whose_own_reports_stop_is_not_dead() {
+fn a_host_that_stops_reporting_its_load_keeps_its_weight() {
     let mut fleet = fleet(None, 12);
-    let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
-    pushers
+    let mut senders: Vec<ReportSender> = (0..6).map(|n| ReportSender::proxy(n, 0)).collect();
+    senders
         .iter_mut()
-        .for_each(|pusher| pusher.come(&mut fleet));
-    let mut hosts: Vec<Pusher> = (0..12)
-        .map(|n| Pusher {
+        .for_each(|sender| sender.connect(&mut fleet));
+    let mut hosts: Vec<ReportSender> = (0..12)
+        .map(|n| ReportSender {
             name: format!("host-{n}"),
-            is: SenderIs::Host,
-            ..Pusher::proxy(200 + n, 0)
+            role: SenderIs::Host,
+            ..ReportSender::proxy(200 + n, 0)
         })
         .collect();
-    hosts.iter_mut().for_each(|host| host.come(&mut fleet));
+    hosts.iter_mut().for_each(|host| host.connect(&mut fleet));
     let own = Own {
         busy: Some(0.4),
         waiting: Some(0.0),
@@ -41,12 +41,12 @@
             host.send(&mut fleet, report);
             assert!(n < 12);
         }
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
         if step == 9 {
-            before = weights(&mut fleet);
+            before = table_weights(&mut fleet);
         }
     }
-    let after = weights(&mut fleet);
+    let after = table_weights(&mut fleet);
     assert!(
         after["host-4"] > before["host-4"] * 0.8,
         "{} after {}",
@@ -55,72 +55,73 @@
     );
 }
 
-/// Nothing arrives for 3 s, as the controller itself stood still: that makes no host silent.
+/// The controller itself is paused for 3 s, so that nothing arrives: no host may lose weight by that.
 #[test]
-fn a_controller_that_stood_still_blames_nobody() {
+fn a_pause_of_the_controller_reduces_no_weight() {
     let mut fleet = fleet(None, 12);
-    let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
-    pushers
+    let mut senders: Vec<ReportSender> = (0..6).map(|n| ReportSender::proxy(n, 0)).collect();
+    senders
         .iter_mut()
-        .for_each(|pusher| pusher.come(&mut fleet));
+        .for_each(|sender| sender.connect(&mut fleet));
     for _ in 0..10 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
     }
-    let before = weights(&mut fleet);
+    let before = table_weights(&mut fleet);
     for interval in 0..3 {
         fleet.now += 3_000_000;
-        // What waited comes at once, proxy by proxy, each with time passing between.
-        for (n, pusher) in pushers.iter_mut().enumerate() {
+        // After the pause the queued reports arrive, one proxy after the other with 20 ms between them.
+        for (n, sender) in senders.iter_mut().enumerate() {
             fleet.traffic(n, 15, 0, 40);
-            pusher.push(&mut fleet, n);
+            sender.push(&mut fleet, n);
             fleet.run(20);
         }
         fleet.run(2_000);
-        let after = weights(&mut fleet);
-        let out = before
+        let after = table_weights(&mut fleet);
+        let reduced = before
             .iter()
             .filter(|(host, weight)| after.get(*host).is_none_or(|after| *after < **weight * 0.5));
-        assert_eq!(out.count(), 0, "interval {interval}");
-        second(&mut fleet, &mut pushers);
+        assert_eq!(reduced.count(), 0, "interval {interval}");
+        run_second(&mut fleet, &mut senders);
     }
 }
 
-/// Under a budget of a fifth of the hosts, a host that fails is found as soon as without one.
+/// With a limit that allows the outcomes of a fifth of the hosts, a failing host loses its weight at most two seconds
+/// later than without the limit.
 #[test]
-fn a_budget_of_lines_hides_no_failing_host() {
-    let noticed = |budget: Option<f64>| {
-        let mut fleet = fleet(budget, 30);
-        let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, 0)).collect();
-        pushers
+fn a_limit_on_applied_outcomes_does_not_hide_a_failing_host() {
+    let seconds_until_weight_0 = |lines_per_second: Option<f64>| {
+        let mut fleet = fleet(lines_per_second, 30);
+        let mut senders: Vec<ReportSender> = (0..6).map(|n| ReportSender::proxy(n, 0)).collect();
+        senders
             .iter_mut()
-            .for_each(|pusher| pusher.come(&mut fleet));
+            .for_each(|sender| sender.connect(&mut fleet));
         for _ in 0..12 {
-            second(&mut fleet, &mut pushers);
+            run_second(&mut fleet, &mut senders);
         }
-        let bad = weights(&mut fleet)
+        let failing = table_weights(&mut fleet)
             .into_iter()
             .find(|(_, weight)| *weight > 0.0)
-            .expect("a host")
+            .expect("a host with a weight")
             .0;
         for step in 0..40 {
             fleet.run(500);
-            for (n, pusher) in pushers.iter_mut().enumerate() {
+            for (n, sender) in senders.iter_mut().enumerate() {
                 fleet.traffic(n, 6, 0, 40);
-                for backend in fleet.fronts[n].tables.backends.values_mut() {
+                for backend in fleet.proxies[n].state.backends.values_mut() {
                     if let Some(server) = backend
                         .servers
-                        .get_mut(&bad)
+                        .get_mut(&failing)
                         .filter(|server| server.is_serving())
                     {
                         server.results.done -= 6;
                         server.results.errored += 6;
                     }
                 }
-                pusher.push(&mut fleet, n);
+                sender.push(&mut fleet, n);
             }
             fleet.run(500);
-            if weights(&mut fleet)
-                .get(&bad)
+            if table_weights(&mut fleet)
+                .get(&failing)
                 .is_none_or(|weight| *weight == 0.0)
             {
                 return step;
@@ -128,31 +129,36 @@
         }
         99
     };
-    let all = noticed(None);
-    let some = noticed(Some(6.0));
-    assert!(some <= all + 2, "{some} rounds for {all}");
+    let unlimited = seconds_until_weight_0(None);
+    let limited = seconds_until_weight_0(Some(6.0));
+    assert!(
+        limited <= unlimited + 2,
+        "{limited} s instead of {unlimited} s"
+    );
 }
 
 #[test]
-fn a_pushed_run_replays_to_the_same() {
+fn a_run_with_pushed_reports_replays_to_the_same_outputs() {
     let mut fleet = fleet(Some(5.0), 12);
-    let mut pushers: Vec<Pusher> = (0..6).map(|n| Pusher::proxy(n, n as i64 * 60)).collect();
-    pushers
+    let mut senders: Vec<ReportSender> = (0..6)
+        .map(|n| ReportSender::proxy(n, n as i64 * 60))
+        .collect();
+    senders
         .iter_mut()
-        .for_each(|pusher| pusher.come(&mut fleet));
+        .for_each(|sender| sender.connect(&mut fleet));
     let mut hosts: Vec<_> = (0..12).map(host).collect();
     for step in 0..12 {
-        second(&mut fleet, &mut pushers);
+        run_second(&mut fleet, &mut senders);
         if step == 6 {
             hosts[4].state = HostState::Drain;
-            fleet.list(hosts.clone());
+            fleet.apply_list(hosts.clone());
         }
     }
-    let text = serde_json::to_string(&fleet.inputs).expect("inputs can be written");
-    let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("and read");
-    let play = || {
+    let text = serde_json::to_string(&fleet.inputs).expect("serializable inputs");
+    let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("deserializable inputs");
+    let replay = || {
         let mut site = site(6);
-        site.reports.push = Some("unix:/push".parse().expect("a path"));
+        site.reports.push = Some("unix:/push".parse().expect("a socket path"));
         site.reports.lines_per_second = Some(5.0);
         let mut core = pondarch_daemon_core::Core::new(
             &site,
@@ -166,7 +172,7 @@
             core.handle(pondarch_controller::Time::from_micros(*at), input.clone());
             outputs.extend(std::iter::from_fn(|| core.next_output()));
         }
-        serde_json::to_string(&outputs).expect("written")
+        serde_json::to_string(&outputs).expect("serializable outputs")
     };
-    assert_eq!(play(), play());
+    assert_eq!(replay(), replay());
 }
--- a/crates/daemon-core/tests/in_memory/recorded_names.rs
+++ b/crates/daemon-core/tests/in_memory/recorded_names.rs
@@ -1,5 +1,6 @@
-//! The names that the event log stores for inputs, outputs and events, and their `Debug` texts, which `show events` and
-//! `pondarch replay` write: here as declared before the types were renamed, so that a rename in the code leaves both.
+//! Tests of the names under which the event log stores inputs, outputs and events, and of their `Debug` texts, which
+//! `show events` and `pondarch replay` write. The types here are declared with the stored names, so that a rename in
+//! the code that changes either of them fails.
 
 use pondarch_config::HostEntry;
 use pondarch_daemon_core as current;
@@ -243,19 +244,21 @@
     },
 }
 
-/// Reads the same stored value as both types: both write it again unchanged, and give the same `Debug` text.
+/// Reads each stored value as both types: both must be written equally, and have the same `Debug` text.
 fn assert_same_names<Stored, Current>(values: impl IntoIterator<Item = Value>)
 where
     Stored: Debug + Serialize + DeserializeOwned,
     Current: Debug + Serialize + DeserializeOwned,
 {
     for value in values {
-        let stored: Stored = serde_json::from_value(value.clone()).expect("as it was stored");
-        let current: Current = serde_json::from_value(value.clone()).expect("as it is stored");
-        let written = serde_json::to_value(&current).expect("it can be written");
+        let stored: Stored =
+            serde_json::from_value(value.clone()).expect("a value with the stored names");
+        let current: Current =
+            serde_json::from_value(value.clone()).expect("a value that the current type reads");
+        let written = serde_json::to_value(&current).expect("a serializable value");
         assert_eq!(
             written,
-            serde_json::to_value(&stored).expect("it can be written")
+            serde_json::to_value(&stored).expect("a serializable value")
         );
         assert_eq!(format!("{current:?}"), format!("{stored:?}"));
         assert_eq!(format!("{current:#?}"), format!("{stored:#?}"));
@@ -328,7 +331,7 @@
     ]);
 }
 
-/// The recovered state has fields that are not public: its text is held literally.
+/// The recovered state has fields that are not public, so its text is given literally.
 #[test]
 fn recovered_state() {
     let value = json!({"Recovered": {
@@ -337,14 +340,15 @@
         "zones": {"host-1": "a"},
         "serial": 3,
     }});
-    let input: current::Input = serde_json::from_value(value.clone()).expect("as it is stored");
+    let input: current::Input =
+        serde_json::from_value(value.clone()).expect("a value that the current type reads");
     assert_eq!(
         format!("{input:?}"),
         "Recovered(Remembered { at_us: 1, list: RememberedList { file: [], file_version: Some(2), added: [], \
          edits: [], hosts: [] }, zones: {\"host-1\": \"a\"}, serial: 3 })"
     );
     assert_eq!(
-        serde_json::to_value(&input).expect("it can be written"),
+        serde_json::to_value(&input).expect("a serializable value"),
         value
     );
 }
--- a/crates/daemon-core/tests/in_memory/replay.rs
+++ b/crates/daemon-core/tests/in_memory/replay.rs
@@ -1,4 +1,4 @@
-//! The same inputs give the same outputs, byte for byte.
+//! Tests that the same inputs give the same outputs, byte for byte.
 
 use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
@@ -6,7 +6,8 @@
 use pondarch_daemon_core::{Core, Input, Output};
 use proptest::prelude::*;
 
-fn played(inputs: &[(u64, Input)], site: &pondarch_config::Site) -> Vec<Output> {
+/// The outputs of a new core for recorded inputs.
+fn replay(inputs: &[(u64, Input)], site: &pondarch_config::Site) -> Vec<Output> {
     let mut core = Core::new(site, 7, 1, START, Time::from_micros(START));
     let mut outputs = Vec::new();
     for (at, input) in inputs {
@@ -16,14 +17,18 @@
     outputs
 }
 
+/// A step of a random run. The first number of most is the index of a host or proxy.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Milliseconds.
     Wait(u64),
-    Standing(usize, HostState),
-    Restart(usize),
-    Broken(usize),
-    Away(usize, bool),
+    SetHostState(usize, HostState),
+    RestartHost(usize),
+    BreakConnection(usize),
+    /// Whether the proxy can be reached.
+    SetProxyUp(usize, bool),
     Fault(usize, Fault),
+    /// Requests done, requests failed, and mean latency in milliseconds.
     Traffic(usize, u64, u64, u64),
     Operator(&'static str),
 }
@@ -35,9 +40,9 @@
         Just(HostState::Gone)
     ];
     let fault = prop_oneof![
-        (0..30usize).prop_map(Fault::CutAfter),
-        Just(Fault::Twice),
-        (0..9usize).prop_map(Fault::Refuse),
+        (0..30usize).prop_map(Fault::DisconnectAfter),
+        Just(Fault::ExecuteTwice),
+        (0..9usize).prop_map(Fault::RejectCommand),
         Just(Fault::Silent),
         Just(Fault::None),
     ];
@@ -49,12 +54,12 @@
     ];
     prop_oneof![
         4 => (10..4_000u64).prop_map(Step::Wait),
-        2 => (0..14usize, state).prop_map(|(n, state)| Step::Standing(n, state)),
-        1 => (0..14usize).prop_map(Step::Restart),
-        1 => (0..6usize).prop_map(Step::Broken),
-        1 => (0..6usize, any::<bool>()).prop_map(|(n, up)| Step::Away(n, up)),
+        2 => (0..14usize, state).prop_map(|(n, state)| Step::SetHostState(n, state)),
+        1 => (0..14usize).prop_map(Step::RestartHost),
+        1 => (0..6usize).prop_map(Step::BreakConnection),
+        1 => (0..6usize, any::<bool>()).prop_map(|(n, up)| Step::SetProxyUp(n, up)),
         2 => (0..6usize, fault).prop_map(|(n, fault)| Step::Fault(n, fault)),
-        3 => (0..6usize, 0..40u64, 0..40u64, 1..900u64).prop_map(|(n, d, e, m)| Step::Traffic(n, d, e, m)),
+        3 => (0..6usize, 0..40u64, 0..40u64, 1..900u64).prop_map(|(n, done, failed, mean)| Step::Traffic(n, done, failed, mean)),
         1 => line.prop_map(Step::Operator),
     ]
 }
@@ -62,47 +67,47 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A random course with every fault: rules that can be seen here hold after each step, and a replay of what
-    /// was recorded, by way of its text, gives the same outputs.
+    /// A random run with all faults: the limits on messages and on lines in flight hold after each step, and a replay
+    /// of the inputs, serialized and read again, gives the same outputs.
     #[test]
-    fn any_course_keeps_the_rules_and_replays(steps in prop::collection::vec(step(), 1..30)) {
+    fn random_runs_stay_within_the_limits_and_replay_to_the_same_outputs(steps in prop::collection::vec(step(), 1..30)) {
         let site = site(6);
-        let mut fleet = SimulatedFleet::open(&site, 14);
+        let mut fleet = SimulatedFleet::new(&site, 14);
         let mut hosts: Vec<_> = (0..14).map(host).collect();
         fleet.run(2_000);
         for step in steps {
             match step {
                 Step::Wait(ms) => fleet.run(ms),
-                Step::Standing(n, state) => {
+                Step::SetHostState(n, state) => {
                     hosts[n].state = state;
-                    fleet.list(hosts.clone());
+                    fleet.apply_list(hosts.clone());
                 }
-                Step::Restart(n) => {
+                Step::RestartHost(n) => {
                     hosts[n].started = Some(fleet.now as f64 / 1e6);
-                    fleet.list(hosts.clone());
+                    fleet.apply_list(hosts.clone());
                 }
-                Step::Broken(n) => fleet.drop_link(n),
-                Step::Away(n, up) => {
-                    fleet.fronts[n].up = up;
+                Step::BreakConnection(n) => fleet.disconnect(n),
+                Step::SetProxyUp(n, up) => {
+                    fleet.proxies[n].up = up;
                     if !up {
-                        fleet.drop_link(n);
+                        fleet.disconnect(n);
                     }
                 }
-                Step::Fault(n, fault) => fleet.fronts[n].fault = fault,
+                Step::Fault(n, fault) => fleet.proxies[n].fault = fault,
                 Step::Traffic(n, done, failed, mean) => fleet.traffic(n, done, failed, mean),
                 Step::Operator(line) => drop(fleet.command(2, line)),
             }
             fleet.deliver();
-            for front in &fleet.fronts {
+            for proxy in &fleet.proxies {
                 let since = fleet.now.saturating_sub(10 * SECOND);
-                let lately = front.orders.iter().filter(|(at, _)| *at > since).count();
-                prop_assert!(lately <= 12, "{lately} messages within the window");
+                let within_window = proxy.updates.iter().filter(|(at, _)| *at > since).count();
+                prop_assert!(within_window <= 12, "{within_window} messages within the window");
             }
             prop_assert!(fleet.info("LinesWaiting") <= 8_000);
         }
-        let text = serde_json::to_string(&fleet.inputs).expect("inputs can be written");
-        let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("and read");
-        let again = played(&inputs, &site);
-        prop_assert_eq!(serde_json::to_string(&again).ok(), serde_json::to_string(&fleet.outputs).ok());
+        let text = serde_json::to_string(&fleet.inputs).expect("serializable inputs");
+        let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("deserializable inputs");
+        let replayed = replay(&inputs, &site);
+        prop_assert_eq!(serde_json::to_string(&replayed).ok(), serde_json::to_string(&fleet.outputs).ok());
     }
 }
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -1,5 +1,5 @@
-//! A site in memory: a core, and proxies that answer its commands. Whatever crosses a socket elsewhere crosses a
-//! queue here, and can be cut, held up or doubled.
+//! A simulated fleet: a core, and proxies in memory that reply to its commands. Queues take the place of sockets, so
+//! that tests can cut, delay or repeat what is sent.
 
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::{Length, Site, site};
@@ -14,59 +14,69 @@
 pub(crate) const CLASSES: [&str; 3] = ["proof", "order", "release"];
 pub(crate) const START: u64 = 1_800_000_000 * SECOND;
 
-/// What a proxy does with the next orders.
+/// How a proxy misbehaves at the next update.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// Breaks off after so many commands.
-    CutAfter(usize),
-    Twice,
-    /// Refuses this command of the batch, by its place.
-    Refuse(usize),
-    /// Refuses to add any server, at all times.
-    RefuseAdds,
-    /// Takes everything and answers nothing.
+    /// Closes the connection after this many commands.
+    DisconnectAfter(usize),
+    /// Executes the update twice.
+    ExecuteTwice,
+    /// Rejects the command with this index in the batch.
+    RejectCommand(usize),
+    /// Rejects every `add server`, until the fault is reset.
+    RejectAdds,
+    /// Reads commands and never replies, until the fault is reset.
     Silent,
 }
 
-pub(crate) struct Front {
-    pub tables: ProxyState,
+pub(crate) struct SimulatedProxy {
+    pub state: ProxyState,
     pub up: bool,
-    pub conn: Option<u64>,
+    pub connection: Option<u64>,
     pub fault: Fault,
     /// Updates that arrived, each with its time and commands.
-    pub orders: Vec<(u64, Vec<String>)>,
+    pub updates: Vec<(u64, Vec<String>)>,
+    /// Lines that were not processed yet, each with its connection.
     lines: VecDeque<(u64, String)>,
 }
 
 pub(crate) struct SimulatedFleet {
     pub core: Core,
     pub now: u64,
-    pub fronts: Vec<Front>,
+    pub proxies: Vec<SimulatedProxy>,
     pub events: Vec<Event>,
     pub replies: BTreeMap<u64, String>,
     pub inputs: Vec<(u64, Input)>,
     pub outputs: Vec<Output>,
-    pub version: u64,
+    /// Generation of the latest endpoint list.
+    pub generation: u64,
     pub solver: Solver,
-    callers: u64,
+    last_caller: u64,
 }
 
-/// What becomes of a problem.
+/// What the solver does with problems.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Solver {
-    Answers,
+    Solves,
     Fails,
-    /// All work to the last host of the list.
-    Raves,
+    /// Returns a plan that gives all weight to the last host of the list.
+    Overloads,
     Silent,
 }
 
-fn raving(fleet: &pondarch_weight_solver::Fleet) -> pondarch_weight_solver::Plan {
+/// A plan that gives all weight to the last host.
+fn plan_for_last_host(fleet: &pondarch_weight_solver::Fleet) -> pondarch_weight_solver::Plan {
     let hosts = fleet.hosts.len();
     pondarch_weight_solver::Plan {
         weights: (0..hosts)
-            .map(|n| if n + 1 == hosts { hosts as f64 } else { 0.0 })
+            .map(|index| {
+                if index + 1 == hosts {
+                    hosts as f64
+                } else {
+                    0.0
+                }
+            })
             .collect(),
         utilisation: vec![0.5; hosts],
         let_in: vec![1.0; fleet.kinds.len()],
@@ -97,12 +107,12 @@
 }
 
 pub(crate) fn site(proxies: usize) -> Site {
-    let span = Length::millis;
+    let millis = Length::millis;
     let class = |name: &str| site::Kind {
         name: name.into(),
         backend: None,
-        response_target: span(1_000),
-        client_timeout: span(3_000),
+        response_target: millis(1_000),
+        client_timeout: millis(3_000),
         benefit: 1.0,
         repeats: site::Repeats::NonReplayable,
         own_zone: false,
@@ -110,7 +120,7 @@
     let proxy = |n: usize| site::Proxy {
         name: format!("front-{n}"),
         zone: ["ede", "arnhem"][n % 2].into(),
-        runtime: Some(format!("unix:/front-{n}").parse().expect("a path")),
+        runtime: Some(format!("unix:/front-{n}").parse().expect("a socket path")),
         sources: Vec::new(),
         usual_rate: 5.0,
     };
@@ -126,12 +136,12 @@
             most_waiting: 8_000.0,
             lines_per_message: 3.0,
             message_cap: 12,
-            message_window: span(10_000),
+            message_window: millis(10_000),
         },
         reports: site::Reports::default(),
         cold: site::Cold {
             start_share: 0.2,
-            warm_within: span(18_000),
+            warm_within: millis(18_000),
         },
         probes: None,
         links: site::Links::default(),
@@ -146,52 +156,60 @@
 }
 
 impl SimulatedFleet {
-    pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
-        let front = |(n, proxy): (usize, &site::Proxy)| {
-            let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &CLASSES);
-            // Standing tables: two hosts each.
-            for backend in tables.backends.values_mut() {
+    /// A fleet with the proxies of the settings and an endpoint list of this many hosts.
+    pub(crate) fn new(site: &Site, hosts: usize) -> SimulatedFleet {
+        let simulated_proxy = |(n, proxy): (usize, &site::Proxy)| {
+            let mut state = ProxyState::new(&proxy.name, 100 + n as u64, &CLASSES);
+            // The tables of the proxy's own configuration have two hosts each.
+            for backend in state.backends.values_mut() {
                 for h in [n % hosts.max(1), (n + 1) % hosts.max(1)] {
                     let server = Server::new(addr(h), 100, AdminState::Ready);
                     backend.servers.insert(format!("host-{h}"), server);
                 }
             }
-            Front {
-                tables,
+            SimulatedProxy {
+                state,
                 up: true,
-                conn: None,
+                connection: None,
                 fault: Fault::None,
-                orders: Vec::new(),
+                updates: Vec::new(),
                 lines: VecDeque::new(),
             }
         };
-        let fronts = site.proxies.iter().enumerate().map(front).collect();
+        let proxies = site
+            .proxies
+            .iter()
+            .enumerate()
+            .map(simulated_proxy)
+            .collect();
         let core = Core::new(site, 7, 1, START, Time::from_micros(START));
         let mut fleet = SimulatedFleet {
             core,
             now: START,
-            fronts,
+            proxies,
             events: Vec::new(),
             replies: BTreeMap::new(),
             inputs: Vec::new(),
             outputs: Vec::new(),
-            version: 0,
-            solver: Solver::Answers,
-            callers: 0,
+            generation: 0,
+            solver: Solver::Solves,
+            last_caller: 0,
         };
-        fleet.list((0..hosts).map(host).collect());
+        fleet.apply_list((0..hosts).map(host).collect());
         fleet
     }
 
-    pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
-        self.version += 1;
-        self.give(Input::EndpointList {
-            generation: Some(self.version),
+    /// Applies a new endpoint list.
+    pub(crate) fn apply_list(&mut self, hosts: Vec<HostEntry>) {
+        self.generation += 1;
+        self.apply(Input::EndpointList {
+            generation: Some(self.generation),
             hosts,
         });
     }
 
-    pub(crate) fn give(&mut self, input: Input) {
+    /// Applies an input to the core, and carries out the outputs.
+    pub(crate) fn apply(&mut self, input: Input) {
         self.inputs.push((self.now, input.clone()));
         self.core.handle(Time::from_micros(self.now), input);
         while let Some(output) = self.core.next_output() {
@@ -201,10 +219,10 @@
     }
 
     fn dial(&mut self, proxy: u16, connection: u64) {
-        let front = &mut self.fronts[proxy as usize];
-        front.conn = front.up.then_some(connection);
-        front.lines.clear();
-        let input = if front.up {
+        let target = &mut self.proxies[proxy as usize];
+        target.connection = target.up.then_some(connection);
+        target.lines.clear();
+        let input = if target.up {
             Input::Connected { proxy, connection }
         } else {
             Input::Disconnected {
@@ -213,50 +231,39 @@
                 reason: "refused".into(),
             }
         };
-        self.give(input);
+        self.apply(input);
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Dial {
-                proxy,
-                connection: conn,
-            } => {
-                self.dial(proxy, conn);
-            }
+            Output::Dial { proxy, connection } => self.dial(proxy, connection),
             Output::Write {
                 proxy,
-                connection: conn,
+                connection,
                 lines,
             } => {
-                self.fronts[proxy as usize]
+                self.proxies[proxy as usize]
                     .lines
-                    .extend(lines.into_iter().map(|line| (conn, line)));
+                    .extend(lines.into_iter().map(|line| (connection, line)));
             }
-            Output::HangUp {
-                proxy,
-                connection: conn,
-            } => {
-                let front = &mut self.fronts[proxy as usize];
-                front.conn = front.conn.filter(|held| *held != conn);
-                front.lines.clear();
+            Output::HangUp { proxy, connection } => {
+                let target = &mut self.proxies[proxy as usize];
+                target.connection = target.connection.filter(|current| *current != connection);
+                target.lines.clear();
             }
             Output::Reply { caller, text } => drop(self.replies.insert(caller, text)),
             Output::Event(event) => self.events.push(event),
             Output::Solve { number, fleet } => {
-                let answer = match self.solver {
-                    Solver::Answers => {
+                let plan = match self.solver {
+                    Solver::Solves => {
                         let plan = pondarch_weight_solver::solve(&fleet, Default::default());
-                        plan.map_err(|wrong| wrong.to_string())
+                        plan.map_err(|error| error.to_string())
                     }
                     Solver::Fails => Err("the solver found no plan: broken".into()),
-                    Solver::Raves => Ok(raving(&fleet)),
+                    Solver::Overloads => Ok(plan_for_last_host(&fleet)),
                     Solver::Silent => return,
                 };
-                self.give(Input::Solved {
-                    number,
-                    plan: answer,
-                });
+                self.apply(Input::Solved { number, plan });
             }
             Output::CheckHealth { .. }
             | Output::DnsViewChanged { .. }
@@ -267,72 +274,74 @@
         }
     }
 
-    /// Proxies answer all that was written to them.
+    /// Lets proxies process and reply to all lines that were sent to them.
     pub(crate) fn deliver(&mut self) {
-        while let Some(n) = (0..self.fronts.len()).find(|&n| !self.fronts[n].lines.is_empty()) {
-            let front = &mut self.fronts[n];
-            let Some((conn, line)) = front.lines.pop_front() else {
+        while let Some(n) = (0..self.proxies.len()).find(|&n| !self.proxies[n].lines.is_empty()) {
+            let target = &mut self.proxies[n];
+            let Some((connection, line)) = target.lines.pop_front() else {
                 continue;
             };
-            if front.conn != Some(conn) || front.fault == Fault::Silent {
+            if target.connection != Some(connection) || target.fault == Fault::Silent {
                 continue;
             }
             let proxy = n as u16;
             let commands: Vec<Command> = command::parse_line(&line).into_iter().flatten().collect();
-            let orders = commands.iter().any(ProxyState::is_update);
-            if orders {
-                front
-                    .orders
+            let is_update = commands.iter().any(ProxyState::is_update);
+            if is_update {
+                target
+                    .updates
                     .push((self.now, commands.iter().map(Command::to_string).collect()));
             }
-            let fault = if orders { front.fault } else { Fault::None };
-            if orders && fault != Fault::RefuseAdds {
-                front.fault = Fault::None;
+            let fault = if is_update { target.fault } else { Fault::None };
+            if is_update && fault != Fault::RejectAdds {
+                target.fault = Fault::None;
             }
-            let mut answers: Vec<String> = Vec::new();
-            for (at, command) in commands.iter().enumerate() {
+            let mut replies: Vec<String> = Vec::new();
+            for (index, command) in commands.iter().enumerate() {
                 match fault {
-                    Fault::CutAfter(cut) if at == cut => break,
-                    Fault::Refuse(place) if at == place => answers.push("Not now.\n".into()),
-                    Fault::RefuseAdds if matches!(command, Command::AddServer { .. }) => {
-                        answers.push("Out of memory.\n".into());
+                    Fault::DisconnectAfter(executed) if index == executed => break,
+                    Fault::RejectCommand(rejected) if index == rejected => {
+                        replies.push("Not now.\n".into());
                     }
-                    _ => answers.push(front.tables.execute(command.clone())),
+                    Fault::RejectAdds if matches!(command, Command::AddServer { .. }) => {
+                        replies.push("Out of memory.\n".into());
+                    }
+                    _ => replies.push(target.state.execute(command.clone())),
                 }
             }
-            if fault == Fault::Twice {
+            if fault == Fault::ExecuteTwice {
                 commands
                     .iter()
-                    .for_each(|command| drop(front.tables.execute(command.clone())));
+                    .for_each(|command| drop(target.state.execute(command.clone())));
             }
-            if matches!(fault, Fault::CutAfter(cut) if cut < commands.len()) {
-                // The answers are lost with the connection.
-                self.drop_link(n);
+            if matches!(fault, Fault::DisconnectAfter(executed) if executed < commands.len()) {
+                // The replies are lost with the connection.
+                self.disconnect(n);
                 continue;
             }
-            for text in answers {
-                self.give(Input::Answer {
+            for text in replies {
+                self.apply(Input::Answer {
                     proxy,
-                    connection: conn,
+                    connection,
                     text,
                 });
             }
         }
     }
 
-    /// A connection breaks.
-    pub(crate) fn drop_link(&mut self, n: usize) {
-        self.fronts[n].lines.clear();
-        if let Some(conn) = self.fronts[n].conn.take() {
-            self.give(Input::Disconnected {
+    /// Breaks the connection to a proxy.
+    pub(crate) fn disconnect(&mut self, n: usize) {
+        self.proxies[n].lines.clear();
+        if let Some(connection) = self.proxies[n].connection.take() {
+            self.apply(Input::Disconnected {
                 proxy: n as u16,
-                connection: conn,
+                connection,
                 reason: "broke".into(),
             });
         }
     }
 
-    /// Time goes on, and proxies answer at once.
+    /// Advances the time, with timers; proxies reply without delay.
     pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         self.deliver();
@@ -344,16 +353,17 @@
                 break;
             }
             self.now = wake;
-            self.give(Input::TimerExpired);
+            self.apply(Input::TimerExpired);
             self.deliver();
         }
         self.now = end;
     }
 
+    /// Runs an operator's command line at an access level; returns the reply.
     pub(crate) fn command(&mut self, level: u8, line: &str) -> String {
-        self.callers += 1;
-        let caller = self.callers;
-        self.give(Input::Command {
+        self.last_caller += 1;
+        let caller = self.last_caller;
+        self.apply(Input::Command {
             caller,
             level,
             line: line.into(),
@@ -361,9 +371,9 @@
         self.replies.remove(&caller).unwrap_or_default()
     }
 
-    /// Counts requests at a proxy's servers, as if traffic had gone there.
+    /// Raises the counters of a proxy's servers, as if this many requests had been sent to each.
     pub(crate) fn traffic(&mut self, n: usize, done: u64, failed: u64, mean_ms: u64) {
-        for backend in self.fronts[n].tables.backends.values_mut() {
+        for backend in self.proxies[n].state.backends.values_mut() {
             backend.requests += done + failed;
             for server in backend
                 .servers
@@ -378,18 +388,20 @@
         }
     }
 
+    /// Address and weight of each server that a proxy uses for a request class.
     pub(crate) fn serving(
         &self,
         n: usize,
         class: &str,
     ) -> BTreeMap<String, (std::net::SocketAddr, u16)> {
-        let servers = &self.fronts[n].tables.backends[class].servers;
+        let servers = &self.proxies[n].state.backends[class].servers;
         let serving = servers.iter().filter(|(_, server)| server.is_serving());
         serving
             .map(|(name, server)| (name.clone(), (server.address, server.weight)))
             .collect()
     }
 
+    /// A figure of `show info`.
     pub(crate) fn info(&mut self, name: &str) -> u64 {
         let text = self.command(0, "show info");
         pondarch_runtime_api::info::Info::read(&text)
--- a/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts/replies.rs
@@ -1,9 +1,10 @@
-//! Answers to operators, whole, as a transcript: each command after `> `, then its answer without the empty line.
+//! Tests of the replies to operators, as transcripts: each command after `> `, then its reply without the empty line
+//! that ends it.
 
 use super::*;
 use pondarch_config::Length;
 
-/// The commands with the connection's level: 0 user, 1 operator, 2 admin.
+/// The commands, each with the access level of the connection: 0 user, 1 operator, 2 admin.
 const COMMANDS: &[(u8, &str)] = &[
     (0, "help"),
     (0, "show info"),
@@ -66,31 +67,31 @@
 ];
 
 fn transcript(fleet: &mut SimulatedFleet, commands: &[(u8, &str)]) -> String {
-    let mut out = String::new();
+    let mut transcript = String::new();
     for (level, line) in commands {
-        let answer = fleet.command(*level, line);
-        out.push_str(&format!(
+        let reply = fleet.command(*level, line);
+        transcript.push_str(&format!(
             "> {line}\n{}",
-            answer.strip_suffix('\n').expect("an empty line")
+            reply.strip_suffix('\n').expect("an empty line at the end")
         ));
     }
-    out
+    transcript
 }
 
 #[test]
-fn answers_of_every_command() {
+fn replies_to_every_command() {
     let mut fleet = fleet();
     fleet.traffic(0, 30, 3, 80);
     fleet.run(2_500);
     assert_same(
         &transcript(&mut fleet, COMMANDS),
-        include_str!("answers.txt"),
+        include_str!("replies.txt"),
     );
 }
 
-/// The figures that stand in `show info` only with a DNS front, records or senders.
+/// The figures that `show info` has only with a DNS server, an event log or pushed reports.
 #[test]
-fn show_info_with_every_name() {
+fn show_info_with_all_figures() {
     let mut site = site(1);
     site.dns = Some(pondarch_config::site::Dns {
         zone: "pond.example".into(),
@@ -103,10 +104,10 @@
         behind: Length::millis(1_000),
         expires: Length::millis(60_000),
     });
-    site.reports.push = Some("unix:/push".parse().expect("a path"));
-    let mut fleet = SimulatedFleet::open(&site, 3);
+    site.reports.push = Some("unix:/push".parse().expect("a socket path"));
+    let mut fleet = SimulatedFleet::new(&site, 3);
     fleet.run(1_000);
-    fleet.give(pondarch_daemon_core::Input::EventLog(
+    fleet.apply(pondarch_daemon_core::Input::EventLog(
         pondarch_daemon_core::EventLogState {
             stopped_reason: None,
             lost_inputs: 2,
@@ -118,8 +119,8 @@
     );
 }
 
-/// `show events` prints events by the names in `recorded_debug`, whatever the code calls them: these are on the wire,
-/// so they are held here, in one place.
+/// `show events` writes events under the names in `recorded_debug`, whatever the code calls them. These names are on
+/// the wire, so they are checked here.
 #[test]
 fn show_events() {
     let mut fleet = fleet();
@@ -127,9 +128,9 @@
         2,
         "set server hosts/host-1 weight 3; set server hosts/host-2 state drain",
     );
-    fleet.fronts[0].fault = Fault::Refuse(1);
+    fleet.proxies[0].fault = Fault::RejectCommand(1);
     fleet.run(2_000);
-    fleet.drop_link(1);
+    fleet.disconnect(1);
     fleet.run(1_000);
     assert_same(
         &transcript(&mut fleet, &[(2, "show events")]),
