--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -51,7 +51,7 @@
             .unwrap_or_default()
     }
 
-    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted: they are checked
+    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are left out: they are checked
     /// with every input.
     pub fn wake_at(&self) -> Time {
         self.state.wake_at()
--- a/crates/daemon-core/src/dns_events.rs
+++ b/crates/daemon-core/src/dns_events.rs
@@ -1,5 +1,5 @@
-//! Events of proxies that query the DNS server: joins and leaves them, changes the answers, and excludes restarted
-//! hosts that caches still name.
+//! Events of proxies that query the DNS server: joins those that query, removes those that stopped, changes the
+//! answers, and excludes restarted hosts that caches still name.
 
 use crate::dns_state::SECONDARY_ANSWER_INTERVAL;
 use crate::event::Event;
@@ -161,8 +161,8 @@
     }
 
     /// Excludes hosts that restarted under the same name and address from all tables, of DNS and of the runtime API,
-    /// until DNS answers with their old, higher weights have expired: requests sent by cached answers cannot be called
-    /// back, and those by the new weights on top could overload the host.
+    /// until DNS answers with their old, higher weights have expired: requests by cached answers cannot be
+    /// stopped, and those by the new weights on top could overload the host.
     pub(crate) fn update_exclusions(&mut self) {
         let now = self.now;
         let Some(dns) = &mut self.dns else { return };
@@ -248,7 +248,7 @@
     ) -> Vec<(TableId, BTreeMap<HostId, f64>)> {
         let used: BTreeSet<TableId> = bindings.values().copied().collect();
         let list = &self.endpoints;
-        // Clients that are bound to no table get the endpoint list itself, without hosts that are warming up: those are
+        // Proxies that are bound to no table get the endpoint list itself, without hosts that are warming up: those are
         // answered only as members of a table.
         let listed: BTreeMap<HostId, f64> = list
             .hosts
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -19,8 +19,9 @@
 const MAX_MEMBERS: usize = 60_000;
 /// How late the daemon may report an answer: it reports each table and proxy at most once in this interval.
 pub const DNS_QUERY_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Clients that are not known count as one of this many unknown proxies. Each of these is bound like a known proxy, so
-/// that only tables in use are answered, and clients that are not known do not all use the same few hosts.
+/// Proxies that are not in the settings count as one of this many unknown proxies. Each of these is bound like a known
+/// proxy, so that only tables that the controller maintains are answered, and unknown proxies do not all use the same
+/// few hosts.
 const UNKNOWN_PROXIES: usize = 4;
 /// Number of serials that the previous run may have published after its last record: a few per second, for the seconds
 /// that the event log may be behind.
@@ -133,7 +134,7 @@
         self.unknown_proxies.len()
     }
 
-    /// Number of unknown proxies that a client currently counts as.
+    /// Number of unknown proxies that currently query the DNS server.
     pub(crate) fn querying_unknown_proxies(&self) -> usize {
         self.unknown_proxies
             .iter()
@@ -143,7 +144,7 @@
 
     /// Proxies that cache answers for longer than they may.
     pub(crate) fn caching_too_long(&self) -> impl Iterator<Item = ProxyId> {
-        // Not the unknown ones: each stands for many clients, each of which has a cache of its own.
+        // Not the unknown ones: each of them stands for many proxies with caches of their own.
         self.members
             .caching_too_long()
             .filter(|id| !self.unknown_proxies.contains(id))
--- a/crates/daemon-core/src/endpoint_list.rs
+++ b/crates/daemon-core/src/endpoint_list.rs
@@ -156,7 +156,7 @@
                 ..old
             });
         }
-        // It is dropped some time after the slow start window: if it is listed again then, it counts as new anyway.
+        // It is dropped 10 minutes after the slow start window: if it is listed again then, it counts as new anyway.
         let retention = self.slow_start_window + Duration::from_millis(600_000);
         merged.retain(|_, host| {
             host.state != EndpointState::Removed
--- a/crates/daemon-core/src/recovered_state.rs
+++ b/crates/daemon-core/src/recovered_state.rs
@@ -8,8 +8,8 @@
 //! | the serial of the DNS zone | secondaries do not restart with the controller |
 //!
 //! Not kept: health, load, admitted rates, estimates and bindings. They would be outdated after a restart and do harm:
-//! a host that is well could stay ejected, or a rate stay cut for an overload that is over. What proxies hold is read
-//! from them. What DNS caches hold cannot be read: every host that was known counts as cached until the last answers of
+//! a healthy host could stay ejected, or a rate stay cut after the overload has ended. What proxies hold is read from
+//! them. What DNS caches hold cannot be read: every host that was known counts as cached until the last answers of
 //! the previous run have expired.
 
 use pondarch_config::HostEntry;
@@ -33,7 +33,7 @@
     pub dns_serial: u32,
 }
 
-/// The endpoint list, with what operators changed in it.
+/// The endpoint list, with the operators' changes to it.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecoveredList {
     pub(crate) file: Vec<HostEntry>,
@@ -44,7 +44,7 @@
     pub(crate) hosts: Vec<RecoveredHost>,
 }
 
-/// A host, as the file and the operators together have it.
+/// A host, as merged from the hosts file and the operators' changes.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecoveredHost {
     /// Its entry in the list.
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -46,7 +46,7 @@
 pub(crate) struct DaemonState {
     /// Name of the controller, from the settings.
     pub(crate) name: String,
-    /// Names of the request classes, by their numbers.
+    /// Names of the request classes, by their ids.
     pub(crate) request_classes: Vec<String>,
     /// Limits of the connections to proxies.
     pub(crate) links: Links,
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -14,7 +14,7 @@
 const MAX_CONCURRENT_DIALS: usize = 64;
 
 impl DaemonState {
-    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are not counted, as they are checked
+    /// When the next `Input::TimerExpired` is due. Timers that are overdue already are left out, as they are checked
     /// with every input: otherwise the caller would wake up in a busy loop.
     pub(crate) fn wake_at(&self) -> Time {
         let mut at = self.outcomes.wake_at();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Closes connections whose answers are overdue.
+    /// Closes connections whose replies are overdue.
     fn hang_up_silent_proxies(&mut self) {
         let now = self.now;
         let limit = self.links.answer_limit.0;
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -1,5 +1,5 @@
 //! A simulated fleet: a core, and proxies in memory that reply to its commands. Queues take the place of sockets, so
-//! that tests can cut, delay or repeat what is sent.
+//! that tests can interrupt, delay or repeat what is sent.
 
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::{Length, Site, site};
