--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -70,19 +70,19 @@
         }
     }
 
-    pub(crate) fn on_acknowledged(&mut self, proxy: u16, took: Duration, refused: Vec<String>) {
+    pub(crate) fn on_acknowledged(&mut self, proxy: u16, latency: Duration, rejected: Vec<String>) {
         let now = self.now;
         let cause = self.cause.clone();
         let peer = &mut self.peers[proxy as usize];
         self.update_queue
             .record_acknowledged(std::mem::take(&mut peer.in_flight));
         peer.failed_dials = 0;
-        peer.commands_rejected += refused.len() as u64;
+        peer.commands_rejected += rejected.len() as u64;
         // Part of the update may have waited for this acknowledgement.
         peer.require_update(now, &cause);
         peer.blocked_until = None;
         let name = peer.name.clone();
-        for error in refused {
+        for error in rejected {
             self.log_error(format!("{name}: refused: {error}"));
             self.log_event(Event::UpdateRejected {
                 proxy: name.clone(),
@@ -91,7 +91,7 @@
         }
         self.log_event(Event::UpdateAcknowledged {
             proxy: name,
-            took_us: took.micros(),
+            took_us: latency.micros(),
         });
     }
 
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -12,29 +12,30 @@
     pub(crate) fn plan_listed_weights(&mut self) {
         let now = self.now;
         let list = &mut self.endpoints;
-        let Some(planner) = &mut self.weight_planner else {
+        let Some(weight_planner) = &mut self.weight_planner else {
             return;
         };
-        let listed = planner.planner_hosts(now, list);
-        let previous_starts = std::mem::take(&mut planner.started);
-        planner.started = list
+        let listed = weight_planner.planner_hosts(now, list);
+        let previous_starts = std::mem::take(&mut weight_planner.started);
+        weight_planner.started = list
             .hosts
             .iter()
             .map(|(id, host)| (id.clone(), host.started))
             .collect();
-        let has_restarted = |host: &HostId| previous_starts.get(host) != planner.started.get(host);
-        planner.planner.list_came(&listed, has_restarted);
-        list.planned_weights = planner.planner.handed(now, &listed);
+        let has_restarted =
+            |host: &HostId| previous_starts.get(host) != weight_planner.started.get(host);
+        weight_planner.planner.list_came(&listed, has_restarted);
+        list.planned_weights = weight_planner.planner.handed(now, &listed);
     }
 
     /// Ends the planner's report interval, with the reported loads that are not older than `max_age`.
     pub(crate) fn record_observations(&mut self, max_age: Duration) {
         let now = self.now;
-        let Some(planner) = &mut self.weight_planner else {
+        let Some(weight_planner) = &mut self.weight_planner else {
             return;
         };
         let loads = &self.loads;
-        planner.close_interval(now, &self.endpoints, |host| {
+        weight_planner.close_interval(now, &self.endpoints, |host| {
             let (at, load) = loads.get(host)?;
             (now - *at <= max_age).then_some((load.utilization?, load.queue_length.unwrap_or(0.0)))
         });
@@ -43,15 +44,15 @@
     /// Poses the next problem to the solver if it is due, and gives up one whose plan is overdue.
     pub(crate) fn request_plan(&mut self) {
         let now = self.now;
-        let Some(planner) = &mut self.weight_planner else {
+        let Some(weight_planner) = &mut self.weight_planner else {
             return;
         };
-        if now < planner.wake_at() {
+        if now < weight_planner.wake_at() {
             return;
         }
-        let gave_up = planner.planner.gave_up(now);
-        let listed = planner.planner_hosts(now, &self.endpoints);
-        let problem = planner.planner.due(now, &listed);
+        let gave_up = weight_planner.planner.gave_up(now);
+        let listed = weight_planner.planner_hosts(now, &self.endpoints);
+        let problem = weight_planner.planner.due(now, &listed);
         if gave_up {
             self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
@@ -69,11 +70,11 @@
 
     pub(crate) fn on_plan(&mut self, number: u64, result: Result<Plan, String>) {
         let now = self.now;
-        let Some(planner) = &mut self.weight_planner else {
+        let Some(weight_planner) = &mut self.weight_planner else {
             return;
         };
         let error = result.as_ref().err().cloned();
-        planner.planner.answered(now, number, result);
+        weight_planner.planner.answered(now, number, result);
         match error {
             Some(error) => self.log_event(Event::PlanFailed { error }),
             None => self.apply_plan_step(),
@@ -84,15 +85,15 @@
     /// controller.
     fn apply_plan_step(&mut self) {
         let now = self.now;
-        let Some(planner) = &mut self.weight_planner else {
+        let Some(weight_planner) = &mut self.weight_planner else {
             return;
         };
-        let listed = planner.planner_hosts(now, &self.endpoints);
-        let new_weights = planner.planner.step(now, &listed);
-        let source = planner.planner.source();
-        let admitted_rates = planner.planner.let_in();
-        let source_changed = std::mem::replace(&mut planner.last_source, source) != source;
-        self.controller.apply_capacity_plan(now, admitted_rates);
+        let listed = weight_planner.planner_hosts(now, &self.endpoints);
+        let new_weights = weight_planner.planner.step(now, &listed);
+        let source = weight_planner.planner.source();
+        let admitted_fraction = weight_planner.planner.let_in();
+        let source_changed = std::mem::replace(&mut weight_planner.last_source, source) != source;
+        self.controller.apply_capacity_plan(now, admitted_fraction);
         if source_changed {
             self.log_event(Event::WeightSourceChanged {
                 source: source.word().into(),
@@ -134,8 +135,10 @@
         let peer = &self.peers[proxy as usize];
         let id = peer.id;
         let zone = peer.zone;
-        if let Some(planner) = &mut self.weight_planner {
-            planner.estimates().asked(id, zone, class, requests, period);
+        if let Some(weight_planner) = &mut self.weight_planner {
+            weight_planner
+                .estimates()
+                .asked(id, zone, class, requests, period);
         }
     }
 }
