--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,89 +1,89 @@
-//! What a deployment states of itself when its controller starts.
+//! The configuration of a deployment, which its controller gets at startup.
 
 use std::time::Duration;
 
-/// A deployment, as its controller is told of it once, at its start.
+/// The configuration of a deployment. It does not change while the controller runs.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentConfig {
-    /// Request classes, in the order of their numbers.
+    /// Request classes, indexed by [`RequestClassId`](crate::RequestClassId).
     pub request_classes: Vec<RequestClass>,
-    /// Proxies of the whole deployment, those of other controllers too.
+    /// Number of proxies in the whole deployment, including those of other controllers.
     pub proxy_count: u64,
-    /// Whether tables are assigned in partitions. Such deployments are not supported: the controller takes no decisions.
+    /// Whether tables are assigned in partitions. This is not supported: the controller takes no decisions if it is
+    /// set.
     pub partitioned: bool,
-    /// Zones that the deployment names.
+    /// Number of zones that the deployment names.
     pub zone_count: u16,
-    /// How proxies retry until they are told otherwise; none: not stated.
+    /// How proxies retry until an update tells them otherwise; `None` if not configured.
     pub base_retry_policy: Option<RetryPolicy>,
-    /// How proxies limit what they admit.
+    /// How proxies limit the requests they admit.
     pub admission: AdmissionMode,
-    /// Lines a second that the channel to the proxies is said to send.
+    /// Configured rate of the channel to the proxies, in lines per second.
     pub update_rate: f64,
-    /// Lines that may wait in the channel; zero: no limit.
+    /// Maximum number of lines queued in the channel; 0 means no limit.
     pub max_queued_lines: f64,
-    /// Lines that each message costs besides its own.
+    /// Overhead of each message, in lines.
     pub message_overhead_lines: f64,
-    /// Messages that a proxy may be sent in a window; zero: any number.
+    /// Maximum number of messages sent to a proxy per window; 0 means no limit.
     pub max_messages_per_window: u64,
-    /// The window that the messages are counted in.
+    /// Length of the window for `max_messages_per_window`.
     pub message_window: Duration,
-    /// Whether the endpoint list has to be polled.
+    /// Whether the endpoint list must be polled.
     pub poll_endpoints: bool,
-    /// Time within which a polled list has to be polled again.
+    /// Maximum time between two polls of the endpoint list.
     pub poll_interval: Duration,
-    /// Whether the controller may order health checks.
+    /// Whether the controller may request health checks.
     pub health_checks: bool,
-    /// Time between two reports of a proxy.
+    /// Time between two load reports of a proxy.
     pub report_interval: Duration,
-    /// Part of its work that a host can do when it starts (0 to 1).
+    /// Fraction of its full capacity that a host has when it starts (0 to 1).
     pub initial_capacity: f64,
-    /// Time in which a host warms up to all of its work.
+    /// Time until a started host reaches its full capacity.
     pub slow_start_window: Duration,
-    /// Whether a host that is missing from the list may still be sent requests.
+    /// Whether a host that is missing from the endpoint list may still be sent requests.
     pub removal_is_advisory: bool,
-    /// Time within which proxies have to stop sending to a host once it is known to drain or to be removed; zero: none
-    /// stated.
+    /// Time within which proxies must stop sending to a host that is draining or was removed; zero if not configured.
     pub drain_grace_period: Duration,
-    /// Price of a request that crosses zones.
+    /// Cost of a request that crosses zones.
     pub cross_zone_cost: f64,
-    /// Whether proxies acknowledge messages that ask for it.
+    /// Whether proxies acknowledge messages that request it.
     pub acks_supported: bool,
-    /// Updates that can be carried out together; zero: any number.
+    /// Maximum number of updates in one batch; 0 means no limit.
     pub max_batch_size: u64,
 }
 
-/// A class of requests that are admitted, retried and valued alike.
+/// A class of requests that share admission, retries and priority.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Time in which a request of this class should be answered.
+    /// Time within which a request of this class should be answered.
     pub latency_objective: Duration,
-    /// What an answered request is worth; classes of less weight are shed first.
+    /// Value of an answered request; classes of lower weight are shed first.
     pub priority_weight: f64,
-    /// Whether its requests have to stay in their proxy's zone.
+    /// Whether its requests must stay in their proxy's zone.
     pub zone_local: bool,
 }
 
-/// When a proxy sends a request to another host after an attempt has failed.
+/// When a proxy retries a request at another host after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
     /// Never.
     Never,
-    /// Once, on proof that the first host never processed it.
+    /// Once, if it is proven that the first host did not process the request.
     IfUnprocessed,
-    /// Once, on any failure.
+    /// Once, after any failure.
     OnceOnFailure,
-    /// Up to twice, on any failure.
+    /// Up to twice, after any failure.
     TwiceOnFailure,
 }
 
-/// How proxies limit what they admit.
+/// How proxies limit the requests they admit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdmissionMode {
-    /// By the part of all requests that is admitted.
+    /// By the fraction of requests to admit.
     Share,
-    /// By requests a second.
+    /// By requests per second.
     Rate,
-    /// Not at all.
+    /// No limit.
     #[default]
     Off,
 }
--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a controller decides, and how it is told what became of it.
+//! The decisions of a controller, and the results of carrying them out.
 
 use crate::config::RetryPolicy;
 use crate::ids::{AckId, HostId, ProxyId, RequestClassId, TableId};
@@ -13,7 +13,7 @@
         table: TableId,
         /// The host.
         host: HostId,
-        /// Its weight; none: it leaves the table.
+        /// Its weight, or `None` to remove it from the table.
         weight: Option<f64>,
     },
     /// Binds a proxy to a table.
@@ -22,33 +22,33 @@
         proxy: ProxyId,
         /// The table.
         table: TableId,
-        /// The classes whose requests it sends by this table; empty: all.
+        /// The classes that it routes by this table; empty means all classes.
         classes: Vec<RequestClassId>,
     },
-    /// Sets how much of a request class the proxies of a table admit, and when they retry.
+    /// Sets the quota and the retry policy of a request class for the proxies of a table.
     SetAdmissionRate {
         /// The table.
         table: TableId,
         /// The request class.
         class: RequestClassId,
-        /// The part of the requests, or the requests a second, that each proxy admits.
+        /// The fraction of requests, or the requests per second, that each proxy admits.
         quota: f64,
-        /// When its proxies retry.
+        /// When the proxies retry.
         retry_policy: RetryPolicy,
     },
-    /// Asks proxies for an acknowledgement: each message of the updates before it carries the number, and a proxy
-    /// returns it once it has applied the message.
+    /// Requests an acknowledgement: each message of the preceding updates carries this ID, and a proxy returns it once
+    /// it has applied the message.
     RequestAck(AckId),
-    /// Checks the health of a host.
+    /// Checks the health of a host. The result goes to [`on_health_check`](crate::Controller::on_health_check).
     CheckHealth(HostId),
-    /// Polls the endpoint list, or watches it.
+    /// Polls or watches the endpoint list.
     WatchEndpoints,
-    /// Asks for a call of [`on_timer`](crate::Controller::on_timer) after this time.
+    /// Requests a call to [`on_timer`](crate::Controller::on_timer) after this time.
     SetTimer(Duration),
 }
 
 impl Decision {
-    /// Whether it goes to the proxies, and so counts as an update.
+    /// Returns whether it is an update, i.e. is sent to proxies.
     #[must_use]
     pub fn is_update(&self) -> bool {
         matches!(
@@ -60,15 +60,15 @@
     }
 }
 
-/// What became of updates that were to be carried out together, in their order.
+/// Result of carrying out a batch of updates, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// All were applied.
+    /// All updates were applied.
     Applied,
-    /// So many were applied; the next one could not be used, and those after it were not looked at.
+    /// This many updates were applied; the next one was rejected, and the rest were not processed.
     StoppedAt(usize),
-    /// None was applied.
+    /// No update was applied.
     Rejected,
-    /// All were applied, or none.
+    /// Either all updates were applied or none; which of the two is unknown.
     Unknown,
 }
--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -1,17 +1,17 @@
-//! Hosts as the endpoint list names them.
+//! The endpoint list and its entries.
 
 use crate::ids::{CellId, HostId, MachineTypeId, ZoneId};
 use crate::time::Time;
 
-/// Whether a host may be sent requests, by the endpoint list.
+/// State of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the requests in flight and must be sent no new ones.
     Draining,
-    /// It is not on the list any more.
+    /// It is no longer on the list.
     Removed,
 }
 
@@ -20,27 +20,27 @@
 pub struct Endpoint {
     /// The host's name.
     pub host: HostId,
-    /// The zone it stands in.
+    /// The host's zone.
     pub zone: ZoneId,
-    /// The type of its machine.
+    /// The host's machine type.
     pub machine_type: MachineTypeId,
-    /// The cell it stands in.
+    /// The host's cell.
     pub cell: CellId,
-    /// What it can do, relative to other hosts.
+    /// Its capacity relative to other hosts.
     pub weight: f64,
-    /// When it started; the clock's origin: not stated.
+    /// When it started; unset if unknown (see [`Time::is_unset`]).
     pub started: Time,
     /// Whether it may be sent requests.
     pub state: EndpointState,
 }
 
-/// The endpoint list, or changes to it.
+/// A complete endpoint list, or changes to the current one.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
-    /// Its number; changes of a lower one than the list's are outdated.
+    /// Its version; changes with a lower generation than the current list are outdated.
     pub generation: u64,
-    /// Whether it names all hosts: those that it does not name are removed then.
+    /// Whether it names all hosts, so that hosts missing from it are removed.
     pub complete: bool,
-    /// The hosts.
+    /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/controller/src/ids.rs
+++ b/crates/controller/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Hosts are known by name, all else by number.
+//! Identifiers. Hosts are identified by name, everything else by number.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 }
 
 numeric_id!(
-    /// A proxy, by the number that its deployment gives it.
+    /// A proxy, by its number in the deployment.
     ProxyId(u16),
     /// A routing table: a shard of hosts that several proxies share.
     TableId(u16),
-    /// A zone, by its place in the deployment's list.
+    /// A zone, by its index in the deployment's list.
     ZoneId(u16),
-    /// A type of machine, by its place in the deployment's list.
+    /// A machine type, by its index in the deployment's list.
     MachineTypeId(u16),
     /// A cell: a group of hosts that fail together, such as a rack.
     CellId(u64),
-    /// A request class, by its place in the deployment's list.
+    /// A request class, by its index in the deployment's list.
     RequestClassId(u8),
-    /// An acknowledgement that proxies are asked for.
+    /// An acknowledgement requested from proxies.
     AckId(u16),
 );
 
-/// A host, by its name.
+/// A host, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Arc<str>);
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a controller that assigns hosts to proxies by shuffle sharding.
+//! Decision logic of a controller that assigns hosts to proxies by shuffle sharding.
 //!
-//! [`Controller`] takes inputs (endpoint lists, proxies that join and leave, load reports, timers) and gives
-//! [`Decision`]s one by one. It does no I/O and reads no clock: each call is given the time, and all randomness comes
-//! from the seed, so that the same inputs always give the same decisions.
+//! [`Controller`] takes inputs (endpoint lists, proxies that join and leave, load reports, timers) and returns
+//! [`Decision`]s one by one. It does no I/O and reads no clock: the caller passes the time to each call, and all
+//! randomness comes from the seed, so the same inputs always produce the same decisions.
 
 mod admission_control;
 mod assignment;
--- a/crates/controller/src/load_reports.rs
+++ b/crates/controller/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! How timely the proxies' load reports are, and what they tell of the hosts' throughput.
+//! Timeliness of the proxies' load reports, and the hosts' throughput computed from them.
 
 use crate::attempt_stats::ATTEMPT_HALF_LIFE;
 use crate::host::Host;
@@ -6,10 +6,10 @@
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// What one report says of the delay of all: large fleets send theirs in turns.
+/// Weight of one report in the average delay; small because the proxies of a large fleet report in turns.
 const DELAY_WEIGHT: f64 = 0.02;
 
-/// When reports came, and how late they are.
+/// Arrival times and average delay of load reports.
 pub(crate) struct LoadReports {
     interval: Duration,
     first_at: Option<Time>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A report that covers this period has come.
+    /// Records the arrival of a report that covers `period`.
     pub(crate) fn record(&mut self, now: Time, period: Duration) {
         self.newest_at = now;
         self.first_at.get_or_insert(now);
@@ -46,14 +46,14 @@
         self.newest_at
     }
 
-    /// The delay of reports, in seconds.
+    /// Returns the average delay of reports in seconds.
     pub(crate) fn delay_s(&self) -> f64 {
         self.delay_s
     }
 
-    /// Attempts a second that ended at some hosts, for our proxies.
+    /// Returns the attempts and successes per second at the given hosts, for this controller's proxies.
     pub(crate) fn throughput<'a>(&self, hosts: impl Iterator<Item = &'a Host>) -> Throughput {
-        // The averages start at zero and read low at first.
+        // The decayed counts start at zero; this corrects for the time not yet covered.
         let first_at = self.first_at.unwrap_or(self.newest_at);
         let covered = self.newest_at - first_at + self.interval;
         let per_second = std::f64::consts::LN_2
--- a/crates/controller/src/message_budget.rs
+++ b/crates/controller/src/message_budget.rs
@@ -1,22 +1,22 @@
-//! The message cap: how many messages a proxy may be sent in a window, and how they are spent.
+//! The message cap: the maximum number of messages to a proxy per window.
 //!
-//! A token bucket spreads them over the window, so that no burst of updates can use up the cap for those that follow: a
-//! table has a token again within one refill interval. Updates that can wait leave a token for those that a rule asks for,
-//! which gather while there is none.
+//! A token bucket spreads the messages over the window, so that a burst of updates cannot use up the cap for later
+//! ones: a table gets a new token within one refill interval. Deferrable updates leave one token for safety-critical
+//! updates, which accumulate while there is no token.
 
 use crate::config::DeploymentConfig;
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// Messages that may be sent at once: one for updates that can wait, and one for those that cannot. The larger it is, the
-/// longer the refill interval.
+/// Size of a burst: one message for deferrable updates and one for safety-critical ones. A larger burst means a longer
+/// refill interval.
 const BURST_MESSAGES: f64 = 2.0;
-/// Tokens below which the bucket counts as empty; the rest is rounding.
-const MIN_TOKENS: f64 = 1e-6;
+/// Tolerance for rounding errors when tokens are compared.
+const TOKEN_TOLERANCE: f64 = 1e-6;
 
-/// The messages that a proxy may be sent.
+/// Limit on the messages to each proxy.
 pub(crate) struct MessageCap {
-    /// Messages in a window, the binding of a proxy that joins among them; none: any number.
+    /// Maximum number of messages per window, including the binding of a joining proxy; `None` means no limit.
     max_messages: Option<usize>,
     window: Duration,
 }
@@ -38,13 +38,13 @@
         self.window
     }
 
-    /// Messages in a window besides the binding.
+    /// Returns the maximum number of messages per window besides the binding.
     fn updates_per_window(&self) -> Option<f64> {
         self.max_messages
             .map(|messages| messages.saturating_sub(1) as f64)
     }
 
-    /// Time in which one message more may be sent; zero where any number may.
+    /// Returns the time until one more message may be sent; zero if there is no limit.
     pub(crate) fn refill_interval(&self) -> Duration {
         let Some(updates) = self.updates_per_window() else {
             return Duration::ZERO;
@@ -53,7 +53,8 @@
         self.window.scaled(1.0 / refilled)
     }
 
-    /// Whether so many messages may be sent now, by when messages were sent within the window, the oldest first.
+    /// Returns whether `messages` tokens are available, given the times of the messages sent in the window, oldest
+    /// first.
     pub(crate) fn has_tokens(
         &self,
         now: Time,
@@ -75,6 +76,6 @@
         }
         spent = (spent - (now - last).ratio(refill_interval)).max(0.0);
         let needed = messages.min(burst);
-        count + 1.0 <= updates && burst - spent >= needed - MIN_TOKENS
+        count + 1.0 <= updates && burst - spent >= needed - TOKEN_TOLERANCE
     }
 }
--- a/crates/controller/src/report.rs
+++ b/crates/controller/src/report.rs
@@ -1,29 +1,29 @@
-//! What proxies and hosts report.
+//! Load reports from proxies and hosts.
 
 use std::time::Duration;
 
-/// A host's own report of its load; any part may be missing.
+/// The load that a host reports; any value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostLoad {
-    /// Part of its cores that is busy (1: all of them).
+    /// Fraction of its cores that are busy (0 to 1).
     pub utilization: Option<f64>,
-    /// Requests that wait for a core.
+    /// Number of requests waiting for a core.
     pub queue_length: Option<f64>,
-    /// Mean time that a request takes once it is served.
+    /// Mean time to serve a request, excluding the time in the queue.
     pub service_time: Option<Duration>,
 }
 
-/// How attempts at one host ended, summed over one report period of the proxies of a zone.
+/// Results of the attempts at one host, summed over one report period of the proxies of a zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptOutcomes {
-    /// Attempts that ended.
+    /// Number of attempts that ended.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// Number of those attempts that failed.
     pub failures: f64,
-    /// Mean time that the others took.
+    /// Mean latency of the attempts that succeeded.
     pub mean_latency: Duration,
-    /// The time that the report covers.
+    /// Time that the report covers.
     pub period: Duration,
-    /// The load that the host reported with its answers.
+    /// Load that the host reported with its responses.
     pub load: Option<HostLoad>,
 }
--- a/crates/controller/src/slow_start.rs
+++ b/crates/controller/src/slow_start.rs
@@ -1,13 +1,13 @@
-//! Slow start: a host that has started lately can do only part of its work.
+//! Slow start: a host that started recently has only a fraction of its full capacity.
 
 use crate::config::DeploymentConfig;
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// Least part of its work that a host is taken to do at its start.
+/// Minimum initial capacity, as a fraction of the full capacity.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
-/// How hosts of a deployment warm up.
+/// The slow start parameters of a deployment.
 pub(crate) struct SlowStart {
     initial_capacity: f64,
     window: Duration,
@@ -21,8 +21,8 @@
         }
     }
 
-    /// The part of its work that a host can do at least, by its start time. Every controller is told the same start time
-    /// and computes the same part, so that all proxies together stay within it.
+    /// Returns the fraction of its capacity that a host has at least, by its start time. All controllers get the same
+    /// start time and compute the same fraction, so all proxies together stay within it.
     pub(crate) fn warm_part(&self, started: Time, now: Time) -> f64 {
         if started.is_unset() {
             return 1.0;
--- a/crates/controller/src/time.rs
+++ b/crates/controller/src/time.rs
@@ -1,26 +1,26 @@
-//! Points in time and lengths of time, both exact to the microsecond.
+//! Points in time and durations with microsecond precision.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point in time, in microseconds of a monotonic clock that the caller keeps.
+/// A point in time, in microseconds of the caller's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
 impl Time {
-    /// The point that lies `us` microseconds after the clock's origin.
+    /// Returns the time `us` microseconds after the clock's origin.
     #[must_use]
     pub const fn from_micros(us: u64) -> Time {
         Time(us)
     }
 
-    /// Microseconds since the clock's origin.
+    /// Returns the microseconds since the clock's origin.
     #[must_use]
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// Whether this is the clock's origin, which stands for a time that nobody stated.
+    /// Returns whether this is the clock's origin, which stands for an unknown time.
     #[must_use]
     pub const fn is_unset(self) -> bool {
         self.0 == 0
@@ -39,7 +39,7 @@
 impl Sub for Time {
     type Output = Duration;
 
-    /// How long after `earlier` this is; zero if it is not after it.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     fn sub(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -47,27 +47,27 @@
 
 /// Arithmetic on durations in whole microseconds.
 ///
-/// The methods of [`Duration`] itself calculate in nanoseconds and panic on factors that are negative or no number.
-/// Decisions have to come out the same on each machine and for any input, so these round to microseconds and saturate.
+/// The methods of [`Duration`] itself use nanoseconds and panic on negative or NaN factors. Decisions must be the same
+/// on each machine and for any input, so these methods truncate to microseconds and saturate.
 pub trait DurationExt: Copy {
-    /// Whole microseconds, saturating at `u64::MAX`.
+    /// Returns the whole microseconds, saturating at `u64::MAX`.
     fn micros(self) -> u64;
 
-    /// Seconds, from whole microseconds.
+    /// Returns the seconds, computed from whole microseconds.
     fn seconds(self) -> f64;
 
-    /// This duration over another one, which counts as a microsecond at least.
+    /// Returns this duration divided by `other`, where `other` counts as one microsecond or more.
     fn ratio(self, other: Duration) -> f64;
 
-    /// This duration times a factor, cut to whole microseconds; zero for factors that are negative or no number.
+    /// Returns this duration times `factor`, truncated to whole microseconds; zero if `factor` is negative or NaN.
     fn scaled(self, factor: f64) -> Duration;
 
-    /// What remains of a quantity after this duration if it halves in each `half_life`.
+    /// Returns the remaining fraction of an exponentially decaying quantity after this duration.
     fn decay(self, half_life: Duration) -> f64 {
         0.5f64.powf(self.ratio(half_life))
     }
 
-    /// Weight of a sample that covers this duration in an exponential moving average over `window`.
+    /// Returns the weight of a sample that covers this duration in an exponential moving average over `window`.
     fn sample_weight(self, window: Duration) -> f64 {
         1.0 - (-self.ratio(window)).exp()
     }
