--- a/crates/controller/src/admission_control.rs
+++ b/crates/controller/src/admission_control.rs
@@ -1,4 +1,5 @@
-//! Admission control: under overload the classes of least priority are admitted less, down to what the fleet can do.
+//! Admission control: under overload, sheds load from the classes of lowest priority first, down to what the fleet can
+//! serve.
 
 use crate::attempt_stats::LOAD_WINDOW;
 use crate::config::DeploymentConfig;
@@ -10,41 +11,42 @@
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// Report delays for which a host's reports count as evidence of overload.
-const FRESH_DELAYS: f64 = 3.0;
-/// The fleet is overloaded when its median host's answers take this part of the mean latency objective on average: the
-/// slower ones then miss it.
-const OVERLOADED_LATENCY: f64 = 0.36;
-/// The fleet is overloaded when this part of its median host's attempts fails.
-const OVERLOADED_FAILURES: f64 = 0.3;
-/// Overload under which admission rises fast.
-const RELAXED: f64 = 0.6;
-/// Long answers count as overload only while this many requests wait at the mean host.
-const MIN_QUEUE: f64 = 0.2;
-/// Times that overload is raised at most for hosts that went since the reports: lists can be wrong.
-const MAX_MISSING_CAPACITY: f64 = 2.0;
-/// Under overload the admitted rate is cut to this part of itself, or of the peak.
+/// Maximum age of reports used as evidence of overload, in report delays.
+const MAX_REPORT_AGE_DELAYS: f64 = 3.0;
+/// The fleet is overloaded when the median host's mean latency exceeds this fraction of the mean latency objective: the
+/// slower responses then miss the objective.
+const OVERLOAD_LATENCY_FRACTION: f64 = 0.36;
+/// The fleet is overloaded when the median host's failure ratio exceeds this value.
+const OVERLOAD_FAILURE_RATIO: f64 = 0.3;
+/// Overload below which the admitted rate rises fast.
+const LOW_OVERLOAD: f64 = 0.6;
+/// Minimum mean queue length per host for high latency to count as overload.
+const MIN_MEAN_QUEUE: f64 = 0.2;
+/// Maximum factor on overload for capacity lost since the reports; limited because endpoint lists can be wrong.
+const MAX_LOST_CAPACITY_RATIO: f64 = 2.0;
+/// Factor of a cut, applied to the least of the admitted rate, the demand and the peak.
 const CUT_FACTOR: f64 = 0.8;
-/// Time until a cut shows in the reports.
+/// Minimum time between two cuts: a cut takes this long to show in the reports.
 const CUT_INTERVAL: Duration = Duration::from_millis(3_000);
-/// Rise of the admitted rate per second, in parts of the peak.
+/// Rise of the admitted rate per second under low overload, as a fraction of the peak.
 const FAST_RISE: f64 = 0.06;
+/// Rise of the admitted rate per second otherwise, as a fraction of the peak.
 const SLOW_RISE: f64 = 0.02;
-/// Least part of the class of highest priority that is admitted.
+/// Minimum admitted fraction of the class of highest priority.
 const MIN_TOP_FRACTION: f64 = 0.5;
-/// Step in which admitted fractions are sent.
+/// Granularity of admitted fractions.
 const FRACTION_STEP: f64 = 0.05;
 
-/// What is known of the fleet when admission is set.
+/// State of the fleet that admission control reads.
 pub(crate) struct AdmissionView<'a> {
     pub(crate) now: Time,
-    /// Seconds since admission was set last.
-    pub(crate) passed: f64,
+    /// Seconds since the last update of admission.
+    pub(crate) elapsed_s: f64,
     pub(crate) hosts: &'a HostRegistry,
     pub(crate) policy: &'a HostPolicy,
     pub(crate) proxies: &'a ProxyRegistry,
     pub(crate) reports: &'a LoadReports,
-    /// Time until what was sent a moment ago shows.
+    /// Time until an update sent now takes effect.
     pub(crate) update_delay: Duration,
 }
 
@@ -55,9 +57,9 @@
             .filter(|host| self.policy.is_usable(host, self.now))
     }
 
-    /// Usable hosts whose reports are fresh: old ones are no evidence.
+    /// Returns the usable hosts with recent reports; older reports are no evidence of overload.
     fn fresh_hosts(&self) -> impl Iterator<Item = &Host> {
-        let max_age_s = self.reports.delay_s() * FRESH_DELAYS;
+        let max_age_s = self.reports.delay_s() * MAX_REPORT_AGE_DELAYS;
         self.usable_hosts().filter(move |host| {
             let age = self.reports.newest_at() - host.stats.last_report_at();
             age.seconds() < max_age_s
@@ -69,7 +71,7 @@
         weight.max(EPSILON)
     }
 
-    /// What the usable hosts can do, as far as they have warmed up.
+    /// Returns the total capacity of the usable hosts, taking slow start into account.
     fn capacity(&self) -> f64 {
         let capacity: f64 = self
             .usable_hosts()
@@ -78,8 +80,8 @@
         capacity.max(EPSILON)
     }
 
-    /// The median host's response time in seconds; zero where nothing waits: answers that take long though nothing waits
-    /// are no overload, and shedding would make none faster.
+    /// Returns the median host's latency in seconds, or zero if hardly any requests are queued: without a queue, high
+    /// latency is not caused by overload, and shedding load would not reduce it.
     fn queued_latency_s(&self) -> f64 {
         let latencies = self.fresh_hosts().filter_map(|host| host.stats.latency_s());
         let latency_s = median(latencies).unwrap_or(0.0);
@@ -89,7 +91,7 @@
         let (reporting, queued) = queues.fold((0.0, 0.0), |(reporting, queued), queue| {
             (reporting + 1.0, queued + queue)
         });
-        if queued >= reporting * MIN_QUEUE {
+        if queued >= reporting * MIN_MEAN_QUEUE {
             latency_s
         } else {
             0.0
@@ -104,68 +106,70 @@
     }
 }
 
-/// What is admitted, and the evidence that it rests on.
+/// The admitted rate and fractions, and the evidence of overload behind them.
 pub(crate) struct AdmissionController {
     /// Latency objective of each class, in seconds.
     objectives_s: Vec<f64>,
-    /// Classes, those of least priority first.
-    least_priority_first: Vec<usize>,
-    /// Part of the requests of each class that is admitted.
+    /// Indexes of the classes in ascending order of priority.
+    lowest_priority_first: Vec<usize>,
+    /// Admitted fraction of each class.
     fractions: Vec<f64>,
-    /// Requests a second that are admitted; none: all.
+    /// Total admitted requests per second; `None` means all.
     admitted_rate: Option<f64>,
-    /// The part of all requests that a plan says the fleet can do in time.
-    planned_part: Option<f64>,
+    /// Fraction of all requests that the fleet can serve in time according to the capacity plan.
+    planned_fraction: Option<f64>,
+    /// Overload of the fleet; load is shed above 1.
     overload: f64,
-    /// What the usable hosts could do when it was last looked at.
+    /// Capacity of the usable hosts at the last update.
     capacity: f64,
-    /// How much more the fleet could do when the reports were made.
-    missing_capacity: f64,
-    /// The most successes a second ever seen, per weight, so that it grows and shrinks with the fleet.
+    /// Ratio of the capacity at the time of the reports to the current capacity.
+    lost_capacity_ratio: f64,
+    /// Highest successes per second and unit of weight so far. Per weight, so that it scales with the fleet.
     peak_per_weight: f64,
+    /// When the admitted rate was last cut.
     cut_at: Time,
 }
 
 impl AdmissionController {
     pub(crate) fn new(config: &DeploymentConfig) -> AdmissionController {
         let classes = &config.request_classes;
-        let mut least_priority_first: Vec<usize> = (0..classes.len()).collect();
+        let mut lowest_priority_first: Vec<usize> = (0..classes.len()).collect();
         let weight = |class: usize| classes[class].priority_weight;
-        least_priority_first.sort_by(|&a, &b| weight(a).total_cmp(&weight(b)));
+        lowest_priority_first.sort_by(|&a, &b| weight(a).total_cmp(&weight(b)));
         let objectives = classes
             .iter()
             .map(|class| class.latency_objective.seconds());
         AdmissionController {
             objectives_s: objectives.collect(),
-            least_priority_first,
+            lowest_priority_first,
             fractions: vec![1.0; classes.len()],
             admitted_rate: None,
-            planned_part: None,
+            planned_fraction: None,
             overload: 0.0,
             capacity: 0.0,
-            missing_capacity: 0.0,
+            lost_capacity_ratio: 0.0,
             peak_per_weight: 0.0,
             cut_at: Time::default(),
         }
     }
 
-    /// Part of the requests of each class that is admitted.
+    /// Returns the admitted fraction of each class.
     pub(crate) fn fractions(&self) -> &[f64] {
         &self.fractions
     }
 
-    /// How overloaded the fleet is; from 1 on, load is shed.
+    /// Returns the overload of the fleet; load is shed above 1.
     pub(crate) fn overload(&self) -> f64 {
         self.overload
     }
 
-    /// The most successes a second ever seen, per weight; zero before the first.
+    /// Returns the highest successes per second and unit of weight so far; zero before the first success.
     pub(crate) fn peak_per_weight(&self) -> f64 {
         self.peak_per_weight
     }
 
-    /// Part of all requests that is admitted.
-    pub(crate) fn admitted_part(&self, proxies: &ProxyRegistry) -> f64 {
+    /// Returns the admitted fraction of all requests.
+    pub(crate) fn admitted_fraction(&self, proxies: &ProxyRegistry) -> f64 {
         let demand = proxies.demand();
         if demand > 0.0 {
             let admitted = |proxy: &Proxy| -> f64 {
@@ -178,13 +182,14 @@
         }
     }
 
-    /// A plan says what the fleet can do; values that are no part count as none.
-    pub(crate) fn set_plan(&mut self, part: Option<f64>) {
-        self.planned_part = part.filter(|part| (0.0..=1.0).contains(part));
+    /// Sets the fraction of all requests that the fleet can serve by the capacity plan. Values outside 0 to 1 count as
+    /// `None`.
+    pub(crate) fn set_planned_fraction(&mut self, fraction: Option<f64>) {
+        self.planned_fraction = fraction.filter(|fraction| (0.0..=1.0).contains(fraction));
     }
 
-    /// The admitted rate and the peak grow and shrink with demand: left unchanged while the proxies of a controller that
-    /// restarts join here, they would shed twice what is needed.
+    /// Scales the admitted rate and the peak with a change of demand. Otherwise, this controller would shed twice as
+    /// much load as needed while the proxies of a restarting controller join it.
     pub(crate) fn on_demand_change(&mut self, before: f64, after: f64) {
         let ratio = after / before;
         if ratio.is_normal() {
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Sets what is admitted by the evidence of overload.
+    /// Updates the overload, the admitted rate and the admitted fractions.
     pub(crate) fn update(&mut self, view: &AdmissionView<'_>) {
         let latency_s = view.queued_latency_s();
         let failure_ratio = view.failure_ratio();
@@ -205,16 +210,16 @@
         self.peak_per_weight = self.peak_per_weight.max(successes / weight);
         let by_class = view.proxies.demand_by_class();
         let demand: f64 = by_class.iter().sum();
-        self.update_missing_capacity(view);
+        self.update_lost_capacity(view);
         let objective_s = self.mean_objective_s(&by_class, demand);
-        let by_latency = latency_s / (objective_s * OVERLOADED_LATENCY);
-        let by_failures = failure_ratio / OVERLOADED_FAILURES;
-        self.overload = by_latency.max(by_failures) * self.missing_capacity;
+        let by_latency = latency_s / (objective_s * OVERLOAD_LATENCY_FRACTION);
+        let by_failures = failure_ratio / OVERLOAD_FAILURE_RATIO;
+        self.overload = by_latency.max(by_failures) * self.lost_capacity_ratio;
         self.update_admitted_rate(view, demand, self.peak_per_weight * weight);
         self.update_fractions(&by_class, demand);
     }
 
-    /// Mean latency objective of the requests that come, in seconds.
+    /// Returns the mean latency objective in seconds, weighted by the demand of each class.
     fn mean_objective_s(&self, demand_by_class: &[f64], demand: f64) -> f64 {
         let weighted = demand_by_class.iter().zip(&self.objectives_s);
         weighted
@@ -223,16 +228,18 @@
             / demand
     }
 
-    /// Reports tell of what the fleet could do then: what went since shows in them seconds later.
-    fn update_missing_capacity(&mut self, view: &AdmissionView<'_>) {
+    /// Updates the ratio for capacity lost since the reports: reports reflect the fleet of some seconds ago.
+    fn update_lost_capacity(&mut self, view: &AdmissionView<'_>) {
         let capacity = view.capacity();
-        let shown = 1.0 - (-view.passed / LOAD_WINDOW.seconds()).exp();
-        let missing = moving_average(self.missing_capacity, 1.0, shown) * self.capacity / capacity;
-        self.missing_capacity = missing.clamp(1.0, MAX_MISSING_CAPACITY);
+        let reported_fraction = 1.0 - (-view.elapsed_s / LOAD_WINDOW.seconds()).exp();
+        let ratio = moving_average(self.lost_capacity_ratio, 1.0, reported_fraction)
+            * self.capacity
+            / capacity;
+        self.lost_capacity_ratio = ratio.clamp(1.0, MAX_LOST_CAPACITY_RATIO);
         self.capacity = capacity;
     }
 
-    /// Cuts the admitted rate under overload, and raises it else.
+    /// Cuts the admitted rate under overload and raises it otherwise.
     fn update_admitted_rate(&mut self, view: &AdmissionView<'_>, demand: f64, peak: f64) {
         if self.overload > 1.0 && self.may_cut(view) && demand > 0.0 {
             let rate = self.admitted_rate.unwrap_or(demand);
@@ -241,36 +248,36 @@
         } else if self.overload <= 1.0 {
             self.admitted_rate = self
                 .admitted_rate
-                .map(|rate| rate + peak * self.rise(rate, demand) * view.passed)
+                .map(|rate| rate + peak * self.rise_per_second(rate, demand) * view.elapsed_s)
                 .filter(|&rate| rate < demand);
         }
     }
 
-    /// Whether the last cut has had time to show. The first reports after a start tell of a few attempts: a cut to those
-    /// would shed nearly all.
+    /// Returns whether enough time has passed since the last cut, and since the first report. The first reports
+    /// after a controller's start cover few attempts, and a cut to that rate would shed nearly all load.
     fn may_cut(&self, view: &AdmissionView<'_>) -> bool {
         let first_report_at = view.reports.first_at().unwrap_or(view.now);
         let since = self.cut_at.max(first_report_at);
         view.now - since >= CUT_INTERVAL + view.update_delay
     }
 
-    /// Rise of the admitted rate per second, in parts of the peak.
-    fn rise(&self, admitted_rate: f64, demand: f64) -> f64 {
-        let is_under_plan = self
-            .planned_part
-            .is_some_and(|part| admitted_rate < part * demand);
-        if self.overload < RELAXED || is_under_plan {
+    /// Returns the rise of the admitted rate per second, as a fraction of the peak.
+    fn rise_per_second(&self, admitted_rate: f64, demand: f64) -> f64 {
+        let is_below_plan = self
+            .planned_fraction
+            .is_some_and(|fraction| admitted_rate < fraction * demand);
+        if self.overload < LOW_OVERLOAD || is_below_plan {
             FAST_RISE
         } else {
             SLOW_RISE
         }
     }
 
-    /// Sheds what is beyond the admitted rate, from the classes of least priority first.
+    /// Sheds the demand above the admitted rate, from the classes of lowest priority first.
     fn update_fractions(&mut self, demand_by_class: &[f64], demand: f64) {
         let mut excess = self.admitted_rate.map_or(0.0, |rate| demand - rate);
-        for &class in &self.least_priority_first {
-            let is_top = self.least_priority_first.ends_with(&[class]);
+        for &class in &self.lowest_priority_first {
+            let is_top = self.lowest_priority_first.ends_with(&[class]);
             let min_fraction = if is_top { MIN_TOP_FRACTION } else { 0.0 };
             let class_demand = demand_by_class[class];
             let fraction = 1.0 - excess / class_demand.max(EPSILON);
--- a/crates/controller/src/assignment.rs
+++ b/crates/controller/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment: which proxy uses which table. Bindings are sticky: a proxy that comes back finds its table again.
+//! Assignment: which proxy uses which table. Bindings are sticky: a proxy that rejoins gets the same table again.
 
 use crate::decision::Decision;
 use crate::host::Host;
@@ -10,13 +10,14 @@
 use crate::update_queue::UpdateReason;
 use std::collections::BTreeSet;
 
-/// Usage per weight, in parts of the mean, from which a table is clearly the busiest: connections are worth less.
-const CLEARLY_BUSIEST: f64 = 1.25;
-/// Usage per weight, in parts of the mean, that a table in the proxy's zone may have more: crossing zones costs a little, an
-/// overload a lot.
+/// Ratio of a table's usage per weight to the mean above which a rejoining proxy is bound to another table, although
+/// this closes its connections.
+const MAX_REJOIN_USAGE: f64 = 1.25;
+/// Additional usage per weight, relative to the mean, accepted for a table in the proxy's own zone. Crossing zones
+/// costs little compared to an overload.
 const ZONE_PREFERENCE: f64 = 0.5;
 
-/// Requests a second of the proxies of each shared table.
+/// Returns the requests per second of the proxies of each shared table.
 pub(crate) fn usage_by_table<'a>(
     proxies: impl Iterator<Item = &'a Proxy>,
     layout: &TableLayout,
@@ -31,8 +32,8 @@
 }
 
 impl UpdateRound<'_> {
-    /// Binds each proxy that has no table, or whose binding may not hold. A proxy that joins is answered at once: its
-    /// former table may name hosts that are removed or cold.
+    /// Binds each proxy that has no table or whose binding is unconfirmed. Joining proxies are bound at once, because
+    /// their former table may have hosts that were removed or have just started.
     pub(crate) fn bind_proxies(&mut self) {
         let mut bound_again = BTreeSet::new();
         for id in self.proxies.due_for_binding(self.now) {
@@ -58,7 +59,7 @@
             }
             let tables = self.layout.tables_of(table, zone);
             if bound_to.is_some() {
-                // One message more to whoever did hold it, counted once for all of this round.
+                // Proxies that already had the binding get one more message; it is counted once per table and round.
                 bound_again.extend(tables);
             } else {
                 for table in tables {
@@ -68,12 +69,13 @@
         }
         let message = self.message();
         for table in bound_again {
-            self.tables[table].count_message(message);
+            self.tables[table].record_message(message);
         }
     }
 
-    /// The table for a joining proxy: least usage per weight, with a lean to its own zone where crossing has a price; or,
-    /// coming back, the one its number hashes to unless that is clearly the busiest.
+    /// Chooses the table for a joining proxy. A proxy that rejoins gets the table that its ID hashes to, unless that
+    /// table is too busy. Other proxies get the table with the lowest usage per weight, with a preference for their own
+    /// zone if crossing zones has a cost.
     fn choose_table(&self, id: ProxyId, proxy: &Proxy) -> usize {
         let tables = self.layout.shared_tables();
         let mut weight = vec![EPSILON; tables];
@@ -100,19 +102,19 @@
             .map(|(used, weight)| (used + proxy.rate()) / weight)
             .collect();
         let mean = per_weight.iter().sum::<f64>() / tables as f64;
-        let hashed = stable_hash(id.0 as u64) as usize % tables;
-        let is_clearly_busiest = per_weight[hashed] > mean * CLEARLY_BUSIEST;
-        if !proxy.is_newly_started() && !is_clearly_busiest {
-            return hashed;
+        let hashed_table = stable_hash(id.0 as u64) as usize % tables;
+        let is_too_busy = per_weight[hashed_table] > mean * MAX_REJOIN_USAGE;
+        if !proxy.is_newly_started() && !is_too_busy {
+            return hashed_table;
         }
-        let pull = if self.policy.prefers_own_zone {
+        let zone_preference = if self.policy.prefers_own_zone {
             ZONE_PREFERENCE
         } else {
             0.0
         };
         let cost = |table: usize| {
-            let local_part = local_weight[table] / weight[table];
-            per_weight[table] / mean.max(EPSILON) + pull * (1.0 - local_part)
+            let local_fraction = local_weight[table] / weight[table];
+            per_weight[table] / mean.max(EPSILON) + zone_preference * (1.0 - local_fraction)
         };
         let bound = |table: usize| self.tables[table].bound_proxies();
         (0..tables)
@@ -123,15 +125,16 @@
             .unwrap_or(0)
     }
 
-    /// Whether the message cap has room to bind a proxy once more, which may hold its table already: membership events
-    /// that broke often took all messages that there were.
+    /// Returns whether the message cap allows binding a proxy again that may already have its table. Without this
+    /// limit, frequent interruptions of the membership events used up all messages.
     fn may_bind_again(&self, table: usize, zone: ZoneId) -> bool {
         let mut tables = self.layout.tables_of(table, zone);
         tables.all(|table| self.has_token(table))
     }
 
-    /// A binding brings a proxy all lines of its table as they were sent: those that a rule wants changed go out first. Gives
-    /// whether none is left; else the binding waits for the message cap or the queue.
+    /// Sends the updates of unsafe lines that must precede a binding, since a binding sends all lines of the table to
+    /// the proxy as they are. Returns whether no unsafe line is left; otherwise the binding waits for the message cap
+    /// or the queue.
     fn send_unsafe_lines(&mut self, table: usize) -> bool {
         let Some(reason) = self.unsafe_lines_reason(table) else {
             return true;
@@ -143,7 +146,7 @@
         };
         let lines = self.lines_due(table, scope);
         let messages = self.tables[table].bound_proxies();
-        // As pressing as the binding that waits for it.
+        // Admitted like a drain, because a binding waits for it.
         let urgency = UpdateReason::Drain;
         let is_admitted =
             self.has_token(table) && self.queue.admits_update(self.now, urgency, lines, messages);
@@ -153,20 +156,21 @@
         is_admitted
     }
 
-    /// Why lines of a table must not reach one more proxy as they are; none: they may.
+    /// Returns the most urgent reason why lines of a table must not be sent to another proxy as they are, or `None`.
     fn unsafe_lines_reason(&self, table: usize) -> Option<UpdateReason> {
-        let memberships = |host: &'_ Host| -> Option<UpdateReason> {
+        let reason = |host: &'_ Host| -> Option<UpdateReason> {
             let membership = host.memberships.get(table)?;
-            self.rule_breaking_reason(host, membership)
+            self.safety_reason(host, membership)
         };
-        self.hosts.iter().filter_map(memberships).max()
+        self.hosts.iter().filter_map(reason).max()
     }
 
+    /// Returns whether the message cap allows an urgent message to the table's proxies.
     fn has_token(&self, table: usize) -> bool {
         self.tables[table].has_tokens(self.message(), &self.policy.message_cap, URGENT_TOKENS)
     }
 
-    /// What nobody held may be old.
+    /// Brings tables that no proxy uses up to date before a proxy is bound to them.
     fn refresh_unused_tables(&mut self, table: usize, zone: ZoneId) {
         for table in self.layout.tables_of(table, zone) {
             if !self.tables[table].is_used() {
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Sends a proxy its binding, if the queue has room.
+    /// Binds a proxy if the queue has capacity. Returns whether it did.
     fn send_binding(&mut self, id: ProxyId, table: usize, zone: ZoneId) -> bool {
         let bindings = self.layout.bindings(table, zone);
         let lines = bindings
@@ -200,7 +204,7 @@
         true
     }
 
-    /// Lines that a proxy is sent when it is bound to a table.
+    /// Returns the number of lines sent to a proxy that is bound to a table.
     fn binding_lines(&self, table: usize) -> usize {
         let hosts = self.hosts.iter();
         let members = hosts.filter(|host| host.memberships.is_sent_in(table));
--- a/crates/controller/src/attempt_stats.rs
+++ b/crates/controller/src/attempt_stats.rs
@@ -1,19 +1,19 @@
-//! What the proxies' load reports tell of one host: attempts that fade with age, response times and load.
+//! Statistics of one host from the proxies' load reports: attempts with exponential decay, latency and load.
 
 use crate::report::AttemptOutcomes;
 use crate::statistics::moving_average;
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// Time in which attempts lose half their weight.
+/// Half-life of attempt counts.
 pub(crate) const ATTEMPT_HALF_LIFE: Duration = Duration::from_millis(2_000);
-/// Time over which load is averaged: a few of the noisy reports, yet a cut of admission shows soon.
+/// Averaging window for load: covers several of the noisy reports, yet shows the effect of an admission cut soon.
 pub(crate) const LOAD_WINDOW: Duration = Duration::from_millis(3_000);
-/// Time over which response times are averaged.
+/// Averaging window for latency.
 const LATENCY_WINDOW: Duration = Duration::from_millis(1_200);
-/// Attempts before a failure ratio is stated, lest a stray failure decides.
+/// Minimum number of attempts for a failure ratio, so that a single failure does not decide.
 const MIN_ATTEMPTS: f64 = 2.0;
-/// What a waiting request adds to a load, in parts of all cores busy.
+/// Load that each queued request adds, where 1 means that all cores are busy.
 const QUEUE_WEIGHT: f64 = 0.1;
 
 /// Statistics of one host.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds a report to what is known.
+    /// Adds a report to the statistics.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -43,10 +43,10 @@
         report_interval: Duration,
     ) {
         let age = now - self.last_report_at;
-        let fade = age.decay(ATTEMPT_HALF_LIFE);
+        let decay = age.decay(ATTEMPT_HALF_LIFE);
         let covered = age.max(report_interval);
-        self.attempts = self.attempts * fade + outcomes.attempts;
-        self.failures = self.failures * fade + outcomes.failures.min(outcomes.attempts);
+        self.attempts = self.attempts * decay + outcomes.attempts;
+        self.failures = self.failures * decay + outcomes.failures.min(outcomes.attempts);
         if outcomes.attempts > outcomes.failures && outcomes.mean_latency > Duration::ZERO {
             let latency_s = outcomes.mean_latency.seconds();
             let weight = covered.sample_weight(LATENCY_WINDOW);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Forgets attempts and response times, as of a host that comes back.
+    /// Clears attempts and latency when a host returns from an ejection.
     pub(crate) fn reset(&mut self, now: Time) {
         self.attempts = 0.0;
         self.failures = 0.0;
@@ -72,42 +72,43 @@
         self.last_report_at = now;
     }
 
-    /// Attempts that ended, as of the last report.
+    /// Returns the decayed number of ended attempts as of the last report.
     pub(crate) fn attempts(&self) -> f64 {
         self.attempts
     }
 
-    /// Attempts that failed, as of the last report.
+    /// Returns the decayed number of failed attempts as of the last report.
     pub(crate) fn failures(&self) -> f64 {
         self.failures
     }
 
-    /// Whether any attempt succeeded.
+    /// Returns whether any attempt succeeded.
     pub(crate) fn has_successes(&self) -> bool {
         self.failures < self.attempts
     }
 
-    /// The part of the attempts that failed; none while there are too few.
+    /// Returns the failure ratio, or `None` if there are too few attempts.
     pub(crate) fn failure_ratio(&self) -> Option<f64> {
         (self.attempts >= MIN_ATTEMPTS).then(|| self.failures / self.attempts)
     }
 
-    /// Mean response time in seconds; none before the first answer.
+    /// Returns the mean latency in seconds, or `None` before the first successful attempt.
     pub(crate) fn latency_s(&self) -> Option<f64> {
         Some(self.latency_s).filter(|&latency_s| latency_s > 0.0)
     }
 
-    /// Load in parts of all cores, with what waits; none if the host reports none.
+    /// Returns the load (1 means that all cores are busy) including queued requests, or `None` if the host reports
+    /// none.
     pub(crate) fn load(&self) -> Option<f64> {
         self.load
     }
 
-    /// Requests that wait at the host; none if it reports none.
+    /// Returns the number of requests queued at the host, or `None` if the host reports none.
     pub(crate) fn queue_length(&self) -> Option<f64> {
         self.queue_length
     }
 
-    /// When the last report came, or the host became known.
+    /// Returns the time of the last report, or when the host became known or was last reset.
     pub(crate) fn last_report_at(&self) -> Time {
         self.last_report_at
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,7 +1,8 @@
-//! The controller: takes inputs, which only update what is known, and states the order in which decisions are taken.
+//! The controller: records inputs and makes decisions in a fixed order.
 //!
-//! Each kind of decision has a module of its own, which owns its state: `outlier_detection`, `weight_reduction`,
-//! `admission_control`, `placement`, `assignment`, `publishing`, and `update_queue` for what waits for the proxies.
+//! Each kind of decision has its own module, which owns its state: `outlier_detection`, `weight_reduction`,
+//! `admission_control`, `placement`, `assignment`, `publishing`, and `update_queue` for the updates queued to the
+//! proxies.
 
 mod decide;
 mod inputs;
@@ -27,9 +28,9 @@
 
 /// A controller of one deployment.
 ///
-/// Inputs only note what is known. [`next_decision`](Controller::next_decision) gives the decisions one by one until there
-/// is none; a [`Decision::SetTimer`] asks for a call of [`on_timer`](Controller::on_timer) after that time, without which
-/// nothing that depends on time happens.
+/// Inputs only record information. [`next_decision`](Controller::next_decision) returns the decisions one by one until
+/// there are none. A [`Decision::SetTimer`] requests a call to [`on_timer`](Controller::on_timer) after that time;
+/// everything that depends on time happens there.
 ///
 /// ```
 /// use pondarch_controller::{
@@ -70,7 +71,7 @@
 /// assert!(decisions.iter().any(|decision| matches!(decision, Decision::BindProxy { .. })));
 /// ```
 pub struct Controller {
-    /// Whether the deployment is partitioned, which is not supported: no decisions are taken.
+    /// Whether the deployment is partitioned, which is not supported: no decisions are made.
     partitioned: bool,
     random: fastrand::Rng,
     now: Time,
@@ -86,24 +87,26 @@
     update_policy: UpdatePolicy,
     queue: UpdateQueue,
     endpoint_poll: EndpointPoll,
-    /// Whether anything has come that decisions may depend on.
+    /// Whether there are inputs that decisions may depend on.
     inputs_pending: bool,
-    /// Whether a round is due before the next timer: a host in use was lost, or the last batch was full.
+    /// Whether a decision round is due before the next timer: a host in use was lost, the last batch was full, or
+    /// updates were only partly applied.
     expedite: bool,
     timer_fired: bool,
     timer_handled_at: Time,
-    /// The number of the last batch with updates.
+    /// Number of the last batch with updates.
     last_batch: u64,
     decisions: VecDeque<Decision>,
     transitions: TransitionLog,
 }
 
 impl Controller {
-    /// A controller that knows no host and no proxy yet. The seed decides all that is left to chance.
+    /// Creates a controller without hosts and proxies. `seed` initializes its random number generator.
     #[must_use]
     pub fn new(config: DeploymentConfig, seed: u64, now: Time) -> Controller {
         let mut random = fastrand::Rng::with_seed(seed);
-        // A controller that starts anew is not to take acknowledgements of its former updates for its own.
+        // A random start keeps a restarted controller from accepting acknowledgements of updates from before the
+        // restart.
         let first_ack = AckId(random.u16(..));
         let report_interval = config.report_interval.max(decide::TIMER_INTERVAL);
         let layout = TableLayout::new(&config);
@@ -133,10 +136,10 @@
         }
     }
 
-    /// What the controller believes now, for logs and operators.
+    /// Returns a snapshot of the controller's state, for logs and operators.
     #[must_use]
     pub fn status(&self) -> StatusSnapshot {
-        crate::status::snapshot(&crate::status::Sources {
+        crate::status::snapshot(&crate::status::SnapshotSources {
             now: self.now,
             hosts: &self.hosts,
             policy: &self.host_policy,
@@ -150,7 +153,7 @@
         })
     }
 
-    /// Takes the transitions of hosts since the last call, for logs. At most some thousand are kept.
+    /// Takes the transitions of hosts since the last call, for logs. Only the latest 1,024 are kept.
     pub fn take_host_transitions(&mut self) -> Vec<HostTransition> {
         self.transitions.take()
     }
--- a/crates/controller/src/controller/decide.rs
+++ b/crates/controller/src/controller/decide.rs
@@ -1,4 +1,4 @@
-//! The order in which decisions are taken.
+//! The order in which decisions are made.
 
 use super::Controller;
 use crate::admission_control::AdmissionView;
@@ -10,26 +10,26 @@
 use crate::publishing::{Published, UpdateRound};
 use crate::statistics::EPSILON;
 use crate::time::{DurationExt, Time};
-use crate::weight_reduction::reduce_loaded_hosts;
+use crate::weight_reduction::update_weight_reductions;
 use std::time::Duration;
 
-/// Time between two rounds of decisions (a part of a report interval).
+/// Time between two decision rounds; shorter than a report interval.
 pub(super) const TIMER_INTERVAL: Duration = Duration::from_millis(250);
-/// Least part of that interval that a timer is set to, and the range of the draw: controllers that start together do not
-/// poll, check and retry in step.
-const MIN_TIMER_PART: f64 = 0.9;
-const TIMER_PART_RANGE: f64 = 0.2;
+/// Minimum of the random factor for the timer interval, and the factor's range. The jitter keeps controllers that start
+/// together from polling, checking health and retrying in step.
+const MIN_TIMER_FACTOR: f64 = 0.9;
+const TIMER_FACTOR_RANGE: f64 = 0.2;
 
-/// What the proxies send, for one round of decisions.
+/// Requests of the proxies in one decision round.
 pub(super) struct Traffic {
-    /// Requests a second of the proxies of each shared table.
+    /// Requests per second of the proxies of each shared table.
     usage: Vec<f64>,
-    /// Part of all requests that is admitted.
-    admitted_part: f64,
+    /// Fraction of all requests that is admitted.
+    admitted_fraction: f64,
 }
 
 impl Controller {
-    /// The next decision, or none until something new is known.
+    /// Returns the next decision, or `None` until the next input or timer.
     pub fn next_decision(&mut self, now: Time) -> Option<Decision> {
         self.now = now;
         if std::mem::take(&mut self.inputs_pending) && !self.partitioned {
@@ -38,7 +38,8 @@
         self.decisions.pop_front()
     }
 
-    /// Joins and lost hosts are answered at once, all else at the next timer: a large fleet brings many inputs.
+    /// Acts on joining proxies and lost hosts at once, and on everything else at the next timer, since a large fleet
+    /// produces many inputs.
     fn decide(&mut self) {
         let decisions_before = self.decisions.len();
         if self.endpoint_poll.take_due(self.now) {
@@ -49,13 +50,13 @@
         if timer_fired {
             self.handle_timer();
         }
-        // Before the first list there is no table at all: proxies keep what they hold.
+        // Before the first endpoint list there is nothing to put into tables: proxies keep the tables they have.
         if !self.hosts.has_list() {
             return;
         }
         if timer_fired || expedite {
             let traffic = self.traffic();
-            self.judge_hosts(&traffic);
+            self.detect_outliers(&traffic);
             self.transitions
                 .observe(&mut self.hosts, &self.host_policy, self.now);
             self.place_hosts(&traffic);
@@ -67,35 +68,35 @@
         self.end_batch(decisions_before);
     }
 
-    /// What happens with each timer, whatever else has come.
+    /// Does the periodic work of each timer: expiry of hosts, decay of rates, weight reduction and admission control.
     fn handle_timer(&mut self) {
-        let part = MIN_TIMER_PART + TIMER_PART_RANGE * self.random.f64();
+        let factor = MIN_TIMER_FACTOR + TIMER_FACTOR_RANGE * self.random.f64();
         self.decisions
-            .push_back(Decision::SetTimer(TIMER_INTERVAL.scaled(part)));
-        let passed = (self.now - self.timer_handled_at).seconds();
+            .push_back(Decision::SetTimer(TIMER_INTERVAL.scaled(factor)));
+        let elapsed_s = (self.now - self.timer_handled_at).seconds();
         self.timer_handled_at = self.now;
-        self.forget_hosts();
-        self.proxies.fade_rates();
-        reduce_loaded_hosts(&mut self.hosts, &self.host_policy, self.now, passed);
+        self.drop_expired_hosts();
+        self.proxies.decay_rates();
+        update_weight_reductions(&mut self.hosts, &self.host_policy, self.now, elapsed_s);
         self.admission.update(&AdmissionView {
             now: self.now,
-            passed,
+            elapsed_s,
             hosts: &self.hosts,
             policy: &self.host_policy,
             proxies: &self.proxies,
             reports: &self.reports,
-            update_delay: self.queue.lateness(self.now),
+            update_delay: self.queue.update_delay(self.now),
         });
     }
 
-    /// Forgets hosts that were removed long ago and that no used table holds.
-    fn forget_hosts(&mut self) {
-        for host in self.hosts.forgettable_mut(self.now) {
+    /// Drops hosts that were removed long ago and are in no table in use.
+    fn drop_expired_hosts(&mut self) {
+        for host in self.hosts.expired_mut(self.now) {
             let id = host.id().clone();
             for membership in host.memberships.iter_mut() {
-                // Nobody uses the table: this costs no line.
+                // No proxy uses the table, so this sends nothing.
                 if membership.may_be_held() && !self.tables[membership.table()].is_used() {
-                    membership.mark_withdrawn();
+                    membership.mark_removed();
                     self.decisions.push_back(Decision::SetWeight {
                         table: TableId(membership.table() as u16),
                         host: id.clone(),
@@ -103,35 +104,35 @@
                     });
                 }
             }
-            host.memberships.keep_held();
+            host.memberships.retain_held();
         }
-        self.hosts.forget_unused(self.now);
+        self.hosts.drop_expired(self.now);
     }
 
     pub(super) fn traffic(&self) -> Traffic {
         Traffic {
             usage: usage_by_table(self.proxies.iter(), &self.layout),
-            admitted_part: self.admission.admitted_part(&self.proxies),
+            admitted_fraction: self.admission.admitted_fraction(&self.proxies),
         }
     }
 
-    fn judge_hosts(&mut self, traffic: &Traffic) {
+    fn detect_outliers(&mut self, traffic: &Traffic) {
         let view = FleetView {
             now: self.now,
             policy: &self.host_policy,
             reports: &self.reports,
-            update_delay: self.queue.lateness(self.now),
+            update_delay: self.queue.update_delay(self.now),
             attempts_per_weight: self.attempts_per_weight(traffic),
         };
-        let to_check = self
-            .outlier_detector
-            .judge_hosts(&mut self.hosts, &view, &mut self.random);
+        let to_check =
+            self.outlier_detector
+                .detect_outliers(&mut self.hosts, &view, &mut self.random);
         self.decisions
             .extend(to_check.into_iter().map(Decision::CheckHealth));
     }
 
-    /// Attempts a second per unit of weight that should end in each table, by our own bindings and admission. Those of zone
-    /// tables are not known: they count as none.
+    /// Returns the attempts per second and unit of weight expected in each table, by this controller's bindings and
+    /// admission. Those of zone tables are unknown and count as zero.
     pub(super) fn attempts_per_weight(&self, traffic: &Traffic) -> Vec<f64> {
         let mut weights = vec![0.0; self.tables.len()];
         let hosts = self.hosts.iter();
@@ -140,7 +141,7 @@
         }
         let mut attempts = vec![0.0; self.tables.len()];
         for (table, usage) in traffic.usage.iter().enumerate() {
-            attempts[table] = usage * traffic.admitted_part / weights[table].max(EPSILON);
+            attempts[table] = usage * traffic.admitted_fraction / weights[table].max(EPSILON);
         }
         attempts
     }
@@ -152,7 +153,7 @@
             layout: &self.layout,
             reports: &self.reports,
             usage: &traffic.usage,
-            admitted_part: traffic.admitted_part,
+            admitted_fraction: traffic.admitted_fraction,
             peak_per_weight: self.admission.peak_per_weight(),
         };
         self.placement.place_hosts(&mut self.hosts, &view);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// What was decided since then goes out together.
+    /// Ends the batch of all updates decided since `decisions_before`, and requests an acknowledgement for it if due.
     fn end_batch(&mut self, decisions_before: usize) {
         let is_update = |decision: &&Decision| decision.is_update();
         let decided = self.decisions.iter().skip(decisions_before);
--- a/crates/controller/src/controller/inputs.rs
+++ b/crates/controller/src/controller/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs: they only update what is known.
+//! Inputs of the controller. They only record information; decisions follow in `next_decision`.
 
 use super::Controller;
 use crate::decision::{Decision, UpdateResult};
@@ -12,19 +12,19 @@
 use std::time::Duration;
 
 impl Controller {
-    /// The endpoint list, or changes to it. On a complete list, whoever is missing is removed; changes older than the list
-    /// are passed over.
+    /// Applies an endpoint list or changes to it. Hosts missing from a complete list are removed; changes older than
+    /// the current list are ignored.
     pub fn apply_endpoint_list(&mut self, now: Time, list: EndpointList) {
         if !list.complete && self.hosts.is_outdated(list.generation) {
             return;
         }
-        self.note_input(now);
+        self.mark_input_pending(now);
         self.hosts.apply(now, &list);
         self.expedite |= self.needs_immediate_round();
     }
 
-    /// Whether a table in use holds a host that is not ready (draining or removed) or not warm, or no table is in use at all:
-    /// that waits for no timer.
+    /// Returns whether a change cannot wait for the next timer: a table in use has a host that is not ready (draining
+    /// or removed) or not warm, or no host is in use at all.
     fn needs_immediate_round(&self) -> bool {
         let mut any_in_use = false;
         for host in self.hosts.iter() {
@@ -40,13 +40,14 @@
         !any_in_use
     }
 
-    /// The endpoint list could not be fetched: the old one holds, and it is polled again.
+    /// Records that the endpoint list could not be fetched. The current list stays in force, and a new poll is
+    /// scheduled.
     pub fn endpoint_list_failed(&mut self, now: Time) {
-        self.note_input(now);
+        self.mark_input_pending(now);
         self.endpoint_poll.retry(now);
     }
 
-    /// A proxy has joined; one that had joined before is taken to have left.
+    /// Adds a proxy that has joined. If it had joined before, it is treated as having left first.
     pub fn proxy_joined(&mut self, now: Time, joining: JoiningProxy) {
         self.proxy_left(now, joining.id);
         let before = self.proxies.demand();
@@ -55,17 +56,17 @@
         self.admission.on_demand_change(before, after);
     }
 
-    /// A proxy is joined, but may have been away unseen: what it was bound to may not hold.
+    /// Marks the binding of a joined proxy as unconfirmed, because the proxy may have been gone unnoticed.
     pub fn proxy_unconfirmed(&mut self, now: Time, id: ProxyId) {
-        self.note_input(now);
+        self.mark_input_pending(now);
         if let Some(proxy) = self.proxies.get_mut(id) {
             proxy.mark_unconfirmed();
         }
     }
 
-    /// A proxy has left.
+    /// Removes a proxy that has left.
     pub fn proxy_left(&mut self, now: Time, id: ProxyId) {
-        self.note_input(now);
+        self.mark_input_pending(now);
         let before = self.proxies.demand();
         let Some(proxy) = self.proxies.leave(id) else {
             return;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Proxies report how attempts at a host ended. That says nothing of hosts that are not named.
+    /// Records the results of attempts at a host as reported by proxies. Reports of unknown hosts are ignored.
     pub fn record_outcomes(&mut self, now: Time, host: &HostId, outcomes: AttemptOutcomes) {
         self.now = now;
         let Some(host) = self.hosts.get_mut(host) else {
@@ -89,7 +90,7 @@
         self.reports.record(now, outcomes.period);
     }
 
-    /// A proxy reports requests of a class that reached it in a period.
+    /// Records the requests of a class that reached a proxy in a period.
     pub fn record_arrivals(
         &mut self,
         now: Time,
@@ -103,63 +104,64 @@
             .record_arrivals(now, proxy, class, requests, period);
     }
 
-    /// The answer to a [`Decision::CheckHealth`].
+    /// Handles the result of a [`Decision::CheckHealth`].
     pub fn on_health_check(&mut self, now: Time, host: &HostId, result: HealthCheckResult) {
         self.now = now;
         self.outlier_detector
             .on_health_check(&mut self.hosts, now, host, &result);
     }
 
-    /// A proxy has applied a message that carried this number.
+    /// Handles an acknowledgement: a proxy has applied a message with this ID (see [`Decision::RequestAck`]).
     pub fn on_ack(&mut self, now: Time, ack: AckId) {
         self.queue.on_ack(now, ack);
     }
 
-    /// The part of all requests (0 to 1) that a plan says the fleet can do in time; none: no plan is in force. While
-    /// nothing is overloaded, admission rises fast up to there. A plan sheds nothing; overload goes before it.
-    pub fn apply_capacity_plan(&mut self, now: Time, part: Option<f64>) {
+    /// Sets the fraction of all requests (0 to 1) that the fleet can serve in time according to a plan, or `None` if no
+    /// plan is in force. Without overload, admission rises fast up to this fraction. A plan never causes load to be
+    /// shed, and overload takes precedence over it.
+    pub fn apply_capacity_plan(&mut self, now: Time, fraction: Option<f64>) {
         self.now = now;
-        self.admission.set_plan(part);
+        self.admission.set_planned_fraction(fraction);
     }
 
-    /// The time of a [`Decision::SetTimer`] has passed.
+    /// Handles the timer of a [`Decision::SetTimer`].
     pub fn on_timer(&mut self, now: Time) {
-        self.note_input(now);
+        self.mark_input_pending(now);
         self.timer_fired = true;
     }
 
-    /// What became of updates that were carried out together. What may not hold is decided anew: at once if some went
-    /// through, else with the next timer, lest updates that nobody takes run in circles.
+    /// Handles the result of a batch of updates. Updates that may not have been applied are decided again: at once if
+    /// some were processed, and at the next timer otherwise, so that rejected updates are not repeated in a tight loop.
     pub fn on_update_result(&mut self, now: Time, updates: &[Decision], result: UpdateResult) {
         self.now = now;
         self.queue.on_update_result(updates.len(), result);
         if result == UpdateResult::Rejected {
-            self.uncount_messages(updates);
+            self.remove_messages(updates);
         }
-        let (applied, refused) = match result {
+        let (applied, rejected) = match result {
             UpdateResult::Applied => (updates.len(), None),
             UpdateResult::StoppedAt(applied) => (applied.min(updates.len()), updates.get(applied)),
             UpdateResult::Rejected | UpdateResult::Unknown => (0, None),
         };
-        let in_doubt = &updates[applied + usize::from(refused.is_some())..];
-        let went_on = applied > 0 || refused.is_some();
-        self.inputs_pending |= went_on;
-        self.expedite |= went_on && !in_doubt.is_empty();
-        // A proxy that cannot be bound has most likely left, and we shall hear of it.
-        if let Some(Decision::BindProxy { proxy, .. }) = refused {
-            self.bind_again(*proxy, now + EJECTION_TIME);
+        let unconfirmed = &updates[applied + usize::from(rejected.is_some())..];
+        let was_processed = applied > 0 || rejected.is_some();
+        self.inputs_pending |= was_processed;
+        self.expedite |= was_processed && !unconfirmed.is_empty();
+        // A proxy that cannot be bound has most likely left, which a membership event will tell.
+        if let Some(Decision::BindProxy { proxy, .. }) = rejected {
+            self.schedule_rebind(*proxy, now + EJECTION_TIME);
         }
-        let bind_not_before = if went_on {
+        let bind_not_before = if was_processed {
             now
         } else {
             now + EXPEDITED_INTERVAL
         };
-        for update in in_doubt {
+        for update in unconfirmed {
             self.mark_unconfirmed(update, bind_not_before);
         }
     }
 
-    /// Notes that an update may not have been applied.
+    /// Records that an update may not have been applied.
     fn mark_unconfirmed(&mut self, update: &Decision, bind_not_before: Time) {
         match update {
             Decision::SetWeight { table, host, .. } => {
@@ -167,7 +169,7 @@
                     host.memberships.entry(table.0 as usize).mark_unconfirmed();
                 }
             }
-            Decision::BindProxy { proxy, .. } => self.bind_again(*proxy, bind_not_before),
+            Decision::BindProxy { proxy, .. } => self.schedule_rebind(*proxy, bind_not_before),
             Decision::SetAdmissionRate { table, class, .. } => {
                 self.tables[table.0 as usize].mark_fraction_unconfirmed(class.0 as usize);
             }
@@ -178,25 +180,27 @@
         }
     }
 
-    fn bind_again(&mut self, id: ProxyId, not_before: Time) {
+    /// Schedules the binding of a proxy to be sent again.
+    fn schedule_rebind(&mut self, id: ProxyId, not_before: Time) {
         if let Some(proxy) = self.proxies.get_mut(id) {
-            proxy.bind_again(not_before);
+            proxy.schedule_rebind(not_before);
         }
     }
 
-    /// Updates that were surely not applied made no messages. They were all of the last batch.
-    fn uncount_messages(&mut self, updates: &[Decision]) {
+    /// Removes the messages of rejected updates, which were never sent. The updates all belong to the last batch.
+    fn remove_messages(&mut self, updates: &[Decision]) {
         for update in updates {
             if let Decision::SetWeight { table, .. }
             | Decision::BindProxy { table, .. }
             | Decision::SetAdmissionRate { table, .. } = update
             {
-                self.tables[table.0 as usize].uncount_message(self.last_batch);
+                self.tables[table.0 as usize].remove_message(self.last_batch);
             }
         }
     }
 
-    fn note_input(&mut self, now: Time) {
+    /// Records that there is new input for decisions.
+    fn mark_input_pending(&mut self, now: Time) {
         self.now = now;
         self.inputs_pending = true;
     }
--- a/crates/controller/src/host.rs
+++ b/crates/controller/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: what the endpoint list says of them, and what each concern keeps beside that.
+//! Hosts: their entries in the endpoint list and the state that other modules keep for each host.
 
 use crate::attempt_stats::AttemptStats;
 use crate::endpoint::{Endpoint, EndpointList, EndpointState};
@@ -7,15 +7,15 @@
 use crate::outlier_detection::Ejection;
 use crate::statistics::stable_hash;
 use crate::time::Time;
-use crate::transitions::NotedPhase;
+use crate::transitions::ObservedPhase;
 use crate::weight_reduction::WeightReduction;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time after which a host that was removed, and is in no table, is forgotten: late reports have come by then.
-const FORGET_AFTER: Duration = Duration::from_millis(30_000);
+/// How long a removed host that is in no table is kept: late reports have arrived by then.
+const REMOVED_HOST_RETENTION: Duration = Duration::from_millis(30_000);
 
-/// All that is known of one host.
+/// The state of one host.
 pub(crate) struct Host {
     id: HostId,
     tie_breaker: u64,
@@ -23,7 +23,7 @@
     machine_type: MachineTypeId,
     weight: f64,
     started: Time,
-    /// Its start time as it was last listed.
+    /// The latest listed start time, which may lie in the future.
     listed_start: Time,
     state: EndpointState,
     drain_listed: bool,
@@ -31,8 +31,8 @@
     pub(crate) ejection: Ejection,
     pub(crate) weight_reduction: WeightReduction,
     pub(crate) memberships: Memberships,
-    /// What was last noted of it for logs.
-    pub(crate) noted_phase: Option<NotedPhase>,
+    /// The phase and start time last observed for logging.
+    pub(crate) observed_phase: Option<ObservedPhase>,
 }
 
 impl Host {
@@ -54,7 +54,7 @@
             ejection: Ejection::default(),
             weight_reduction: WeightReduction::default(),
             memberships: Memberships::default(),
-            noted_phase: None,
+            observed_phase: None,
         }
     }
 
@@ -62,12 +62,12 @@
         &self.id
     }
 
-    /// Who it is, and the tables that it is in, to change.
+    /// Returns its ID and its mutable memberships.
     pub(crate) fn id_and_memberships_mut(&mut self) -> (&HostId, &mut Memberships) {
         (&self.id, &mut self.memberships)
     }
 
-    /// A number that orders hosts that are alike in all else, the same at every controller.
+    /// Returns a hash that breaks ties between otherwise equal hosts, the same at every controller.
     pub(crate) fn tie_breaker(&self) -> u64 {
         self.tie_breaker
     }
@@ -92,29 +92,34 @@
         self.state
     }
 
-    /// Whether the list has said that it drains, since its start.
+    /// Returns whether it has been listed as draining since its last start.
     pub(crate) fn drain_was_listed(&self) -> bool {
         self.drain_listed
     }
 
-    /// Takes over an entry of the endpoint list.
+    /// Applies an entry of the endpoint list.
     fn update(&mut self, now: Time, endpoint: &Endpoint) {
-        // A new start time is a cold start, even of a host that was never announced as out.
+        // A later start time means a restart, even if the host was never listed as removed.
         if endpoint.started > self.listed_start || self.state == EndpointState::Removed {
             self.restart(now);
         }
         self.zone = endpoint.zone;
         self.machine_type = endpoint.machine_type;
-        // Another registry may be behind, and a machine's clock ahead: no start is undone, and none lies in the future.
+        // Another registry may be behind, and a host's clock may be ahead: the start time never decreases and never
+        // lies in the future.
         self.started = self.started.max(endpoint.started.min(now));
         self.listed_start = self.listed_start.max(endpoint.started);
-        let is_stated = endpoint.weight.is_finite() && endpoint.weight > 0.0;
-        self.weight = if is_stated { endpoint.weight } else { 1.0 };
+        let has_valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
+        self.weight = if has_valid_weight {
+            endpoint.weight
+        } else {
+            1.0
+        };
         self.state = endpoint.state;
         self.drain_listed |= endpoint.state == EndpointState::Draining;
     }
 
-    /// Forgets all but who it is and the tables that it is in.
+    /// Resets everything but its identity and its memberships.
     fn restart(&mut self, now: Time) {
         self.drain_listed = false;
         self.stats = AttemptStats::new(now);
@@ -122,23 +127,24 @@
         self.weight_reduction = WeightReduction::default();
     }
 
-    /// Puts it back on a small weight after an ejection.
+    /// Ends its ejection and returns it to the tables with a reduced weight.
     pub(crate) fn start_probation(&mut self, now: Time) {
         self.stats.reset(now);
         self.ejection.start_probation(now);
     }
 
-    fn is_forgettable(&self, now: Time) -> bool {
+    /// Returns whether it was removed and its retention time has passed.
+    fn is_expired(&self, now: Time) -> bool {
         let silence = now - self.stats.last_report_at();
-        self.state == EndpointState::Removed && silence > FORGET_AFTER
+        self.state == EndpointState::Removed && silence > REMOVED_HOST_RETENTION
     }
 }
 
-/// The hosts in the order in which they became known; other modules name them by their place in it.
+/// The hosts in the order in which they became known. Other modules refer to hosts by their index.
 #[derive(Default)]
 pub(crate) struct HostRegistry {
     hosts: Vec<Host>,
-    places: BTreeMap<HostId, usize>,
+    indexes: BTreeMap<HostId, usize>,
     generation: Option<u64>,
     changed: bool,
 }
@@ -156,35 +162,35 @@
         self.hosts.iter_mut()
     }
 
-    pub(crate) fn at(&self, place: usize) -> &Host {
-        &self.hosts[place]
+    pub(crate) fn at(&self, index: usize) -> &Host {
+        &self.hosts[index]
     }
 
-    pub(crate) fn at_mut(&mut self, place: usize) -> &mut Host {
-        &mut self.hosts[place]
+    pub(crate) fn at_mut(&mut self, index: usize) -> &mut Host {
+        &mut self.hosts[index]
     }
 
     pub(crate) fn get_mut(&mut self, id: &HostId) -> Option<&mut Host> {
-        self.places.get(id).map(|&place| &mut self.hosts[place])
+        self.indexes.get(id).map(|&index| &mut self.hosts[index])
     }
 
-    /// Whether an endpoint list has come.
+    /// Returns whether an endpoint list has been received.
     pub(crate) fn has_list(&self) -> bool {
         self.generation.is_some()
     }
 
-    /// Whether the list has changed since this was asked last.
+    /// Returns whether the hosts have changed since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether changes of this generation are older than the list. A complete list never is: another source numbers
-    /// otherwise.
+    /// Returns whether changes with this generation are older than the current list. Complete lists are exempt, because
+    /// another source may number them differently.
     pub(crate) fn is_outdated(&self, generation: u64) -> bool {
         self.generation.is_some_and(|current| generation < current)
     }
 
-    /// Applies a list, or changes to it. On a complete list, whoever is missing is removed.
+    /// Applies a list or changes to it. Hosts that are missing from a complete list are marked as removed.
     pub(crate) fn apply(&mut self, now: Time, list: &EndpointList) {
         self.changed = true;
         self.generation = Some(list.generation);
@@ -207,30 +213,30 @@
 
     fn entry(&mut self, id: &HostId) -> &mut Host {
         let next = self.hosts.len();
-        let place = *self.places.entry(id.clone()).or_insert(next);
-        if place == next {
+        let index = *self.indexes.entry(id.clone()).or_insert(next);
+        if index == next {
             self.hosts.push(Host::new(id.clone()));
         }
-        &mut self.hosts[place]
+        &mut self.hosts[index]
     }
 
-    /// Hosts that were removed long ago.
-    pub(crate) fn forgettable_mut(&mut self, now: Time) -> impl Iterator<Item = &mut Host> {
+    /// Returns the hosts whose retention time after removal has passed.
+    pub(crate) fn expired_mut(&mut self, now: Time) -> impl Iterator<Item = &mut Host> {
         self.hosts
             .iter_mut()
-            .filter(move |host| host.is_forgettable(now))
+            .filter(move |host| host.is_expired(now))
     }
 
-    /// Forgets hosts that were removed long ago and are in no table: names change with each release, and nothing may
-    /// grow for ever.
-    pub(crate) fn forget_unused(&mut self, now: Time) {
-        let known = self.hosts.len();
+    /// Drops expired hosts that are in no table. Host names change with each release, so memory would otherwise grow
+    /// without bound.
+    pub(crate) fn drop_expired(&mut self, now: Time) {
+        let count_before = self.hosts.len();
         self.hosts
-            .retain(|host| !host.is_forgettable(now) || !host.memberships.is_empty());
-        if self.hosts.len() < known {
-            let places = self.hosts.iter().enumerate();
-            self.places = places
-                .map(|(place, host)| (host.id.clone(), place))
+            .retain(|host| !host.is_expired(now) || !host.memberships.is_empty());
+        if self.hosts.len() < count_before {
+            let hosts = self.hosts.iter().enumerate();
+            self.indexes = hosts
+                .map(|(index, host)| (host.id.clone(), index))
                 .collect();
             self.changed = true;
         }
--- a/crates/controller/src/host_policy.rs
+++ b/crates/controller/src/host_policy.rs
@@ -1,4 +1,4 @@
-//! Which hosts may be sent requests now, and how much of their weight they can carry.
+//! Decides which hosts may be sent requests, and with how much of their weight.
 
 use crate::config::DeploymentConfig;
 use crate::endpoint::EndpointState;
@@ -7,12 +7,12 @@
 use crate::time::{DurationExt, Time};
 use std::time::Duration;
 
-/// Report intervals for which a host's reports count as a sign of life.
+/// Report intervals for which a removed host counts as alive after its last report.
 const ALIVE_INTERVALS: f64 = 4.0;
-/// Part of its weight that a host on probation gets.
-const PROBATION_WEIGHT: f64 = 0.2;
+/// Fraction of its weight that a host on probation gets.
+const PROBATION_WEIGHT_FRACTION: f64 = 0.2;
 
-/// What the deployment states of its hosts.
+/// The rules of a deployment for using its hosts.
 pub(crate) struct HostPolicy {
     alive_timeout: Duration,
     removal_is_advisory: bool,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether the list lets proxies send there. Where removal is advisory, a host that was merely removed counts as ready
-    /// while it answers.
+    /// Returns whether the endpoint list allows sending requests to the host. If removal is advisory, a host that was
+    /// removed without being listed as draining stays ready while it answers requests.
     pub(crate) fn is_ready(&self, host: &Host, now: Time) -> bool {
         match host.state() {
             EndpointState::Ready => true,
@@ -40,31 +40,36 @@
         }
     }
 
+    /// Returns whether the host was reported on recently and any attempt at it succeeded.
     fn answers(&self, host: &Host, now: Time) -> bool {
         let silence = now - host.stats.last_report_at();
         silence < self.alive_timeout && host.stats.has_successes()
     }
 
-    /// Whether it is ready and not ejected.
+    /// Returns whether the host is ready and not ejected.
     pub(crate) fn is_usable(&self, host: &Host, now: Time) -> bool {
         self.is_ready(host, now) && !host.ejection.is_ejected()
     }
 
-    /// The part of its work that it can do at least, as far as it has warmed up.
+    /// Returns the fraction of its capacity that the host has at least, by its slow start.
     pub(crate) fn warm_part(&self, host: &Host, now: Time) -> f64 {
         self.slow_start.warm_part(host.started(), now)
     }
 
-    /// Whether it has warmed up.
+    /// Returns whether the host has warmed up fully.
     pub(crate) fn is_warm(&self, host: &Host, now: Time) -> bool {
         self.warm_part(host, now) >= 1.0
     }
 
-    /// Its weight, less what warming up, probation or its load takes off.
+    /// Returns the host's weight, reduced for warming up, probation and high load.
     pub(crate) fn effective_weight(&self, host: &Host, now: Time) -> f64 {
         let on_probation = host.ejection.is_on_probation();
-        let limit = if on_probation { PROBATION_WEIGHT } else { 1.0 };
-        let strength = self.warm_part(host, now).min(limit) * host.weight_reduction.remaining();
-        host.weight() * strength
+        let limit = if on_probation {
+            PROBATION_WEIGHT_FRACTION
+        } else {
+            1.0
+        };
+        let fraction = self.warm_part(host, now).min(limit) * host.weight_reduction.remaining();
+        host.weight() * fraction
     }
 }
--- a/crates/controller/src/memberships.rs
+++ b/crates/controller/src/memberships.rs
@@ -1,8 +1,8 @@
-//! The tables that one host is in: what its weight should be, what was last sent, and whether that is confirmed.
+//! Memberships of one host in tables: target weight, last sent weight, and whether the sent weight is confirmed.
 
-/// Part by which a weight is off before it is sent: less is not noticed.
+/// Relative change of a weight from which it is sent; smaller changes have no noticeable effect.
 const MIN_WEIGHT_CHANGE: f64 = 0.1;
-/// Multiple of its target from which a sent weight is far too heavy.
+/// Ratio of sent weight to target weight above which the sent weight is far too heavy.
 const FAR_TOO_HEAVY_RATIO: f64 = 1.5;
 
 /// A host's weight in one table.
@@ -19,59 +19,59 @@
         self.table
     }
 
-    /// The weight that the host should have; zero: none.
+    /// Returns the weight that the host should have; zero if it should not be in the table.
     pub(crate) fn target_weight(&self) -> f64 {
         self.target_weight
     }
 
-    /// The weight that was last sent; zero: none.
+    /// Returns the weight that was last sent; zero if the host was removed or never sent.
     pub(crate) fn sent_weight(&self) -> f64 {
         self.sent_weight
     }
 
-    /// Whether what was sent may not have been applied.
+    /// Returns whether the last update may not have been applied.
     pub(crate) fn is_unconfirmed(&self) -> bool {
         self.unconfirmed
     }
 
-    /// Whether proxies may have it as a line.
+    /// Returns whether proxies may have the host in this table.
     pub(crate) fn may_be_held(&self) -> bool {
         self.sent_weight > 0.0 || self.unconfirmed
     }
 
-    /// Whether the weight that was sent is far above its target.
+    /// Returns whether the sent weight is far above the target weight.
     pub(crate) fn is_far_too_heavy(&self) -> bool {
         self.sent_weight > self.target_weight * FAR_TOO_HEAVY_RATIO
     }
 
-    /// Whether an update is worth its line.
-    pub(crate) fn differs(&self) -> bool {
+    /// Returns whether the difference to the target weight is worth an update line.
+    pub(crate) fn needs_update(&self) -> bool {
         let change = (self.target_weight - self.sent_weight).abs();
         self.unconfirmed
             || change > MIN_WEIGHT_CHANGE * self.sent_weight
             || (self.target_weight > 0.0) != (self.sent_weight > 0.0)
     }
 
-    /// Notes that the target is sent; gives it, or none if the host leaves the table.
+    /// Records that the target weight is sent. Returns it, or `None` if the host leaves the table.
     pub(crate) fn mark_sent(&mut self) -> Option<f64> {
         self.sent_weight = self.target_weight;
         self.unconfirmed = false;
         (self.target_weight > 0.0).then_some(self.target_weight)
     }
 
-    /// Notes that what was sent may not have been applied.
+    /// Records that the last update may not have been applied.
     pub(crate) fn mark_unconfirmed(&mut self) {
         self.unconfirmed = true;
     }
 
-    /// Notes that the host has left the table.
-    pub(crate) fn mark_withdrawn(&mut self) {
+    /// Records that the host has left the table.
+    pub(crate) fn mark_removed(&mut self) {
         self.sent_weight = 0.0;
         self.unconfirmed = false;
     }
 }
 
-/// All tables of one host.
+/// The memberships of one host.
 #[derive(Default)]
 pub(crate) struct Memberships(Vec<TableMembership>);
 
@@ -88,54 +88,54 @@
         self.0.is_empty()
     }
 
-    /// Whether the host was last sent as a line of this table.
+    /// Returns whether the last update of this table included the host.
     pub(crate) fn is_sent_in(&self, table: usize) -> bool {
         self.0
             .iter()
             .any(|membership| membership.table == table && membership.sent_weight > 0.0)
     }
 
-    /// The membership in a table; none: the host is not in it.
+    /// Returns the membership in a table, or `None` if there is none.
     pub(crate) fn get(&self, table: usize) -> Option<&TableMembership> {
         self.0.iter().find(|membership| membership.table == table)
     }
 
-    /// The membership in a table, new if there is none.
+    /// Returns the membership in a table and creates it if there is none.
     pub(crate) fn entry(&mut self, table: usize) -> &mut TableMembership {
-        let known = self
+        let position = self
             .0
             .iter()
             .position(|membership| membership.table == table);
-        let place = known.unwrap_or_else(|| {
+        let index = position.unwrap_or_else(|| {
             self.0.push(TableMembership {
                 table,
                 ..TableMembership::default()
             });
             self.0.len() - 1
         });
-        &mut self.0[place]
+        &mut self.0[index]
     }
 
-    /// Takes the host out of all tables, as far as targets go.
+    /// Sets the target weight in all tables to zero.
     pub(crate) fn clear_targets(&mut self) {
         for membership in &mut self.0 {
             membership.target_weight = 0.0;
         }
     }
 
-    /// Sets the weight that the host should have in a table.
+    /// Sets the target weight in a table.
     pub(crate) fn set_target(&mut self, table: usize, weight: f64) {
         self.entry(table).target_weight = weight;
     }
 
-    /// Drops what is neither wanted nor possibly held by proxies.
+    /// Drops memberships that have no target weight and that no proxy can hold.
     pub(crate) fn drop_unused(&mut self) {
         self.0
             .retain(|membership| membership.target_weight > 0.0 || membership.may_be_held());
     }
 
-    /// Drops what no proxy can hold.
-    pub(crate) fn keep_held(&mut self) {
+    /// Drops memberships that no proxy can hold.
+    pub(crate) fn retain_held(&mut self) {
         self.0.retain(TableMembership::may_be_held);
     }
 }
--- a/crates/controller/src/outlier_detection.rs
+++ b/crates/controller/src/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: ejects hosts that fail or are silent where their peers are not, and lets them come back.
+//! Outlier detection: ejects hosts that fail or are silent while their peers are not, and returns them after a
+//! probation.
 
 use crate::config::DeploymentConfig;
 use crate::endpoint::EndpointState;
@@ -12,37 +13,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a host is ejected at first (a few reports); one on probation is judged after twice that.
+/// Base ejection time; covers several reports. A probation takes `PROBATION_EJECTION_TIMES` times as long.
 pub(crate) const EJECTION_TIME: Duration = Duration::from_millis(1_500);
-/// Part of the room above the fleet's median failure ratio from which a host is ejected: one that fails less loses weight.
+/// Position of the ejection threshold between the fleet's median failure ratio (0) and 1. Hosts that fail less often
+/// only lose weight.
 const EJECTION_THRESHOLD: f64 = 0.6;
-/// Ended attempts expected of a host, none of which came, that make it silent (e^-7 is no chance).
+/// Expected attempts without a single report after which a host is silent; by chance, this happens with probability
+/// e^-7.
 const SILENT_ATTEMPTS: f64 = 7.0;
-/// Report delays for which nothing is heard of a host before it is silent.
+/// Minimum time without reports before a host is silent, in report delays.
 const SILENT_DELAYS: f64 = 2.0;
-/// Part of the ready hosts that may be ejected at most: the rest must carry the day.
-const MAX_EJECTED_PART: f64 = 0.25;
-/// Times in a row that a host is ejected for twice as long as before (12 s at most).
-const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Least part of an ejection's time that is drawn, and the range of the draw: hosts don't come back in step.
-const MIN_EJECTION_PART: f64 = 0.8;
-const EJECTION_PART_RANGE: f64 = 0.4;
-/// Multiple of an ejection's time after which a host on probation has proved good.
+/// Maximum fraction of the ready hosts that may be ejected, since the remaining hosts must serve all requests.
+const MAX_EJECTED_FRACTION: f64 = 0.25;
+/// Consecutive ejections up to which the ejection time doubles (12 s at most).
+const MAX_CONSECUTIVE_EJECTIONS: u32 = 4;
+/// Minimum of the random factor for ejection times, and the factor's range. The jitter keeps hosts from returning in
+/// step.
+const MIN_EJECTION_FACTOR: f64 = 0.8;
+const EJECTION_FACTOR_RANGE: f64 = 0.4;
+/// Length of a probation, in base ejection times.
 const PROBATION_EJECTION_TIMES: f64 = 2.0;
-/// Waiting requests, over twice the median, that make a good health check count for nothing.
+/// Queue length, beyond `MAX_QUEUE_RATIO` times the median, up to which a passed health check counts.
 const MAX_EXTRA_QUEUE: f64 = 4.0;
-/// Multiple of the median queue that a good health check may show.
+/// Ratio to the median queue length, before `MAX_EXTRA_QUEUE` is added, up to which a passed health check counts.
 const MAX_QUEUE_RATIO: f64 = 2.0;
 
-/// Whether a host is kept out of the tables.
+/// Ejection state of one host.
 #[derive(Default)]
 pub(crate) struct Ejection {
     ejected_until: Option<Time>,
     cause: Option<EjectionCause>,
     probation_since: Option<Time>,
-    /// Ejections, one after another.
+    /// Number of ejections for failures without recovery in between.
     consecutive_ejections: u32,
-    /// Since when attempts at it should end.
+    /// Since when attempts at the host are expected to end.
     serving_since: Time,
 }
 
@@ -58,7 +62,7 @@
         self.ejected_until.is_some()
     }
 
-    /// Why it is ejected; none: it is not.
+    /// Returns the cause of the ejection, or `None` if the host is not ejected.
     pub(crate) fn cause(&self) -> Option<EjectionCause> {
         self.cause.filter(|_| self.is_ejected())
     }
@@ -72,52 +76,54 @@
         self.probation_since = Some(now);
     }
 
-    /// Ejects it. One that answers checks but fails requests would be back, and failing, most of the time: it stays out
-    /// twice as long each time.
+    /// Ejects the host. The ejection time doubles with each consecutive ejection for failures; otherwise, a host that
+    /// passes health checks but fails requests would be back in use most of the time.
     fn eject(&mut self, now: Time, cause: EjectionCause, random: &mut fastrand::Rng) {
         self.cause = Some(cause);
         self.consecutive_ejections = match cause {
-            EjectionCause::Failures => (self.consecutive_ejections + 1).min(MAX_EJECTION_DOUBLINGS),
+            EjectionCause::Failures => {
+                (self.consecutive_ejections + 1).min(MAX_CONSECUTIVE_EJECTIONS)
+            }
             EjectionCause::Silence => 1,
         };
-        let part = MIN_EJECTION_PART + EJECTION_PART_RANGE * random.f64();
-        let doublings = f64::from(1 << (self.consecutive_ejections - 1));
-        self.ejected_until = Some(now + EJECTION_TIME.scaled(part * doublings));
+        let factor = MIN_EJECTION_FACTOR + EJECTION_FACTOR_RANGE * random.f64();
+        let multiplier = f64::from(1 << (self.consecutive_ejections - 1));
+        self.ejected_until = Some(now + EJECTION_TIME.scaled(factor * multiplier));
         self.probation_since = None;
     }
 }
 
-/// Why a host is an outlier.
+/// Why a host is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// Its attempts fail where those of its peers do not.
+    /// Its failure ratio is far above the fleet's median.
     Failures,
-    /// None of the attempts that are expected of it has ended.
+    /// None of the attempts expected at it were reported.
     Silence,
 }
 
-/// What a health check has shown.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheckResult {
-    /// Whether the host answered well.
+    /// Whether the host passed the check.
     pub healthy: bool,
-    /// The load that came with the answer.
+    /// The load that the host reported with its response.
     pub load: Option<HostLoad>,
 }
 
-/// What is known of the fleet when outliers are looked for.
+/// State of the fleet that outlier detection reads.
 pub(crate) struct FleetView<'a> {
     pub(crate) now: Time,
     pub(crate) policy: &'a HostPolicy,
     pub(crate) reports: &'a LoadReports,
-    /// Time until what was sent a moment ago shows.
+    /// Time until an update sent now takes effect.
     pub(crate) update_delay: Duration,
-    /// Attempts a second per unit of weight that should end in each table.
+    /// Expected attempts per second and unit of weight in each table.
     pub(crate) attempts_per_weight: Vec<f64>,
 }
 
 impl FleetView<'_> {
-    /// Attempts a second that a host should see end, by our own bindings, weights and admission.
+    /// Returns the attempts per second expected at a host, by this controller's bindings, weights and admission.
     fn expected_attempts(&self, host: &Host) -> f64 {
         host.memberships
             .iter()
@@ -127,8 +133,8 @@
             .sum()
     }
 
-    /// No report while those of peers come: hung or vanished, long before its attempts time out. Reports that are late for
-    /// all make nobody silent.
+    /// Returns whether the host has no reports while other hosts have. It hangs or has vanished, which shows this way
+    /// long before its attempts time out. Reports that are late for all hosts do not count as silence.
     fn is_silent(&self, host: &Host, expected_attempts: f64) -> bool {
         let serving_since = host.ejection.serving_since + self.update_delay;
         let heard_at = host.stats.last_report_at().max(serving_since);
@@ -138,10 +144,11 @@
     }
 }
 
-/// What may be ejected beyond what is, so that the fleet still serves.
+/// Limits on further ejections, so that the fleet can still serve.
 struct EjectionBudget {
+    /// Number of hosts that may still be ejected.
     ejections: usize,
-    /// Warm hosts by zone: classes may be confined to zones, so that each zone keeps one.
+    /// Usable warm hosts by zone. Each zone keeps one, because there may be zone-local classes.
     warm_hosts: BTreeMap<ZoneId, usize>,
 }
 
@@ -150,7 +157,7 @@
         let is_ready = |host: &&Host| view.policy.is_ready(host, view.now);
         let ready = hosts.iter().filter(is_ready).count();
         let ejected = hosts.iter().filter(|host| host.ejection.is_ejected());
-        let max_ejected = (ready as f64 * MAX_EJECTED_PART) as usize;
+        let max_ejected = (ready as f64 * MAX_EJECTED_FRACTION) as usize;
         let mut warm_hosts = BTreeMap::new();
         for host in hosts.iter() {
             if view.policy.is_usable(host, view.now) && view.policy.is_warm(host, view.now) {
@@ -167,12 +174,14 @@
         self.warm_hosts.get(&zone).copied().unwrap_or(0)
     }
 
+    /// Returns whether the host may be ejected.
     fn allows(&self, host: &Host) -> bool {
         self.ejections > 0
             && self.warm_hosts(host.zone()) > 1
             && host.state() == EndpointState::Ready
     }
 
+    /// Counts the ejection of a host.
     fn spend(&mut self, host: &Host, is_warm: bool) {
         self.ejections -= 1;
         if let Some(warm_hosts) = self.warm_hosts.get_mut(&host.zone()) {
@@ -181,7 +190,7 @@
     }
 }
 
-/// Ejects outliers and lets hosts come back.
+/// Ejects outliers and returns hosts after their ejection.
 pub(crate) struct OutlierDetector {
     health_checks: bool,
 }
@@ -193,8 +202,8 @@
         }
     }
 
-    /// Judges all hosts; gives those whose health should be checked.
-    pub(crate) fn judge_hosts(
+    /// Ejects outliers and ends ejections. Returns the hosts whose health should be checked.
+    pub(crate) fn detect_outliers(
         &self,
         hosts: &mut HostRegistry,
         view: &FleetView<'_>,
@@ -202,7 +211,7 @@
     ) -> Vec<HostId> {
         let ratios = hosts.iter().filter_map(|host| host.stats.failure_ratio());
         let median = median(ratios).unwrap_or(0.0);
-        let failing_from = median + (1.0 - median) * EJECTION_THRESHOLD;
+        let max_failure_ratio = median + (1.0 - median) * EJECTION_THRESHOLD;
         let mut budget = EjectionBudget::new(hosts, view);
         let mut to_check = Vec::new();
         for host in hosts.iter_mut() {
@@ -213,7 +222,7 @@
             }
             let is_silent = view.is_silent(host, expected_attempts);
             let failure_ratio = host.stats.failure_ratio();
-            let evidence = if failure_ratio.is_some_and(|ratio| ratio > failing_from) {
+            let cause = if failure_ratio.is_some_and(|ratio| ratio > max_failure_ratio) {
                 Some(EjectionCause::Failures)
             } else {
                 is_silent.then_some(EjectionCause::Silence)
@@ -224,18 +233,19 @@
                 }
                 continue;
             }
-            match evidence.filter(|_| budget.allows(host)) {
-                Some(evidence) => {
+            match cause.filter(|_| budget.allows(host)) {
+                Some(cause) => {
                     budget.spend(host, view.policy.is_warm(host, view.now));
-                    host.ejection.eject(view.now, evidence, random);
+                    host.ejection.eject(view.now, cause, random);
                 }
-                None => settle_probation(host, evidence, view.now),
+                None => update_probation(host, cause, view.now),
             }
         }
         to_check
     }
 
-    /// Puts a host on probation once its time is over, or gives whether its health is to be checked first.
+    /// Puts a host on probation once its ejection time is over, or at once if its zone has no warm host left. Returns
+    /// whether its health must be checked first.
     fn end_ejection(
         &self,
         host: &mut Host,
@@ -255,7 +265,8 @@
         false
     }
 
-    /// A shallow check is answered beside the queue: a host that piles up requests is no better for it.
+    /// Puts an ejected host on probation if it passed a health check and its queue is short. A shallow health check
+    /// bypasses the request queue, so a host whose queue keeps growing can pass it.
     pub(crate) fn on_health_check(
         &self,
         hosts: &mut HostRegistry,
@@ -270,15 +281,15 @@
         };
         let queue = result.load.and_then(|load| load.queue_length);
         let max_queue = median_queue * MAX_QUEUE_RATIO + MAX_EXTRA_QUEUE;
-        let is_light = queue.is_none_or(|queue| queue <= max_queue);
-        if result.healthy && is_light && host.ejection.is_ejected() {
+        let has_short_queue = queue.is_none_or(|queue| queue <= max_queue);
+        if result.healthy && has_short_queue && host.ejection.is_ejected() {
             host.start_probation(now);
         }
     }
 }
 
-/// Ends a probation, or forgets ejections of a host that has proved good since.
-fn settle_probation(host: &mut Host, evidence: Option<EjectionCause>, now: Time) {
+/// Ends a probation whose time is over, or resets the consecutive ejections of a host that no longer fails.
+fn update_probation(host: &mut Host, cause: Option<EjectionCause>, now: Time) {
     let has_ratio = host.stats.failure_ratio().is_some();
     let ejection = &mut host.ejection;
     match ejection.probation_since {
@@ -288,7 +299,7 @@
             }
         }
         None => {
-            if has_ratio && evidence != Some(EjectionCause::Failures) {
+            if has_ratio && cause != Some(EjectionCause::Failures) {
                 ejection.consecutive_ejections = 0;
             }
         }
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which hosts are in which table, and with what weight. Tables are few, evenly drawn, and any two of them share
+//! Placement: which hosts are in which table, and with what weight. Tables are of even size, and any two of them share
 //! a bounded number of hosts.
 
 use crate::config::DeploymentConfig;
@@ -14,67 +14,69 @@
 use crate::tables::TableLayout;
 use crate::time::Time;
 
-/// Warm part from which a usable host counts as warm enough: a member of a table needs no stand-in then.
-pub(crate) const MIN_WARM_ENOUGH_PART: f64 = 0.5;
-/// Usage per weight, in parts of the mean, from which a table borrows hosts.
-const BORROWING_USAGE: f64 = 1.15;
-/// Load per working part that a warming host may get, in parts of the peak per weight: it falls over at twice its capacity
-/// or more.
+/// Minimum warm fraction for a usable host to count as warm enough, so that its table needs no stand-in for it.
+pub(crate) const MIN_WARM_ENOUGH_FRACTION: f64 = 0.5;
+/// Relative usage above which a table borrows hosts from other tables.
+const MIN_BORROWING_USAGE: f64 = 1.15;
+/// Maximum load of a warming host per unit of its current capacity, relative to the fleet's usual load per weight. A
+/// host fails from twice its capacity on.
 const MAX_WARMING_LOAD: f64 = 1.5;
-/// Part of a table's attempts that succeed, under which a warming host waits.
+/// Success ratio of a table below which warming hosts are kept out of it.
 const MIN_SUCCESS_RATIO: f64 = 0.85;
-/// A warming host waits only where this part of the table is warm: a few warm hosts alone would be overloaded for sure.
-const MIN_WARM_PART: f64 = 0.5;
-/// Weights are stated in steps of one over this.
-const WEIGHT_STEPS: f64 = 1e3;
+/// Minimum fraction of warm hosts in a table for keeping warming hosts out: fewer warm hosts would certainly be
+/// overloaded on their own.
+const MIN_WARM_HOST_FRACTION: f64 = 0.5;
+/// Resolution of weights: steps per unit of weight.
+const STEPS_PER_WEIGHT: f64 = 1e3;
 
-/// What is known when hosts are placed.
+/// State of the fleet that placement reads.
 pub(crate) struct PlacementView<'a> {
     pub(crate) now: Time,
     pub(crate) policy: &'a HostPolicy,
     pub(crate) layout: &'a TableLayout,
     pub(crate) reports: &'a LoadReports,
-    /// Requests a second of the proxies of each shared table.
+    /// Requests per second of the proxies of each shared table.
     pub(crate) usage: &'a [f64],
-    /// Part of the requests that is admitted.
-    pub(crate) admitted_part: f64,
-    /// The most successes a second ever seen, per weight; zero before the first.
+    /// Admitted fraction of all requests.
+    pub(crate) admitted_fraction: f64,
+    /// Highest successes per second and unit of weight so far; zero before the first success.
     pub(crate) peak_per_weight: f64,
 }
 
-/// The hosts as they are now; by their places in the registry, but for `listed`.
+/// The current state of all hosts. The vectors other than `listed` are indexed like the host registry.
 struct Fleet {
-    /// Hosts that the list lets be in a table.
+    /// Indexes of the hosts that are ready or draining.
     listed: Vec<usize>,
-    /// The part of its work that a host can do at least.
+    /// Fraction of its capacity that each host has at least.
     warm_part: Vec<f64>,
+    /// Whether each host is ready and not ejected.
     usable: Vec<bool>,
-    /// Weight, less what warming up, probation or load takes off.
+    /// Weight of each host, reduced for warming up, probation and high load.
     weight: Vec<f64>,
-    /// Most hosts in a table.
+    /// Maximum number of hosts in a table.
     max_table_hosts: usize,
 }
 
 impl Fleet {
     fn is_warm_enough(&self, host: usize) -> bool {
-        self.usable[host] && self.warm_part[host] >= MIN_WARM_ENOUGH_PART
+        self.usable[host] && self.warm_part[host] >= MIN_WARM_ENOUGH_FRACTION
     }
 
     fn is_warm(&self, host: usize) -> bool {
         self.warm_part[host] >= 1.0
     }
 
-    /// The part of the listed hosts that is strong.
-    fn warm_enough_part(&self) -> f64 {
-        let strong = self
+    /// Returns the fraction of the listed hosts that are warm enough.
+    fn warm_enough_fraction(&self) -> f64 {
+        let warm_enough = self
             .listed
             .iter()
             .filter(|&&host| self.is_warm_enough(host));
-        strong.count() as f64 / self.listed.len().max(1) as f64
+        warm_enough.count() as f64 / self.listed.len().max(1) as f64
     }
 
-    /// How many hosts more a table may take.
-    fn slots_left(&self, shard: &Shard) -> usize {
+    /// Returns how many more hosts the table may have.
+    fn free_slots(&self, shard: &Shard) -> usize {
         self.max_table_hosts.saturating_sub(shard.len())
     }
 }
@@ -86,12 +88,15 @@
     weight: f64,
 }
 
-/// The draw that tables start from.
+/// Assigns hosts to tables and sets their target weights. Keeps the base shards, which depend on the endpoint list
+/// only.
 pub(crate) struct Placement {
-    /// Whether crossing zones has a price.
+    /// Whether shards prefer hosts of one zone, because crossing zones has a cost.
     by_zone: bool,
+    /// Indexes of the hosts that the base shards were drawn from.
     listed: Vec<usize>,
-    drawn: Vec<Shard>,
+    /// Shards drawn from the endpoint list, before stand-ins and borrowed hosts.
+    base_shards: Vec<Shard>,
 }
 
 impl Placement {
@@ -99,46 +104,47 @@
         Placement {
             by_zone: config.cross_zone_cost > 0.0,
             listed: Vec::new(),
-            drawn: Vec::new(),
+            base_shards: Vec::new(),
         }
     }
 
-    /// Sets what every table should hold now: the draw, the stand-ins and the weights.
+    /// Sets the target weights of all tables: base shards, stand-ins, borrowed hosts and zone tables.
     pub(crate) fn place_hosts(&mut self, hosts: &mut HostRegistry, view: &PlacementView<'_>) {
-        self.renew_draw(hosts, view);
-        let placing = Placing {
+        self.update_base_shards(hosts, view);
+        let round = PlacementRound {
             view,
             hosts,
-            drawn: &self.drawn,
+            base_shards: &self.base_shards,
             fleet: self.fleet(hosts, view),
         };
-        let targets = placing.target_weights();
+        let targets = round.target_weights();
         set_targets(hosts, targets);
     }
 
-    /// Draws all hosts anew if the list has changed.
-    fn renew_draw(&mut self, hosts: &mut HostRegistry, view: &PlacementView<'_>) {
+    /// Draws the base shards again if the listed hosts have changed.
+    fn update_base_shards(&mut self, hosts: &mut HostRegistry, view: &PlacementView<'_>) {
         let is_listed = |host: &Host| {
             host.state() == EndpointState::Draining || view.policy.is_ready(host, view.now)
         };
-        let places = hosts.iter().enumerate();
-        let listed: Vec<usize> = places
+        let indexed = hosts.iter().enumerate();
+        let listed: Vec<usize> = indexed
             .filter(|(_, host)| is_listed(host))
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
             .collect();
         if hosts.take_changed() || listed != self.listed {
             let draw = ShardDraw {
                 hosts,
                 by_zone: self.by_zone,
             };
-            self.drawn = draw.draw(&listed, view.layout.shared_tables(), self.drawn.len());
+            self.base_shards =
+                draw.draw(&listed, view.layout.shared_tables(), self.base_shards.len());
             self.listed = listed;
         }
     }
 
     fn fleet(&self, hosts: &HostRegistry, view: &PlacementView<'_>) -> Fleet {
         let PlacementView { policy, now, .. } = *view;
-        let max_hosts = MAX_TABLES_PER_HOST * self.listed.len() / self.drawn.len();
+        let max_hosts = MAX_TABLES_PER_HOST * self.listed.len() / self.base_shards.len();
         Fleet {
             listed: self.listed.clone(),
             warm_part: hosts
@@ -158,61 +164,63 @@
     }
 }
 
-/// One round of placement.
-struct Placing<'a> {
+/// The inputs of one round of placement.
+struct PlacementRound<'a> {
     view: &'a PlacementView<'a>,
     hosts: &'a HostRegistry,
-    drawn: &'a [Shard],
+    base_shards: &'a [Shard],
     fleet: Fleet,
 }
 
-impl Placing<'_> {
+impl PlacementRound<'_> {
     fn target_weights(&self) -> Vec<TargetWeight> {
-        let mut assignment = ShardAssignment::new(self.drawn.len(), self.hosts.len());
-        for (table, shard) in self.drawn.iter().enumerate() {
+        let mut assignment = ShardAssignment::new(self.base_shards.len(), self.hosts.len());
+        for (table, shard) in self.base_shards.iter().enumerate() {
             for member in shard.iter().filter(|member| self.fleet.usable[member.host]) {
                 assignment.assign(table, member.host);
             }
         }
         self.add_stand_ins(&mut assignment);
-        let usage = self.usage_by_draw();
-        self.lend_hosts(&mut assignment, &usage);
+        let usage = self.usage_by_shard();
+        self.add_borrowed_hosts(&mut assignment, &usage);
         let mut targets = self.shared_targets(&assignment, &usage);
         targets.extend(self.zone_targets());
         targets
     }
 
-    /// Which host comes into a table first: one that is there already, then one in few tables, then one of the table's
-    /// zone.
+    /// Returns the rank of a host as a stand-in, lowest first: prefers current members of the table, then hosts in few
+    /// tables, then hosts of the table's zone.
     fn stand_in_rank(&self, host: usize, table: usize, tables_of_host: usize) -> impl Ord + use<> {
-        let first = self.drawn[table].first();
+        let first = self.base_shards[table].first();
         let home_zone = first.map(|member| self.hosts.at(member.host).zone());
         let host = self.hosts.at(host);
         let is_new = !host.memberships.is_sent_in(table);
-        let is_foreign = home_zone != Some(host.zone());
+        let is_other_zone = home_zone != Some(host.zone());
         (
             is_new,
             tables_of_host,
-            is_foreign,
+            is_other_zone,
             table_preference(host, table),
         )
     }
 
-    /// A draining, removed, failed or still cold member gives way to the host in fewest tables, as far as the fleet has
-    /// that many for each table.
+    /// Adds stand-ins for members that are draining, removed, failed or not warm enough, up to the number of hosts per
+    /// table that the fleet can provide. Hosts in the fewest tables come first.
     fn add_stand_ins(&self, assignment: &mut ShardAssignment) {
-        let warm_enough_part = self.fleet.warm_enough_part();
-        for (table, drawn) in self.drawn.iter().enumerate() {
+        let warm_enough_fraction = self.fleet.warm_enough_fraction();
+        for (table, base) in self.base_shards.iter().enumerate() {
             let rank = |host: usize, tables: usize| self.stand_in_rank(host, table, tables);
             let shard = assignment.shard(table);
             let is_warm_enough = |host: &usize| self.fleet.is_warm_enough(*host);
-            let strong = shard
+            let warm_enough = shard
                 .iter()
                 .filter(|member| is_warm_enough(&member.host))
                 .count();
-            let due =
-                ((drawn.len() as f64 * warm_enough_part).ceil() as usize).max(MIN_TABLE_HOSTS);
-            let missing = due.saturating_sub(strong).min(self.fleet.slots_left(shard));
+            let required =
+                ((base.len() as f64 * warm_enough_fraction).ceil() as usize).max(MIN_TABLE_HOSTS);
+            let missing = required
+                .saturating_sub(warm_enough)
+                .min(self.fleet.free_slots(shard));
             for _ in 0..missing {
                 let candidates = self.fleet.listed.iter().copied().filter(is_warm_enough);
                 let found = assignment.find_stand_in(table, candidates, MAX_SHARED_HOSTS, rank);
@@ -223,7 +231,7 @@
         }
     }
 
-    /// No proxy without a host: if the bounds leave a table empty, any usable host serves it.
+    /// If the limits leave a table empty, adds any usable host, so that no proxy is without a host.
     fn fill_empty_table(&self, assignment: &mut ShardAssignment, table: usize) {
         if !assignment.shard(table).is_empty() {
             return;
@@ -236,9 +244,10 @@
         }
     }
 
-    /// Usage of each table of the draw: where there are fewer than shared tables, several of these hold the same hosts.
-    fn usage_by_draw(&self) -> Vec<f64> {
-        let count = self.drawn.len();
+    /// Returns the usage of each base shard. If there are fewer base shards than shared tables, several tables use the
+    /// same shard.
+    fn usage_by_shard(&self) -> Vec<f64> {
+        let count = self.base_shards.len();
         let mut usage = vec![0.0; count];
         for (table, used) in self.view.usage.iter().enumerate() {
             usage[table % count] += used;
@@ -246,27 +255,28 @@
         usage
     }
 
-    /// Heavy proxies that share a table overload it while others idle: it borrows hosts within the bounds, and a host in
-    /// two tables leans to the one with more usage for its weight.
-    fn lend_hosts(&self, assignment: &mut ShardAssignment, usage: &[f64]) {
+    /// Adds hosts from lightly used tables to heavily used ones within the limits, since busy proxies that share a
+    /// table would overload it while other tables are idle. A host in two tables gives more weight to the table with
+    /// the higher usage per weight.
+    fn add_borrowed_hosts(&self, assignment: &mut ShardAssignment, usage: &[f64]) {
         let relative_usage = assignment.balance_weights(usage, &self.fleet.weight);
-        let is_idle = |host: usize| {
+        let is_lightly_used = |host: usize| {
             let mut tables = assignment.tables_of(host).iter();
             self.fleet.is_warm_enough(host) && tables.all(|&table| relative_usage[table] < 1.0)
         };
         let listed = self.fleet.listed.iter().copied();
-        let lenders: Vec<usize> = listed.filter(|&host| is_idle(host)).collect();
+        let lightly_used: Vec<usize> = listed.filter(|&host| is_lightly_used(host)).collect();
         for table in (0..usage.len()).filter(|&table| relative_usage[table] > 1.0) {
             let rank = |host: usize, tables: usize| self.stand_in_rank(host, table, tables);
-            // A borrowed host stays until the table needs it no more: each change costs connections.
-            let may_stay = |&host: &usize| {
+            // A borrowed host stays until the table no longer needs it, because each change closes connections.
+            let may_borrow = |&host: &usize| {
                 let is_member = self.hosts.at(host).memberships.is_sent_in(table);
-                relative_usage[table] > BORROWING_USAGE || is_member
+                relative_usage[table] > MIN_BORROWING_USAGE || is_member
             };
             let shard = assignment.shard(table);
-            let due = (shard.len() as f64 * (relative_usage[table] - 1.0)).ceil() as usize;
-            for _ in 0..due.min(self.fleet.slots_left(shard)) {
-                let candidates = lenders.iter().copied().filter(may_stay);
+            let required = (shard.len() as f64 * (relative_usage[table] - 1.0)).ceil() as usize;
+            for _ in 0..required.min(self.fleet.free_slots(shard)) {
+                let candidates = lightly_used.iter().copied().filter(may_borrow);
                 let found = assignment.find_stand_in(table, candidates, MAX_SHARED_HOSTS, rank);
                 let Some(host) = found else { break };
                 assignment.assign(table, host);
@@ -275,30 +285,32 @@
         assignment.balance_weights(usage, &self.fleet.weight);
     }
 
-    /// Weights of the shared tables. Proxies avoid hosts that fail them: in a table whose attempts mostly fail, a warming
-    /// host would be all they have left, so it joins no such table that is mostly warm. And per working part it gets no
-    /// more than the fleet's usual load per weight, however short of hosts or full of heavy proxies its table.
+    /// Returns the target weights of the shared tables.
+    ///
+    /// A warming host is kept out of a table that is mostly warm but failing: proxies avoid failing hosts and would
+    /// send everything to the warming one. Elsewhere, its load per unit of current capacity is limited relative to the
+    /// fleet's usual load per weight, even if its table has few hosts or busy proxies.
     fn shared_targets(&self, assignment: &ShardAssignment, usage: &[f64]) -> Vec<TargetWeight> {
         let usual_load = self.usual_load(usage);
         let mut targets = Vec::new();
         for (table, shard) in assignment.shards().iter().enumerate() {
-            let warming_hosts_wait = self.warming_hosts_wait(shard);
+            let excludes_warming_hosts = self.excludes_warming_hosts(shard);
             let weights = shard
                 .iter()
-                .map(|member| self.fleet.weight[member.host] * member.part);
+                .map(|member| self.fleet.weight[member.host] * member.weight_fraction);
             let shard_weight: f64 = weights.sum();
-            let load = (usage[table] * self.view.admitted_part).max(EPSILON);
+            let load = (usage[table] * self.view.admitted_fraction).max(EPSILON);
             let limit = (MAX_WARMING_LOAD * usual_load * shard_weight / load).min(1.0);
             for member in shard {
                 let is_warm = self.fleet.is_warm(member.host);
-                if !is_warm && warming_hosts_wait {
+                if !is_warm && excludes_warming_hosts {
                     continue;
                 }
                 let factor = if is_warm { 1.0 } else { limit };
-                let weight = self.fleet.weight[member.host] * member.part * factor;
+                let weight = self.fleet.weight[member.host] * member.weight_fraction * factor;
                 let shared_tables = self.view.layout.shared_tables();
-                let same = (table..shared_tables).step_by(usage.len());
-                targets.extend(same.map(|table| TargetWeight {
+                let tables_of_shard = (table..shared_tables).step_by(usage.len());
+                targets.extend(tables_of_shard.map(|table| TargetWeight {
                     host: member.host,
                     table,
                     weight,
@@ -308,7 +320,7 @@
         targets
     }
 
-    /// The fleet's usual load per weight: the peak, or before the first success an even split.
+    /// Returns the fleet's usual load per weight: the peak, or an even split of the usage before the first success.
     fn usual_load(&self, usage: &[f64]) -> f64 {
         if self.view.peak_per_weight > 0.0 {
             return self.view.peak_per_weight;
@@ -318,24 +330,25 @@
         usage.iter().sum::<f64>() / listed_weight.max(EPSILON)
     }
 
-    /// Whether a table is mostly warm and mostly fails.
-    fn warming_hosts_wait(&self, shard: &Shard) -> bool {
+    /// Returns whether a table has enough warm hosts and a success ratio below the limit, so that warming hosts stay
+    /// out.
+    fn excludes_warming_hosts(&self, shard: &Shard) -> bool {
         let warm = shard
             .iter()
             .filter(|member| self.fleet.is_warm(member.host));
         let warm = warm.count() as f64;
         let hosts = shard.iter().map(|member| self.hosts.at(member.host));
         let throughput = self.view.reports.throughput(hosts);
-        warm >= (shard.len() as f64 * MIN_WARM_PART).max(1.0)
+        warm >= (shard.len() as f64 * MIN_WARM_HOST_FRACTION).max(1.0)
             && throughput.successes < throughput.attempts * MIN_SUCCESS_RATIO
     }
 
-    /// Classes confined to the proxy's zone: one table a zone, of all its hosts.
+    /// Returns the target weights of the zone tables: each has all hosts of its zone, for the zone-local classes.
     fn zone_targets(&self) -> impl Iterator<Item = TargetWeight> {
         let layout = self.view.layout;
         let listed = self.fleet.listed.iter().copied();
-        let serving = listed.filter(|&host| layout.has_zone_tables() && self.fleet.usable[host]);
-        serving.filter_map(|host| {
+        let usable = listed.filter(|&host| layout.has_zone_tables() && self.fleet.usable[host]);
+        usable.filter_map(|host| {
             let table = layout.zone_table(self.hosts.at(host).zone())?;
             let weight = self.fleet.weight[host];
             Some(TargetWeight {
@@ -347,12 +360,13 @@
     }
 }
 
+/// Replaces the target weights of all hosts.
 fn set_targets(hosts: &mut HostRegistry, targets: Vec<TargetWeight>) {
     for host in hosts.iter_mut() {
         host.memberships.clear_targets();
     }
     for target in targets {
-        let weight = (target.weight * WEIGHT_STEPS).round().max(1.0) / WEIGHT_STEPS;
+        let weight = (target.weight * STEPS_PER_WEIGHT).round().max(1.0) / STEPS_PER_WEIGHT;
         let host = hosts.at_mut(target.host);
         host.memberships.set_target(target.table, weight);
     }
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -1,46 +1,47 @@
-//! Proxies: the requests that reach them, and the table that each one is bound to.
+//! Proxies: the rates of requests that reach them, and their bindings to tables.
 
 use crate::ids::{ProxyId, RequestClassId, ZoneId};
 use crate::time::{DurationExt, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time over which the rates of requests are averaged.
+/// Averaging window for request rates.
 const RATE_WINDOW: Duration = Duration::from_millis(5_000);
-/// Requests a second of each class taken for certain, so that usual rates can be split by them.
+/// Rate added to the demand of each class before it is used to split usual rates, so that the sum is never zero.
 const MIN_RATE: f64 = 1e-3;
 
-/// A proxy that joins.
+/// A joining proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JoiningProxy {
-    /// Its number.
+    /// Its ID.
     pub id: ProxyId,
-    /// The zone it stands in.
+    /// Its zone.
     pub zone: ZoneId,
-    /// Whether it has just started, rather than come over from another controller or come back.
+    /// Whether it has just started, as opposed to migrating from another controller or rejoining.
     pub newly_started: bool,
-    /// Requests a second that usually reach it; values that are no positive number count as zero.
+    /// Requests per second that usually reach it; values that are not positive and finite count as zero.
     pub usual_rate: f64,
 }
 
-/// Whether a proxy's binding is known to hold.
+/// Whether a proxy's binding is known to be in effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BindingState {
     Confirmed,
-    /// What it is bound to may not have been applied.
+    /// The binding may not have been applied.
     Unconfirmed,
 }
 
-/// All that is known of one proxy.
+/// The state of one proxy.
 pub(crate) struct Proxy {
     zone: ZoneId,
-    /// Requests a second, by class.
+    /// Requests per second by class.
     rates: Vec<f64>,
     newly_started: bool,
-    /// Whether reports of its requests have come: without any, it keeps its usual rate.
+    /// Whether it has reported any requests; until then, it keeps its usual rate.
     has_reported: bool,
     table: Option<usize>,
     binding: BindingState,
+    /// Earliest time for sending its binding.
     bind_not_before: Time,
 }
 
@@ -53,45 +54,45 @@
         self.newly_started
     }
 
-    /// The shared table that it is bound to.
+    /// Returns the shared table that it is bound to.
     pub(crate) fn table(&self) -> Option<usize> {
         self.table
     }
 
-    /// Requests a second that reach it.
+    /// Returns the requests per second that reach it.
     pub(crate) fn rate(&self) -> f64 {
         self.rates.iter().sum()
     }
 
-    /// Requests a second of each class that reach it.
+    /// Returns the requests per second of each class that reach it.
     pub(crate) fn rates(&self) -> &[f64] {
         &self.rates
     }
 
-    /// Whether it should be sent its binding now.
+    /// Returns whether its binding should be sent now.
     fn is_binding_due(&self, now: Time) -> bool {
-        let is_open = self.table.is_none() || self.binding == BindingState::Unconfirmed;
-        is_open && now >= self.bind_not_before
+        let needs_binding = self.table.is_none() || self.binding == BindingState::Unconfirmed;
+        needs_binding && now >= self.bind_not_before
     }
 
-    /// Notes that it is sent its binding.
+    /// Records that its binding is sent.
     pub(crate) fn mark_bound(&mut self, table: usize) {
         self.table = Some(table);
         self.binding = BindingState::Confirmed;
     }
 
-    /// Notes that it may not have applied its binding.
+    /// Records that its binding may not have been applied.
     pub(crate) fn mark_unconfirmed(&mut self) {
         self.binding = BindingState::Unconfirmed;
     }
 
-    /// Has its binding sent again, at this time or later.
-    pub(crate) fn bind_again(&mut self, not_before: Time) {
+    /// Schedules its binding to be sent again, at `not_before` or later.
+    pub(crate) fn schedule_rebind(&mut self, not_before: Time) {
         self.binding = BindingState::Unconfirmed;
         self.bind_not_before = not_before;
     }
 
-    /// Adds requests; gives whether they count.
+    /// Adds requests to its rate. Returns whether they were counted.
     fn record_requests(&mut self, class: RequestClassId, requests: f64, period: Duration) -> bool {
         self.has_reported = true;
         let Some(rate) = self.rates.get_mut(class.0 as usize) else {
@@ -104,7 +105,7 @@
         is_valid
     }
 
-    fn fade_rates(&mut self, factor: f64) {
+    fn decay_rates(&mut self, factor: f64) {
         let factor = if self.has_reported { factor } else { 1.0 };
         for rate in &mut self.rates {
             *rate *= factor;
@@ -112,12 +113,12 @@
     }
 }
 
-/// The proxies that are joined, by number.
+/// The joined proxies, by ID.
 pub(crate) struct ProxyRegistry {
     proxies: BTreeMap<ProxyId, Proxy>,
     class_count: usize,
     newest_arrivals_at: Time,
-    faded_at: Time,
+    decayed_at: Time,
 }
 
 impl ProxyRegistry {
@@ -126,7 +127,7 @@
             proxies: BTreeMap::new(),
             class_count,
             newest_arrivals_at: Time::default(),
-            faded_at: now,
+            decayed_at: now,
         }
     }
 
@@ -142,28 +143,29 @@
         self.proxies.get_mut(&id)
     }
 
-    /// Requests a second that reach all proxies.
+    /// Returns the requests per second that reach all proxies.
     pub(crate) fn demand(&self) -> f64 {
         self.iter().map(Proxy::rate).sum()
     }
 
-    /// Requests a second of each class that reach all proxies.
+    /// Returns the requests per second of each class that reach all proxies.
     pub(crate) fn demand_by_class(&self) -> Vec<f64> {
         let of_class = |class: usize| self.iter().map(|proxy| proxy.rates[class]).sum();
         (0..self.class_count).map(of_class).collect()
     }
 
-    /// Requests a second of a class that reach the busiest proxy.
+    /// Returns the requests per second of a class that reach the busiest proxy.
     pub(crate) fn busiest_rate(&self, class: usize) -> f64 {
         self.iter()
             .map(|proxy| proxy.rates[class])
             .fold(0.0, f64::max)
     }
 
-    /// Until its requests are heard of, a proxy is taken to have its usual ones, of the classes that others have.
+    /// Adds a proxy. Until it reports requests, it counts with its usual rate, split by class like the demand of the
+    /// others.
     pub(crate) fn join(&mut self, now: Time, joining: &JoiningProxy) {
-        let is_stated = joining.usual_rate.is_finite() && joining.usual_rate > 0.0;
-        let usual_rate = if is_stated { joining.usual_rate } else { 0.0 };
+        let is_valid = joining.usual_rate.is_finite() && joining.usual_rate > 0.0;
+        let usual_rate = if is_valid { joining.usual_rate } else { 0.0 };
         let by_class = self.demand_by_class();
         let shares: Vec<f64> = by_class.iter().map(|rate| rate + MIN_RATE).collect();
         let sum: f64 = shares.iter().sum();
@@ -187,8 +189,9 @@
         self.proxies.remove(&id)
     }
 
-    /// Requests of a class have reached a proxy. Rates are counts that fade: periods without requests bring no report, and
-    /// by the reports' own periods a proxy of few requests would count several times over.
+    /// Records requests of a class that reached a proxy. Rates are computed from exponentially decaying counts rather
+    /// than report periods: periods without requests produce no report, so proxies with few requests would be
+    /// overestimated several times over.
     pub(crate) fn record_arrivals(
         &mut self,
         now: Time,
@@ -205,17 +208,19 @@
         }
     }
 
-    /// Lets requests fade, by the time between reports: where none comes at all, nothing fades.
-    pub(crate) fn fade_rates(&mut self) {
-        let passed = self.newest_arrivals_at - self.faded_at;
-        let factor = 1.0 - passed.sample_weight(RATE_WINDOW);
-        self.faded_at = self.faded_at.max(self.newest_arrivals_at);
+    /// Decays the rates by the time between the latest reports. If there are no reports at all, the rates do not
+    /// change.
+    pub(crate) fn decay_rates(&mut self) {
+        let elapsed = self.newest_arrivals_at - self.decayed_at;
+        let factor = 1.0 - elapsed.sample_weight(RATE_WINDOW);
+        self.decayed_at = self.decayed_at.max(self.newest_arrivals_at);
         for proxy in self.proxies.values_mut() {
-            proxy.fade_rates(factor);
+            proxy.decay_rates(factor);
         }
     }
 
-    /// Proxies that should be sent their binding now: the heaviest first, so that the light ones even out.
+    /// Returns the proxies whose binding should be sent now, the busiest first, so that the less busy ones even out the
+    /// load.
     pub(crate) fn due_for_binding(&self, now: Time) -> Vec<ProxyId> {
         let due = self
             .proxies
--- a/crates/controller/src/publishing.rs
+++ b/crates/controller/src/publishing.rs
@@ -1,4 +1,5 @@
-//! Publishing: when differences between what tables should hold and what was sent go out to the proxies, and which of them.
+//! Publishing: decides when and which differences between the target tables and the sent tables are sent to the
+//! proxies.
 
 use crate::config::{AdmissionMode, DeploymentConfig, RetryPolicy};
 use crate::decision::Decision;
@@ -16,25 +17,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which differences gather before they are sent (docs/design.md).
+/// Minimum time for which ordinary differences accumulate before they are sent (see docs/design.md).
 pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same for expedited updates.
+/// Time for which expedited differences accumulate before they are sent.
 pub(crate) const EXPEDITED_INTERVAL: Duration = Duration::from_millis(200);
-/// Messages that the cap must have room for before an update goes out: one that can wait leaves one for the next that a rule
-/// asks for.
+/// Message cap tokens required for a deferrable update, which leaves one for the next safety-critical update.
 const DEFERRABLE_TOKENS: f64 = 2.0;
+/// Message cap tokens required for a safety-critical update or a binding.
 pub(crate) const URGENT_TOKENS: f64 = 1.0;
 
-/// What the deployment states of updates.
+/// The rules of a deployment for sending updates.
 pub(crate) struct UpdatePolicy {
     pub(crate) message_cap: MessageCap,
-    /// Whether crossing zones has a price.
+    /// Whether proxies prefer tables of their own zone, because crossing zones has a cost.
     pub(crate) prefers_own_zone: bool,
-    /// Time for which ordinary differences gather.
-    gather_interval: Duration,
-    /// Updates that can be carried out together.
+    /// Time for which ordinary differences accumulate before they are sent.
+    ordinary_interval: Duration,
+    /// Maximum number of updates in one batch.
     max_batch_size: usize,
-    /// Whether proxies count admitted requests a second, rather than a part.
+    /// Whether quotas are in requests per second rather than fractions.
     admits_by_rate: bool,
 }
 
@@ -46,7 +47,7 @@
             max_batch_size => max_batch_size as usize,
         };
         UpdatePolicy {
-            gather_interval: UPDATE_INTERVAL.max(message_cap.refill_interval()),
+            ordinary_interval: UPDATE_INTERVAL.max(message_cap.refill_interval()),
             message_cap,
             prefers_own_zone: config.cross_zone_cost > 0.0,
             max_batch_size,
@@ -55,14 +56,15 @@
     }
 }
 
-/// Which differences of a table an update takes along.
+/// Which differences of a table an update includes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpdateScope {
-    /// All of them.
+    /// All differences.
     All,
-    /// Lines that are far too heavy or unconfirmed, whatever the update's reason: the rest waits for room in the queue.
+    /// Only lines that are far too heavy or unconfirmed; the rest waits until the queue has capacity.
     UnsafeLines,
-    /// And hosts that are added to a short table: all that its proxies send fell to the few left, and pushed cold ones over.
+    /// Unsafe lines and hosts to be added. For small tables: without the added hosts, the few remaining ones got all
+    /// requests of the proxies, which overloaded hosts that had just started.
     UnsafeAndAddedLines,
 }
 
@@ -75,47 +77,47 @@
             UpdateScope::UnsafeLines => is_unsafe,
             UpdateScope::UnsafeAndAddedLines => is_unsafe || is_added,
         };
-        membership.differs() && is_in_scope
+        membership.needs_update() && is_in_scope
     }
 }
 
-/// What one table asks for.
+/// The pending update of one table.
 #[derive(Clone, Copy, Default)]
-struct TableNeed {
-    /// The most pressing of its differences; none: it is as it should be.
+struct PendingUpdate {
+    /// The most urgent reason among its differences; `None` if there are none.
     reason: Option<UpdateReason>,
-    /// Hosts that serve it by what was sent.
-    serving: usize,
+    /// Number of usable hosts that the proxies have in the table.
+    usable_hosts: usize,
 }
 
-/// Whether an update may go out now, as far as its table goes.
+/// Whether the update of a table may be sent now, apart from the queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Due {
     Now,
-    /// Its differences gather for longer.
-    Gathering,
-    /// Its proxies have been sent as many messages as such an update may use.
+    /// Its differences accumulate for longer.
+    Accumulating,
+    /// The message cap has no token for it.
     HeldByCap,
 }
 
-/// Whether all that was due has been looked at.
+/// Whether all due updates have been processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum Published {
     All,
-    /// The batch is full: the rest goes out once this is carried out.
+    /// The batch is full; the remaining updates follow in the next batch.
     BatchFull,
 }
 
-/// One round of updates: what it reads, and what it changes.
+/// One round of updates, with the state that it reads and changes.
 pub(crate) struct UpdateRound<'a> {
     pub(crate) now: Time,
-    /// The number of the batch that the updates go out in.
+    /// Number of the batch that the updates belong to.
     pub(crate) batch: u64,
     pub(crate) policy: &'a UpdatePolicy,
     pub(crate) host_policy: &'a HostPolicy,
     pub(crate) layout: &'a TableLayout,
-    /// Part of the requests of each class that is admitted.
+    /// Admitted fraction of each class.
     pub(crate) fractions: &'a [f64],
     pub(crate) hosts: &'a mut HostRegistry,
     pub(crate) proxies: &'a mut ProxyRegistry,
@@ -125,7 +127,7 @@
 }
 
 impl UpdateRound<'_> {
-    /// The message that a table's proxies are sent now.
+    /// Returns the message of this batch, to be recorded for the tables it is sent to.
     pub(crate) fn message(&self) -> SentMessage {
         SentMessage {
             sent_at: self.now,
@@ -133,19 +135,20 @@
         }
     }
 
-    /// Whether the batch can take no more.
+    /// Returns whether the batch is full.
     pub(crate) fn is_full(&self) -> bool {
         self.decisions.len() >= self.policy.max_batch_size
     }
 
-    /// Sends differences: lost hosts first, then hazards, expedited and ordinary updates, within one budget.
+    /// Sends the due updates by urgency: drains first, then hazards, expedited and ordinary updates. They all share the
+    /// capacity of the queue.
     pub(crate) fn publish_updates(&mut self) -> Published {
         self.queue.advance(self.now);
-        let needs = self.table_needs();
-        let mut due: Vec<(usize, UpdateReason)> = needs
+        let pending = self.pending_updates();
+        let mut due: Vec<(usize, UpdateReason)> = pending
             .iter()
             .enumerate()
-            .filter_map(|(table, need)| Some((table, need.reason?)))
+            .filter_map(|(table, update)| Some((table, update.reason?)))
             .collect();
         due.sort_by_key(|&(table, reason)| (Reverse(reason), self.tables[table].pending_since()));
         for (table, reason) in due {
@@ -154,16 +157,16 @@
             }
             match self.due(table, reason) {
                 Due::Now => {}
-                Due::Gathering => continue,
+                Due::Accumulating => continue,
                 Due::HeldByCap => {
-                    self.tables[table].note_held_by_cap(self.now, reason);
+                    self.tables[table].record_cap_hold(self.now, reason);
                     continue;
                 }
             }
-            let scope = self.scope(needs[table].serving);
+            let scope = self.scope(pending[table].usable_hosts);
             let lines = self.lines_due(table, scope);
             let messages = self.tables[table].bound_proxies();
-            // An update with nothing in scope is no message, and must not count as one.
+            // An update without lines in scope sends no message and must not count as one.
             if lines > 0 && self.queue.admits_update(self.now, reason, lines, messages) {
                 self.send_update(table, reason, scope);
             }
@@ -171,40 +174,40 @@
         Published::All
     }
 
-    /// What each table with proxies asks for, noting since when it does.
-    fn table_needs(&mut self) -> Vec<TableNeed> {
-        let mut needs = vec![TableNeed::default(); self.tables.len()];
+    /// Returns the pending update of each table, and records for each table in use whether one is pending.
+    fn pending_updates(&mut self) -> Vec<PendingUpdate> {
+        let mut pending = vec![PendingUpdate::default(); self.tables.len()];
         for host in self.hosts.iter() {
             let is_usable = self.host_policy.is_usable(host, self.now);
             for membership in host.memberships.iter() {
-                let need = &mut needs[membership.table()];
-                need.reason = need.reason.max(self.update_reason(host, membership));
+                let update = &mut pending[membership.table()];
+                update.reason = update.reason.max(self.update_reason(host, membership));
                 let is_sent = membership.sent_weight() > 0.0 && !membership.is_unconfirmed();
-                need.serving += usize::from(is_usable && is_sent);
+                update.usable_hosts += usize::from(is_usable && is_sent);
             }
         }
-        for (need, table) in needs.iter_mut().zip(self.tables.iter_mut()) {
+        for (update, table) in pending.iter_mut().zip(self.tables.iter_mut()) {
             if !table.is_used() {
-                need.reason = None;
+                update.reason = None;
                 continue;
             }
             table.drop_old_messages(self.now, &self.policy.message_cap);
             if table.changed_fractions(self.fractions) > 0 {
-                need.reason = need.reason.max(Some(UpdateReason::Ordinary));
+                update.reason = update.reason.max(Some(UpdateReason::Ordinary));
             }
-            // A table that has run empty is refilled as fast as a drain goes out.
-            if need.reason.is_some() && need.serving == 0 {
-                need.reason = Some(UpdateReason::Drain);
+            // A table without a usable host is refilled with the urgency of a drain.
+            if update.reason.is_some() && update.usable_hosts == 0 {
+                update.reason = Some(UpdateReason::Drain);
             }
-            table.note_pending(self.now, need.reason.is_some());
-            table.note_safety_due(need.reason >= Some(UpdateReason::Hazard));
+            table.set_pending(self.now, update.reason.is_some());
+            table.set_safety_due(update.reason >= Some(UpdateReason::Hazard));
         }
-        needs
+        pending
     }
 
-    /// Why a line that proxies may hold breaks a rule if it stays: its host drains or was removed, or is a cold one whose
-    /// line is still the warm one's.
-    pub(crate) fn rule_breaking_reason(
+    /// Returns the reason for a safety-critical update of a line, or `None`: its host is draining or was removed, or is
+    /// warming up while the line still has the weight of the warm host.
+    pub(crate) fn safety_reason(
         &self,
         host: &Host,
         membership: &TableMembership,
@@ -219,59 +222,60 @@
         }
     }
 
-    /// Why a line should be sent.
+    /// Returns the reason for sending a line, or `None` if it is up to date.
     fn update_reason(&self, host: &Host, membership: &TableMembership) -> Option<UpdateReason> {
         let is_held = membership.may_be_held();
         let is_heavy = membership.is_far_too_heavy();
         let is_unconfirmed = membership.is_unconfirmed();
         let is_usable = self.host_policy.is_usable(host, self.now);
-        let rule_breaking = self.rule_breaking_reason(host, membership);
-        if rule_breaking.is_some() {
-            rule_breaking
+        let safety_reason = self.safety_reason(host, membership);
+        if safety_reason.is_some() {
+            safety_reason
         } else if is_held && !is_usable {
-            // Not to be put off: a failing host.
+            // An ejected host must not wait for the deferrable updates.
             Some(UpdateReason::Hazard)
         } else if membership.target_weight() > 0.0 && is_heavy || is_unconfirmed {
             Some(UpdateReason::Expedited)
         } else {
-            membership.differs().then_some(UpdateReason::Ordinary)
+            membership.needs_update().then_some(UpdateReason::Ordinary)
         }
     }
 
-    /// Whether differences have gathered for long enough, and the message cap has room.
+    /// Returns whether the differences of a table have accumulated for long enough and the message cap has tokens.
     fn due(&self, table: usize, reason: UpdateReason) -> Due {
         let table = &self.tables[table];
-        let has_gathered = |interval: Duration| {
+        let is_old_enough = |interval: Duration| {
             let pending_since = table.pending_since();
             pending_since.is_some_and(|since| self.now - since >= interval)
         };
-        let (has_gathered, tokens) = match reason {
+        let (is_ready, tokens) = match reason {
             UpdateReason::Drain | UpdateReason::Hazard => (true, URGENT_TOKENS),
-            UpdateReason::Expedited => (has_gathered(EXPEDITED_INTERVAL), DEFERRABLE_TOKENS),
-            UpdateReason::Ordinary => {
-                (has_gathered(self.policy.gather_interval), DEFERRABLE_TOKENS)
-            }
+            UpdateReason::Expedited => (is_old_enough(EXPEDITED_INTERVAL), DEFERRABLE_TOKENS),
+            UpdateReason::Ordinary => (
+                is_old_enough(self.policy.ordinary_interval),
+                DEFERRABLE_TOKENS,
+            ),
         };
-        let has_room = table.has_tokens(self.message(), &self.policy.message_cap, tokens);
-        match (has_gathered, has_room) {
-            (false, _) => Due::Gathering,
+        let has_tokens = table.has_tokens(self.message(), &self.policy.message_cap, tokens);
+        match (is_ready, has_tokens) {
+            (false, _) => Due::Accumulating,
             (true, false) => Due::HeldByCap,
             (true, true) => Due::Now,
         }
     }
 
-    /// Which differences go out to a table that so many hosts serve.
-    fn scope(&self, serving: usize) -> UpdateScope {
-        if serving == 0 || !self.queue.is_half_full() {
+    /// Returns which differences to send for a table with this many usable hosts.
+    fn scope(&self, usable_hosts: usize) -> UpdateScope {
+        if usable_hosts == 0 || !self.queue.is_half_full() {
             UpdateScope::All
-        } else if serving < MIN_TABLE_HOSTS {
+        } else if usable_hosts < MIN_TABLE_HOSTS {
             UpdateScope::UnsafeAndAddedLines
         } else {
             UpdateScope::UnsafeLines
         }
     }
 
-    /// How many lines an update of a table has for each proxy that uses it.
+    /// Returns the number of lines that an update of a table has for each of its proxies.
     pub(crate) fn lines_due(&self, table: usize, scope: UpdateScope) -> usize {
         let memberships = self.hosts.iter().flat_map(|host| host.memberships.iter());
         let hosts = memberships
@@ -283,7 +287,7 @@
         }
     }
 
-    /// The differences of one table that are in scope, to all who use it.
+    /// Sends the differences of one table that are in scope to all its proxies.
     pub(crate) fn send_update(&mut self, table: usize, reason: UpdateReason, scope: UpdateScope) {
         let decisions_before = self.decisions.len();
         self.send_weights(table, scope);
@@ -298,14 +302,14 @@
             return;
         }
         let message = self.message();
-        // Where proxies hold two tables, a message on either counts for both.
+        // If proxies have a zone table too, a message for one table counts for both.
         let counted = if self.layout.has_zone_tables() {
             &mut self.tables[..]
         } else {
             &mut self.tables[table..=table]
         };
         for table in counted {
-            table.count_message(message);
+            table.record_message(message);
         }
     }
 
@@ -339,16 +343,16 @@
         }
     }
 
-    /// What each proxy admits of a class. Where proxies count requests a second, the busiest proxy sets the measure.
+    /// Returns the quota of each proxy for a class. Quotas in requests per second are relative to the busiest proxy.
     fn quota(&self, class: usize, fraction: f64) -> f64 {
         if !self.policy.admits_by_rate {
             return fraction;
         }
-        let measure = if fraction < 1.0 {
+        let full_rate = if fraction < 1.0 {
             self.proxies.busiest_rate(class)
         } else {
             f64::from(u32::MAX)
         };
-        fraction * measure
+        fraction * full_rate
     }
 }
--- a/crates/controller/src/rate_model.rs
+++ b/crates/controller/src/rate_model.rs
@@ -1,16 +1,16 @@
-//! Models of how fast the channel to the proxies sends, for where nothing can be measured.
+//! Models of the sending rate of the channel to the proxies, used where the rate cannot be measured.
 
 use crate::time::{DurationExt, Time};
 
-/// Times that a channel in a slow spell is slower than stated.
+/// Ratio of the configured rate of the channel to its rate in a slow phase.
 pub(crate) const SLOW_CHANNEL_FACTOR: f64 = 8.0;
 
-/// Lines that are queued by the stated rate, and by a slow one.
+/// Estimates of the queued lines at the configured rate and at a slow rate.
 pub(crate) struct RateModel {
     stated_rate: f64,
     queued_at_stated_rate: f64,
     queued_at_slow_rate: f64,
-    counted_at: Time,
+    advanced_at: Time,
 }
 
 impl RateModel {
@@ -19,18 +19,18 @@
             stated_rate,
             queued_at_stated_rate: 0.0,
             queued_at_slow_rate: 0.0,
-            counted_at: Time::default(),
+            advanced_at: Time::default(),
         }
     }
 
-    /// Lets the models send what they can until `now`.
+    /// Subtracts the lines that are sent by `now` at each rate.
     pub(crate) fn advance(&mut self, now: Time) {
-        let passed = (now - self.counted_at).seconds();
-        self.counted_at = now;
+        let elapsed_s = (now - self.advanced_at).seconds();
+        self.advanced_at = now;
         let slow_rate = self.stated_rate / SLOW_CHANNEL_FACTOR;
         self.queued_at_stated_rate =
-            remaining(self.queued_at_stated_rate, passed * self.stated_rate);
-        self.queued_at_slow_rate = remaining(self.queued_at_slow_rate, passed * slow_rate);
+            remaining(self.queued_at_stated_rate, elapsed_s * self.stated_rate);
+        self.queued_at_slow_rate = remaining(self.queued_at_slow_rate, elapsed_s * slow_rate);
     }
 
     pub(crate) fn add(&mut self, lines: f64) {
@@ -38,8 +38,8 @@
         self.queued_at_slow_rate += lines;
     }
 
-    /// So many lines were surely not sent.
-    pub(crate) fn take_back(&mut self, lines: f64) {
+    /// Removes lines that are known not to have been queued.
+    pub(crate) fn remove(&mut self, lines: f64) {
         self.queued_at_stated_rate = remaining(self.queued_at_stated_rate, lines);
         self.queued_at_slow_rate = remaining(self.queued_at_slow_rate, lines);
     }
@@ -53,6 +53,7 @@
     }
 }
 
+/// Returns the queued lines less `lines`, or zero if fewer are queued.
 fn remaining(queued: f64, lines: f64) -> f64 {
     (queued - lines).max(0.0)
 }
--- a/crates/controller/src/shards.rs
+++ b/crates/controller/src/shards.rs
@@ -1,38 +1,41 @@
-//! Shards: tables of hosts that overlap in a bounded number of hosts.
+//! Shards: the hosts of each table, where any two tables share a bounded number of hosts.
 
 use crate::host::{Host, HostRegistry};
 use crate::ids::ZoneId;
 use crate::statistics::{EPSILON, stable_hash};
 
-/// Hosts that a table needs (docs/design.md, What was kept).
+/// Minimum number of hosts in a table (see docs/design.md).
 pub(crate) const MIN_TABLE_HOSTS: usize = 4;
-/// Hosts that two tables share at most (docs/design.md, What was kept).
+/// Maximum number of hosts that two tables share (see docs/design.md).
 pub(crate) const MAX_SHARED_HOSTS: usize = 2;
-/// Tables that a host is in at most (docs/design.md, What was kept).
+/// Maximum number of tables that a host is in (see docs/design.md).
 pub(crate) const MAX_TABLES_PER_HOST: usize = 2;
-/// Hosts that a table must find room for, its stand-ins too.
+/// Number of hosts, including stand-ins, that must be available per table before the number of tables is chosen.
 const SLOTS_PER_TABLE: usize = 7;
-/// A growing number of tables needs this many times the usual slots, since each change draws all anew and tears connections.
+/// Factor on the required slots for raising the number of tables, since each change of the number reassigns all hosts
+/// and closes connections.
 const GROWTH_MARGIN: usize = 2;
-/// Tables among which a host's hash lets it choose: more is evener, fewer moves less.
+/// Number of tables, by a host's hash, that the host is assigned among. More choices give more even tables; fewer
+/// choices move fewer hosts when the list changes.
 const HASH_CHOICES: usize = 4;
-/// Rounds in which weights balance_weights between tables.
+/// Iterations of balancing weights between tables.
 const BALANCING_ROUNDS: usize = 12;
-/// Least part of its weight that a host keeps in each of its tables, which keeps connections warm.
-const MIN_SHARED_PART: f64 = 0.05;
+/// Minimum fraction of a host's weight in each of its tables, which keeps connections open.
+const MIN_WEIGHT_FRACTION: f64 = 0.05;
 
-/// A host of a table, by its place in the registry.
+/// A host of a table.
 #[derive(Clone, Copy)]
 pub(crate) struct ShardMember {
+    /// Index in the host registry.
     pub(crate) host: usize,
-    /// The part of its weight that this table has.
-    pub(crate) part: f64,
+    /// Fraction of the host's weight in this table.
+    pub(crate) weight_fraction: f64,
 }
 
 /// The hosts of one table.
 pub(crate) type Shard = Vec<ShardMember>;
 
-/// Which hosts are in which table.
+/// Assignment of hosts to tables.
 pub(crate) struct ShardAssignment {
     shards: Vec<Shard>,
     tables_of_host: Vec<Vec<usize>>,
@@ -47,7 +50,10 @@
     }
 
     pub(crate) fn assign(&mut self, table: usize, host: usize) {
-        self.shards[table].push(ShardMember { host, part: 1.0 });
+        self.shards[table].push(ShardMember {
+            host,
+            weight_fraction: 1.0,
+        });
         self.tables_of_host[host].push(table);
     }
 
@@ -63,8 +69,8 @@
         &self.tables_of_host[host]
     }
 
-    /// The candidate of least rank that may join a table without any pair of tables sharing more than `max_shared` hosts.
-    /// The rank is given how many tables the host is in.
+    /// Returns the candidate of lowest rank that can join a table without any two tables sharing more than `max_shared`
+    /// hosts. `rank` gets a host and the number of tables it is in.
     pub(crate) fn find_stand_in<R: Ord>(
         &self,
         table: usize,
@@ -88,50 +94,50 @@
             .min_by_key(|&host| rank(host, self.tables_of(host).len()))
     }
 
-    /// Splits hosts in several tables so that usage per weight comes as even as it can; gives each table's relative usage: its
-    /// usage per weight, mean 1.
+    /// Splits the weight of hosts between their tables to even out the usage per weight. Returns the relative usage of
+    /// each table: its usage per weight divided by the mean.
     pub(crate) fn balance_weights(&mut self, usage: &[f64], weights: &[f64]) -> Vec<f64> {
         let total_usage: f64 = usage.iter().sum();
         let mut relative_usage = vec![1.0; self.shards.len()];
         let mut relative_usage_sums = vec![0.0; self.tables_of_host.len()];
         for _ in 0..BALANCING_ROUNDS {
             self.sum_relative_usage(&relative_usage, &mut relative_usage_sums);
-            let shard_weights = self.split_parts(&relative_usage, &relative_usage_sums, weights);
+            let shard_weights = self.split_weights(&relative_usage, &relative_usage_sums, weights);
             if total_usage > 0.0 {
                 let total_weight: f64 = shard_weights.iter().sum();
-                let even = usage
+                let ratios = usage
                     .iter()
                     .zip(shard_weights)
                     .map(|(used, weight)| used / total_usage * total_weight / weight);
-                relative_usage = even
-                    .map(|ratio| ratio.clamp(MIN_SHARED_PART, 1.0 / MIN_SHARED_PART))
+                relative_usage = ratios
+                    .map(|ratio| ratio.clamp(MIN_WEIGHT_FRACTION, 1.0 / MIN_WEIGHT_FRACTION))
                     .collect();
             }
         }
         relative_usage
     }
 
-    /// The relative_usage of all tables of each host, by its parts in them.
+    /// Sums the relative usage of the tables of each host, weighted by the host's weight fractions.
     fn sum_relative_usage(&self, relative_usage: &[f64], sums: &mut [f64]) {
         sums.fill(0.0);
         for (shard, relative_usage) in self.shards.iter().zip(relative_usage) {
             for member in shard {
-                sums[member.host] += member.part * relative_usage;
+                sums[member.host] += member.weight_fraction * relative_usage;
             }
         }
     }
 
-    /// Splits each host by the relative_usage of its tables; gives the tables' weights.
-    fn split_parts(&mut self, relative_usage: &[f64], sums: &[f64], weights: &[f64]) -> Vec<f64> {
+    /// Splits the weight of each host by the relative usage of its tables. Returns the weight of each table.
+    fn split_weights(&mut self, relative_usage: &[f64], sums: &[f64], weights: &[f64]) -> Vec<f64> {
         let mut shard_weights = Vec::with_capacity(relative_usage.len());
         for (shard, relative_usage) in self.shards.iter_mut().zip(relative_usage) {
             for member in shard.iter_mut() {
-                let part = member.part * relative_usage / sums[member.host];
-                member.part = part.max(MIN_SHARED_PART);
+                let fraction = member.weight_fraction * relative_usage / sums[member.host];
+                member.weight_fraction = fraction.max(MIN_WEIGHT_FRACTION);
             }
             let weight: f64 = shard
                 .iter()
-                .map(|member| weights[member.host] * member.part)
+                .map(|member| weights[member.host] * member.weight_fraction)
                 .sum();
             shard_weights.push(weight.max(EPSILON));
         }
@@ -139,17 +145,17 @@
     }
 }
 
-/// Draws hosts into tables. The draw is the same at every controller that has as many tables, since only the endpoint list
-/// goes in.
+/// Deterministic draw of hosts into tables. Controllers with the same endpoint list and number of tables get the same
+/// shards.
 pub(crate) struct ShardDraw<'a> {
     pub(crate) hosts: &'a HostRegistry,
-    /// Whether hosts are drawn zone by zone, where crossing zones has a price.
+    /// Whether tables have home zones, because crossing zones has a cost.
     pub(crate) by_zone: bool,
 }
 
 impl ShardDraw<'_> {
-    /// Draws the listed hosts into up to `max_tables` tables. If no such shards fit, proxies share fewer tables, by halves;
-    /// under four hosts, one table holds all.
+    /// Draws the listed hosts into up to `max_tables` shards. Halves the number of shards until they satisfy the
+    /// limits; in the end, a single shard has all hosts, for instance if there are fewer than four.
     pub(crate) fn draw(
         &self,
         listed: &[usize],
@@ -157,15 +163,15 @@
         current_tables: usize,
     ) -> Vec<Shard> {
         let mut order = listed.to_vec();
-        // Whoever started last is drawn last, so that new hosts move nobody.
+        // Hosts are drawn in the order of their start, so that new hosts do not move older ones.
         order.sort_by_key(|&host| {
             let host = self.hosts.at(host);
             (host.started(), host.tie_breaker())
         });
         let mut tables = max_tables;
         while tables > 1 {
-            let places = slots_needed(tables, current_tables);
-            if let Some(shards) = self.try_draw(&order, tables, places) {
+            let slots = slots_needed(tables, current_tables);
+            if let Some(shards) = self.try_draw(&order, tables, slots) {
                 return shards;
             }
             tables /= 2;
@@ -173,15 +179,19 @@
         let members = order.into_iter();
         vec![
             members
-                .map(|host| ShardMember { host, part: 1.0 })
+                .map(|host| ShardMember {
+                    host,
+                    weight_fraction: 1.0,
+                })
                 .collect(),
         ]
     }
 
-    /// Each host goes to the emptiest of the few tables that its hash likes best, so that one host more or less moves few
-    /// others; zone by zone where crossing zones has a price. Short tables take hosts twice.
-    fn try_draw(&self, order: &[usize], tables: usize, places: usize) -> Option<Vec<Shard>> {
-        if MAX_TABLES_PER_HOST * order.len() < places * tables {
+    /// Assigns each host to the smallest of the tables that its hash prefers, so that adding or removing a host moves
+    /// few others. If crossing zones has a cost, hosts go to tables of their zone. Tables with too few hosts also get
+    /// hosts that another table already has. Returns `None` if the limits cannot be met.
+    fn try_draw(&self, order: &[usize], tables: usize, slots: usize) -> Option<Vec<Shard>> {
+        if MAX_TABLES_PER_HOST * order.len() < slots * tables {
             return None;
         }
         let home_zones = self.home_zones(order, tables);
@@ -192,8 +202,8 @@
         }
         for (table, &home_zone) in home_zones.iter().enumerate() {
             let rank = |host: usize, tables_of_host: usize| {
-                let is_foreign = self.zone(host) != home_zone;
-                (tables_of_host, is_foreign, self.preference(host, table))
+                let is_other_zone = self.zone(host) != home_zone;
+                (tables_of_host, is_other_zone, self.preference(host, table))
             };
             for _ in assignment.shard(table).len()..MIN_TABLE_HOSTS {
                 let candidates = order.iter().copied();
@@ -221,7 +231,8 @@
         table_preference(self.hosts.at(host), table)
     }
 
-    /// A zone has the tables whose middles lie in its part of all hosts.
+    /// Returns the home zone of each table. With the hosts sorted by zone and divided evenly among the tables, it is
+    /// the zone of the host in the middle of the table's section.
     fn home_zones(&self, order: &[usize], tables: usize) -> Vec<ZoneId> {
         let mut by_zone = order.to_vec();
         by_zone.sort_by_key(|&host| self.zone(host));
@@ -231,7 +242,8 @@
             .collect()
     }
 
-    /// The emptiest of the tables that a host's hash likes best. A zone without a table of its own chooses freely.
+    /// Returns the smallest of the tables that a host's hash prefers. Hosts of a zone without a home table can go to
+    /// any table.
     fn preferred_table(
         &self,
         assignment: &ShardAssignment,
@@ -239,20 +251,21 @@
         host: usize,
     ) -> Option<usize> {
         let zone = self.zone(host);
-        let is_homeless = !home_zones.contains(&zone);
-        let near = (0..home_zones.len()).filter(|&table| is_homeless || home_zones[table] == zone);
-        let mut preferred: Vec<(u64, usize)> = near
+        let has_no_home_table = !home_zones.contains(&zone);
+        let eligible =
+            (0..home_zones.len()).filter(|&table| has_no_home_table || home_zones[table] == zone);
+        let mut preferred: Vec<(u64, usize)> = eligible
             .map(|table| (self.preference(host, table), table))
             .collect();
         preferred.sort_unstable();
         let choices = preferred.into_iter().take(HASH_CHOICES);
-        let emptiest = choices.min_by_key(|&(_, table)| assignment.shard(table).len());
-        emptiest.map(|(_, table)| table)
+        let smallest = choices.min_by_key(|&(_, table)| assignment.shard(table).len());
+        smallest.map(|(_, table)| table)
     }
 }
 
-/// Places that each table must find. Each change draws all anew and tears connections: more tables only with much room,
-/// fewer with none.
+/// Returns the number of slots required per table. A change of the number of tables reassigns all hosts and closes
+/// connections, so more tables require a large margin, while the current number only requires the minimum table size.
 fn slots_needed(tables: usize, current_tables: usize) -> usize {
     if current_tables == tables {
         return MIN_TABLE_HOSTS;
@@ -262,7 +275,7 @@
     margin * SLOTS_PER_TABLE
 }
 
-/// How much a host's hash likes a table: least first.
+/// Returns the preference of a host for a table by its hash; lower is preferred.
 pub(crate) fn table_preference(host: &Host, table: usize) -> u64 {
     stable_hash(host.tie_breaker().wrapping_add(table as u64))
 }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -1,11 +1,11 @@
-//! What a controller believes, for logs and operators.
+//! Status snapshots of a controller, for logs and operators.
 
 use crate::admission_control::AdmissionController;
 use crate::host::{Host, HostRegistry};
 use crate::host_policy::HostPolicy;
 use crate::ids::HostId;
 use crate::load_reports::LoadReports;
-use crate::placement::MIN_WARM_ENOUGH_PART;
+use crate::placement::MIN_WARM_ENOUGH_FRACTION;
 use crate::proxy::ProxyRegistry;
 use crate::publishing::UpdatePolicy;
 use crate::statistics::{EPSILON, median};
@@ -14,109 +14,109 @@
 use crate::update_queue::{UpdateQueue, UpdateReason};
 use std::time::Duration;
 
-/// Failed attempts from which a host is named.
-const NAMED_FROM_FAILURES: f64 = 0.3;
+/// Minimum number of failed attempts for a host to be listed as failing.
+const MIN_LISTED_FAILURES: f64 = 0.3;
 
-/// What a controller believes at one moment.
+/// The state of a controller at one point in time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatusSnapshot {
-    /// Hosts that are known.
+    /// Number of known hosts.
     pub known_hosts: usize,
-    /// Hosts that the endpoint list lets proxies send to.
+    /// Number of hosts that the endpoint list allows sending requests to.
     pub ready_hosts: usize,
-    /// Hosts that are ejected as outliers.
+    /// Hosts ejected as outliers.
     pub ejected: Vec<HostId>,
-    /// Hosts that are back from an ejection on a small weight.
+    /// Hosts that have returned from an ejection with a reduced weight.
     pub on_probation: Vec<HostId>,
-    /// Hosts that have lost half of their weight or more to their load.
+    /// Hosts whose weight is reduced by more than half because of high load.
     pub weight_reduced: Vec<HostId>,
-    /// Hosts at which attempts failed lately.
+    /// Hosts with recent failed attempts.
     pub failing: Vec<HostFailures>,
-    /// Part of the requests of each class that is admitted.
+    /// Admitted fraction of each request class.
     pub admitted_fractions: Vec<f64>,
-    /// How overloaded the fleet is; from 1 on, load is shed.
+    /// Overload of the fleet; load is shed above 1.
     pub overload: f64,
-    /// Load of the median host, in parts of all its cores, with what waits.
+    /// Load of the median host including queued requests, where 1 means that all cores are busy.
     pub median_load: f64,
-    /// Delay of the reports.
+    /// Average delay of load reports.
     pub report_delay: Duration,
-    /// Requests a second that reach the proxies.
+    /// Requests per second that reach the proxies.
     pub demand: f64,
-    /// What the hosts make of them.
+    /// Attempts per second at all hosts.
     pub throughput: Throughput,
-    /// The queue of updates to the proxies.
+    /// State of the queue of updates to the proxies.
     pub update_queue: UpdateQueueStatus,
-    /// The messages that each proxy may be sent.
+    /// State of the limit on messages to each proxy.
     pub message_cap: MessageCapStatus,
-    /// Hosts that have started lately.
+    /// Ready hosts that are warming up.
     pub warming: Vec<WarmingHost>,
 }
 
-/// A host that has started lately, and what our proxies bring it by the weights that were sent.
+/// A host that is warming up, and its expected load from this controller's proxies by the weights that were sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WarmingHost {
     /// The host.
     pub host: HostId,
-    /// The part of its work that it can do at least.
+    /// Fraction of its capacity that it has at least.
     pub warm_part: f64,
-    /// Requests a second that it should get by the weights sent, those of tables for confined classes aside.
+    /// Expected requests per second by the weights that were sent, excluding those of zone tables.
     pub requests_per_s: f64,
-    /// These per unit of its weight that it can carry now, in parts of the fleet's mean; 1: as loaded as the others.
+    /// Expected requests per unit of its current capacity, relative to the fleet's mean (1 means equal load).
     pub relative_load: f64,
 }
 
-/// The messages that each proxy may be sent within the window that they are counted in.
+/// State of the message cap, which limits the messages to each proxy per window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MessageCapStatus {
-    /// Messages that a proxy may be sent; none: any number.
+    /// Maximum number of messages to a proxy per window; `None` means no limit.
     pub max_messages: Option<usize>,
-    /// Messages that count against it for the proxies of the table that has most.
+    /// Messages in the current window to the proxies of the table with the most messages.
     pub max_used: usize,
-    /// Updates that were due but for the cap, counted each time that they were looked at, by reason.
+    /// Updates held back by the cap, by reason; an update counts once per round.
     pub held_back_for: LineCounts,
-    /// The longest time for which the cap has held an update back that a rule asks for.
+    /// Longest time for which the cap has held back a safety-critical update.
     pub longest_safety_hold: Duration,
 }
 
-/// Attempts that failed at one host lately; older ones count less.
+/// Recent attempts at one host; older attempts count less.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostFailures {
     /// The host.
     pub host: HostId,
-    /// Attempts that ended.
+    /// Number of attempts that ended.
     pub attempts: f64,
-    /// The part of them that failed.
+    /// Fraction of the attempts that failed.
     pub failure_ratio: f64,
 }
 
-/// Attempts at some hosts, per second.
+/// Attempts per second at a group of hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Throughput {
     /// Attempts that ended.
     pub attempts: f64,
-    /// Those that succeeded.
+    /// Attempts that succeeded.
     pub successes: f64,
 }
 
-/// Lines, or updates, by why they were sent.
+/// Lines or updates, counted by the reason for sending them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LineCounts {
-    /// To bind a proxy to a table.
+    /// Bindings of proxies to tables.
     pub bindings: f64,
-    /// For hosts that drain or were removed, and tables that ran empty.
+    /// Updates for hosts that drain or were removed, and for tables without a usable host.
     pub drains: f64,
-    /// For hosts that fail or warm up and have too much weight.
+    /// Updates for hosts that fail, or that warm up and have too much weight.
     pub hazards: f64,
-    /// For weights that are far too high, and updates that may not have been applied.
+    /// Updates for weights that are far too high and for unconfirmed updates.
     pub expedited: f64,
-    /// For all else.
+    /// All other updates.
     pub ordinary: f64,
-    /// To ask for acknowledgements.
+    /// Requests for acknowledgements.
     pub acks: f64,
 }
 
 impl LineCounts {
-    /// The count of updates of tables for a reason.
+    /// Returns the count for a reason.
     pub(crate) fn of_mut(&mut self, reason: UpdateReason) -> &mut f64 {
         match reason {
             UpdateReason::Ordinary => &mut self.ordinary,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Adds other counts to these.
+    /// Adds other counts to this one.
     fn add(&mut self, other: &LineCounts) {
         self.bindings += other.bindings;
         self.drains += other.drains;
@@ -137,29 +137,29 @@
     }
 }
 
-/// The queue of updates to the proxies. Figures are in lines unless said otherwise.
+/// State of the queue of updates to the proxies. Values are in lines unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpdateQueueStatus {
-    /// Lines that may wait.
+    /// Maximum number of queued lines.
     pub line_limit: f64,
-    /// Lines that wait if the channel sends at the stated rate.
+    /// Estimate of queued lines if the channel sends at the configured rate.
     pub queued_at_stated_rate: f64,
-    /// Lines that wait if the channel sends many times slower.
+    /// Estimate of queued lines if the channel is in a slow phase.
     pub queued_at_slow_rate: f64,
-    /// Lines sent and not yet known to have left the channel; none: proxies acknowledge nothing.
+    /// Lines sent but not confirmed by an acknowledgement; `None` if proxies do not support acknowledgements.
     pub unconfirmed: Option<f64>,
-    /// Lines sent since the start, with all overhead, by reason.
+    /// Lines sent since the start including overhead, by reason.
     pub sent_for: LineCounts,
-    /// Updates that were due but for the queue, counted each time that they were looked at, by reason.
+    /// Updates held back by the queue, by reason; an update counts once per attempt to send it.
     pub held_back_for: LineCounts,
-    /// Acknowledgements that came.
+    /// Number of acknowledgements received.
     pub acks_received: u64,
-    /// Time from sending the last message that was acknowledged until its acknowledgement came.
+    /// Time from sending the last acknowledged batch until its first acknowledgement arrived.
     pub last_ack_delay: Duration,
 }
 
-/// What a snapshot is made of.
-pub(crate) struct Sources<'a> {
+/// The state that a snapshot is built from.
+pub(crate) struct SnapshotSources<'a> {
     pub(crate) now: Time,
     pub(crate) hosts: &'a HostRegistry,
     pub(crate) policy: &'a HostPolicy,
@@ -169,21 +169,21 @@
     pub(crate) queue: &'a UpdateQueue,
     pub(crate) tables: &'a [TableState],
     pub(crate) update_policy: &'a UpdatePolicy,
-    /// Attempts a second per unit of weight that should end in each table.
+    /// Expected attempts per second and unit of weight in each table.
     pub(crate) attempts_per_weight: Vec<f64>,
 }
 
-impl Sources<'_> {
-    fn hosts_where(&self, is_named: impl Fn(&Host) -> bool) -> Vec<HostId> {
-        let named = self.hosts.iter().filter(|host| is_named(host));
-        named.map(|host| host.id().clone()).collect()
+impl SnapshotSources<'_> {
+    fn host_ids_where(&self, predicate: impl Fn(&Host) -> bool) -> Vec<HostId> {
+        let matching = self.hosts.iter().filter(|host| predicate(host));
+        matching.map(|host| host.id().clone()).collect()
     }
 
     fn failing_hosts(&self) -> Vec<HostFailures> {
         let failing = self
             .hosts
             .iter()
-            .filter(|host| host.stats.failures() > NAMED_FROM_FAILURES);
+            .filter(|host| host.stats.failures() > MIN_LISTED_FAILURES);
         failing
             .map(|host| HostFailures {
                 host: host.id().clone(),
@@ -210,7 +210,7 @@
         status
     }
 
-    /// Attempts a second that a host should get by the weights that were sent.
+    /// Returns the attempts per second expected at a host, by the weights that were sent.
     fn expected_attempts(&self, host: &Host) -> f64 {
         let memberships = host.memberships.iter();
         memberships
@@ -220,7 +220,7 @@
             .sum()
     }
 
-    /// Ready hosts that have not warmed up.
+    /// Returns the ready hosts that are warming up.
     fn warming_hosts(&self) -> Vec<WarmingHost> {
         let is_ready = |host: &&Host| self.policy.is_ready(host, self.now);
         let ready = || self.hosts.iter().filter(is_ready);
@@ -244,17 +244,17 @@
     }
 }
 
-/// What is believed now: read from the decisions' state, and no part of any decision.
-pub(crate) fn snapshot(sources: &Sources<'_>) -> StatusSnapshot {
+/// Builds a status snapshot. It only reads state and never influences a decision.
+pub(crate) fn snapshot(sources: &SnapshotSources<'_>) -> StatusSnapshot {
     let is_ready = |host: &&Host| sources.policy.is_ready(host, sources.now);
     let loads = sources.hosts.iter().filter_map(|host| host.stats.load());
     StatusSnapshot {
         known_hosts: sources.hosts.len(),
         ready_hosts: sources.hosts.iter().filter(is_ready).count(),
-        ejected: sources.hosts_where(|host| host.ejection.is_ejected()),
-        on_probation: sources.hosts_where(|host| host.ejection.is_on_probation()),
+        ejected: sources.host_ids_where(|host| host.ejection.is_ejected()),
+        on_probation: sources.host_ids_where(|host| host.ejection.is_on_probation()),
         weight_reduced: sources
-            .hosts_where(|host| host.weight_reduction.lost() > 1.0 - MIN_WARM_ENOUGH_PART),
+            .host_ids_where(|host| host.weight_reduction.lost() > 1.0 - MIN_WARM_ENOUGH_FRACTION),
         failing: sources.failing_hosts(),
         admitted_fractions: sources.admission.fractions().to_vec(),
         overload: sources.admission.overload(),
--- a/crates/controller/src/tables.rs
+++ b/crates/controller/src/tables.rs
@@ -1,4 +1,4 @@
-//! The routing tables: how many there are and of which kind, and what is known of each one's proxies.
+//! The routing tables: their number and kinds, and the state of each table's proxies.
 
 use crate::config::{DeploymentConfig, RetryPolicy};
 use crate::ids::{RequestClassId, ZoneId};
@@ -9,10 +9,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Proxies that a table needs (docs/design.md, What was kept).
+/// Minimum number of proxies per table (see docs/design.md).
 const PROXIES_PER_TABLE: u64 = 5;
 
-/// Which tables there are: the shared ones first, then one for each zone if classes are confined to zones.
+/// The tables of a deployment: the shared tables first, then one per zone if there are zone-local classes.
 pub(crate) struct TableLayout {
     shared_tables: usize,
     zone_tables: usize,
@@ -56,14 +56,14 @@
         self.shared_tables + self.zone_tables
     }
 
-    /// The table of a zone for the classes confined to it; none for a zone that only a list or a proxy names: the
-    /// deployment has no table for it.
+    /// Returns the table of a zone for zone-local classes, or `None` if there are no such classes or the deployment
+    /// does not name the zone (endpoint lists and proxies can name others).
     pub(crate) fn zone_table(&self, zone: ZoneId) -> Option<usize> {
         let table = self.shared_tables + zone.0 as usize;
         (table < self.len()).then_some(table)
     }
 
-    /// All tables of a proxy of this zone that is bound to this shared one.
+    /// Returns all tables of a proxy of this zone that is bound to this shared table.
     pub(crate) fn tables_of(
         &self,
         shared_table: usize,
@@ -72,7 +72,7 @@
         std::iter::once(shared_table).chain(self.zone_table(zone))
     }
 
-    /// What a proxy of this zone is bound to: tables, each with the classes that it is used for.
+    /// Returns the bindings of a proxy: tables, each with the classes that it serves.
     pub(crate) fn bindings(
         &self,
         shared_table: usize,
@@ -86,7 +86,7 @@
         let mut bindings = Vec::from(bindings);
         bindings.retain(|(_, classes)| !classes.is_empty());
         if !self.has_zone_tables() {
-            // No classes stand for all of them.
+            // An empty list of classes means all classes.
             for (_, classes) in &mut bindings {
                 classes.clear();
             }
@@ -95,79 +95,81 @@
     }
 }
 
-/// A message to the proxies of a table.
+/// A message sent to the proxies of a table.
 #[derive(Clone, Copy)]
 pub(crate) struct SentMessage {
     pub(crate) sent_at: Time,
-    /// The batch that it belongs to: all that a batch has for a proxy is one message.
+    /// Its batch. All updates of a batch for one proxy are sent as one message.
     pub(crate) batch: u64,
 }
 
-/// What the message cap has held back of one table's updates.
+/// Updates of one table that the message cap has held back.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct CapHolds {
-    /// Updates that were due but for the cap, each time that they were looked at.
+    /// Updates held back by the cap, by reason; an update counts once per round.
     pub(crate) held_back_for: LineCounts,
-    /// The longest time for which one waited that a rule asks for.
+    /// Longest time for which the cap has held back a safety-critical update.
     pub(crate) longest_safety_hold: Duration,
-    /// Since when such a one waits; none: none does.
+    /// When the cap began to hold back a safety-critical update; `None` if it holds back none.
     safety_held_since: Option<Time>,
 }
 
-/// What is known of the proxies of one table.
+/// State of one table: what its proxies were sent, and what waits to be sent.
 #[derive(Clone, Default)]
 pub(crate) struct TableState {
     cap_holds: CapHolds,
     bound_proxies: usize,
     messages: VecDeque<SentMessage>,
     pending_since: Option<Time>,
+    /// Last sent admitted fraction of each class; `None` if not sent or unconfirmed.
     sent_fractions: Vec<Option<f64>>,
 }
 
 impl TableState {
-    /// A proxy is bound to it.
+    /// Counts a proxy that was bound to the table.
     pub(crate) fn add_proxy(&mut self) {
         self.bound_proxies += 1;
     }
 
-    /// A proxy that was bound to it has left.
+    /// Removes a bound proxy that has left.
     pub(crate) fn remove_proxy(&mut self) {
         self.bound_proxies -= 1;
     }
 
-    /// Proxies that are bound to it.
+    /// Returns the number of proxies that are bound to the table.
     pub(crate) fn bound_proxies(&self) -> usize {
         self.bound_proxies
     }
 
-    /// Whether any proxy uses it.
+    /// Returns whether any proxy is bound to the table.
     pub(crate) fn is_used(&self) -> bool {
         self.bound_proxies > 0
     }
 
-    /// A message is sent to its proxies; all that is sent in one batch is one message.
-    pub(crate) fn count_message(&mut self, message: SentMessage) {
-        if !self.is_sent_message_in(message.batch) {
+    /// Records a message to the table's proxies. Further updates in the same batch belong to the same message.
+    pub(crate) fn record_message(&mut self, message: SentMessage) {
+        if !self.has_message_in(message.batch) {
             self.messages.push_back(message);
         }
     }
 
-    /// Whether its proxies are sent a message in this batch already.
-    fn is_sent_message_in(&self, batch: u64) -> bool {
+    /// Returns whether this batch already has a message for the table's proxies.
+    fn has_message_in(&self, batch: u64) -> bool {
         let last = self.messages.back();
         last.is_some_and(|message| message.batch == batch)
     }
 
-    /// The message of this batch was surely not applied.
-    pub(crate) fn uncount_message(&mut self, batch: u64) {
+    /// Removes the message of a batch that is known not to have been applied.
+    pub(crate) fn remove_message(&mut self, batch: u64) {
         self.messages.retain(|message| message.batch != batch);
     }
 
-    /// Its proxies are all new: they have been sent nothing.
+    /// Clears the messages of a table whose proxies are all new.
     pub(crate) fn clear_messages(&mut self) {
         self.messages.clear();
     }
 
+    /// Drops messages that are older than the window of the message cap.
     pub(crate) fn drop_old_messages(&mut self, now: Time, cap: &MessageCap) {
         self.messages
             .retain(|message| now - message.sent_at <= cap.window());
@@ -179,25 +181,26 @@
         sent.filter(move |&at| now - at <= window)
     }
 
-    /// Messages to one of its proxies that count against the cap, its binding among them.
+    /// Returns the number of messages to one of the table's proxies that count against the cap, including its binding.
     pub(crate) fn messages_used(&self, now: Time, cap: &MessageCap) -> usize {
         1 + self.recent_messages(now, cap).count()
     }
 
-    /// Whether a message may be sent to its proxies in this batch, if the cap has room for so many.
+    /// Returns whether a message may be sent to the table's proxies in this batch, where the message cap must have
+    /// `messages` tokens.
     pub(crate) fn has_tokens(&self, next: SentMessage, cap: &MessageCap, messages: f64) -> bool {
         let now = next.sent_at;
-        self.is_sent_message_in(next.batch)
+        self.has_message_in(next.batch)
             || cap.has_tokens(now, self.recent_messages(now, cap), messages)
     }
 
-    /// What the message cap has held back of its updates.
+    /// Returns which of the table's updates the message cap has held back.
     pub(crate) fn cap_holds(&self) -> &CapHolds {
         &self.cap_holds
     }
 
-    /// The message cap holds back an update.
-    pub(crate) fn note_held_by_cap(&mut self, now: Time, reason: UpdateReason) {
+    /// Records that the message cap holds back an update.
+    pub(crate) fn record_cap_hold(&mut self, now: Time, reason: UpdateReason) {
         let holds = &mut self.cap_holds;
         *holds.held_back_for.of_mut(reason) += 1.0;
         if reason >= UpdateReason::Hazard {
@@ -206,49 +209,51 @@
         }
     }
 
-    /// Notes whether an update that a rule asks for is still due.
-    pub(crate) fn note_safety_due(&mut self, is_due: bool) {
+    /// Records whether a safety-critical update is due.
+    pub(crate) fn set_safety_due(&mut self, is_due: bool) {
         self.cap_holds.safety_held_since.take_if(|_| !is_due);
     }
 
-    /// Since when it differs from what was sent; none: it does not.
+    /// Returns since when the table has had unsent differences, or `None` if it has none.
     pub(crate) fn pending_since(&self) -> Option<Time> {
         self.pending_since
     }
 
-    /// Notes whether it differs from what was sent.
-    pub(crate) fn note_pending(&mut self, now: Time, is_pending: bool) {
+    /// Records whether the table has unsent differences.
+    pub(crate) fn set_pending(&mut self, now: Time, is_pending: bool) {
         self.pending_since = self.pending_since.or(Some(now)).filter(|_| is_pending);
     }
 
-    /// Notes that its differences are sent.
+    /// Records that the table's differences are sent.
     pub(crate) fn clear_pending(&mut self) {
         self.pending_since = None;
         self.cap_holds.safety_held_since = None;
     }
 
-    /// Classes whose admitted fraction is not the one that was sent.
+    /// Returns the number of classes whose admitted fraction differs from the one that was sent.
     pub(crate) fn changed_fractions(&self, fractions: &[f64]) -> usize {
         let sent = self.sent_fractions.iter().zip(fractions);
         sent.filter(|(sent, fraction)| **sent != Some(**fraction))
             .count()
     }
 
-    /// Notes that a class's admitted fraction is sent; gives whether it differs from the last one.
+    /// Records that an admitted fraction of a class is sent. Returns whether it differs from the last one.
     pub(crate) fn mark_fraction_sent(&mut self, class: usize, fraction: f64) -> bool {
         self.sent_fractions[class].replace(fraction) != Some(fraction)
     }
 
-    /// What was sent for a class may not have been applied.
+    /// Records that the admitted fraction of a class may not have been applied.
     pub(crate) fn mark_fraction_unconfirmed(&mut self, class: usize) {
         self.sent_fractions[class] = None;
     }
 }
 
-/// All tables of a layout.
+/// Returns the initial state of all tables.
 pub(crate) fn new_tables(layout: &TableLayout, config: &DeploymentConfig) -> Vec<TableState> {
-    // Proof that the first attempt was not processed makes a retry safe for every class. After other failures even
-    // idempotent classes gain nothing: the wait for it cuts slow answers short, and it feeds jams.
+    // Updates always set `RetryPolicy::IfUnprocessed`: proof that an attempt was not processed makes a retry safe for
+    // every class. After other failures, retries do not help even idempotent classes: waiting for them cuts slow
+    // responses short, and they increase overload. If this is the default policy too, the proxies need no initial
+    // update.
     let is_default = config.base_retry_policy == Some(RetryPolicy::IfUnprocessed);
     let table = TableState {
         sent_fractions: vec![is_default.then_some(1.0); config.request_classes.len()],
--- a/crates/controller/src/transitions.rs
+++ b/crates/controller/src/transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions of hosts between phases, for logs: noted from the decisions' state, and no part of any decision.
+//! Transitions of hosts between phases, for logging only: they never influence a decision.
 
 use crate::endpoint::EndpointState;
 use crate::host::{Host, HostRegistry};
@@ -8,67 +8,67 @@
 use crate::time::Time;
 use std::collections::VecDeque;
 
-/// Transitions that are kept until they are taken; older ones are dropped.
+/// Maximum number of transitions kept until they are taken; beyond it, the oldest are dropped.
 const MAX_PENDING: usize = 1_024;
 
-/// What a host is to the controller.
+/// How the controller treats a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostPhase {
-    /// It may be sent all of its work.
+    /// It gets its full weight.
     Serving,
-    /// It has started lately and can do only part of its work.
+    /// It started recently and has only a fraction of its capacity (slow start).
     WarmingUp,
-    /// It is back from an ejection on a small weight.
+    /// It has returned from an ejection with a reduced weight.
     OnProbation,
-    /// It is kept out of the tables as an outlier.
+    /// It is excluded from the tables as an outlier.
     Ejected(EjectionCause),
-    /// The endpoint list says that it drains.
+    /// It is draining according to the endpoint list.
     Draining,
-    /// The endpoint list does not name it, or says that it is gone.
+    /// It is missing from the endpoint list or listed as removed.
     Removed,
 }
 
-/// A host has come into another phase, or has started anew.
+/// A change of a host's phase or start time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostTransition {
-    /// When the controller acted on it.
+    /// When the controller observed the change.
     pub at: Time,
     /// The host.
     pub host: HostId,
-    /// Its phase before; none: it was not known.
+    /// Its previous phase; `None` if the host was unknown.
     pub from: Option<HostPhase>,
-    /// Its phase now.
+    /// Its new phase.
     pub to: HostPhase,
-    /// When it last started, as listed; unset: long ago.
+    /// When it last started according to the endpoint list; unset if unknown.
     pub started: Time,
-    /// Whether that start time is another one than before.
+    /// Whether its start time has changed.
     pub restarted: bool,
 }
 
-/// What was last noted of a host.
+/// The phase and the start time that were last observed for a host.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) struct NotedPhase {
+pub(crate) struct ObservedPhase {
     phase: HostPhase,
     started: Time,
 }
 
-/// Transitions that nobody has taken yet.
+/// Transitions that have not been taken yet.
 #[derive(Default)]
 pub(crate) struct TransitionLog {
     pending: VecDeque<HostTransition>,
 }
 
 impl TransitionLog {
-    /// Notes the transitions since the last call; none for a host that serves when it becomes known.
+    /// Records the transitions since the last call. A new host that is already serving produces none.
     pub(crate) fn observe(&mut self, hosts: &mut HostRegistry, policy: &HostPolicy, now: Time) {
         for host in hosts.iter_mut() {
-            let noted = NotedPhase {
+            let observed = ObservedPhase {
                 phase: phase_of(host, policy, now),
                 started: host.started(),
             };
-            let before = host.noted_phase.replace(noted);
-            let is_known_serving = before.is_none() && noted.phase == HostPhase::Serving;
-            if before == Some(noted) || is_known_serving {
+            let before = host.observed_phase.replace(observed);
+            let is_new_and_serving = before.is_none() && observed.phase == HostPhase::Serving;
+            if before == Some(observed) || is_new_and_serving {
                 continue;
             }
             if self.pending.len() == MAX_PENDING {
@@ -78,14 +78,14 @@
                 at: now,
                 host: host.id().clone(),
                 from: before.map(|before| before.phase),
-                to: noted.phase,
-                started: noted.started,
-                restarted: before.is_some_and(|before| before.started != noted.started),
+                to: observed.phase,
+                started: observed.started,
+                restarted: before.is_some_and(|before| before.started != observed.started),
             });
         }
     }
 
-    /// Takes all transitions that are pending, the oldest first.
+    /// Takes all pending transitions, oldest first.
     pub(crate) fn take(&mut self) -> Vec<HostTransition> {
         self.pending.drain(..).collect()
     }
--- a/crates/controller/src/weight_reduction.rs
+++ b/crates/controller/src/weight_reduction.rs
@@ -1,4 +1,4 @@
-//! Takes weight off hosts whose load stands out in the fleet.
+//! Reduces the weight of hosts whose load is high compared to the fleet.
 
 use crate::host::{Host, HostRegistry};
 use crate::host_policy::HostPolicy;
@@ -7,49 +7,50 @@
 use crate::time::Time;
 use std::collections::BTreeMap;
 
-/// Multiple of the median load from which a host loses weight.
-const OVERLOADED: f64 = 1.3;
-/// Most of its weight that a host can lose.
+/// Ratio of a host's load to the median above which its weight is reduced.
+const MAX_LOAD_RATIO: f64 = 1.3;
+/// Maximum fraction of its weight that a host loses.
 const MAX_REDUCTION: f64 = 0.85;
-/// Factor a second by which a host's weight goes down at the fastest: faster than up, as queues feed themselves.
+/// Fastest decrease of a weight, as a factor per second. It is faster than the increase, because queues reinforce
+/// themselves.
 const DECREASE_PER_SECOND: f64 = 0.9;
-/// Factor a second by which a host's weight comes back.
+/// Increase of a reduced weight, as a factor per second.
 const INCREASE_PER_SECOND: f64 = 1.05;
-/// A median load under which no host is measured.
+/// Minimum divisor for a median load.
 const MIN_MEDIAN_LOAD: f64 = 1e-6;
 
-/// The part of its weight that one host has lost.
+/// The fraction by which one host's weight is reduced.
 #[derive(Default)]
 pub(crate) struct WeightReduction(f64);
 
 impl WeightReduction {
-    /// The part of its weight that it has kept.
+    /// Returns the fraction of its weight that the host keeps.
     pub(crate) fn remaining(&self) -> f64 {
         1.0 - self.0
     }
 
-    /// The part of its weight that it has lost.
+    /// Returns the fraction of its weight that the host loses.
     pub(crate) fn lost(&self) -> f64 {
         self.0
     }
 
-    /// A step of `passed` seconds, for a load of `ratio` times the median.
-    fn step(&mut self, ratio: f64, passed: f64) {
-        let factor = if ratio > OVERLOADED {
-            (OVERLOADED / ratio).max(DECREASE_PER_SECOND)
+    /// Adjusts the reduction over `elapsed_s` seconds for a load of `ratio` times the median.
+    fn adjust(&mut self, ratio: f64, elapsed_s: f64) {
+        let factor = if ratio > MAX_LOAD_RATIO {
+            (MAX_LOAD_RATIO / ratio).max(DECREASE_PER_SECOND)
         } else {
             INCREASE_PER_SECOND
         };
-        self.0 = (1.0 - (1.0 - self.0) * factor.powf(passed)).clamp(0.0, MAX_REDUCTION);
+        self.0 = (1.0 - (1.0 - self.0) * factor.powf(elapsed_s)).clamp(0.0, MAX_REDUCTION);
     }
 }
 
 /// How the loads of hosts are compared.
 #[derive(Clone, Copy)]
 enum LoadMeasure {
-    /// By the load that hosts report, with all others.
+    /// By reported load, compared with all other hosts.
     Reported,
-    /// By response times, with hosts of the same machine type: most hosts report no load.
+    /// By latency, compared with hosts of the same machine type; used if most hosts report no load.
     Latency,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The hosts that a host is compared with.
+    /// Returns the group of hosts that a host is compared with.
     fn group(self, host: &Host) -> MachineTypeId {
         match self {
             LoadMeasure::Reported => MachineTypeId::default(),
@@ -80,12 +81,12 @@
     }
 }
 
-/// Moves each host's weight by its load, over `passed` seconds.
-pub(crate) fn reduce_loaded_hosts(
+/// Adjusts the weight reduction of each host by its load over `elapsed_s` seconds.
+pub(crate) fn update_weight_reductions(
     hosts: &mut HostRegistry,
     policy: &HostPolicy,
     now: Time,
-    passed: f64,
+    elapsed_s: f64,
 ) {
     let measure = LoadMeasure::of_fleet(hosts, policy, now);
     let medians = median_loads(hosts, policy, now, measure);
@@ -94,12 +95,12 @@
         let median = medians.get(&measure.group(host)).copied().flatten();
         if let (Some(load), Some(median)) = (load, median) {
             let ratio = load / median.max(MIN_MEDIAN_LOAD);
-            host.weight_reduction.step(ratio, passed);
+            host.weight_reduction.adjust(ratio, elapsed_s);
         }
     }
 }
 
-/// The median load of each group of usable hosts.
+/// Returns the median load of each group of usable hosts.
 fn median_loads(
     hosts: &HostRegistry,
     policy: &HostPolicy,
