--- a/crates/config/src/site.rs
+++ b/crates/config/src/site.rs
@@ -252,7 +252,7 @@
             zone_count: self.zones.len() as u16,
             base_retry_policy: Some(RetryPolicy::Never),
             admission: match self.admission {
-                AdmissionBy::Share => AdmissionMode::Share,
+                AdmissionBy::Share => AdmissionMode::Fraction,
                 AdmissionBy::Rate => AdmissionMode::Rate,
                 AdmissionBy::Off => AdmissionMode::Off,
             },
--- a/crates/controller/src/admission_control.rs
+++ b/crates/controller/src/admission_control.rs
@@ -75,7 +75,7 @@
     fn capacity(&self) -> f64 {
         let capacity: f64 = self
             .usable_hosts()
-            .map(|host| host.weight() * self.policy.warm_part(host, self.now))
+            .map(|host| host.weight() * self.policy.warm_fraction(host, self.now))
             .sum();
         capacity.max(EPSILON)
     }
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdmissionMode {
     /// By the fraction of requests to admit.
-    Share,
+    Fraction,
     /// By requests per second.
     Rate,
     /// No limit.
--- a/crates/controller/src/host_policy.rs
+++ b/crates/controller/src/host_policy.rs
@@ -52,13 +52,13 @@
     }
 
     /// Returns the fraction of its capacity that the host has at least, by its slow start.
-    pub(crate) fn warm_part(&self, host: &Host, now: Time) -> f64 {
-        self.slow_start.warm_part(host.started(), now)
+    pub(crate) fn warm_fraction(&self, host: &Host, now: Time) -> f64 {
+        self.slow_start.warm_fraction(host.started(), now)
     }
 
     /// Returns whether the host has warmed up fully.
     pub(crate) fn is_warm(&self, host: &Host, now: Time) -> bool {
-        self.warm_part(host, now) >= 1.0
+        self.warm_fraction(host, now) >= 1.0
     }
 
     /// Returns the host's weight, reduced for warming up, probation and high load.
@@ -69,7 +69,7 @@
         } else {
             1.0
         };
-        let fraction = self.warm_part(host, now).min(limit) * host.weight_reduction.remaining();
+        let fraction = self.warm_fraction(host, now).min(limit) * host.weight_reduction.remaining();
         host.weight() * fraction
     }
 }
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -48,7 +48,7 @@
     /// Indexes of the hosts that are ready or draining.
     listed: Vec<usize>,
     /// Fraction of its capacity that each host has at least.
-    warm_part: Vec<f64>,
+    warm_fraction: Vec<f64>,
     /// Whether each host is ready and not ejected.
     usable: Vec<bool>,
     /// Weight of each host, reduced for warming up, probation and high load.
@@ -59,11 +59,11 @@
 
 impl Fleet {
     fn is_warm_enough(&self, host: usize) -> bool {
-        self.usable[host] && self.warm_part[host] >= MIN_WARM_ENOUGH_FRACTION
+        self.usable[host] && self.warm_fraction[host] >= MIN_WARM_ENOUGH_FRACTION
     }
 
     fn is_warm(&self, host: usize) -> bool {
-        self.warm_part[host] >= 1.0
+        self.warm_fraction[host] >= 1.0
     }
 
     /// Returns the fraction of the listed hosts that are warm enough.
@@ -147,9 +147,9 @@
         let max_hosts = MAX_TABLES_PER_HOST * self.listed.len() / self.base_shards.len();
         Fleet {
             listed: self.listed.clone(),
-            warm_part: hosts
+            warm_fraction: hosts
                 .iter()
-                .map(|host| policy.warm_part(host, now))
+                .map(|host| policy.warm_fraction(host, now))
                 .collect(),
             usable: hosts
                 .iter()
--- a/crates/controller/src/slow_start.rs
+++ b/crates/controller/src/slow_start.rs
@@ -23,12 +23,12 @@
 
     /// Returns the fraction of its capacity that a host has at least, by its start time. All controllers get the same
     /// start time and compute the same fraction, so all proxies together stay within it.
-    pub(crate) fn warm_part(&self, started: Time, now: Time) -> f64 {
+    pub(crate) fn warm_fraction(&self, started: Time, now: Time) -> f64 {
         if started.is_unset() {
             return 1.0;
         }
         let age = (now - started).ratio(self.window);
-        let warm_part = self.initial_capacity + (1.0 - self.initial_capacity) * age;
-        warm_part.min(1.0)
+        let warm_fraction = self.initial_capacity + (1.0 - self.initial_capacity) * age;
+        warm_fraction.min(1.0)
     }
 }
--- a/crates/controller/src/status.rs
+++ b/crates/controller/src/status.rs
@@ -58,7 +58,7 @@
     /// The host.
     pub host: HostId,
     /// Fraction of its capacity that it has at least.
-    pub warm_part: f64,
+    pub warm_fraction: f64,
     /// Expected requests per second by the weights that were sent, excluding those of zone tables.
     pub requests_per_s: f64,
     /// Expected requests per unit of its current capacity, relative to the fleet's mean (1 means equal load).
@@ -143,7 +143,7 @@
     /// Maximum number of queued lines.
     pub line_limit: f64,
     /// Estimate of queued lines if the channel sends at the configured rate.
-    pub queued_at_stated_rate: f64,
+    pub queued_at_configured_rate: f64,
     /// Estimate of queued lines if the channel is in a slow phase.
     pub queued_at_slow_rate: f64,
     /// Lines sent but not confirmed by an acknowledgement; `None` if proxies do not support acknowledgements.
@@ -224,7 +224,7 @@
     fn warming_hosts(&self) -> Vec<WarmingHost> {
         let is_ready = |host: &&Host| self.policy.is_ready(host, self.now);
         let ready = || self.hosts.iter().filter(is_ready);
-        let capacity = |host: &Host| host.weight() * self.policy.warm_part(host, self.now);
+        let capacity = |host: &Host| host.weight() * self.policy.warm_fraction(host, self.now);
         let all_attempts: f64 = ready().map(|host| self.expected_attempts(host)).sum();
         let all_capacity: f64 = ready().map(capacity).sum();
         let mean_load = all_attempts / all_capacity.max(EPSILON);
@@ -235,7 +235,7 @@
                 let load = requests_per_s / capacity(host).max(EPSILON);
                 WarmingHost {
                     host: host.id().clone(),
-                    warm_part: self.policy.warm_part(host, self.now),
+                    warm_fraction: self.policy.warm_fraction(host, self.now),
                     requests_per_s,
                     relative_load: load / mean_load.max(EPSILON),
                 }
--- a/crates/controller/src/update_queue.rs
+++ b/crates/controller/src/update_queue.rs
@@ -81,7 +81,7 @@
 
 /// The update queue; see the module documentation. Counts are in lines, rates in lines per second.
 pub(crate) struct UpdateQueue {
-    stated_rate: f64,
+    configured_rate: f64,
     line_limit: f64,
     message_overhead: f64,
     drain_grace_period: Duration,
@@ -112,9 +112,9 @@
     /// Creates an empty queue. A limit of zero in the configuration means no limit.
     pub(crate) fn new(config: &DeploymentConfig, now: Time, first_ack: AckId) -> UpdateQueue {
         let has_limit = config.max_queued_lines > 0.0;
-        let stated_rate = config.update_rate.max(1.0);
+        let configured_rate = config.update_rate.max(1.0);
         let mut queue = UpdateQueue {
-            stated_rate,
+            configured_rate,
             line_limit: if has_limit {
                 config.max_queued_lines
             } else {
@@ -123,7 +123,7 @@
             message_overhead: config.message_overhead_lines,
             drain_grace_period: config.drain_grace_period,
             acks_supported: config.acks_supported,
-            rate_model: RateModel::new(stated_rate),
+            rate_model: RateModel::new(configured_rate),
             open_batch: OpenBatch::default(),
             awaiting_result: AwaitingResult::default(),
             sent_lines: 0.0,
@@ -153,7 +153,7 @@
         if self.acks_supported {
             self.sent_lines - self.confirmed_lines
         } else {
-            self.rate_model.queued_at_stated_rate()
+            self.rate_model.queued_at_configured_rate()
         }
     }
 
@@ -186,7 +186,7 @@
     /// Returns the lines that the channel sends within the maximum delay at its configured rate, which it never
     /// exceeds.
     fn max_window(&self) -> f64 {
-        self.stated_rate * self.max_delay().seconds()
+        self.configured_rate * self.max_delay().seconds()
     }
 
     /// Returns whether a drain sent after `lines` more lines would be in time; `factor` scales the delay and the
@@ -371,8 +371,8 @@
         self.awaiting_result.lines -= lines;
         self.awaiting_result.updates = self.awaiting_result.updates.saturating_sub(updates);
         match result {
-            // Possibly none of these lines are queued. A short probe interval finds out soon after the relay answers
-            // again.
+            // Possibly none of these lines are queued. A short probe interval finds out soon after calls are
+            // answered again.
             UpdateResult::Unknown => self.probe_interval = PROBE_INTERVAL,
             UpdateResult::Rejected => self.remove_unsent(lines),
             UpdateResult::Applied | UpdateResult::StoppedAt(_) => {}
@@ -390,7 +390,7 @@
     pub(crate) fn status(&self) -> UpdateQueueStatus {
         UpdateQueueStatus {
             line_limit: self.line_limit,
-            queued_at_stated_rate: self.rate_model.queued_at_stated_rate(),
+            queued_at_configured_rate: self.rate_model.queued_at_configured_rate(),
             queued_at_slow_rate: self.rate_model.queued_at_slow_rate(),
             unconfirmed: self.acks_supported.then_some(self.queued()),
             sent_for: self.sent_for,
--- a/crates/controller/tests/decisions/channel.rs
+++ b/crates/controller/tests/decisions/channel.rs
@@ -6,7 +6,7 @@
 /// Lines on their way to proxies, by the deployment's figures.
 #[derive(Default)]
 pub(crate) struct SimulatedChannel {
-    pub(crate) stated_rate: f64,
+    pub(crate) configured_rate: f64,
     pub(crate) rate: f64,
     pub(crate) loses_acks: bool,
     pub(crate) head: f64,
--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -47,7 +47,7 @@
         proxy_count: proxies,
         zone_count: 4,
         base_retry_policy: Some(RetryPolicy::Never),
-        admission: AdmissionMode::Share,
+        admission: AdmissionMode::Fraction,
         update_rate: 8_000.0,
         max_queued_lines: 8_000.0,
         message_overhead_lines: 3.0,
@@ -97,7 +97,7 @@
         };
         let class_count = deployment.request_classes.len();
         let channel = SimulatedChannel {
-            stated_rate: deployment.update_rate,
+            configured_rate: deployment.update_rate,
             rate: deployment.update_rate,
             head: deployment.message_overhead_lines,
             most: deployment.max_queued_lines,
@@ -290,7 +290,7 @@
 
     /// From now on the channel sends at this part of its stated rate.
     pub(crate) fn slow_channel_to(&mut self, part: f64) {
-        self.channel.rate = self.channel.stated_rate * part;
+        self.channel.rate = self.channel.configured_rate * part;
     }
 
     /// Whether answers to acks are lost from now on.
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -97,7 +97,7 @@
 
 fn admission_mode(value: &Value) -> AdmissionMode {
     match value.as_str() {
-        Some("share") => AdmissionMode::Share,
+        Some("share") => AdmissionMode::Fraction,
         Some("rate") => AdmissionMode::Rate,
         _ => AdmissionMode::Off,
     }
--- a/crates/platform-protocol/tests/wire_texts/config.rs
+++ b/crates/platform-protocol/tests/wire_texts/config.rs
@@ -95,7 +95,7 @@
     );
     assert_eq!(
         (deployment.base_retry_policy, deployment.admission),
-        (Some(RetryPolicy::OnceOnFailure), AdmissionMode::Share)
+        (Some(RetryPolicy::OnceOnFailure), AdmissionMode::Fraction)
     );
     assert_eq!(
         (
--- a/crates/platform/src/status_log.rs
+++ b/crates/platform/src/status_log.rs
@@ -30,7 +30,7 @@
 
     /// Logs the update queue, and when it becomes nearly full or ceases to be so.
     fn log_update_queue(&mut self, queue: &UpdateQueueStatus) {
-        let waiting = queue.unconfirmed.unwrap_or(queue.queued_at_stated_rate);
+        let waiting = queue.unconfirmed.unwrap_or(queue.queued_at_configured_rate);
         let nearly_full = waiting > queue.line_limit * NEARLY_FULL_FRACTION;
         if nearly_full != self.queue_nearly_full {
             self.queue_nearly_full = nearly_full;
@@ -43,7 +43,7 @@
         }
         info!(
             line_limit = queue.line_limit,
-            lines_at_stated_rate = queue.queued_at_stated_rate.round(),
+            lines_at_stated_rate = queue.queued_at_configured_rate.round(),
             lines_at_slow_rate = queue.queued_at_slow_rate.round(),
             unconfirmed_lines = queue.unconfirmed.map(f64::round),
             ack_delay_ms = queue.last_ack_delay.micros() / 1_000,
@@ -104,7 +104,7 @@
     let text = |host: &WarmingHost| {
         format!(
             "{}:{:.2}part,{:.2}per_s,{:.2}load",
-            host.host.0, host.warm_part, host.requests_per_s, host.relative_load
+            host.host.0, host.warm_fraction, host.requests_per_s, host.relative_load
         )
     };
     let hosts: Vec<String> = warming.iter().map(text).collect();
