--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,9 +1,9 @@
-//! From a deployment's settings object, as the simulator and the platform both hand it over, to the controller's
-//! [`DeploymentConfig`](pondarch_controller::DeploymentConfig) and to the names that the settings number. Times in the
-//! object are in microseconds.
+//! Reads the settings object of a deployment, which the simulator and the platform pass in the same format. The result
+//! is the controller's [`DeploymentConfig`](pondarch_controller::DeploymentConfig) and the names that the settings use.
+//! Times in the settings are in microseconds.
 //!
-//! - `names`: the names of zones, machine types, request classes and load values, and their numbers.
-//! - `settings`: the settings object, read section by section.
+//! - `names`: the names of zones, machine types, request classes and report fields, and their numbers.
+//! - `settings`: parsing of the settings object.
 
 mod names;
 mod settings;
@@ -14,7 +14,7 @@
 pub use names::DeploymentNames;
 pub use settings::{SettingsError, read};
 
-/// The retry policies, each at the number that settings and updates give it.
+/// The retry policies, indexed by their number in settings and updates.
 const RETRY_POLICIES: [RetryPolicy; 4] = [
     RetryPolicy::Never,
     RetryPolicy::IfUnprocessed,
@@ -22,7 +22,7 @@
     RetryPolicy::TwiceOnFailure,
 ];
 
-/// The number of a retry policy in settings and updates.
+/// Returns the number of a retry policy in settings and updates.
 #[must_use]
 pub fn retry_policy_number(policy: RetryPolicy) -> usize {
     RETRY_POLICIES
@@ -31,8 +31,8 @@
         .expect("every retry policy is listed")
 }
 
-/// Records one value of a load report. The simulator and the platform each have their own names for the same values;
-/// other names are ignored.
+/// Records one value of a load report. The simulator and the platform use different names for the same values. Unknown
+/// names are ignored.
 pub fn record_load_value(load: &mut HostLoad, name: &str, value: f64) {
     match name {
         "busy" | "util" => load.utilization = Some(value),
--- a/crates/deployment/src/names.rs
+++ b/crates/deployment/src/names.rs
@@ -1,11 +1,12 @@
-//! The names of one deployment and the numbers that stand for them.
+//! The names of one deployment and their numbers.
 
 use pondarch_controller::{MachineTypeId, ZoneId};
 
-/// Names past this number share the last number: endpoint lists that invent names must not use memory without bound.
+/// Maximum number of names per list. Further names share the last number, so that endpoint lists with ever new names
+/// cannot use unbounded memory.
 const MAX_NAMES: usize = 4_096;
 
-/// The names that one controller's settings and endpoint lists use; each is numbered by its position.
+/// The names in the settings and endpoint lists of one controller, each numbered by its position.
 #[derive(Debug, Default)]
 pub struct DeploymentNames {
     pub(crate) zones: Vec<String>,
@@ -15,17 +16,17 @@
 }
 
 impl DeploymentNames {
-    /// The number of a zone. A name that is new gets the next number.
+    /// Returns the number of a zone. A new name gets the next number.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(number_of(&mut self.zones, name))
     }
 
-    /// The number of a machine type. A name that is new gets the next number.
+    /// Returns the number of a machine type. A new name gets the next number.
     pub fn machine_type(&mut self, name: &str) -> MachineTypeId {
         MachineTypeId(number_of(&mut self.machine_types, name))
     }
 
-    /// The number of a zone that the settings or an endpoint list named; none for any other.
+    /// Returns the number of a zone that the settings or an endpoint list have named, or `None` for other names.
     #[must_use]
     pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
         self.zones
@@ -34,19 +35,19 @@
             .map(|position| ZoneId(position as u16))
     }
 
-    /// The names of the values of a load report, in their order.
+    /// Returns the names of the values in a load report, in order.
     #[must_use]
     pub fn report_fields(&self) -> &[String] {
         &self.report_fields
     }
 
-    /// The names of the request classes, by their numbers.
+    /// Returns the names of the request classes, indexed by their numbers.
     #[must_use]
     pub fn request_classes(&self) -> &[String] {
         &self.request_classes
     }
 
-    /// The number of a request class; none for a name that the settings lack.
+    /// Returns the number of a request class, or `None` if the settings do not name it.
     #[must_use]
     pub fn request_class(&self, name: &str) -> Option<u8> {
         self.request_classes
@@ -56,7 +57,7 @@
     }
 }
 
-/// The position of a name in `names`, where it is added if it is new and there is capacity.
+/// Returns the position of a name in `names`. A new name is added if the list is not full.
 fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
     let position = names
         .iter()
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object of a deployment. Unknown keys are ignored; a value that is missing or of another type gets its
-//! default.
+//! Parsing of a deployment's settings object. Unknown keys are ignored; missing values and values of the wrong type get
+//! defaults.
 
 use crate::{DeploymentNames, RETRY_POLICIES};
 use pondarch_controller::{AdmissionMode, DeploymentConfig, RequestClass};
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why settings can't be read.
+/// An error in a settings object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The settings are no JSON object.
+    /// The settings are not a JSON object.
     #[error("not an object")]
     NotAnObject,
 }
 
-/// Reads the settings object. Unknown keys and values are ignored.
+/// Reads a settings object. Unknown keys and invalid values are ignored.
 pub fn read(settings: &Value) -> Result<(DeploymentConfig, DeploymentNames), SettingsError> {
     if !settings.is_object() {
         return Err(SettingsError::NotAnObject);
