--- a/crates/controller/tests/decisions/admission.rs
+++ b/crates/controller/tests/decisions/admission.rs
@@ -1,26 +1,27 @@
 //! Admission control under overload.
 
 use crate::common::{
-    SimulatedFleet, all_healthy, deployment, endpoint, fleet_with, host, ms, reports_but,
+    SimulatedFleet, deployment_config, endpoint, host, ms, report_all_except, report_all_healthy,
+    small_fleet,
 };
 use pondarch_controller::{
     AdmissionMode, AttemptOutcomes, DeploymentConfig, EndpointState, HostLoad, ProxyId,
     RequestClassId, TableId, Time,
 };
 
-/// Some stewards reach most hosts more slowly: answers take long, but nothing waits, and refusing helps nobody.
+/// Controllers far from most hosts see high latency without queued requests, where shedding load would not help.
 #[test]
-fn long_answers_without_a_queue_are_no_overload() {
-    for (queue, cut) in [(0.0, false), (3.0, true)] {
-        let mut fleet = fleet_with(deployment(8));
-        fleet.run(5_000, all_healthy);
+fn high_latency_without_a_queue_is_no_overload() {
+    for (queue_length, sheds_load) in [(0.0, false), (3.0, true)] {
+        let mut fleet = small_fleet(deployment_config(8));
+        fleet.run(5_000, report_all_healthy);
         fleet.run(8_000, |fleet| {
-            reports_but(fleet, &(0..12).collect::<Vec<_>>());
+            report_all_except(fleet, &(0..12).collect::<Vec<_>>());
             let load = Some(HostLoad {
-                queue_length: Some(queue),
+                queue_length: Some(queue_length),
                 ..HostLoad::default()
             });
-            let report_outcomes = AttemptOutcomes {
+            let outcomes = AttemptOutcomes {
                 attempts: 8.0,
                 failures: 0.0,
                 mean_latency: ms(700),
@@ -30,106 +31,115 @@
             (0..12).for_each(|n| {
                 fleet
                     .controller
-                    .record_outcomes(fleet.time(), &host(n), report_outcomes)
+                    .record_outcomes(fleet.time(), &host(n), outcomes)
             });
         });
-        assert_eq!(fleet.admission.values().any(|(quota, _)| *quota < 1.0), cut);
+        assert_eq!(
+            fleet.admission.values().any(|(quota, _)| *quota < 1.0),
+            sheds_load
+        );
     }
 }
 
 #[test]
-fn overload_sheds_the_least_priority_first_and_recovers() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(5_000, all_healthy);
-    let jam = |fleet: &mut SimulatedFleet| {
-        reports_but(fleet, &(0..12).collect::<Vec<_>>());
+fn overload_sheds_the_lowest_priority_first_and_recovers() {
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(5_000, report_all_healthy);
+    let overload = |fleet: &mut SimulatedFleet| {
+        report_all_except(fleet, &(0..12).collect::<Vec<_>>());
         (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 1.0, 1_500));
     };
-    fleet.run(8_000, jam);
-    let level = |fleet: &SimulatedFleet, class| {
+    fleet.run(8_000, overload);
+    let admitted_fraction = |fleet: &SimulatedFleet, class| {
         fleet
             .admission
             .get(&(TableId(0), RequestClassId(class)))
-            .map_or(1.0, |l| l.0)
+            .map_or(1.0, |(quota, _)| *quota)
     };
     assert!(
-        level(&fleet, 0) < 0.9 && level(&fleet, 0) < level(&fleet, 2) && level(&fleet, 1) >= 1.0
+        admitted_fraction(&fleet, 0) < 0.9
+            && admitted_fraction(&fleet, 0) < admitted_fraction(&fleet, 2)
+            && admitted_fraction(&fleet, 1) >= 1.0
     );
-    fleet.run(60_000, all_healthy);
+    fleet.run(60_000, report_all_healthy);
     assert!(
-        (0..3).all(|class| level(&fleet, class) >= 1.0),
-        "admission stay down after the jam"
+        (0..3).all(|class| admitted_fraction(&fleet, class) >= 1.0),
+        "admission did not recover after the overload"
     );
 }
 
-/// A fleet that grows can do more than it ever did: after an overload twice the hosts admit requests again twice as fast.
+/// The rise of admission after an overload scales with the fleet, since a larger fleet can serve more than ever before.
 #[test]
-fn admission_rises_with_the_fleet() {
-    let after_jam = |grown: bool| {
-        let mut fleet = fleet_with(deployment(8));
-        fleet.run(6_000, all_healthy);
+fn admission_rises_faster_in_a_larger_fleet() {
+    let quota_after_overload = |grown: bool| {
+        let mut fleet = small_fleet(deployment_config(8));
+        fleet.run(6_000, report_all_healthy);
         fleet.run(7_000, |fleet| {
             (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 1.0, 1_500))
         });
         if grown {
             let more = (12..36).map(|n| endpoint(n, EndpointState::Ready, Time::default()));
-            fleet.list(false, more.collect());
+            fleet.apply_list(false, more.collect());
         }
-        fleet.run(9_000, all_healthy);
+        fleet.run(9_000, report_all_healthy);
         fleet.admission[&(TableId(0), RequestClassId(0))].0
     };
-    assert!(after_jam(true) > after_jam(false));
+    assert!(quota_after_overload(true) > quota_after_overload(false));
 }
 
-/// A plan's word is evidence: admission come back faster up to what it says the fleet can do. It cuts nothing.
+/// A capacity plan makes admission recover faster, up to the planned fraction. It never causes load to be shed.
 #[test]
-fn a_plan_brings_admission_back_and_sheds_nothing() {
-    let after_jam = |planned: Option<f64>| {
-        let mut fleet = fleet_with(deployment(8));
-        fleet.run(6_000, all_healthy);
+fn a_capacity_plan_speeds_up_recovery_and_sheds_nothing() {
+    let quota_after_overload = |planned: Option<f64>| {
+        let mut fleet = small_fleet(deployment_config(8));
+        fleet.run(6_000, report_all_healthy);
         fleet.run(7_000, |fleet| {
             (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 1.0, 1_500))
         });
         fleet.controller.apply_capacity_plan(fleet.time(), planned);
-        fleet.run(9_000, all_healthy);
+        fleet.run(9_000, report_all_healthy);
         fleet.admission[&(TableId(0), RequestClassId(0))].0
     };
-    assert!(after_jam(Some(1.0)) > after_jam(None));
-    assert_eq!(after_jam(Some(0.0)), after_jam(None));
-    assert_eq!(after_jam(Some(f64::NAN)), after_jam(None));
-    let mut fleet = fleet_with(deployment(8));
+    assert!(quota_after_overload(Some(1.0)) > quota_after_overload(None));
+    assert_eq!(quota_after_overload(Some(0.0)), quota_after_overload(None));
+    assert_eq!(
+        quota_after_overload(Some(f64::NAN)),
+        quota_after_overload(None)
+    );
+    let mut fleet = small_fleet(deployment_config(8));
     fleet
         .controller
         .apply_capacity_plan(fleet.time(), Some(0.3));
-    fleet.run(20_000, all_healthy);
+    fleet.run(20_000, report_all_healthy);
     assert!(fleet.admission.values().all(|(quota, _)| *quota >= 1.0));
 }
 
-/// Half the fleet restarted in a jam and got no traffic since; its last reports must not keep the admission down.
+/// Half of the fleet restarted during an overload and has had no requests since. Its last reports must not keep
+/// admission low.
 #[test]
 fn old_reports_are_no_evidence_of_overload() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(5_000, all_healthy);
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(5_000, report_all_healthy);
     fleet.run(6_000, |fleet| {
         (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 1.0, 1_500))
     });
     fleet.run(60_000, |fleet| {
-        reports_but(fleet, &(0..7).collect::<Vec<_>>())
+        report_all_except(fleet, &(0..7).collect::<Vec<_>>())
     });
     assert!(
         fleet.admission.values().all(|(quota, _)| *quota >= 1.0),
-        "admission stay at {:?}",
+        "admission did not recover: {:?}",
         fleet.admission
     );
 }
 
 #[test]
-fn admission_by_rate_goes_by_the_busiest_proxy() {
-    let mut fleet = fleet_with(DeploymentConfig {
+fn rate_quotas_are_set_by_the_busiest_proxy() {
+    let mut fleet = small_fleet(DeploymentConfig {
         admission: AdmissionMode::Rate,
-        ..deployment(8)
+        ..deployment_config(8)
     });
-    fleet.run(5_000, all_healthy);
+    fleet.run(5_000, report_all_healthy);
     assert!(fleet.admission.values().all(|(quota, _)| *quota > 1e6));
     fleet.run(6_000, |fleet| {
         (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 1.0, 1_500))
@@ -137,43 +147,45 @@
     let quota = fleet.admission[&(TableId(0), RequestClassId(0))].0;
     assert!(
         quota < 6.0,
-        "the class of least priority still has {quota} requests a second"
+        "the class of lowest priority still has a quota of {quota} requests per second"
     );
 }
 
-/// Periods without requests bring no report: 0.2 requests a second were taken for one, and admission cut for nothing.
+/// Periods without requests produce no report, so 0.2 requests per second used to count as 1, and load was shed
+/// needlessly.
 #[test]
-fn few_requests_are_not_taken_for_many() {
-    let mut fleet = fleet_with(deployment(8));
+fn low_request_rates_are_not_overestimated() {
+    let mut fleet = small_fleet(deployment_config(8));
     let mut second = 0;
     fleet.run(60_000, |fleet| {
         second += 1;
-        let reports = |n: u16| (n + second).is_multiple_of(5);
+        let has_request = |n: u16| (n + second).is_multiple_of(5);
         let now = fleet.time();
-        (0..8).filter(|&n| reports(n)).for_each(|n| {
+        (0..8).filter(|&n| has_request(n)).for_each(|n| {
             fleet
                 .controller
                 .record_arrivals(now, ProxyId(n), RequestClassId(0), 1.0, ms(1_000))
         });
     });
-    let believed = fleet.controller.status().demand;
+    let demand = fleet.controller.status().demand;
     assert!(
-        (believed - 1.6).abs() < 0.3,
-        "8 proxies with 0.2 requests a second are taken for {believed}"
+        (demand - 1.6).abs() < 0.3,
+        "8 proxies with 0.2 requests per second each are estimated at {demand} in total"
     );
-    // Where no report comes at all, that says nothing of any request.
+    // Without any reports, the estimate must stay.
     fleet.run(30_000, |_| {});
     assert!(fleet.controller.status().demand > 1.3);
 }
 
-/// Held fast while the proxies of a controller that restarts moved over, the admitted rate shed half of all requests.
+/// A constant admitted rate used to shed half of all requests while the proxies of a restarting controller migrated
+/// here.
 #[test]
-fn the_admitted_rate_goes_with_the_joined_proxies() {
-    let mut fleet = SimulatedFleet::new(deployment(16), 12);
+fn the_admitted_rate_scales_with_the_joined_proxies() {
+    let mut fleet = SimulatedFleet::new(deployment_config(16), 12);
     (0..8).for_each(|n| fleet.join(n, false, 3.0));
-    let send_requests = |fleet: &mut SimulatedFleet, of: std::ops::Range<u16>| {
+    let send_requests = |fleet: &mut SimulatedFleet, proxies: std::ops::Range<u16>| {
         let now = fleet.time();
-        of.for_each(|n| {
+        proxies.for_each(|n| {
             fleet
                 .controller
                 .record_arrivals(now, ProxyId(n), RequestClassId(0), 3.0, ms(1_000))
@@ -187,19 +199,23 @@
         (0..12).for_each(|n| fleet.report_outcomes(n, 2.0, 0.0, 900));
         send_requests(fleet, 0..8);
     });
-    let level = fleet.controller.status().admitted_fractions[0];
-    assert!(level < 0.95, "the overload was seen: {level}");
+    let before = fleet.controller.status().admitted_fractions[0];
+    assert!(before < 0.95, "the overload was not detected: {before}");
     (8..16).for_each(|n| fleet.join(n, false, 3.0));
     fleet.run(1_000, |fleet| send_requests(fleet, 0..16));
     let after = fleet.controller.status().admitted_fractions[0];
-    // One more cut may have come; twice the proxies with no more let in would be half of it.
-    assert!(after > level * 0.75, "{level} was let in, then {after}");
+    // One more cut is possible, but a constant rate for twice the proxies would halve the fraction.
+    assert!(
+        after > before * 0.75,
+        "the admitted fraction fell from {before} to {after}"
+    );
 }
 
-/// The first reports after a restart lines_sent of a few attempts; a cut to those refused nearly all for ten seconds.
+/// The first reports after a controller's start cover few attempts. A cut to their rate used to reject nearly all
+/// requests for ten seconds.
 #[test]
-fn the_first_reports_after_a_start_shed_nothing() {
-    let mut fleet = SimulatedFleet::new(deployment(16), 12);
+fn the_first_reports_after_a_start_do_not_shed_load() {
+    let mut fleet = SimulatedFleet::new(deployment_config(16), 12);
     (0..16).for_each(|n| fleet.join(n, false, 5.0));
     fleet.run(2_500, |fleet| {
         (0..12).for_each(|n| fleet.report_outcomes(n, 0.3, 0.0, 1_500))
@@ -211,28 +227,32 @@
     let admission = fleet.controller.status().admitted_fractions;
     assert!(
         admission[0] < 1.0 && admission[1] > 0.8,
-        "an overload that stays is answered, in measure: {admission:?}"
+        "lasting overload must shed some load of the lowest priority only: {admission:?}"
     );
 }
 
-/// Twelve of thirty hosts went within 2 s: reports showed the overload seconds later, when requests had piled up.
+/// When 12 of 30 hosts were lost within 2 s, reports showed the overload only seconds later, when many requests were
+/// queued.
 #[test]
-fn overload_is_foreseen_when_hosts_go() {
-    let after = |gone: usize| {
-        let mut fleet = fleet_with(deployment(8));
+fn loss_of_hosts_sheds_load_before_reports_show_the_overload() {
+    let fraction_after = |drained: usize| {
+        let mut fleet = small_fleet(deployment_config(8));
         fleet.run(8_000, |fleet| {
             (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 0.0, 220))
         });
         assert_eq!(fleet.controller.status().admitted_fractions[0], 1.0);
-        fleet.list(
+        fleet.apply_list(
             false,
-            (0..gone)
+            (0..drained)
                 .map(|n| endpoint(n, EndpointState::Draining, Time::default()))
                 .collect(),
         );
         fleet.run(900, |_| {});
         fleet.controller.status().admitted_fractions[0]
     };
-    assert_eq!(after(1), 1.0);
-    assert!(after(6) < 1.0, "half of the fleet went and all is let in");
+    assert_eq!(fraction_after(1), 1.0);
+    assert!(
+        fraction_after(6) < 1.0,
+        "half of the fleet was lost and all requests are admitted"
+    );
 }
--- a/crates/controller/tests/decisions/bindings.rs
+++ b/crates/controller/tests/decisions/bindings.rs
@@ -1,7 +1,8 @@
-//! Which proxy uses which table.
+//! Bindings of proxies to tables.
 
 use crate::common::{
-    JoinedProxy, SECOND, SimulatedFleet, all_healthy, deployment, endpoint, fleet_with,
+    JoinedProxy, SECOND, SimulatedFleet, deployment_config, endpoint, report_all_healthy,
+    small_fleet,
 };
 use pondarch_controller::{
     Controller, Decision, Endpoint, EndpointList, EndpointState, JoiningProxy, ProxyId,
@@ -9,8 +10,8 @@
 };
 
 #[test]
-fn rejoining_proxy_finds_its_hashed_table_again() {
-    let mut fleet = SimulatedFleet::new(deployment(21), 20);
+fn a_rejoining_proxy_gets_the_same_table() {
+    let mut fleet = SimulatedFleet::new(deployment_config(21), 20);
     (0..12).for_each(|n| fleet.join(n, false, 5.0));
     let rejoin = |fleet: &mut SimulatedFleet| {
         fleet.leave(3);
@@ -22,32 +23,32 @@
 
 #[test]
 fn zone_local_classes_are_bound_to_their_zone() {
-    let mut deployment = deployment(8);
-    deployment.request_classes[1].zone_local = true;
-    let fleet = fleet_with(deployment);
+    let mut config = deployment_config(8);
+    config.request_classes[1].zone_local = true;
+    let fleet = small_fleet(config);
     let tables = &fleet.proxies[&ProxyId(2)].tables;
-    let own = tables[&vec![RequestClassId(1)]];
+    let zone_table = tables[&vec![RequestClassId(1)]];
     assert_eq!(tables.len(), 2);
     assert!(
         fleet
-            .hosts_of(own)
+            .hosts_of(zone_table)
             .iter()
             .all(|id| fleet.listed[id].zone == ZoneId(2))
     );
 }
 
-/// A list names a zone that the settings do not: its hosts serve all class_count but the confined ones, and a proxy there
-/// sends these where it sends all else. The controller ended at such a list.
+/// The endpoint list names a zone that the settings do not. Its hosts serve all but the zone-local classes, and a proxy
+/// in it uses its shared table for these classes too. The controller used to panic on such a list.
 #[test]
-fn a_zone_that_the_deployment_does_not_name_has_no_table() {
-    let mut deployment = deployment(8);
-    deployment.request_classes[1].zone_local = true;
-    let mut fleet = fleet_with(deployment);
-    let far = |n| Endpoint {
+fn a_zone_unknown_to_the_deployment_has_no_table() {
+    let mut config = deployment_config(8);
+    config.request_classes[1].zone_local = true;
+    let mut fleet = small_fleet(config);
+    let endpoint_in_unknown_zone = |n| Endpoint {
         zone: ZoneId(9),
         ..endpoint(n, EndpointState::Ready, Time::default())
     };
-    fleet.list(false, (20..24).map(far).collect());
+    fleet.apply_list(false, (20..24).map(endpoint_in_unknown_zone).collect());
     fleet.proxies.insert(ProxyId(7), JoinedProxy::default());
     fleet.controller.proxy_joined(
         fleet.time(),
@@ -58,8 +59,8 @@
             usual_rate: 2.0,
         },
     );
-    fleet.run(3_000, all_healthy);
-    fleet.check();
+    fleet.run(3_000, report_all_healthy);
+    fleet.check_invariants();
     let tables = &fleet.proxies[&ProxyId(7)].tables;
     assert_eq!(
         tables[&vec![RequestClassId(1)]],
@@ -67,14 +68,15 @@
     );
     assert!(
         (20..24).any(|n| !fleet.is_unused(n)),
-        "its hosts serve the other class_count"
+        "no host of the unknown zone serves the shared classes"
     );
 }
 
-/// A list that has not come yet is no empty list: nobody is bound to a table without a host.
+/// Without an endpoint list, proxies must not be bound to tables without hosts: a list that has not arrived is not an
+/// empty list.
 #[test]
-fn before_the_first_list_nobody_is_bound() {
-    let mut controller = Controller::new(deployment(8), 1, Time::from_micros(SECOND));
+fn no_proxy_is_bound_before_the_first_list() {
+    let mut controller = Controller::new(deployment_config(8), 1, Time::from_micros(SECOND));
     controller.proxy_joined(
         Time::from_micros(SECOND),
         JoiningProxy {
--- a/crates/controller/tests/decisions/common.rs
+++ b/crates/controller/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet in memory: feeds one controller and carries out its decisions.
+//! A simulated fleet in memory, which sends inputs to one controller and carries out its decisions.
 
 use crate::channel::SimulatedChannel;
 use pondarch_controller::EndpointList;
@@ -12,12 +12,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// One second in the microseconds of [`SimulatedFleet::now_us`].
 pub(crate) const SECOND: u64 = 1_000_000;
-/// Less than the shortest grace of any site less the longest way of a message.
-pub(crate) const GRACE: u64 = SECOND;
+/// Time in microseconds after which tables must reflect a change of the endpoint list: less than the shortest grace
+/// period of any deployment minus the longest delay of a message.
+pub(crate) const MAX_REACTION_US: u64 = SECOND;
 
-pub(crate) fn ms(count: u64) -> Duration {
-    Duration::from_millis(count)
+pub(crate) fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 pub(crate) fn host(n: usize) -> HostId {
@@ -36,9 +38,10 @@
     }
 }
 
-pub(crate) fn deployment(proxies: u64) -> DeploymentConfig {
-    let class = |target, priority_weight| RequestClass {
-        latency_objective: ms(target),
+/// A deployment with four zones and three request classes.
+pub(crate) fn deployment_config(proxies: u64) -> DeploymentConfig {
+    let class = |objective_ms, priority_weight| RequestClass {
+        latency_objective: ms(objective_ms),
         priority_weight,
         zone_local: false,
     };
@@ -63,63 +66,72 @@
     }
 }
 
+/// A proxy as the controller's decisions have configured it.
 #[derive(Default)]
 pub(crate) struct JoinedProxy {
+    /// The table for each set of classes.
     pub tables: BTreeMap<Vec<RequestClassId>, TableId>,
-    pub messages: Vec<u64>,
+    /// When it was sent messages, in microseconds.
+    pub message_times_us: Vec<u64>,
 }
 
-/// The world as the controller's decisions make it.
+/// One controller with its hosts, its proxies and the channel to them.
 pub(crate) struct SimulatedFleet {
     pub controller: Controller,
-    pub now: u64,
-    pub wake: Option<u64>,
-    pub cap: usize,
+    pub now_us: u64,
+    pub timer_at_us: Option<u64>,
+    /// Maximum number of messages to a proxy per window.
+    pub max_messages: usize,
+    /// The current endpoint list.
     pub listed: BTreeMap<HostId, Endpoint>,
-    pub listed_at: BTreeMap<HostId, u64>,
+    /// When the state or start time of each host last changed on the list.
+    pub list_changed_at_us: BTreeMap<HostId, u64>,
+    /// The weight of each host in each table.
     pub lines: BTreeMap<(TableId, HostId), f64>,
     pub admission: BTreeMap<(TableId, RequestClassId), (f64, RetryPolicy)>,
     pub proxies: BTreeMap<ProxyId, JoinedProxy>,
+    /// Requested health checks.
     pub health_checks: Vec<HostId>,
+    /// Number of requested polls of the endpoint list.
     pub polls: usize,
-    pub version: u64,
+    pub generation: u64,
     channel: SimulatedChannel,
     class_count: usize,
 }
 
 impl SimulatedFleet {
-    pub(crate) fn new(deployment: DeploymentConfig, hosts: usize) -> SimulatedFleet {
-        let now = 100 * SECOND;
-        let cap = if deployment.max_messages_per_window == 0 {
+    pub(crate) fn new(config: DeploymentConfig, hosts: usize) -> SimulatedFleet {
+        let now_us = 100 * SECOND;
+        let max_messages = if config.max_messages_per_window == 0 {
             usize::MAX
         } else {
-            deployment.max_messages_per_window as usize
+            config.max_messages_per_window as usize
         };
-        let class_count = deployment.request_classes.len();
+        let class_count = config.request_classes.len();
         let channel = SimulatedChannel {
-            configured_rate: deployment.update_rate,
-            rate: deployment.update_rate,
-            head: deployment.message_overhead_lines,
-            most: deployment.max_queued_lines,
+            configured_rate: config.update_rate,
+            rate: config.update_rate,
+            message_overhead: config.message_overhead_lines,
+            line_limit: config.max_queued_lines,
             ..SimulatedChannel::default()
         };
         let mut fleet = SimulatedFleet {
-            controller: Controller::new(deployment, 7, Time::from_micros(now)),
-            now,
-            wake: None,
-            cap,
+            controller: Controller::new(config, 7, Time::from_micros(now_us)),
+            now_us,
+            timer_at_us: None,
+            max_messages,
             listed: BTreeMap::new(),
-            listed_at: BTreeMap::new(),
+            list_changed_at_us: BTreeMap::new(),
             lines: BTreeMap::new(),
             admission: BTreeMap::new(),
             proxies: BTreeMap::new(),
             health_checks: Vec::new(),
             polls: 0,
-            version: 0,
+            generation: 0,
             channel,
             class_count,
         };
-        fleet.list(
+        fleet.apply_list(
             true,
             (0..hosts)
                 .map(|n| endpoint(n, EndpointState::Ready, Time::default()))
@@ -129,10 +141,11 @@
     }
 
     pub(crate) fn time(&self) -> Time {
-        Time::from_micros(self.now)
+        Time::from_micros(self.now_us)
     }
 
-    pub(crate) fn list(&mut self, complete: bool, entries: Vec<Endpoint>) {
+    /// Applies an endpoint list (`complete`) or changes to it.
+    pub(crate) fn apply_list(&mut self, complete: bool, entries: Vec<Endpoint>) {
         let before = self.listed.clone();
         if complete {
             self.listed.clear();
@@ -142,18 +155,20 @@
                 .iter()
                 .map(|entry| (entry.host.clone(), entry.clone())),
         );
-        let state =
-            |of: &BTreeMap<HostId, Endpoint>, id: &HostId| of.get(id).map(|h| (h.state, h.started));
+        let state = |list: &BTreeMap<HostId, Endpoint>, id: &HostId| {
+            list.get(id)
+                .map(|endpoint| (endpoint.state, endpoint.started))
+        };
         for id in before.keys().chain(self.listed.keys()) {
             if state(&before, id) != state(&self.listed, id) {
-                self.listed_at.insert(id.clone(), self.now);
+                self.list_changed_at_us.insert(id.clone(), self.now_us);
             }
         }
-        self.version += 1;
+        self.generation += 1;
         self.controller.apply_endpoint_list(
             self.time(),
             EndpointList {
-                generation: self.version,
+                generation: self.generation,
                 complete,
                 endpoints: entries,
             },
@@ -161,15 +176,15 @@
         self.carry_out_decisions();
     }
 
-    pub(crate) fn join(&mut self, n: u16, fresh: bool, usual: f64) {
+    pub(crate) fn join(&mut self, n: u16, newly_started: bool, usual_rate: f64) {
         self.proxies.insert(ProxyId(n), JoinedProxy::default());
         self.controller.proxy_joined(
             self.time(),
             JoiningProxy {
                 id: ProxyId(n),
                 zone: ZoneId(n % 4),
-                newly_started: fresh,
-                usual_rate: usual,
+                newly_started,
+                usual_rate,
             },
         );
         self.carry_out_decisions();
@@ -181,38 +196,45 @@
         self.carry_out_decisions();
     }
 
-    pub(crate) fn report_outcomes(&mut self, n: usize, attempts: f64, failures: f64, mean: u64) {
-        let report_outcomes = AttemptOutcomes {
+    /// Reports attempts at a host over one second, without load.
+    pub(crate) fn report_outcomes(
+        &mut self,
+        n: usize,
+        attempts: f64,
+        failures: f64,
+        latency_ms: u64,
+    ) {
+        let outcomes = AttemptOutcomes {
             attempts,
             failures,
-            mean_latency: ms(mean),
+            mean_latency: ms(latency_ms),
             period: ms(1_000),
             load: None,
         };
         self.controller
-            .record_outcomes(self.time(), &host(n), report_outcomes);
+            .record_outcomes(self.time(), &host(n), outcomes);
     }
 
-    /// Time goes on, with the wakes that the controller polls for and, every second, reports as `reports` tells them.
+    /// Advances the time, fires the timers that the controller requests, and calls `reports` every second.
     pub(crate) fn run(&mut self, millis: u64, mut reports: impl FnMut(&mut SimulatedFleet)) {
-        let end = self.now + millis * 1_000;
-        while self.now < end {
-            self.now += 50_000;
-            for ack in self.channel.run(0.05) {
+        let end = self.now_us + millis * 1_000;
+        while self.now_us < end {
+            self.now_us += 50_000;
+            for ack in self.channel.advance(0.05) {
                 self.controller.on_ack(self.time(), ack);
             }
-            if self.now.is_multiple_of(SECOND) {
+            if self.now_us.is_multiple_of(SECOND) {
                 reports(self);
             }
-            if self.wake.is_some_and(|at| at <= self.now) {
-                self.wake = None;
+            if self.timer_at_us.is_some_and(|at| at <= self.now_us) {
+                self.timer_at_us = None;
                 self.controller.on_timer(self.time());
             }
             self.carry_out_decisions();
         }
     }
 
-    /// Carries out all that the controller decides now; each proxy that it concerns is sent one message.
+    /// Carries out all pending decisions of the controller and sends one message to each proxy concerned.
     pub(crate) fn carry_out_decisions(&mut self) {
         let mut lines: BTreeMap<ProxyId, usize> = BTreeMap::new();
         let mut requested_ack = None;
@@ -240,25 +262,25 @@
                     retry_policy,
                 } => {
                     self.count_lines(&mut lines, table);
-                    assert!(quota.is_finite() && quota >= 0.0, "a quota of {quota}");
+                    assert!(quota.is_finite() && quota >= 0.0, "invalid quota {quota}");
                     self.admission.insert((table, class), (quota, retry_policy));
                 }
                 Decision::RequestAck(ack) => requested_ack = Some(ack),
                 Decision::CheckHealth(host) => self.health_checks.push(host),
                 Decision::WatchEndpoints => self.polls += 1,
-                Decision::SetTimer(delay) => self.wake = Some(self.now + delay.micros()),
+                Decision::SetTimer(delay) => self.timer_at_us = Some(self.now_us + delay.micros()),
             }
         }
         for (proxy, lines) in lines {
             let joined = self.proxies.get_mut(&proxy).expect("joined");
-            joined.messages.push(self.now);
+            joined.message_times_us.push(self.now_us);
             let acks = f64::from(u8::from(requested_ack.is_some()));
-            let lines = lines as f64 + acks + self.channel.head;
+            let lines = lines as f64 + acks + self.channel.message_overhead;
             self.channel.send(lines, requested_ack);
         }
     }
 
-    /// One line more for each proxy of a table.
+    /// Adds one line for each proxy of a table.
     fn count_lines(&self, lines: &mut BTreeMap<ProxyId, usize>, table: TableId) {
         for (&id, proxy) in &self.proxies {
             if proxy.tables.values().any(|used| *used == table) {
@@ -270,7 +292,10 @@
     fn set_weight(&mut self, table: TableId, host: HostId, weight: Option<f64>) {
         match weight {
             Some(weight) => {
-                assert!(weight.is_finite() && weight > 0.0, "a weight of {weight}");
+                assert!(
+                    weight.is_finite() && weight > 0.0,
+                    "invalid weight {weight}"
+                );
                 self.lines.insert((table, host), weight);
             }
             None => {
@@ -279,59 +304,60 @@
         }
     }
 
-    /// Binds a proxy; gives the lines that this costs.
+    /// Binds a proxy and returns the number of lines sent for it.
     fn bind(&mut self, proxy: ProxyId, table: TableId, classes: Vec<RequestClassId>) -> usize {
-        let members = self.lines.keys().filter(|(t, _)| *t == table).count();
+        let members = self.lines.keys().filter(|(of, _)| *of == table).count();
         let joined = self.proxies.get_mut(&proxy);
         let joined = joined.expect("only joined proxies are bound");
         joined.tables.insert(classes, table);
         members + self.class_count + 1
     }
 
-    /// From now on the channel sends at this part of its stated rate.
-    pub(crate) fn slow_channel_to(&mut self, part: f64) {
-        self.channel.rate = self.channel.configured_rate * part;
+    /// Sets the rate of the channel to a fraction of its configured rate.
+    pub(crate) fn set_channel_rate(&mut self, fraction: f64) {
+        self.channel.rate = self.channel.configured_rate * fraction;
     }
 
-    /// Whether answers to acks are lost from now on.
-    pub(crate) fn lose_acks(&mut self, lost: bool) {
-        self.channel.loses_acks = lost;
+    /// Sets whether acknowledgements are lost.
+    pub(crate) fn set_acks_lost(&mut self, acks_lost: bool) {
+        self.channel.acks_lost = acks_lost;
     }
 
-    /// How long a message that is sent now takes to leave the channel.
-    pub(crate) fn queue_seconds(&self) -> f64 {
-        self.channel.waiting / self.channel.rate
+    /// Returns the time until a message sent now has left the channel.
+    pub(crate) fn queue_delay_s(&self) -> f64 {
+        self.channel.queued / self.channel.rate
     }
 
-    /// Lines that the channel was given since the start.
-    pub(crate) fn lines_ordered(&self) -> f64 {
-        self.channel.sent + self.channel.waiting
+    /// Returns the number of lines given to the channel since the start.
+    pub(crate) fn submitted_lines(&self) -> f64 {
+        self.channel.sent + self.channel.queued
     }
 
-    pub(crate) fn used(&self) -> BTreeSet<TableId> {
+    /// Returns the tables that proxies are bound to.
+    pub(crate) fn used_tables(&self) -> BTreeSet<TableId> {
         self.proxies
             .values()
-            .flat_map(|p| p.tables.values())
+            .flat_map(|proxy| proxy.tables.values())
             .copied()
             .collect()
     }
 
-    /// Whether no table in use names a host.
+    /// Returns whether a host is in no table in use.
     pub(crate) fn is_unused(&self, n: usize) -> bool {
         !self
-            .used()
+            .used_tables()
             .iter()
             .any(|table| self.lines.contains_key(&(*table, host(n))))
     }
 
     pub(crate) fn hosts_of(&self, table: TableId) -> BTreeSet<HostId> {
-        let open = self.lines.keys().filter(|(t, _)| *t == table);
-        open.map(|(_, host)| host.clone()).collect()
+        let lines = self.lines.keys().filter(|(of, _)| *of == table);
+        lines.map(|(_, host)| host.clone()).collect()
     }
 
-    /// Hosts of the table in use that has the fewest.
-    pub(crate) fn smallest_table(&self) -> usize {
-        self.used()
+    /// Returns the number of hosts in the smallest table in use.
+    pub(crate) fn min_table_size(&self) -> usize {
+        self.used_tables()
             .into_iter()
             .map(|table| self.hosts_of(table).len())
             .min()
@@ -343,30 +369,33 @@
             && (host.started.is_unset() || self.time() - host.started >= ms(18_000))
     }
 
-    /// Whether what the list says of a host is old enough that its proxies must go by it.
-    pub(crate) fn is_due(&self, host: &HostId) -> bool {
-        self.now - self.listed_at.get(host).copied().unwrap_or(0) > GRACE
+    /// Returns whether the list entry of a host is old enough that the tables must reflect it.
+    pub(crate) fn must_be_reflected(&self, host: &HostId) -> bool {
+        self.now_us - self.list_changed_at_us.get(host).copied().unwrap_or(0) > MAX_REACTION_US
     }
 
-    /// The most lines that ever waited, in parts of how many may.
-    pub(crate) fn max_queue_use(&self) -> f64 {
-        self.channel.max_waiting / self.channel.most
+    /// Returns the maximum number of queued lines so far, as a fraction of the limit.
+    pub(crate) fn max_queue_utilization(&self) -> f64 {
+        self.channel.max_queued / self.channel.line_limit
     }
 }
 
-pub(crate) fn fleet_with(deployment: DeploymentConfig) -> SimulatedFleet {
-    let mut fleet = SimulatedFleet::new(deployment, 12);
+/// A fleet of 12 hosts and 8 proxies.
+pub(crate) fn small_fleet(config: DeploymentConfig) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(config, 12);
     (0..8).for_each(|n| fleet.join(n, true, 6.0));
     fleet
 }
 
-pub(crate) fn all_healthy(fleet: &mut SimulatedFleet) {
-    reports_but(fleet, &[]);
+/// Reports that all hosts of the small fleet serve all requests.
+pub(crate) fn report_all_healthy(fleet: &mut SimulatedFleet) {
+    report_all_except(fleet, &[]);
 }
 
-pub(crate) fn reports_but(fleet: &mut SimulatedFleet, missing: &[usize]) {
+/// Reports healthy hosts of the small fleet except for `unreported` ones, and requests at all proxies.
+pub(crate) fn report_all_except(fleet: &mut SimulatedFleet, unreported: &[usize]) {
     (0..12)
-        .filter(|n| !missing.contains(n))
+        .filter(|n| !unreported.contains(n))
         .for_each(|n| fleet.report_outcomes(n, 8.0, 0.0, 200));
     for n in 0..8 {
         for (class, requests) in [6.0, 5.0, 1.0].into_iter().enumerate() {
--- a/crates/controller/tests/decisions/endpoint_list.rs
+++ b/crates/controller/tests/decisions/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! Endpoint lists that are polled, wrong or odd.
+//! Endpoint lists: advisory removal, polling, and invalid values.
 
 use crate::common::{
-    SECOND, SimulatedFleet, all_healthy, deployment, endpoint, fleet_with, host, reports_but,
+    SECOND, SimulatedFleet, deployment_config, endpoint, host, report_all_except,
+    report_all_healthy, small_fleet,
 };
 use pondarch_controller::{
     DeploymentConfig, Endpoint, EndpointList, EndpointState, ProxyId, RequestClassId, TableId, Time,
@@ -9,49 +10,49 @@
 use std::time::Duration;
 
 #[test]
-fn merely_removed_host_stays_while_it_answers() {
-    let mut fleet = fleet_with(DeploymentConfig {
+fn an_advisory_removal_keeps_the_host_while_it_answers() {
+    let mut fleet = small_fleet(DeploymentConfig {
         removal_is_advisory: true,
-        ..deployment(8)
+        ..deployment_config(8)
     });
-    fleet.run(4_000, all_healthy);
-    fleet.list(
+    fleet.run(4_000, report_all_healthy);
+    fleet.apply_list(
         true,
         (1..12)
             .map(|n| endpoint(n, EndpointState::Ready, Time::default()))
             .collect(),
     );
-    fleet.run(4_000, all_healthy);
+    fleet.run(4_000, report_all_healthy);
     assert!(fleet.hosts_of(TableId(0)).contains(&host(0)));
-    fleet.run(8_000, |fleet| reports_but(fleet, &[0]));
+    fleet.run(8_000, |fleet| report_all_except(fleet, &[0]));
     assert!(!fleet.hosts_of(TableId(0)).contains(&host(0)));
 }
 
 #[test]
-fn polled_list_is_polled_again_after_a_failure() {
+fn a_failed_poll_is_repeated() {
     let mut fleet = SimulatedFleet::new(
         DeploymentConfig {
             poll_endpoints: true,
-            ..deployment(8)
+            ..deployment_config(8)
         },
         12,
     );
-    assert_eq!(fleet.polls, 1, "it follows the list from its start");
+    assert_eq!(fleet.polls, 1, "the list is not polled at startup");
     fleet.controller.endpoint_list_failed(fleet.time());
     fleet.run(9_000, |_| {});
     assert_eq!(fleet.polls, 2);
 }
 
 #[test]
-fn odd_figures_leave_it_deciding() {
+fn invalid_values_do_not_stop_decisions() {
     let mut fleet = SimulatedFleet::new(DeploymentConfig::default(), 1);
     fleet.join(1, true, f64::NAN);
     fleet.join(1, true, -3.0);
-    let odd = Endpoint {
+    let invalid = Endpoint {
         weight: f64::NAN,
         ..endpoint(0, EndpointState::Ready, Time::from_micros(u64::MAX))
     };
-    fleet.list(false, vec![odd]);
+    fleet.apply_list(false, vec![invalid]);
     fleet.report_outcomes(77, 3.0, 9.0, 0);
     fleet.controller.record_arrivals(
         fleet.time(),
@@ -60,7 +61,7 @@
         f64::INFINITY,
         Duration::ZERO,
     );
-    fleet.list(
+    fleet.apply_list(
         false,
         vec![endpoint(0, EndpointState::Ready, Time::default())],
     );
--- a/crates/controller/tests/decisions/main.rs
+++ b/crates/controller/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! The controller against a simulated fleet: its rules under random runs, and plain cases, each for a fault that was seen
-//! once.
+//! Tests of the controller with a simulated fleet: invariants under random events, and regression tests for individual
+//! faults.
 
 mod admission;
 mod bindings;
@@ -7,11 +7,11 @@
 mod common;
 mod endpoint_list;
 mod full_size;
+mod invariants;
 mod message_cap;
 mod outliers;
 mod placement;
-mod rule_checks;
-mod rules;
+mod random_events;
 mod slow_start;
 mod update_queue;
 mod update_results;
--- a/crates/controller/tests/decisions/message_cap.rs
+++ b/crates/controller/tests/decisions/message_cap.rs
@@ -1,17 +1,20 @@
-//! How the messages that a proxy may be sent in a window are spent.
+//! The message cap: which updates use the limited messages to each proxy per window.
 
-use crate::common::{SimulatedFleet, all_healthy, deployment, endpoint, fleet_with, host, ms};
+use crate::common::{
+    SimulatedFleet, deployment_config, endpoint, host, ms, report_all_healthy, small_fleet,
+};
 use pondarch_controller::{DeploymentConfig, EndpointState, ProxyId, TableId};
 
-/// Less than the shortest grace period, less the longest way of a message.
-const URGENT_MS: u64 = 1_500;
+/// Time limit for safety-critical updates: less than the shortest grace period minus the longest delay of a message.
+const SAFETY_LIMIT_MS: u64 = 1_500;
 
+/// Lists a host with the current time as its start time.
 fn restart(fleet: &mut SimulatedFleet, n: usize) {
-    fleet.list(false, vec![endpoint(n, EndpointState::Ready, fleet.time())]);
+    fleet.apply_list(false, vec![endpoint(n, EndpointState::Ready, fleet.time())]);
 }
 
-/// The part of its listed weight that a host has in the table of all proxies.
-fn weight_part(fleet: &SimulatedFleet, n: usize) -> f64 {
+/// Returns the fraction of its listed weight that a host has in table 0, which all proxies use.
+fn weight_fraction(fleet: &SimulatedFleet, n: usize) -> f64 {
     let listed = endpoint(n, EndpointState::Ready, fleet.time()).weight;
     let weight = fleet.lines.get(&(TableId(0), host(n)));
     weight.copied().unwrap_or(0.0) / listed
@@ -19,125 +22,132 @@
 
 #[test]
 fn restarts_one_after_another_do_not_use_up_the_cap() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(12_000, all_healthy);
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(12_000, report_all_healthy);
     for n in 0..10 {
         restart(&mut fleet, n);
-        fleet.run(150, all_healthy);
+        fleet.run(150, report_all_healthy);
     }
-    fleet.run(URGENT_MS, all_healthy);
+    fleet.run(SAFETY_LIMIT_MS, report_all_healthy);
     for n in 0..10 {
-        let part = weight_part(&fleet, n);
-        assert!(part < 0.5, "host {n} has {part} of its weight");
+        let fraction = weight_fraction(&fleet, n);
+        assert!(fraction < 0.5, "host {n} has {fraction} of its weight");
     }
 }
 
-/// Load that shifts from report to report makes updates that can wait, as many as may be sent.
+/// Load that shifts with every report causes as many deferrable updates as the message cap allows.
 #[test]
 fn shifting_load_leaves_messages_for_a_restart() {
-    let mut fleet = fleet_with(deployment(8));
+    let mut fleet = small_fleet(deployment_config(8));
     let mut round = 0;
     fleet.run(12_000, |fleet| {
         round += 1;
-        let mean = |n: usize| {
+        let latency_ms = |n: usize| {
             if (n + round).is_multiple_of(3) {
                 1_500
             } else {
                 100
             }
         };
-        (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 0.0, mean(n)));
+        (0..12).for_each(|n| fleet.report_outcomes(n, 8.0, 0.0, latency_ms(n)));
     });
     for n in 0..6 {
-        let before = fleet.now;
+        let before = fleet.now_us;
         restart(&mut fleet, n);
-        while weight_part(&fleet, n) >= 0.5 {
-            fleet.run(50, all_healthy);
-            let waited_ms = (fleet.now - before) / 1_000;
-            assert!(waited_ms <= URGENT_MS, "host {n} waits for {waited_ms} ms");
+        while weight_fraction(&fleet, n) >= 0.5 {
+            fleet.run(50, report_all_healthy);
+            let waited_ms = (fleet.now_us - before) / 1_000;
+            assert!(
+                waited_ms <= SAFETY_LIMIT_MS,
+                "the update for host {n} waited {waited_ms} ms"
+            );
         }
     }
 }
 
 #[test]
-fn a_drain_waits_for_no_burst_of_restarts() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(12_000, all_healthy);
+fn a_drain_does_not_wait_behind_a_burst_of_restarts() {
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(12_000, report_all_healthy);
     for n in 0..6 {
         restart(&mut fleet, n);
-        fleet.run(100, all_healthy);
+        fleet.run(100, report_all_healthy);
     }
-    fleet.list(
+    fleet.apply_list(
         false,
         vec![endpoint(8, EndpointState::Draining, fleet.time())],
     );
-    fleet.run(URGENT_MS, all_healthy);
-    assert!(fleet.is_unused(8), "a drained host is still used");
+    fleet.run(SAFETY_LIMIT_MS, report_all_healthy);
+    assert!(fleet.is_unused(8), "a draining host is still in use");
 }
 
-/// Hosts restart until the cap holds the next one's update back; gives that host.
-fn restart_until_held_back(fleet: &mut SimulatedFleet) -> usize {
+/// Restarts hosts until the message cap holds back the update for one, and returns that host.
+fn restart_hosts_until_held_back(fleet: &mut SimulatedFleet) -> usize {
     for n in 0..8 {
         restart(fleet, n);
-        if weight_part(fleet, n) >= 0.5 {
+        if weight_fraction(fleet, n) >= 0.5 {
             return n;
         }
     }
-    panic!("the cap held nothing back");
+    panic!("the message cap held back no update");
 }
 
-/// Whether any proxy that was bound within the last instant was given a restarted host at its full weight.
-fn assert_binds_no_heavy_line(fleet: &SimulatedFleet, proxy: u16, n: usize) {
-    let bound = &fleet.proxies[&ProxyId(proxy)];
-    let is_bound_now = bound.messages.last() == Some(&fleet.now);
+/// Asserts that, if the proxy was bound at the current time, its table does not have a restarted host at its full
+/// weight.
+fn assert_not_bound_with_full_weight(fleet: &SimulatedFleet, proxy: u16, n: usize) {
+    let joined = &fleet.proxies[&ProxyId(proxy)];
+    let is_bound_now = joined.message_times_us.last() == Some(&fleet.now_us);
     assert!(
-        !is_bound_now || weight_part(fleet, n) < 0.5,
+        !is_bound_now || weight_fraction(fleet, n) < 0.5,
         "proxy {proxy} is bound to a table with host {n} at its full weight"
     );
 }
 
 #[test]
-fn a_proxy_that_joins_is_not_given_the_old_line_of_a_restarted_host() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(12_000, all_healthy);
+fn a_joining_proxy_does_not_get_the_full_weight_of_a_restarted_host() {
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(12_000, report_all_healthy);
     fleet.leave(7);
-    let held_back = restart_until_held_back(&mut fleet);
+    let held_back = restart_hosts_until_held_back(&mut fleet);
     fleet.join(7, false, 6.0);
-    assert_binds_no_heavy_line(&fleet, 7, held_back);
-    fleet.run(URGENT_MS, all_healthy);
+    assert_not_bound_with_full_weight(&fleet, 7, held_back);
+    fleet.run(SAFETY_LIMIT_MS, report_all_healthy);
     assert!(!fleet.proxies[&ProxyId(7)].tables.is_empty());
-    assert!(weight_part(&fleet, held_back) < 0.5);
+    assert!(weight_fraction(&fleet, held_back) < 0.5);
 }
 
 #[test]
-fn a_proxy_that_is_bound_again_is_not_given_the_old_line_of_a_restarted_host() {
-    let mut fleet = fleet_with(deployment(8));
-    fleet.run(12_000, all_healthy);
-    let held_back = restart_until_held_back(&mut fleet);
-    while weight_part(&fleet, held_back) >= 0.5 {
-        fleet.now += 20_000;
+fn a_proxy_bound_again_does_not_get_the_full_weight_of_a_restarted_host() {
+    let mut fleet = small_fleet(deployment_config(8));
+    fleet.run(12_000, report_all_healthy);
+    let held_back = restart_hosts_until_held_back(&mut fleet);
+    while weight_fraction(&fleet, held_back) >= 0.5 {
+        fleet.now_us += 20_000;
         let now = fleet.time();
         fleet.controller.proxy_unconfirmed(now, ProxyId(3));
         fleet.carry_out_decisions();
-        assert_binds_no_heavy_line(&fleet, 3, held_back);
+        assert_not_bound_with_full_weight(&fleet, 3, held_back);
     }
 }
 
-/// Hazards wait while updates are late; a binding that needs one out first does not.
+/// Hazards are held back while messages are late, but not if a binding has to wait for them.
 #[test]
-fn a_proxy_that_joins_on_a_stopped_channel_is_bound_though_a_host_has_restarted() {
-    let mut fleet = fleet_with(DeploymentConfig {
+fn a_joining_proxy_is_bound_on_a_stopped_channel_after_a_host_restart() {
+    let mut fleet = small_fleet(DeploymentConfig {
         drain_grace_period: ms(2_000),
-        ..deployment(8)
+        ..deployment_config(8)
     });
-    fleet.run(12_000, all_healthy);
-    fleet.slow_channel_to(0.0);
+    fleet.run(12_000, report_all_healthy);
+    fleet.set_channel_rate(0.0);
     restart(&mut fleet, 0);
-    fleet.run(4_500, all_healthy);
+    fleet.run(4_500, report_all_healthy);
     restart(&mut fleet, 3);
-    assert!(weight_part(&fleet, 3) >= 0.5, "the hazard waits");
+    assert!(
+        weight_fraction(&fleet, 3) >= 0.5,
+        "the hazard was not held back"
+    );
     fleet.leave(7);
     fleet.join(7, false, 6.0);
     assert!(!fleet.proxies[&ProxyId(7)].tables.is_empty());
-    assert_binds_no_heavy_line(&fleet, 7, 3);
+    assert_not_bound_with_full_weight(&fleet, 7, 3);
 }
--- a/crates/controller/tests/decisions/update_results.rs
+++ b/crates/controller/tests/decisions/update_results.rs
@@ -1,6 +1,6 @@
-//! What becomes of updates that a relay refuses, or never answers.
+//! Results of updates: batches that the relay rejects or never answers.
 
-use crate::common::{SECOND, deployment, endpoint, host, ms};
+use crate::common::{SECOND, deployment_config, endpoint, host, ms};
 use pondarch_controller::{
     AckId, Controller, Decision, DeploymentConfig, EndpointList, EndpointState, JoiningProxy,
     ProxyId, Time, UpdateResult, ZoneId,
@@ -8,21 +8,21 @@
 
 const PROXIES: u16 = 200;
 const HOSTS: usize = 160;
-/// Time between two calls of the relay.
+/// Time between two calls to the relay.
 const STEP_MS: u64 = 250;
 
 fn at(millis: u64) -> Time {
     Time::from_micros(100 * SECOND) + ms(millis)
 }
 
-/// A controller that all proxies have joined, and that has sent nothing yet.
+/// Returns a controller with all proxies joined that has sent no updates yet.
 fn controller_with_proxies(max_queued_lines: f64) -> Controller {
-    let deployment = DeploymentConfig {
+    let config = DeploymentConfig {
         update_rate: 2_000.0,
         max_queued_lines,
-        ..deployment(PROXIES.into())
+        ..deployment_config(PROXIES.into())
     };
-    let mut controller = Controller::new(deployment, 7, at(0));
+    let mut controller = Controller::new(config, 7, at(0));
     let endpoints = (0..HOSTS).map(|n| endpoint(n, EndpointState::Ready, Time::default()));
     let list = EndpointList {
         generation: 1,
@@ -42,7 +42,7 @@
     controller
 }
 
-/// What the controller decides at a timer, but for the next one.
+/// Returns the pending decisions except for timers.
 fn updates_at(controller: &mut Controller, millis: u64) -> Vec<Decision> {
     let decisions = std::iter::from_fn(|| controller.next_decision(at(millis)));
     decisions
@@ -50,10 +50,11 @@
         .collect()
 }
 
-/// Updates that were refused are queued nowhere: a relay that is busy for a while leaves the whole queue to what follows.
+/// Rejected updates are not queued anywhere and must not count as queued: once a busy relay accepts calls again, the
+/// whole queue is available.
 #[test]
-fn refused_updates_take_no_room() {
-    // Room for one batch: all updates and bindings come to some 5,000 lines.
+fn rejected_updates_do_not_use_queue_capacity() {
+    // Capacity for one batch: all updates and bindings are about 5,000 lines.
     let mut controller = controller_with_proxies(6_000.0);
     let mut bound = 0;
     for millis in (0..30_000).step_by(STEP_MS as usize) {
@@ -66,20 +67,20 @@
     assert_eq!(
         bound,
         usize::from(PROXIES),
-        "all are bound in the last batch as in the first"
+        "the last batch does not bind all proxies as the first one does"
     );
 }
 
-/// For 20 s no call is answered, and none was carried out. Once calls are taken again, a drain must not wait until it is
-/// clear that nothing of all that is queued.
+/// The relay neither answers nor carries out any call for 20 s. Once it answers again, a drain must not wait until the
+/// controller has found out that none of those updates is queued.
 #[test]
-fn a_drain_goes_out_soon_after_calls_without_an_answer() {
+fn a_drain_is_sent_soon_after_unanswered_calls() {
     let mut controller = controller_with_proxies(4_800.0);
     let mut acks: Vec<(u64, AckId)> = Vec::new();
     let mut drained_at = Vec::new();
     for millis in (0..24_000).step_by(STEP_MS as usize) {
         controller.on_timer(at(millis));
-        let answers = millis >= 20_000;
+        let relay_answers = millis >= 20_000;
         if millis == 20_500 {
             let list = EndpointList {
                 generation: 2,
@@ -94,23 +95,23 @@
             }
         }
         let updates = updates_at(&mut controller, millis);
-        if answers {
+        if relay_answers {
             acks.extend(requested_acks(&updates).map(|ack| (millis, ack)));
             drained_at.extend(
                 updates
                     .iter()
-                    .filter(|update| withdraws(update, 7))
+                    .filter(|update| removes_host(update, 7))
                     .map(|_| millis),
             );
         }
-        let result = if answers {
+        let result = if relay_answers {
             UpdateResult::Applied
         } else {
             UpdateResult::Unknown
         };
         controller.on_update_result(at(millis), &updates, result);
     }
-    let last = drained_at.last().expect("the drain was sent");
+    let last = drained_at.last().expect("the drain was not sent");
     assert!(*last <= 22_000, "sent at {drained_at:?} ms");
 }
 
@@ -121,6 +122,7 @@
     })
 }
 
-fn withdraws(update: &Decision, n: usize) -> bool {
-    matches!(update, Decision::SetWeight { host: withdrawn, weight: None, .. } if *withdrawn == host(n))
+/// Returns whether an update removes a host from a table.
+fn removes_host(update: &Decision, n: usize) -> bool {
+    matches!(update, Decision::SetWeight { host: removed, weight: None, .. } if *removed == host(n))
 }
