--- a/crates/controller/src/controller/inputs.rs
+++ b/crates/controller/src/controller/inputs.rs
@@ -56,7 +56,7 @@
         self.admission.on_demand_change(before, after);
     }
 
-    /// Marks the binding of a joined proxy as unconfirmed, because the proxy may have been gone unnoticed.
+    /// Marks the binding of a joined proxy as unconfirmed, because the proxy may have disconnected unnoticed.
     pub fn proxy_unconfirmed(&mut self, now: Time, id: ProxyId) {
         self.mark_input_pending(now);
         if let Some(proxy) = self.proxies.get_mut(id) {
@@ -147,7 +147,7 @@
         let was_processed = applied > 0 || rejected.is_some();
         self.inputs_pending |= was_processed;
         self.expedite |= was_processed && !unconfirmed.is_empty();
-        // A proxy that cannot be bound has most likely left, which a membership event will tell.
+        // A proxy that cannot be bound has most likely left, which a membership event will report.
         if let Some(Decision::BindProxy { proxy, .. }) = rejected {
             self.schedule_rebind(*proxy, now + EJECTION_TIME);
         }
--- a/crates/controller/src/memberships.rs
+++ b/crates/controller/src/memberships.rs
@@ -2,8 +2,8 @@
 
 /// Relative change of a weight from which it is sent; smaller changes have no noticeable effect.
 const MIN_WEIGHT_CHANGE: f64 = 0.1;
-/// Ratio of sent weight to target weight above which the sent weight is far too heavy.
-const FAR_TOO_HEAVY_RATIO: f64 = 1.5;
+/// Ratio of sent weight to target weight above which the sent weight counts as excess weight.
+const MAX_EXCESS_RATIO: f64 = 1.5;
 
 /// A host's weight in one table.
 #[derive(Clone, Copy, Default)]
@@ -40,8 +40,8 @@
     }
 
     /// Returns whether the sent weight is far above the target weight.
-    pub(crate) fn is_far_too_heavy(&self) -> bool {
-        self.sent_weight > self.target_weight * FAR_TOO_HEAVY_RATIO
+    pub(crate) fn has_excess_weight(&self) -> bool {
+        self.sent_weight > self.target_weight * MAX_EXCESS_RATIO
     }
 
     /// Returns whether the difference to the target weight is worth an update line.
--- a/crates/controller/src/placement.rs
+++ b/crates/controller/src/placement.rs
@@ -19,12 +19,12 @@
 /// Relative usage above which a table borrows hosts from other tables.
 const MIN_BORROWING_USAGE: f64 = 1.15;
 /// Maximum load of a warming host per unit of its current capacity, relative to the fleet's usual load per weight. A
-/// host fails from twice its capacity on.
+/// host fails at twice its capacity or more.
 const MAX_WARMING_LOAD: f64 = 1.5;
 /// Success ratio of a table below which warming hosts are kept out of it.
 const MIN_SUCCESS_RATIO: f64 = 0.85;
-/// Minimum fraction of warm hosts in a table for keeping warming hosts out: fewer warm hosts would certainly be
-/// overloaded on their own.
+/// Minimum fraction of warm hosts in a table for keeping warming hosts out of it: fewer warm hosts would certainly be
+/// overloaded without them.
 const MIN_WARM_HOST_FRACTION: f64 = 0.5;
 /// Resolution of weights: steps per unit of weight.
 const STEPS_PER_WEIGHT: f64 = 1e3;
@@ -88,8 +88,7 @@
     weight: f64,
 }
 
-/// Assigns hosts to tables and sets their target weights. Keeps the base shards, which depend on the endpoint list
-/// only.
+/// Assigns hosts to tables and sets their target weights. Keeps the base shards until the listed hosts change.
 pub(crate) struct Placement {
     /// Whether shards prefer hosts of one zone, because crossing zones has a cost.
     by_zone: bool,
--- a/crates/controller/src/publishing.rs
+++ b/crates/controller/src/publishing.rs
@@ -61,7 +61,7 @@
 pub(crate) enum UpdateScope {
     /// All differences.
     All,
-    /// Only lines that are far too heavy or unconfirmed; the rest waits until the queue has capacity.
+    /// Only unsafe lines, which are unconfirmed or have excess weight; the rest waits until the queue has capacity.
     UnsafeLines,
     /// Unsafe lines and hosts to be added. For small tables: without the added hosts, the few remaining ones got all
     /// requests of the proxies, which overloaded hosts that had just started.
@@ -70,7 +70,7 @@
 
 impl UpdateScope {
     fn includes(self, membership: &TableMembership) -> bool {
-        let is_unsafe = membership.is_unconfirmed() || membership.is_far_too_heavy();
+        let is_unsafe = membership.is_unconfirmed() || membership.has_excess_weight();
         let is_added = membership.sent_weight() == 0.0;
         let is_in_scope = match self {
             UpdateScope::All => true,
@@ -212,10 +212,10 @@
         host: &Host,
         membership: &TableMembership,
     ) -> Option<UpdateReason> {
-        let is_heavy = membership.is_far_too_heavy() || membership.is_unconfirmed();
+        let has_excess_weight = membership.has_excess_weight() || membership.is_unconfirmed();
         if membership.may_be_held() && !self.host_policy.is_ready(host, self.now) {
             Some(UpdateReason::Drain)
-        } else if !self.host_policy.is_warm(host, self.now) && is_heavy {
+        } else if !self.host_policy.is_warm(host, self.now) && has_excess_weight {
             Some(UpdateReason::Hazard)
         } else {
             None
@@ -225,7 +225,7 @@
     /// Returns the reason for sending a line, or `None` if it is up to date.
     fn update_reason(&self, host: &Host, membership: &TableMembership) -> Option<UpdateReason> {
         let is_held = membership.may_be_held();
-        let is_heavy = membership.is_far_too_heavy();
+        let has_excess_weight = membership.has_excess_weight();
         let is_unconfirmed = membership.is_unconfirmed();
         let is_usable = self.host_policy.is_usable(host, self.now);
         let safety_reason = self.safety_reason(host, membership);
@@ -234,7 +234,7 @@
         } else if is_held && !is_usable {
             // An ejected host must not wait for the deferrable updates.
             Some(UpdateReason::Hazard)
-        } else if membership.target_weight() > 0.0 && is_heavy || is_unconfirmed {
+        } else if membership.target_weight() > 0.0 && has_excess_weight || is_unconfirmed {
             Some(UpdateReason::Expedited)
         } else {
             membership.needs_update().then_some(UpdateReason::Ordinary)
--- a/crates/controller/src/shards.rs
+++ b/crates/controller/src/shards.rs
@@ -10,13 +10,13 @@
 pub(crate) const MAX_SHARED_HOSTS: usize = 2;
 /// Maximum number of tables that a host is in (see docs/design.md).
 pub(crate) const MAX_TABLES_PER_HOST: usize = 2;
-/// Number of hosts, including stand-ins, that must be available per table before the number of tables is chosen.
+/// Host slots that the fleet must provide per table, including those for stand-ins.
 const SLOTS_PER_TABLE: usize = 7;
-/// Factor on the required slots for raising the number of tables, since each change of the number reassigns all hosts
-/// and closes connections.
+/// Factor on the required slots before the number of tables is raised, since each change of the number reassigns all
+/// hosts and closes connections.
 const GROWTH_MARGIN: usize = 2;
-/// Number of tables, by a host's hash, that the host is assigned among. More choices give more even tables; fewer
-/// choices move fewer hosts when the list changes.
+/// Number of tables preferred by a host's hash, of which the host joins the smallest. More choices give more even
+/// tables; fewer choices move fewer hosts when the list changes.
 const HASH_CHOICES: usize = 4;
 /// Iterations of balancing weights between tables.
 const BALANCING_ROUNDS: usize = 12;
--- a/crates/controller/src/tables.rs
+++ b/crates/controller/src/tables.rs
@@ -114,7 +114,7 @@
     safety_held_since: Option<Time>,
 }
 
-/// State of one table: what its proxies were sent, and what waits to be sent.
+/// State of one table: its bound proxies, the messages sent to them, and pending updates.
 #[derive(Clone, Default)]
 pub(crate) struct TableState {
     cap_holds: CapHolds,
--- a/crates/controller/src/update_queue.rs
+++ b/crates/controller/src/update_queue.rs
@@ -57,7 +57,7 @@
 pub(crate) enum UpdateReason {
     /// Weights or admission rates differ from what was sent.
     Ordinary,
-    /// A line is far too heavy, or may not have been applied.
+    /// A line has excess weight or may not have been applied.
     Expedited,
     /// A failing or warming host has too much weight.
     Hazard,
@@ -251,9 +251,10 @@
         is_admitted
     }
 
-    /// An update larger than that part of the limit goes out once nothing is queued.
-    fn has_capacity(&self, lines: f64, part: f64) -> bool {
-        self.queued() + lines <= self.line_limit * part || self.is_empty()
+    /// Returns whether `lines` more lines fit into this fraction of the line limit. A larger update is sent once
+    /// nothing is queued.
+    fn has_capacity(&self, lines: f64, fraction: f64) -> bool {
+        self.queued() + lines <= self.line_limit * fraction || self.is_empty()
     }
 
     /// Returns whether a probe is due: one update or binding that is sent although the queue seems full. Starts the
@@ -348,8 +349,8 @@
         }
     }
 
-    /// Adapts the window to the measured delay of `queued` lines. By Little's law, the lines that get through within
-    /// the maximum delay are proportional to it.
+    /// Adapts the window to the measured delay of `queued` lines. By Little's law, the number of lines that get through
+    /// within the maximum delay is `queued` times the ratio of that delay to the measured one.
     fn adapt_window(&mut self, delay: Duration, queued: f64) {
         if self.drain_grace_period == Duration::ZERO {
             return;
--- a/crates/controller/tests/decisions/invariants.rs
+++ b/crates/controller/tests/decisions/invariants.rs
@@ -53,7 +53,7 @@
                 }
                 let age = (self.time() - listed.started).ratio(ms(18_000));
                 // A warming host gets its warm fraction of its listed weight. Tolerated are the factor of 1.5 from
-                // which a weight is far too heavy, and one rounding step.
+                // which a weight counts as excess weight, and one rounding step.
                 let max_weight = listed.weight * (0.2 + 0.8 * age.min(1.0)) * 1.5 + 0.01;
                 assert!(
                     *weight <= max_weight,
