--- a/crates/controller/src/controller/inputs.rs
+++ b/crates/controller/src/controller/inputs.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Records the results of attempts at a host as reported by proxies. Reports of unknown hosts are ignored.
+    /// Records the results of attempts at a host as reported by proxies. Reports of unknown hosts are ignored, and the
+    /// reports say nothing about hosts that they do not name.
     pub fn record_outcomes(&mut self, now: Time, host: &HostId, outcomes: AttemptOutcomes) {
         self.now = now;
         let Some(host) = self.hosts.get_mut(host) else {
--- a/crates/controller/src/publishing.rs
+++ b/crates/controller/src/publishing.rs
@@ -212,10 +212,10 @@
         host: &Host,
         membership: &TableMembership,
     ) -> Option<UpdateReason> {
-        let has_excess_weight = membership.has_excess_weight() || membership.is_unconfirmed();
+        let may_have_excess_weight = membership.has_excess_weight() || membership.is_unconfirmed();
         if membership.may_be_held() && !self.host_policy.is_ready(host, self.now) {
             Some(UpdateReason::Drain)
-        } else if !self.host_policy.is_warm(host, self.now) && has_excess_weight {
+        } else if !self.host_policy.is_warm(host, self.now) && may_have_excess_weight {
             Some(UpdateReason::Hazard)
         } else {
             None
