--- a/crates/daemon-core/src/input.rs
+++ b/crates/daemon-core/src/input.rs
@@ -4,7 +4,7 @@
 use crate::reported_load::ReportedLoad;
 use pondarch_config::HostEntry;
 use pondarch_dns_core::SecondaryEvent;
-use pondarch_load_report_protocol::{Report, SenderIs};
+use pondarch_load_report_protocol::{Report, SenderRole};
 use pondarch_weight_solver::Plan;
 use serde::{Deserialize, Serialize};
 
@@ -99,7 +99,7 @@
         name: String,
         /// Whether it is a proxy or a host.
         #[serde(rename = "is")]
-        role: SenderIs,
+        role: SenderRole,
         /// Tells the starts of this sender apart.
         #[serde(rename = "run")]
         incarnation: u64,
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -4,7 +4,7 @@
 
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
-use pondarch_load_report_protocol::{Body, Counted, Report, SenderIs};
+use pondarch_load_report_protocol::{ProxyCounters, Report, ReportBody, SenderRole};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Sender {
     pub(crate) name: String,
-    pub(crate) role: SenderIs,
+    pub(crate) role: SenderRole,
     pub(crate) incarnation: u64,
 }
 
@@ -119,10 +119,10 @@
                 return None;
             }
         }
-        let echo = (report.word_us > 0).then(|| {
+        let echo = (report.echo_us > 0).then(|| {
             (
-                Time::from_micros(report.word_us),
-                Duration::from_micros(report.had_us.min(86_400_000_000)),
+                Time::from_micros(report.echo_us),
+                Duration::from_micros(report.echo_delay_us.min(86_400_000_000)),
             )
         });
         let mapped = history.clocks.came(now, report.sent_us, echo);
@@ -175,11 +175,11 @@
     }
 }
 
-pub(crate) fn row(of: Counted) -> StatRow {
+pub(crate) fn row(of: ProxyCounters) -> StatRow {
     let sums = Sums {
-        done: of.done,
-        errored: of.errored,
-        done_time: Duration::from_micros(of.done_us),
+        done: of.succeeded,
+        errored: of.failed,
+        done_time: Duration::from_micros(of.success_time_us),
     };
     StatRow {
         of: if of.server.is_some() {
@@ -189,28 +189,32 @@
         },
         backend: of.backend,
         server: of.server.unwrap_or_else(|| "BACKEND".into()),
-        total: of.done.saturating_add(of.errored),
-        reqs: of.reqs,
+        total: of.succeeded.saturating_add(of.failed),
+        reqs: of.requests,
         sums: Some(sums),
-        busy: of.busy,
-        waiting: of.waiting,
+        busy: of.utilization,
+        waiting: of.queue_length,
         ..StatRow::default()
     }
 }
 
 /// The first figure that cannot be, if there is one: a report is taken whole or not at all.
-fn implausible_figure(body: &Body, known: &mut SenderHistory, seconds: f64) -> Option<String> {
+fn implausible_figure(
+    body: &ReportBody,
+    known: &mut SenderHistory,
+    seconds: f64,
+) -> Option<String> {
     let within = |what: &str, figure: Option<f64>, max: f64| {
         let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
         Some(format!("{what} of {implausible}"))
     };
-    if let Some(own) = &body.own {
+    if let Some(own) = &body.host_metrics {
         let figures = [
-            ("busy", own.busy, MAX_UTILIZATION),
-            ("waiting", own.waiting, MAX_QUEUE_LENGTH),
-            ("service_ms", own.service_ms, 3.6e6),
-            ("rate", own.rate, MAX_COUNT_RATE),
-            ("errored_rate", own.errored_rate, MAX_COUNT_RATE),
+            ("busy", own.utilization, MAX_UTILIZATION),
+            ("waiting", own.queue_length, MAX_QUEUE_LENGTH),
+            ("service_ms", own.service_time_ms, 3.6e6),
+            ("rate", own.request_rate, MAX_COUNT_RATE),
+            ("errored_rate", own.failure_rate, MAX_COUNT_RATE),
         ];
         if let Some(implausible) = figures
             .into_iter()
@@ -220,15 +224,15 @@
         }
     }
     let mut last = BTreeMap::new();
-    for of in &body.counted {
-        let load = within("busy", of.busy, MAX_UTILIZATION)
-            .or_else(|| within("waiting", of.waiting, MAX_QUEUE_LENGTH));
+    for of in &body.counters {
+        let load = within("busy", of.utilization, MAX_UTILIZATION)
+            .or_else(|| within("waiting", of.queue_length, MAX_QUEUE_LENGTH));
         let place = of.server.as_deref().unwrap_or("the backend");
         if let Some(implausible) = load {
             return Some(format!("{}/{place}: {implausible}", of.backend));
         }
         let key = (of.backend.clone(), of.server.clone());
-        let now = (of.reqs, of.done.saturating_add(of.errored));
+        let now = (of.requests, of.succeeded.saturating_add(of.failed));
         if let Some(then) = known.last_counts.get(&key) {
             let more = now
                 .0
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -8,7 +8,7 @@
 use crate::time::micros;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::age;
-use pondarch_load_report_protocol::{Counted, Report, SenderIs};
+use pondarch_load_report_protocol::{ProxyCounters, Report, SenderRole};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
         &mut self,
         connection: u64,
         name: String,
-        role: SenderIs,
+        role: SenderRole,
         incarnation: u64,
     ) {
         if let Some(reason) = self.sender_rejection(&name, role) {
@@ -58,9 +58,9 @@
     }
 
     /// Why a sender of this name is not accepted, if it is not.
-    fn sender_rejection(&self, name: &str, role: SenderIs) -> Option<&'static str> {
+    fn sender_rejection(&self, name: &str, role: SenderRole) -> Option<&'static str> {
         match role {
-            SenderIs::Proxy
+            SenderRole::Proxy
                 if !self
                     .peers
                     .iter()
@@ -68,7 +68,7 @@
             {
                 Some("no proxy of this steward has that name")
             }
-            SenderIs::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
+            SenderRole::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
                 Some("no host of the list has that name")
             }
             _ => None,
@@ -106,34 +106,34 @@
             return;
         };
         match role {
-            SenderIs::Host => {
-                if let (Some(own), Some(sent), true) = (report.body.own, sent, fresh) {
+            SenderRole::Host => {
+                if let (Some(own), Some(sent), true) = (report.body.host_metrics, sent, fresh) {
                     let load = ReportedLoad {
-                        utilization: own.busy,
-                        queue_length: own.waiting,
-                        service_time_ms: own.service_ms,
-                        request_rate: own.rate,
-                        failure_rate: own.errored_rate,
+                        utilization: own.utilization,
+                        queue_length: own.queue_length,
+                        service_time_ms: own.service_time_ms,
+                        request_rate: own.request_rate,
+                        failure_rate: own.failure_rate,
                     };
                     self.loads
                         .insert(HostId(name.as_str().into()), (sent, load));
                 }
             }
-            SenderIs::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counted),
+            SenderRole::Proxy => self.on_proxy_report(&name, sent, fresh, report.body.counters),
         }
     }
 
     fn retain_listed_hosts(&mut self, report: &mut Report) {
         // Hosts that nobody listed are no evidence, and would be kept for nothing, however many a sender makes up.
         let hosts = &self.endpoints.hosts;
-        let listed = |of: &Counted| {
+        let listed = |of: &ProxyCounters| {
             of.server
                 .as_ref()
                 .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
         };
-        let before = report.body.counted.len();
-        report.body.counted.retain(listed);
-        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+        let before = report.body.counters.len();
+        report.body.counters.retain(listed);
+        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counters.len()) as u64;
     }
 
     fn on_proxy_report(
@@ -141,7 +141,7 @@
         name: &str,
         sent: Option<Time>,
         fresh: bool,
-        counted: Vec<Counted>,
+        counted: Vec<ProxyCounters>,
     ) {
         let now = self.now;
         let Some(peer) = self
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -8,7 +8,7 @@
 use pondarch_config::Length;
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::{Event, Input, Output};
-use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
+use pondarch_load_report_protocol::{HostMetrics, ProxyCounters, Report, ReportBody, SenderRole};
 use pondarch_proxy_core::proxy_state::ProxyState;
 use pondarch_runtime_api::stat::RowType;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 /// One that pushes, with a clock of its own.
 struct Pusher {
     name: String,
-    is: SenderIs,
+    is: SenderRole,
     conn: u64,
     run: u64,
     number: u64,
@@ -39,22 +39,22 @@
     fleet
 }
 
-fn body(tables: &ProxyState) -> Body {
+fn body(tables: &ProxyState) -> ReportBody {
     let counted = tables.stat_rows().into_iter().map(|row| {
         let sums = row.sums.unwrap_or_default();
-        Counted {
+        ProxyCounters {
             backend: row.backend,
             server: (row.of == RowType::Server).then_some(row.server),
-            reqs: row.reqs,
-            done: sums.done,
-            errored: sums.errored,
-            done_us: sums.done_time.as_micros() as u64,
-            ..Counted::default()
+            requests: row.reqs,
+            succeeded: sums.done,
+            failed: sums.errored,
+            success_time_us: sums.done_time.as_micros() as u64,
+            ..ProxyCounters::default()
         }
     });
-    Body {
-        counted: counted.collect(),
-        own: None,
+    ReportBody {
+        counters: counted.collect(),
+        host_metrics: None,
     }
 }
 
@@ -63,7 +63,7 @@
         let name = format!("front-{n}");
         Pusher {
             name,
-            is: SenderIs::Proxy,
+            is: SenderRole::Proxy,
             conn: 100 + n as u64,
             run: 5,
             number: 0,
@@ -111,15 +111,15 @@
     }
 
     /// The report that it would send now.
-    fn report(&mut self, fleet: &SimulatedFleet, body: Body) -> Report {
+    fn report(&mut self, fleet: &SimulatedFleet, body: ReportBody) -> Report {
         self.number += 1;
         let sent_us = self.theirs(fleet.now);
         let had_us = sent_us - self.word.1;
         Report {
             number: self.number,
             sent_us,
-            word_us: self.word.0,
-            had_us,
+            echo_us: self.word.0,
+            echo_delay_us: had_us,
             body,
         }
     }
--- a/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
@@ -12,16 +12,18 @@
     fleet.run(1_000);
     for (n, busy) in [-1.0, f64::NAN, 1e300, 40.0].into_iter().enumerate() {
         let mut body = body(&fleet.fronts[0].tables);
-        body.counted
+        body.counters
             .iter_mut()
             .take(1)
-            .for_each(|of| of.busy = Some(busy));
+            .for_each(|of| of.utilization = Some(busy));
         let report = pusher.report(&fleet, body);
         pusher.send(&mut fleet, report);
         assert_eq!(fleet.info("ReportsRefused"), n as u64 + 1);
     }
     let mut wild = body(&fleet.fronts[0].tables);
-    wild.counted.iter_mut().for_each(|of| of.done = u64::MAX);
+    wild.counters
+        .iter_mut()
+        .for_each(|of| of.succeeded = u64::MAX);
     let report = pusher.report(&fleet, wild);
     pusher.send(&mut fleet, report);
     assert_eq!(fleet.info("ReportsRefused"), 5);
@@ -34,19 +36,19 @@
     );
     let mut host = Pusher {
         name: "host-3".into(),
-        is: SenderIs::Host,
+        is: SenderRole::Host,
         ..Pusher::proxy(50, 0)
     };
     host.come(&mut fleet);
-    let own = Own {
-        rate: Some(1e9),
-        ..Own::default()
+    let own = HostMetrics {
+        request_rate: Some(1e9),
+        ..HostMetrics::default()
     };
     let report = host.report(
         &fleet,
-        Body {
-            own: Some(own),
-            counted: Vec::new(),
+        ReportBody {
+            host_metrics: Some(own),
+            counters: Vec::new(),
         },
     );
     host.send(&mut fleet, report);
@@ -59,9 +61,9 @@
     let before = fleet.command(1, "show memory");
     for n in 0..100_000u64 {
         let is = if n % 2 == 0 {
-            SenderIs::Proxy
+            SenderRole::Proxy
         } else {
-            SenderIs::Host
+            SenderRole::Host
         };
         fleet.give(Input::SenderConnected {
             connection: 1_000 + n,
@@ -100,11 +102,11 @@
     for batch in 0..20 {
         fleet.run(1_000);
         let mut body = body(&fleet.fronts[0].tables);
-        body.counted.extend((0..5_000).map(|n| Counted {
+        body.counters.extend((0..5_000).map(|n| ProxyCounters {
             backend: "proof".into(),
             server: Some(format!("made-up-{batch}-{n}")),
-            done: 3,
-            ..Counted::default()
+            succeeded: 3,
+            ..ProxyCounters::default()
         }));
         let report = pusher.report(&fleet, body);
         pusher.send(&mut fleet, report);
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -13,16 +13,16 @@
     let mut hosts: Vec<Pusher> = (0..12)
         .map(|n| Pusher {
             name: format!("host-{n}"),
-            is: SenderIs::Host,
+            is: SenderRole::Host,
             ..Pusher::proxy(200 + n, 0)
         })
         .collect();
     hosts.iter_mut().for_each(|host| host.come(&mut fleet));
-    let own = Own {
-        busy: Some(0.4),
-        waiting: Some(0.0),
-        rate: Some(20.0),
-        ..Own::default()
+    let own = HostMetrics {
+        utilization: Some(0.4),
+        queue_length: Some(0.0),
+        request_rate: Some(20.0),
+        ..HostMetrics::default()
     };
     let mut before = BTreeMap::new();
     for step in 0..30 {
@@ -33,9 +33,9 @@
         {
             let report = host.report(
                 &fleet,
-                Body {
-                    own: Some(own),
-                    counted: Vec::new(),
+                ReportBody {
+                    host_metrics: Some(own),
+                    counters: Vec::new(),
                 },
             );
             host.send(&mut fleet, report);
--- a/crates/daemon-core/tests/in_memory/recorded_names.rs
+++ b/crates/daemon-core/tests/in_memory/recorded_names.rs
@@ -4,7 +4,7 @@
 use pondarch_config::HostEntry;
 use pondarch_daemon_core as current;
 use pondarch_dns_core::SecondaryEvent;
-use pondarch_load_report_protocol::{Report, SenderIs};
+use pondarch_load_report_protocol::{Report, SenderRole};
 use pondarch_weight_solver::{Fleet, Plan};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
     SenderCame {
         conn: u64,
         name: String,
-        is: SenderIs,
+        is: SenderRole,
         run: u64,
     },
     Pushed {
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -124,15 +124,9 @@
                 connection,
                 reports,
                 at_us,
-            } => self.send_to_sender(
-                connection,
-                ToSender::Credit {
-                    more: reports,
-                    at_us,
-                },
-            ),
+            } => self.send_to_sender(connection, ToSender::Credit { reports, at_us }),
             Output::RejectSender { connection, reason } => {
-                self.send_to_sender(connection, ToSender::Refused { why: reason });
+                self.send_to_sender(connection, ToSender::Rejected { reason });
             }
             Output::Reply { caller, text } => self.reply(caller, text),
             Output::Event(event) => log::event(&event),
--- a/crates/daemon/src/push.rs
+++ b/crates/daemon/src/push.rs
@@ -5,7 +5,7 @@
 use futures_util::{SinkExt, StreamExt};
 use pondarch_config::Site;
 use pondarch_daemon_core::Input;
-use pondarch_load_report_protocol::{Codec, Hello, ToSender, ToSteward};
+use pondarch_load_report_protocol::{Codec, Hello, ToController, ToSender};
 use pondarch_transport::{Listener, Stream};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -79,7 +79,7 @@
 
     /// Sends a message to one sender; one that does not take it is cut off.
     pub(crate) fn send(&self, connection: u64, message: ToSender) {
-        let last = matches!(message, ToSender::Refused { .. });
+        let last = matches!(message, ToSender::Rejected { .. });
         let mut queues = self.queues();
         let full = queues
             .get(&connection)
@@ -142,7 +142,8 @@
     inputs: &mpsc::Sender<Input>,
 ) {
     let mut framed = Framed::new(stream, Codec::default());
-    let Ok(Some(Ok(ToSteward::Hello(hello)))) = timeout(HELLO_TIMEOUT, framed.next()).await else {
+    let Ok(Some(Ok(ToController::Hello(hello)))) = timeout(HELLO_TIMEOUT, framed.next()).await
+    else {
         return;
     };
     let (queue, messages) = mpsc::channel(MAX_WAITING_MESSAGES);
@@ -163,8 +164,8 @@
     Input::SenderConnected {
         connection,
         name: hello.name,
-        role: hello.is,
-        incarnation: hello.run,
+        role: hello.role,
+        incarnation: hello.incarnation,
     }
 }
 
@@ -178,7 +179,7 @@
 /// A sender that has said who it is.
 struct SenderSession<'a> {
     connection: u64,
-    framed: Framed<Stream, Codec<ToSteward, ToSender>>,
+    framed: Framed<Stream, Codec<ToController, ToSender>>,
     /// Reports that it may still send.
     credit: u32,
     inputs: &'a mpsc::Sender<Input>,
@@ -205,8 +206,8 @@
         let Some(message) = message else {
             return Progress::End;
         };
-        if let ToSender::Credit { more, .. } = &message {
-            self.credit = self.credit.saturating_add(*more);
+        if let ToSender::Credit { reports, .. } = &message {
+            self.credit = self.credit.saturating_add(*reports);
         }
         match timeout(WRITE_TIMEOUT, self.framed.send(&message)).await {
             Ok(Ok(())) => Progress::Continue,
@@ -214,8 +215,8 @@
         }
     }
 
-    async fn receive(&mut self, received: ToSteward) -> Progress {
-        let ToSteward::Report(report) = received else {
+    async fn receive(&mut self, received: ToController) -> Progress {
+        let ToController::Report(report) = received else {
             // A second hello.
             return Progress::End;
         };
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -230,7 +230,7 @@
     match input {
         Input::Answer { text, .. } => text.len() + 100,
         Input::EndpointList { hosts, .. } => hosts.len() * 200 + 100,
-        Input::ReportReceived { report, .. } => report.body.counted.len() * 120 + 200,
+        Input::ReportReceived { report, .. } => report.body.counters.len() * 120 + 200,
         _ => 200,
     }
 }
--- a/crates/load-report-protocol/src/lib.rs
+++ b/crates/load-report-protocol/src/lib.rs
@@ -1,20 +1,19 @@
-//! Reports that proxies and hosts push to a steward over a stream.
+//! Load reports that proxies and hosts push to a controller over a stream.
 //!
-//! Each message is a length (u32, big-endian, 1 MiB at most) and MessagePack with the fields' names, so that either end may
-//! be newer: fields it does not know are passed over, those that are absent are empty. A sender says who it is, is told how
-//! many reports it may send, and gets one more for each that was taken. Without credit it sends none, and its next one
-//! holds all: a report has what was counted since its sender started, not since the last one.
+//! Each message is a length (u32, big-endian, at most 1 MiB) followed by MessagePack with field names, so that either end
+//! may be newer: unknown fields are ignored and absent ones take their defaults. A sender identifies itself, is granted
+//! credit for a number of reports, and gets one more for each report that was accepted. Without credit it sends nothing;
+//! its next report still covers everything, as counters run from the start of the sender, not from the last report.
 //!
-//! - `message`: what is said, and the codec.
-//! - `sender`: when a sender may send what, without I/O.
-
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
+//! - `message`: messages and their codec.
+//! - `sender`: when a sender may send a report, without I/O.
 
 pub mod message;
+mod recorded_debug;
 pub mod sender;
 
 pub use message::{
-    Body, Codec, Counted, Hello, Own, PushError, Report, SenderIs, ToSender, ToSteward,
+    Codec, CodecError, Hello, HostMetrics, ProxyCounters, Report, ReportBody, SenderRole,
+    ToController, ToSender,
 };
-pub use sender::Sender;
+pub use sender::ReportSender;
--- a/crates/load-report-protocol/src/sender.rs
+++ b/crates/load-report-protocol/src/sender.rs
@@ -1,55 +1,61 @@
-//! The sender's side: a period ends, and there is credit or not. Without I/O.
+//! The sender's side of the protocol, without I/O: when a report may be sent.
 
-use crate::message::{Body, Report, ToSender};
+use crate::message::{Report, ReportBody, ToSender};
 
-/// One connection of a sender; the numbers go on over connections.
+/// A sender of reports. Reports are numbered on across its connections.
 #[derive(Clone, Debug, Default)]
-pub struct Sender {
+pub struct ReportSender {
     credit: u32,
     number: u64,
-    word: Option<(u64, u64)>,
-    /// A period ended without credit: its report goes as soon as there is some.
-    owes: bool,
+    /// Timestamp of the latest credit message by the controller's clock, and its receipt by the sender's clock.
+    last_credit: Option<(u64, u64)>,
+    /// A period has ended and its report is not sent yet: it goes as soon as there is credit.
+    report_due: bool,
 }
 
-impl Sender {
-    /// A new connection: nothing may be sent before a word of the steward.
-    pub fn connected(&mut self) {
-        (self.credit, self.word, self.owes) = (0, None, false);
+impl ReportSender {
+    /// A new connection is open: nothing may be sent before the controller grants credit.
+    pub fn on_connected(&mut self) {
+        (self.credit, self.last_credit, self.report_due) = (0, None, false);
     }
 
-    /// A word of the steward came, at this time of the sender's clock. Gives why, if it refuses.
-    pub fn heard(&mut self, now_us: u64, word: ToSender) -> Option<String> {
-        match word {
-            ToSender::Credit { more, at_us } => {
-                self.credit = self.credit.saturating_add(more);
-                self.word = Some((at_us, now_us));
+    /// Takes a message of the controller, received at this time of the sender's clock. Returns the reason if the controller
+    /// rejects the sender.
+    pub fn on_message(&mut self, now_us: u64, message: ToSender) -> Option<String> {
+        match message {
+            ToSender::Credit { reports, at_us } => {
+                self.credit = self.credit.saturating_add(reports);
+                self.last_credit = Some((at_us, now_us));
                 None
             }
-            ToSender::Refused { why } => Some(why),
+            ToSender::Rejected { reason } => Some(reason),
         }
     }
 
-    /// A period has ended.
-    pub fn period(&mut self) {
+    /// A report period has ended.
+    pub fn on_period_end(&mut self) {
         self.number += 1;
-        self.owes = true;
+        self.report_due = true;
     }
 
-    /// What is to be sent now; `body` is asked for what is counted by now, and only then.
-    pub fn next(&mut self, now_us: u64, body: impl FnOnce() -> Body) -> Option<Report> {
-        if !self.owes || self.credit == 0 {
+    /// The report to send now, if any. `body` is only called if there is one, so that it has the current counters.
+    pub fn next_report(
+        &mut self,
+        now_us: u64,
+        body: impl FnOnce() -> ReportBody,
+    ) -> Option<Report> {
+        if !self.report_due || self.credit == 0 {
             return None;
         }
-        (self.owes, self.credit) = (false, self.credit - 1);
-        let (word_us, had_us) = self
-            .word
-            .map_or((0, 0), |(word, came)| (word, now_us.saturating_sub(came)));
+        (self.report_due, self.credit) = (false, self.credit - 1);
+        let (echo_us, echo_delay_us) = self.last_credit.map_or((0, 0), |(at_us, received_us)| {
+            (at_us, now_us.saturating_sub(received_us))
+        });
         Some(Report {
             number: self.number,
             sent_us: now_us,
-            word_us,
-            had_us,
+            echo_us,
+            echo_delay_us,
             body: body(),
         })
     }
@@ -60,34 +66,47 @@
     use super::*;
 
     #[test]
-    fn without_credit_nothing_is_sent_and_then_the_newest_alone() {
-        let mut sender = Sender::default();
-        sender.connected();
-        sender.period();
-        assert_eq!(sender.next(10, Body::default), None);
-        sender.heard(
+    fn sends_one_report_a_period_and_only_the_latest_after_waiting_for_credit() {
+        let mut sender = ReportSender::default();
+        sender.on_connected();
+        sender.on_period_end();
+        assert_eq!(sender.next_report(10, ReportBody::default), None);
+        sender.on_message(
             20,
             ToSender::Credit {
-                more: 2,
+                reports: 2,
                 at_us: 900,
             },
         );
-        let first = sender.next(25, Body::default).expect("credit");
-        assert_eq!((first.number, first.word_us, first.had_us), (1, 900, 5));
-        assert_eq!(sender.next(26, Body::default), None, "once a period");
-        (0..5).for_each(|_| sender.period());
+        let first = sender.next_report(25, ReportBody::default).expect("credit");
         assert_eq!(
-            sender.next(30, Body::default).map(|report| report.number),
+            (first.number, first.echo_us, first.echo_delay_us),
+            (1, 900, 5)
+        );
+        assert_eq!(
+            sender.next_report(26, ReportBody::default),
+            None,
+            "one report a period"
+        );
+        (0..5).for_each(|_| sender.on_period_end());
+        assert_eq!(
+            sender
+                .next_report(30, ReportBody::default)
+                .map(|report| report.number),
             Some(6)
         );
-        sender.period();
-        assert_eq!(sender.next(31, Body::default), None, "no credit left");
+        sender.on_period_end();
+        assert_eq!(
+            sender.next_report(31, ReportBody::default),
+            None,
+            "no credit left"
+        );
         assert!(
             sender
-                .heard(
+                .on_message(
                     40,
-                    ToSender::Refused {
-                        why: "unknown".into()
+                    ToSender::Rejected {
+                        reason: "unknown".into()
                     }
                 )
                 .is_some()
--- a/crates/proxy/src/push.rs
+++ b/crates/proxy/src/push.rs
@@ -5,9 +5,9 @@
 use pondarch_config::Endpoint;
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
-use pondarch_load_report_protocol::message::VERSION;
+use pondarch_load_report_protocol::message::PROTOCOL_VERSION;
 use pondarch_load_report_protocol::{
-    Body, Codec, Counted, Hello, Sender, SenderIs, ToSender, ToSteward,
+    Codec, Hello, ProxyCounters, ReportBody, ReportSender, SenderRole, ToController, ToSender,
 };
 use pondarch_runtime_api::stat::{RowType, StatRow};
 use pondarch_transport::Stream;
@@ -23,16 +23,16 @@
 const WRITE_WITHIN: Duration = Duration::from_secs(5);
 
 pub(crate) async fn push(to: Endpoint, name: String, every: Duration, shared: Together) {
-    let (mut sender, mut wait) = (Sender::default(), AGAIN_LEAST);
-    let run = micros(shared.now());
+    let (mut sender, mut wait) = (ReportSender::default(), AGAIN_LEAST);
+    let incarnation = micros(shared.now());
     loop {
         if let Ok(Ok(stream)) = timeout(CONNECT_WITHIN, Stream::connect(&to)).await {
-            sender.connected();
+            sender.on_connected();
             let hello = Hello {
-                version: VERSION,
+                version: PROTOCOL_VERSION,
                 name: name.clone(),
-                is: SenderIs::Proxy,
-                run,
+                role: SenderRole::Proxy,
+                incarnation,
             };
             let heard = talk(stream, hello, every, &mut sender, &shared).await;
             wait = if heard { AGAIN_LEAST } else { wait };
@@ -48,12 +48,12 @@
     stream: Stream,
     hello: Hello,
     every: Duration,
-    sender: &mut Sender,
+    sender: &mut ReportSender,
     shared: &Together,
 ) -> bool {
-    let mut wire: Framed<Stream, Codec<ToSender, ToSteward>> =
+    let mut wire: Framed<Stream, Codec<ToSender, ToController>> =
         Framed::new(stream, Codec::default());
-    if wire.send(&ToSteward::Hello(hello)).await.is_err() {
+    if wire.send(&ToController::Hello(hello)).await.is_err() {
         return false;
     }
     let (mut ticks, mut heard) = (interval(every), false);
@@ -61,7 +61,7 @@
     loop {
         tokio::select! {
             word = wire.next() => match word {
-                Some(Ok(word)) => match sender.heard(micros(shared.now()), word) {
+                Some(Ok(word)) => match sender.on_message(micros(shared.now()), word) {
                     None => heard = true,
                     Some(why) => {
                         warn!(why, "the steward refuses reports");
@@ -70,10 +70,10 @@
                 },
                 _ => return heard,
             },
-            _ = ticks.tick() => sender.period(),
+            _ = ticks.tick() => sender.on_period_end(),
         }
-        if let Some(report) = sender.next(micros(shared.now()), || body(shared)) {
-            let sent = timeout(WRITE_WITHIN, wire.send(&ToSteward::Report(report))).await;
+        if let Some(report) = sender.next_report(micros(shared.now()), || body(shared)) {
+            let sent = timeout(WRITE_WITHIN, wire.send(&ToController::Report(report))).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return heard;
             }
@@ -81,25 +81,25 @@
     }
 }
 
-fn body(shared: &Together) -> Body {
+fn body(shared: &Together) -> ReportBody {
     let rows = shared.obey().state().stat_rows();
-    Body {
-        counted: rows.into_iter().map(counted).collect(),
-        own: None,
+    ReportBody {
+        counters: rows.into_iter().map(counted).collect(),
+        host_metrics: None,
     }
 }
 
-fn counted(row: StatRow) -> Counted {
+fn counted(row: StatRow) -> ProxyCounters {
     let sums = row.sums.unwrap_or_default();
-    Counted {
+    ProxyCounters {
         backend: row.backend,
         server: (row.of == RowType::Server).then_some(row.server),
-        reqs: row.reqs,
-        done: sums.done,
-        errored: sums.errored,
-        done_us: sums.done_time.as_micros() as u64,
-        busy: row.busy,
-        waiting: row.waiting,
+        requests: row.reqs,
+        succeeded: sums.done,
+        failed: sums.errored,
+        success_time_us: sums.done_time.as_micros() as u64,
+        utilization: row.busy,
+        queue_length: row.waiting,
     }
 }
 
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/flood.rs
@@ -10,9 +10,9 @@
 use futures_util::{SinkExt, StreamExt};
 use minijinja::{Environment, context};
 use pondarch_event_log::Folder;
-use pondarch_load_report_protocol::message::VERSION;
+use pondarch_load_report_protocol::message::PROTOCOL_VERSION;
 use pondarch_load_report_protocol::{
-    Body, Codec, Counted, Hello, Sender, SenderIs, ToSender, ToSteward,
+    Codec, Hello, ProxyCounters, ReportBody, ReportSender, SenderRole, ToController, ToSender,
 };
 use pondarch_replay::export;
 use serde::Serialize;
@@ -294,25 +294,25 @@
 
 /// Pushes in a proxy's name what its clients would have brought.
 async fn push(n: usize, proxies: usize, socket: PathBuf, front: Arc<Front>, load: Arc<Load>) {
-    let mut sender = Sender::default();
+    let mut sender = ReportSender::default();
     let (mut chance, run) = (fastrand::Rng::with_seed(n as u64), now_us());
-    let mut counted: BTreeMap<(String, Option<String>), Counted> = BTreeMap::new();
+    let mut counted: BTreeMap<(String, Option<String>), ProxyCounters> = BTreeMap::new();
     let mut last = Instant::now();
     while !load.ends.load(Relaxed) {
         let Ok(stream) = UnixStream::connect(&socket).await else {
             sleep(Duration::from_millis(200)).await;
             continue;
         };
-        let mut wire: Framed<UnixStream, Codec<ToSender, ToSteward>> =
+        let mut wire: Framed<UnixStream, Codec<ToSender, ToController>> =
             Framed::new(stream, Codec::default());
-        sender.connected();
+        sender.on_connected();
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             name: format!("front-{n}"),
-            is: SenderIs::Proxy,
-            run,
+            role: SenderRole::Proxy,
+            incarnation: run,
         };
-        if wire.send(&ToSteward::Hello(hello)).await.is_err() {
+        if wire.send(&ToController::Hello(hello)).await.is_err() {
             continue;
         }
         let mut times = load.times.load(Relaxed);
@@ -322,14 +322,14 @@
             tokio::select! {
                 word = wire.next() => match word {
                     Some(Ok(word)) => {
-                        if sender.heard(now_us(), word).is_some() {
+                        if sender.on_message(now_us(), word).is_some() {
                             break;
                         }
                     }
                     _ => break,
                 },
                 _ = ticks.tick() => {
-                    sender.period();
+                    sender.on_period_end();
                     if load.times.load(Relaxed) != times {
                         times = load.times.load(Relaxed);
                         ticks = interval(REPORT_EVERY / times.max(1) as u32);
@@ -338,7 +338,7 @@
                 }
             }
             let brought = REQS * times as f64 / proxies as f64 * last.elapsed().as_secs_f64();
-            let report = sender.next(now_us(), || {
+            let report = sender.next_report(now_us(), || {
                 last = Instant::now();
                 bring(
                     &front,
@@ -350,7 +350,7 @@
             });
             if let Some(report) = report {
                 load.sent.fetch_add(1, Relaxed);
-                if wire.send(&ToSteward::Report(report)).await.is_err() {
+                if wire.send(&ToController::Report(report)).await.is_err() {
                     break;
                 }
             }
@@ -361,25 +361,25 @@
 /// So many reqs more, dealt to what the proxy serves by now.
 fn bring(
     front: &Front,
-    counted: &mut BTreeMap<(String, Option<String>), Counted>,
+    counted: &mut BTreeMap<(String, Option<String>), ProxyCounters>,
     brought: f64,
     hung: bool,
     chance: &mut fastrand::Rng,
-) -> Body {
+) -> ReportBody {
     let tables = front.mirror();
     let kinds = tables.backends.len().max(1) as f64;
     for (name, backend) in &tables.backends {
         // The part of a req that is left over is one by chance.
         let reqs = (brought / kinds + chance.f64()) as u64;
-        let of = |server: Option<&String>| Counted {
+        let of = |server: Option<&String>| ProxyCounters {
             backend: name.clone(),
             server: server.cloned(),
-            ..Counted::default()
+            ..ProxyCounters::default()
         };
         counted
             .entry((name.clone(), None))
             .or_insert_with(|| of(None))
-            .reqs += reqs;
+            .requests += reqs;
         let serving: Vec<&String> = backend
             .servers
             .iter()
@@ -399,13 +399,16 @@
                 continue;
             };
             match hung && hangs(server) {
-                true => count.errored += 1,
-                false => (count.done, count.done_us) = (count.done + 1, count.done_us + 40_000),
+                true => count.failed += 1,
+                false => {
+                    (count.succeeded, count.success_time_us) =
+                        (count.succeeded + 1, count.success_time_us + 40_000)
+                }
             }
         }
     }
-    Body {
-        counted: counted.values().cloned().collect(),
-        own: None,
+    ReportBody {
+        counters: counted.values().cloned().collect(),
+        host_metrics: None,
     }
 }
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -3,7 +3,7 @@
 use super::{Run, changed};
 use pondarch_controller::{ProxyId, RequestClassId};
 use pondarch_daemon_core::{EventLogState, Input};
-use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
+use pondarch_load_report_protocol::{HostMetrics, ProxyCounters, Report, ReportBody, SenderRole};
 use std::time::Duration;
 
 /// What operators say, so that each answer's checksum stands in the records.
@@ -33,35 +33,35 @@
 const HOST_SENDER: u64 = 52;
 const UNKNOWN_SENDER: u64 = 53;
 
-fn proxy_report(number: u64) -> Body {
+fn proxy_report(number: u64) -> ReportBody {
     let done = number * 9;
-    let attempts = Counted {
+    let attempts = ProxyCounters {
         backend: "proof".into(),
         server: Some("host-0".to_string()),
-        done,
-        done_us: number * 90_000,
-        ..Counted::default()
+        succeeded: done,
+        success_time_us: number * 90_000,
+        ..ProxyCounters::default()
     };
-    let requests = Counted {
+    let requests = ProxyCounters {
         backend: "proof".into(),
-        reqs: done,
-        ..Counted::default()
+        requests: done,
+        ..ProxyCounters::default()
     };
-    Body {
-        counted: vec![attempts, requests],
-        own: None,
+    ReportBody {
+        counters: vec![attempts, requests],
+        host_metrics: None,
     }
 }
 
-fn host_report(number: u64) -> Body {
-    let own = Own {
-        busy: Some(0.5),
-        rate: Some(if number == 3 { -1.0 } else { 9.0 }),
-        ..Own::default()
+fn host_report(number: u64) -> ReportBody {
+    let own = HostMetrics {
+        utilization: Some(0.5),
+        request_rate: Some(if number == 3 { -1.0 } else { 9.0 }),
+        ..HostMetrics::default()
     };
-    Body {
-        counted: Vec::new(),
-        own: Some(own),
+    ReportBody {
+        counters: Vec::new(),
+        host_metrics: Some(own),
     }
 }
 
@@ -113,9 +113,9 @@
     pub(super) fn pushes(&mut self) {
         let incarnation = 5;
         let senders = [
-            (PROXY_SENDER, "front-0", SenderIs::Proxy),
-            (HOST_SENDER, "host-1", SenderIs::Host),
-            (UNKNOWN_SENDER, "nobody", SenderIs::Proxy),
+            (PROXY_SENDER, "front-0", SenderRole::Proxy),
+            (HOST_SENDER, "host-1", SenderRole::Host),
+            (UNKNOWN_SENDER, "nobody", SenderRole::Proxy),
         ];
         for (connection, name, role) in senders {
             self.give(Input::SenderConnected {
