--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -46,11 +46,11 @@
         };
         let report = answer.ok().flatten().map(|answer| load_of(&answer));
         let load = report.map(|report| ReportedLoad {
-            utilization: report.busy,
-            queue_length: report.queue,
-            service_time_ms: report.latency_ms,
-            request_rate: report.rate,
-            failure_rate: report.errored_rate,
+            utilization: report.utilization,
+            queue_length: report.queue_length,
+            service_time_ms: report.service_time_ms,
+            request_rate: report.request_rate,
+            failure_rate: report.failure_rate,
         });
         // If the daemon is gone, nobody needs to know.
         self.inputs
@@ -71,5 +71,5 @@
         .headers
         .get(HEADER)
         .and_then(|value| value.to_str().ok());
-    value.map(Report::read).unwrap_or_default()
+    value.map(Report::parse).unwrap_or_default()
 }
--- a/crates/load-report/src/lib.rs
+++ b/crates/load-report/src/lib.rs
@@ -1,44 +1,47 @@
-//! A host's own report of its load in an answer's header `endpoint-load-metrics`.
+//! A host's own load report, as the response header `endpoint-load-metrics` carries it.
 //!
-//! Source: the open request cost aggregation (ORCA) load report, "per-request" mode: the value is a format's name
-//! and the report, `TEXT cpu_utilization=0.62, named_metrics.queue=3` or `JSON {"cpu_utilization": 0.62}`. The third
-//! format, `BIN` with a base64 message, is passed over. Of the fields, `cpu_utilization` (share of all cores, 0 to 1),
-//! `rps_fractional` (reqs ended a second) and `eps` (of those, errored) are published ones; `named_metrics` are the
-//! sender's own: here `queue` (reqs waiting) and `latency_ms` (recent service time without waiting, milliseconds).
-
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
+//! The format is the "per-request" mode of the Open Request Cost Aggregation (ORCA) load report: the value is the name of a
+//! format followed by the report, as in `TEXT cpu_utilization=0.62, named_metrics.queue=3` or
+//! `JSON {"cpu_utilization": 0.62}`. The third format, `BIN` with a base64 message, is ignored. ORCA defines
+//! `cpu_utilization` (busy part of all cores, 0 to 1), `rps_fractional` (requests that ended, a second) and `eps` (requests that
+//! failed, a second). `named_metrics` are specific to the sender; this project uses `queue` (requests that wait) and
+//! `latency_ms` (recent service time without waiting, in milliseconds).
 
 use serde_json::Value;
 use std::fmt::Write;
 
+/// Name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
-/// Longest value that is read, in bytes.
-const LONGEST: usize = 4096;
+/// Longest header value that is parsed, in bytes.
+const MAX_VALUE_BYTES: usize = 4096;
 
-/// What was reported; any part may be missing.
+/// The reported metrics; any of them may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    pub busy: Option<f64>,
-    pub queue: Option<f64>,
-    pub latency_ms: Option<f64>,
-    /// Reqs that ended a second, and those of them that errored.
-    pub rate: Option<f64>,
-    pub errored_rate: Option<f64>,
+    /// Busy part of all cores, 0 to 1.
+    pub utilization: Option<f64>,
+    /// Requests that wait.
+    pub queue_length: Option<f64>,
+    /// Recent service time without waiting, in milliseconds.
+    pub service_time_ms: Option<f64>,
+    /// Requests that ended, a second.
+    pub request_rate: Option<f64>,
+    /// Requests that failed, a second.
+    pub failure_rate: Option<f64>,
 }
 
 impl Report {
-    /// Reads a header's value. Unknown formats, and figures that are negative or not finite, count as missing.
-    pub fn read(value: &str) -> Report {
+    /// Parses a header value. Unknown formats, and metrics that are negative or not finite, count as missing.
+    pub fn parse(value: &str) -> Report {
         let value = value.trim();
         let mut report = Report::default();
-        if value.len() > LONGEST {
+        if value.len() > MAX_VALUE_BYTES {
             return report;
         }
         match value.split_once(char::is_whitespace) {
             Some(("TEXT", pairs)) => {
-                for (name, figure) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
-                    report.put(name.trim(), figure.trim().parse().ok());
+                for (name, value) in pairs.split(',').filter_map(|pair| pair.split_once('=')) {
+                    report.set(name.trim(), value.trim().parse().ok());
                 }
             }
             Some(("JSON", text)) => {
@@ -46,11 +49,11 @@
                     return report;
                 };
                 for (name, value) in &fields {
-                    report.put(name, value.as_f64());
+                    report.set(name, value.as_f64());
                 }
                 if let Some(Value::Object(named)) = fields.get("named_metrics") {
-                    named.iter().for_each(|(name, v)| {
-                        report.put(&format!("named_metrics.{name}"), v.as_f64())
+                    named.iter().for_each(|(name, value)| {
+                        report.set(&format!("named_metrics.{name}"), value.as_f64())
                     });
                 }
             }
@@ -59,34 +62,34 @@
         report
     }
 
-    /// The header's value in the `TEXT` format.
-    pub fn write(&self) -> String {
+    /// The header value in the `TEXT` format.
+    pub fn to_header_value(&self) -> String {
         let mut out = String::from("TEXT ");
-        let parts = [
-            ("cpu_utilization", self.busy),
-            ("rps_fractional", self.rate),
-            ("eps", self.errored_rate),
-            ("named_metrics.queue", self.queue),
-            ("named_metrics.latency_ms", self.latency_ms),
+        let metrics = [
+            ("cpu_utilization", self.utilization),
+            ("rps_fractional", self.request_rate),
+            ("eps", self.failure_rate),
+            ("named_metrics.queue", self.queue_length),
+            ("named_metrics.latency_ms", self.service_time_ms),
         ];
-        for (name, value) in parts
+        for (name, value) in metrics
             .into_iter()
             .filter_map(|(name, value)| Some((name, value?)))
         {
-            let comma = if out.ends_with(' ') { "" } else { ", " };
-            let _ = write!(out, "{comma}{name}={value:.3}");
+            let separator = if out.ends_with(' ') { "" } else { ", " };
+            let _ = write!(out, "{separator}{name}={value:.3}");
         }
         out
     }
 
-    fn put(&mut self, name: &str, figure: Option<f64>) {
-        let figure = figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
+    fn set(&mut self, name: &str, value: Option<f64>) {
+        let value = value.filter(|value| value.is_finite() && *value >= 0.0);
         match name {
-            "cpu_utilization" => self.busy = figure.or(self.busy),
-            "rps_fractional" => self.rate = figure.or(self.rate),
-            "eps" => self.errored_rate = figure.or(self.errored_rate),
-            "named_metrics.queue" => self.queue = figure.or(self.queue),
-            "named_metrics.latency_ms" => self.latency_ms = figure.or(self.latency_ms),
+            "cpu_utilization" => self.utilization = value.or(self.utilization),
+            "rps_fractional" => self.request_rate = value.or(self.request_rate),
+            "eps" => self.failure_rate = value.or(self.failure_rate),
+            "named_metrics.queue" => self.queue_length = value.or(self.queue_length),
+            "named_metrics.latency_ms" => self.service_time_ms = value.or(self.service_time_ms),
             _ => {}
         }
     }
@@ -98,33 +101,33 @@
     use proptest::prelude::*;
 
     #[test]
-    fn both_formats_give_the_same() {
-        let (queue, latency_ms) = (Some(3.0), Some(48.25));
+    fn text_and_json_parse_to_the_same_report() {
+        let (queue_length, service_time_ms) = (Some(3.0), Some(48.25));
         let report = Report {
-            busy: Some(0.62),
-            queue,
-            latency_ms,
-            rate: Some(12.5),
-            errored_rate: Some(1.0),
+            utilization: Some(0.62),
+            queue_length,
+            service_time_ms,
+            request_rate: Some(12.5),
+            failure_rate: Some(1.0),
         };
-        assert_eq!(Report::read(&report.write()), report);
+        assert_eq!(Report::parse(&report.to_header_value()), report);
         let json = r#"JSON {"cpu_utilization": 0.62, "named_metrics": {"queue": 3, "latency_ms": 48.25}, "eps": 1, "rps_fractional": 12.5}"#;
-        assert_eq!(Report::read(json), report);
+        assert_eq!(Report::parse(json), report);
     }
 
     #[test]
-    fn odd_figures_are_missing() {
-        let odd =
+    fn invalid_values_count_as_missing() {
+        let invalid =
             "TEXT cpu_utilization=NaN, named_metrics.queue=-1, named_metrics.latency_ms=inf, x";
-        assert_eq!(Report::read(odd), Report::default());
-        assert_eq!(Report::read("BIN AAAA"), Report::default());
-        assert_eq!(Report::read(""), Report::default());
+        assert_eq!(Report::parse(invalid), Report::default());
+        assert_eq!(Report::parse("BIN AAAA"), Report::default());
+        assert_eq!(Report::parse(""), Report::default());
     }
 
     proptest! {
         #[test]
-        fn any_text_is_read(text in "(TEXT |JSON )?.{0,200}") {
-            Report::read(&text);
+        fn arbitrary_text_does_not_panic(text in "(TEXT |JSON )?.{0,200}") {
+            Report::parse(&text);
         }
     }
 }
--- a/crates/load-report/tests/wire_texts.rs
+++ b/crates/load-report/tests/wire_texts.rs
@@ -1,20 +1,20 @@
-//! The header `endpoint-load-metrics` in each accepted form, with each value, and as it is written.
+//! The header `endpoint-load-metrics`: each accepted format, each metric, and the exact text that is written.
 
 use pondarch_load_report::{HEADER, Report};
 
 const TEXT: &str = "TEXT cpu_utilization=0.620, rps_fractional=12.500, eps=1.000, named_metrics.queue=3.000, \
 named_metrics.latency_ms=48.250";
 const JSON: &str = r#"JSON {"cpu_utilization":0.62,"rps_fractional":12.5,"eps":1,"named_metrics":{"queue":3,"latency_ms":48.25}}"#;
-const FLAT: &str = r#"JSON {"named_metrics.queue":3,"named_metrics.latency_ms":48.25}"#;
+const FLAT_JSON: &str = r#"JSON {"named_metrics.queue":3,"named_metrics.latency_ms":48.25}"#;
 
-fn all() -> Report {
-    let (busy, queue, latency_ms) = (Some(0.62), Some(3.0), Some(48.25));
+fn full_report() -> Report {
+    let (utilization, queue_length, service_time_ms) = (Some(0.62), Some(3.0), Some(48.25));
     Report {
-        busy,
-        queue,
-        latency_ms,
-        rate: Some(12.5),
-        errored_rate: Some(1.0),
+        utilization,
+        queue_length,
+        service_time_ms,
+        request_rate: Some(12.5),
+        failure_rate: Some(1.0),
     }
 }
 
@@ -24,67 +24,70 @@
 }
 
 #[test]
-fn text_form() {
-    assert_eq!(all().write(), TEXT);
-    assert!(Report::read(TEXT) == all());
+fn text_format() {
+    assert_eq!(full_report().to_header_value(), TEXT);
+    assert!(Report::parse(TEXT) == full_report());
 }
 
 #[test]
-fn json_form() {
-    assert!(Report::read(JSON) == all());
-    let flat = Report::read(FLAT);
+fn json_format() {
+    assert!(Report::parse(JSON) == full_report());
+    let flat = Report::parse(FLAT_JSON);
     assert_eq!(
-        (flat.queue, flat.latency_ms, flat.busy),
+        (flat.queue_length, flat.service_time_ms, flat.utilization),
         (Some(3.0), Some(48.25), None)
     );
 }
 
 #[test]
-fn each_value_alone() {
-    for (name, value) in [
+fn each_metric_alone() {
+    for (name, report) in [
         (
             "cpu_utilization",
             Report {
-                busy: Some(0.5),
+                utilization: Some(0.5),
                 ..Report::default()
             },
         ),
         (
             "rps_fractional",
             Report {
-                rate: Some(0.5),
+                request_rate: Some(0.5),
                 ..Report::default()
             },
         ),
         (
             "eps",
             Report {
-                errored_rate: Some(0.5),
+                failure_rate: Some(0.5),
                 ..Report::default()
             },
         ),
         (
             "named_metrics.queue",
             Report {
-                queue: Some(0.5),
+                queue_length: Some(0.5),
                 ..Report::default()
             },
         ),
         (
             "named_metrics.latency_ms",
             Report {
-                latency_ms: Some(0.5),
+                service_time_ms: Some(0.5),
                 ..Report::default()
             },
         ),
     ] {
-        assert_eq!(value.write(), format!("TEXT {name}=0.500"));
-        assert!(Report::read(&format!("TEXT {name}=0.5")) == value, "{name}");
+        assert_eq!(report.to_header_value(), format!("TEXT {name}=0.500"));
+        assert!(
+            Report::parse(&format!("TEXT {name}=0.5")) == report,
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn malformed_forms_are_empty() {
+fn malformed_values_parse_as_empty_reports() {
     for text in [
         "",
         "BIN AAAA",
@@ -93,6 +96,6 @@
         "JSON [1]",
         "TEXT cpu=1",
     ] {
-        assert!(Report::read(text) == Report::default(), "{text}");
+        assert!(Report::parse(text) == Report::default(), "{text}");
     }
 }
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/carry.rs
@@ -146,10 +146,12 @@
             if let Ok(answer) = &answer
                 && let Some(told) = answer.headers().get(pondarch_load_report::HEADER)
             {
-                let report = pondarch_load_report::Report::read(told.to_str().unwrap_or(""));
-                self.shared
-                    .obey()
-                    .record_load_report(&line.host, report.busy, report.queue);
+                let report = pondarch_load_report::Report::parse(told.to_str().unwrap_or(""));
+                self.shared.obey().record_load_report(
+                    &line.host,
+                    report.utilization,
+                    report.queue_length,
+                );
             }
             if outcome == AttemptOutcome::Success
                 && let Ok(answer) = answer
--- a/crates/rehearsal/src/host.rs
+++ b/crates/rehearsal/src/host.rs
@@ -288,15 +288,15 @@
     fn answer(&self, status: StatusCode, never_ran: bool) -> Response<Empty<Bytes>> {
         let (busy, (rate, errored_rate)) = self.busy(0, never_ran);
         let load = Report {
-            busy: Some(busy),
-            queue: Some(self.waiting.load(Relaxed) as f64),
-            latency_ms: None,
-            rate: Some(rate),
-            errored_rate: Some(errored_rate),
+            utilization: Some(busy),
+            queue_length: Some(self.waiting.load(Relaxed) as f64),
+            service_time_ms: None,
+            request_rate: Some(rate),
+            failure_rate: Some(errored_rate),
         };
         let mut answer = Response::new(Empty::new());
         *answer.status_mut() = status;
-        if let Ok(value) = load.write().parse() {
+        if let Ok(value) = load.to_header_value().parse() {
             answer.headers_mut().insert(HEADER, value);
         }
         if never_ran && let Ok(value) = "1".parse() {
