--- a/crates/daemon-core/src/apply.rs
+++ b/crates/daemon-core/src/apply.rs
@@ -105,11 +105,12 @@
                 connection_bytes,
                 rejected_connections,
             } => {
-                self.memory.takes(Purpose::Waiting, queued_bytes);
-                self.memory.takes(Purpose::Records, event_log_bytes);
-                self.memory.takes(Purpose::Connections, connection_bytes);
+                self.memory.set_bytes(Purpose::Waiting, queued_bytes);
+                self.memory.set_bytes(Purpose::Records, event_log_bytes);
                 self.memory
-                    .capped(Purpose::Connections, rejected_connections);
+                    .set_bytes(Purpose::Connections, connection_bytes);
+                self.memory
+                    .add_rejections(Purpose::Connections, rejected_connections);
             }
             Input::Solved { number, plan } => self.on_plan(number, plan),
         }
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -24,9 +24,9 @@
     if core.pushed_reports.enabled {
         put_reports(&mut info, core);
     }
-    for purpose in pondarch_load_ingestion::account::PURPOSES {
-        let name = purpose.word();
-        info.put(&format!("Memory_{name}"), core.memory.of(purpose).bytes);
+    for purpose in pondarch_load_ingestion::memory::PURPOSES {
+        let name = purpose.name();
+        info.put(&format!("Memory_{name}"), core.memory.usage(purpose).bytes);
     }
     put_updates(&mut info, core);
     info
--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -53,7 +53,7 @@
 }
 
 pub(super) fn memory(state: &DaemonState) -> String {
-    let lines = state.memory.lines();
+    let lines = state.memory.status_lines();
     lines
         .map(|(purpose, text)| format!("{purpose}: {text}\n"))
         .collect()
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -5,7 +5,7 @@
 use crate::state::{DaemonState, MAX_LOAD_REPORT_PERIODS};
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId};
-use pondarch_load_ingestion::{Candidate, Purpose, age};
+use pondarch_load_ingestion::{Candidate, Purpose, decay};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
         let interval = self.report_interval;
         let stale = gathered
             .iter()
-            .filter(|(_, of)| now - of.oldest_at >= age::STALE)
+            .filter(|(_, of)| now - of.oldest_at >= decay::MAX_AGE)
             .count();
         let mut gathered: Vec<(HostId, AggregatedOutcomes)> = gathered
             .into_iter()
-            .filter(|(_, of)| now - of.oldest_at < age::STALE)
+            .filter(|(_, of)| now - of.oldest_at < decay::MAX_AGE)
             .collect();
         let deferred = self.defer_beyond_budget(&mut gathered);
         let oldest = gathered
@@ -76,7 +76,7 @@
             .iter()
             .map(|(host, of)| self.candidate(host, of))
             .collect();
-        let chosen = self.selection.among(now, interval, &candidates, budget);
+        let chosen = self.selection.select(now, interval, &candidates, budget);
         let mut n = 0;
         let not_chosen = |_: &mut (HostId, AggregatedOutcomes)| {
             n += 1;
@@ -84,7 +84,7 @@
         };
         let rest: Vec<_> = gathered.extract_if(.., not_chosen).collect();
         let deferred = rest.len();
-        let decay = age::faded(interval);
+        let decay = decay::remaining_weight(interval);
         for (host, of) in rest {
             let outcomes = AttemptOutcomes {
                 attempts: of.outcomes.attempts * decay,
@@ -114,11 +114,11 @@
     fn enforce_memory_limits(&mut self) {
         let reports =
             self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
-        if !self.memory.takes(Purpose::Reports, reports) {
+        if !self.memory.set_bytes(Purpose::Reports, reports) {
             let times = self
                 .pushed_reports
-                .drop_histories(reports - Purpose::Reports.cap());
-            self.memory.capped(Purpose::Reports, times);
+                .drop_histories(reports - Purpose::Reports.limit());
+            self.memory.add_rejections(Purpose::Reports, times);
         }
         let tables = self.tables.bytes()
             + self
@@ -126,27 +126,27 @@
                 .iter()
                 .map(|peer| peer.session.bytes())
                 .sum::<u64>();
-        if !self.memory.takes(Purpose::Tables, tables) {
+        if !self.memory.set_bytes(Purpose::Tables, tables) {
             let used = self
                 .peers
                 .iter()
                 .flat_map(|peer| peer.bindings.values().copied())
                 .collect();
             let times = self.tables.drop_unused(&used);
-            self.memory.capped(Purpose::Tables, times);
+            self.memory.add_rejections(Purpose::Tables, times);
         }
     }
 
     fn candidate(&self, host: &HostId, of: &AggregatedOutcomes) -> Candidate {
         Candidate {
             host: host.clone(),
-            told: self
+            last_applied: self
                 .outcomes_applied_at
                 .get(host)
                 .copied()
                 .unwrap_or_default(),
-            tries: of.outcomes.attempts,
-            errored: of.outcomes.failures,
+            attempts: of.outcomes.attempts,
+            failures: of.outcomes.failures,
             changing: self.endpoints.is_warming_up(host, self.now)
                 || self.endpoints.must_drain(host),
         }
--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -111,7 +111,7 @@
         let name = peer.name.clone();
         let again = peer.failed_dials > 1;
         self.outcomes.proxy_lost(proxy);
-        self.pushed_reports.silence.left(id);
+        self.pushed_reports.liveness.remove(id);
         if joined {
             if let Some(weights) = &mut self.weight_planner {
                 weights.estimates().left(id);
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -3,7 +3,7 @@
 //! read again.
 
 use pondarch_controller::{DurationExt, Time};
-use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
+use pondarch_load_ingestion::{Arrival, ClockOffset, ReportSequence, ReporterLiveness, decay};
 use pondarch_load_report_protocol::{ProxyCounters, Report, ReportBody, SenderRole};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
 use std::collections::BTreeMap;
@@ -28,8 +28,8 @@
 /// What is known of a name over its connections.
 #[derive(Debug, Default)]
 pub(crate) struct SenderHistory {
-    pub(crate) order: Order,
-    pub(crate) clocks: Clocks,
+    pub(crate) sequence: ReportSequence,
+    pub(crate) clock_offset: ClockOffset,
     pub(crate) connection: u64,
     pub(crate) last_counts: BTreeMap<(String, Option<String>), (u64, u64)>,
     pub(crate) last_at: Time,
@@ -76,7 +76,7 @@
     pub(crate) senders: BTreeMap<u64, Sender>,
     /// By name: those of the settings and of the list alone, so that it is bounded.
     pub(crate) histories: BTreeMap<String, SenderHistory>,
-    pub(crate) silence: Silence,
+    pub(crate) liveness: ReporterLiveness,
     pub(crate) counters: ReportCounters,
 }
 
@@ -104,17 +104,17 @@
         let history = self.histories.entry(name.to_string()).or_default();
         let counters = &mut self.counters;
         counters.received += 1;
-        match history.order.came(incarnation, report.number) {
-            Verdict::Newest { missing } => counters.missing += missing,
-            Verdict::Restarted => {
+        match history.sequence.on_report(incarnation, report.number) {
+            Arrival::Newest { missing } => counters.missing += missing,
+            Arrival::Restarted => {
                 counters.restarted += 1;
                 history.last_counts.clear();
             }
-            Verdict::Late => {
+            Arrival::Late => {
                 counters.late += 1;
                 return None;
             }
-            Verdict::Doubled => {
+            Arrival::Duplicate => {
                 counters.duplicate += 1;
                 return None;
             }
@@ -125,11 +125,11 @@
                 Duration::from_micros(report.echo_delay_us.min(86_400_000_000)),
             )
         });
-        let mapped = history.clocks.came(now, report.sent_us, echo);
-        if mapped.jumped {
+        let send_time = history.clock_offset.on_report(now, report.sent_us, echo);
+        if send_time.clock_jumped {
             counters.clock_jumps += 1;
         }
-        let sent_at = mapped.sent();
+        let sent_at = send_time.sent_at();
         let elapsed = sent_at
             .map_or(Duration::ZERO, |sent| sent - history.last_at)
             .max(Duration::from_millis(100));
@@ -140,7 +140,7 @@
         }
         history.last_at = sent_at.unwrap_or(history.last_at);
         // When it was sent is not known at all: it brings counters up to date, and is no evidence.
-        let fresh = sent_at.is_some_and(|sent| now - sent < age::STALE);
+        let fresh = sent_at.is_some_and(|sent| now - sent < decay::MAX_AGE);
         if !fresh {
             counters.stale += 1;
         }
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -7,7 +7,7 @@
 use crate::state::DaemonState;
 use crate::time::micros;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
-use pondarch_load_ingestion::age;
+use pondarch_load_ingestion::decay;
 use pondarch_load_report_protocol::{ProxyCounters, Report, SenderRole};
 use pondarch_proxy_session::sums::Look;
 use pondarch_runtime_api::stat::StatRow;
@@ -157,7 +157,7 @@
         let Some(counters) = peer.session.counted(at, &rows) else {
             return;
         };
-        self.pushed_reports.silence.heard(now, id);
+        self.pushed_reports.liveness.on_report(now, id);
         if fresh {
             self.record_counters(id, counters, at);
         }
@@ -174,8 +174,12 @@
         if let Some(weights) = &mut self.weight_planner {
             weights.record(&counters);
         }
-        self.outcomes
-            .record(id.0, &counters, age::counts(now - at, counters.over), at);
+        self.outcomes.record(
+            id.0,
+            &counters,
+            decay::relative_weight(now - at, counters.over),
+            at,
+        );
         self.loads.extend(
             counters
                 .loads
@@ -189,8 +193,8 @@
         self.pushed_reports.enabled
             && self
                 .pushed_reports
-                .silence
-                .speaks(self.now, self.report_interval, id)
+                .liveness
+                .is_reporting(self.now, self.report_interval, id)
     }
 
     /// Hosts whose proxies are silent, so that nothing is known of them: each with outcomes that count nothing.
@@ -198,7 +202,7 @@
         if !self.pushed_reports.enabled
             || self
                 .pushed_reports
-                .silence
+                .liveness
                 .silent(self.now, self.report_interval)
                 .is_empty()
         {
@@ -221,10 +225,11 @@
                 )
             });
         let hosts_by_proxy = hosts_by_proxy.collect();
-        let excused =
-            self.pushed_reports
-                .silence
-                .excused(self.now, self.report_interval, &hosts_by_proxy);
+        let excused = self.pushed_reports.liveness.unobservable_hosts(
+            self.now,
+            self.report_interval,
+            &hosts_by_proxy,
+        );
         let nothing = AttemptOutcomes {
             period: self.report_interval,
             ..AttemptOutcomes::default()
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -18,7 +18,7 @@
 use pondarch_config::site::{Links, Weights};
 use pondarch_controller::Controller;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
-use pondarch_load_ingestion::{Account, Choice};
+use pondarch_load_ingestion::{HostSelector, MemoryAccounting};
 use pondarch_proxy_session::{Front, FrontKind};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -94,11 +94,11 @@
     /// Hosts whose outcomes are applied, a second; none: all.
     pub(crate) max_outcomes_per_second: Option<f64>,
     /// Chooses the hosts whose outcomes are applied where not all may be.
-    pub(crate) selection: Choice,
+    pub(crate) selection: HostSelector,
     /// Senders of reports.
     pub(crate) pushed_reports: PushedReports,
     /// Memory by purpose.
-    pub(crate) memory: Account,
+    pub(crate) memory: MemoryAccounting,
     /// None: nothing is recorded.
     pub(crate) event_log: Option<EventLogState>,
     /// Inputs so far.
@@ -152,9 +152,9 @@
             next_load_read_at: load_interval.map(|interval| now + interval),
             outcomes_applied_at: BTreeMap::new(),
             max_outcomes_per_second: site.reports.lines_per_second,
-            selection: Choice::new(seed),
+            selection: HostSelector::new(seed),
             pushed_reports: PushedReports::new(site.reports.push.is_some()),
-            memory: Account::default(),
+            memory: MemoryAccounting::default(),
             event_log: None,
             input_count: 0,
             cause: String::new(),
--- a/crates/load-ingestion/src/lib.rs
+++ b/crates/load-ingestion/src/lib.rs
@@ -1,25 +1,22 @@
-//! What is made of reports: which count, how old they are, how much old ones weigh, which hosts are told of when there is no
-//! room for all, and what silence says. Decisions beyond the module's own; no I/O and no clock.
+//! Ingestion of load reports: which reports count, how old they are, how much old ones weigh, which hosts' outcomes are
+//! passed on within a budget, and which hosts cannot be judged while reporters are silent. No I/O and no clock.
 //!
-//! - `order`: late, doubled, missing and restarted reports of one sender.
-//! - `clocks`: a sender's clock by ours, with the error that is known of it.
-//! - `age`: what sums of some age still weigh as evidence.
-//! - `choice`: which hosts' lines go to the module within a budget.
-//! - `silence`: who is excused when reports stop.
-//! - `account`: memory by purpose, its caps, and what is done at them.
+//! - `sequence`: late, duplicate, missing and restarted reports of one sender.
+//! - `clock_offset`: the time a report was sent by the controller's clock, with its error bounds.
+//! - `decay`: the weight of evidence by its age.
+//! - `selection`: which hosts' outcomes are passed on within a budget of lines.
+//! - `liveness`: silent proxies, and the hosts that only they observe.
+//! - `memory`: memory use by purpose, with limits.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(missing_docs)]
+pub mod clock_offset;
+pub mod decay;
+pub mod liveness;
+pub mod memory;
+pub mod selection;
+pub mod sequence;
 
-pub mod account;
-pub mod age;
-pub mod choice;
-pub mod clocks;
-pub mod order;
-pub mod silence;
-
-pub use account::{Account, Purpose};
-pub use choice::{Candidate, Choice};
-pub use clocks::{Clocks, Mapped};
-pub use order::{Order, Verdict};
-pub use silence::Silence;
+pub use clock_offset::{ClockOffset, SendTime};
+pub use liveness::ReporterLiveness;
+pub use memory::{MemoryAccounting, Purpose};
+pub use selection::{Candidate, HostSelector};
+pub use sequence::{Arrival, ReportSequence};
