--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -3,9 +3,9 @@
 use crate::failed;
 use pondarch_config::{PlanSite, read_plan};
 use pondarch_controller::DurationExt;
-use pondarch_weight_solver::guard::{Bears, guarded};
-use pondarch_weight_solver::solve::one_more;
-use pondarch_weight_solver::{Fleet, Host, Kind, Plan, SolveError, Solver, Table, solve};
+use pondarch_weight_solver::guard::{HostCapacity, limit_warming_up};
+use pondarch_weight_solver::solve::added_host_gains;
+use pondarch_weight_solver::{Fleet, Host, Plan, RequestClass, SolveError, Solver, Table, solve};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -45,7 +45,7 @@
     let solver = if simplex {
         Solver::Simplex
     } else {
-        Solver::Interior
+        Solver::InteriorPoint
     };
     match solved(&fleet, solver) {
         Ok((plan, gains)) => print(&fleet, &plan, &gains, json),
@@ -55,20 +55,20 @@
 
 fn solved(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
     let mut plan = solve(fleet, solver)?;
-    let bears = |host: &Host| Bears {
+    let bears = |host: &Host| HostCapacity {
         capacity: host.capacity(),
-        warm: host.warm >= 1.0,
+        warm: host.warm_fraction >= 1.0,
     };
-    plan.weights = guarded(
+    plan.weights = limit_warming_up(
         &fleet.hosts.iter().map(bears).collect::<Vec<_>>(),
         &plan.weights,
     );
     let gains = match fleet.hosts.first() {
-        Some(make) => one_more(
+        Some(make) => added_host_gains(
             fleet,
             &Host {
-                warm: 1.0,
-                taken: 0.0,
+                warm_fraction: 1.0,
+                other_work: 0.0,
                 ..make.clone()
             },
             solver,
@@ -90,22 +90,22 @@
             zone: zone(&of.zone),
             cores: of.cores,
             speed: of.speed,
-            connections: of.connections,
-            warm: of.warm,
-            taken: of.taken,
-            taken_age_s: of.taken_age.0.seconds(),
+            max_concurrent_requests: of.connections,
+            warm_fraction: of.warm,
+            other_work: of.taken,
+            other_work_age_s: of.taken_age.0.seconds(),
         })
     });
-    let kind = |kind: &pondarch_config::plan::PlanKind| Kind {
+    let kind = |kind: &pondarch_config::plan::PlanKind| RequestClass {
         name: kind.name.clone(),
         work_s: kind.work.0.seconds(),
-        response_target_s: kind.response_target.0.seconds(),
+        latency_objective_s: kind.response_target.0.seconds(),
         benefit: kind.benefit,
     };
-    let kinds: Vec<Kind> = site.kinds.iter().map(kind).collect();
+    let kinds: Vec<RequestClass> = site.kinds.iter().map(kind).collect();
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
-        let rate = |zone: &String, kind: &Kind| demand.get(zone)?.get(&kind.name).copied();
+        let rate = |zone: &String, kind: &RequestClass| demand.get(zone)?.get(&kind.name).copied();
         let of_zone = |zone| {
             kinds
                 .iter()
@@ -137,19 +137,19 @@
         })
         .collect();
     if !site.demand.is_empty() || tables.is_empty() {
-        tables.push(Table::of_all(rates(&site.demand)));
+        tables.push(Table::of_all_hosts(rates(&site.demand)));
     }
     Fleet {
         tables,
         zones: site.zones.clone(),
         hosts,
-        kinds,
-        crossing: site.crossing_price,
+        classes: kinds,
+        crossing_price: site.crossing_price,
     }
 }
 
 fn print(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
-    let figures = plan.weights.iter().zip(&plan.utilisation);
+    let figures = plan.weights.iter().zip(&plan.utilization);
     let host = |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| {
         (host.name.clone(), *weight, *utilisation)
     };
@@ -164,18 +164,18 @@
             })
             .collect(),
         kinds: fleet
-            .kinds
+            .classes
             .iter()
-            .zip(plan.let_in.iter().zip(&plan.in_time))
+            .zip(plan.admitted.iter().zip(&plan.on_time))
             .map(|(k, (let_in, in_time))| PrintedKind {
                 name: &k.name,
                 let_in: *let_in,
                 in_time: *in_time,
             })
             .collect(),
-        served: plan.served,
-        crossing: plan.crossing,
-        little_room: &plan.little_room,
+        served: plan.admitted_benefit,
+        crossing: plan.cross_zone_share,
+        little_room: &plan.nearly_full,
         one_more: fleet
             .zones
             .iter()
--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -114,7 +114,7 @@
         self.pushed_reports.liveness.remove(id);
         if joined {
             if let Some(weights) = &mut self.weight_planner {
-                weights.estimates().left(id);
+                weights.estimator().remove_proxy(id);
             }
             self.controller.proxy_left(self.now, id);
         }
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -23,8 +23,8 @@
             .map(|(host, known)| (host.clone(), known.started))
             .collect();
         let anew = |host: &HostId| before.get(host) != weights.started.get(host);
-        weights.planner.list_came(&listed, anew);
-        list.planned_weights = weights.planner.handed(now, &listed);
+        weights.planner.on_list(&listed, anew);
+        list.planned_weights = weights.planner.target_weights(now, &listed);
     }
 
     pub(crate) fn record_observations(&mut self, fresh: Duration) {
@@ -48,9 +48,9 @@
         if now < weights.wake_at() {
             return;
         }
-        let late = weights.planner.gave_up(now);
+        let late = weights.planner.abandon_late_problem(now);
         let listed = weights.planner_hosts(now, &self.endpoints);
-        let problem = weights.planner.due(now, &listed);
+        let problem = weights.planner.next_problem(now, &listed);
         if late {
             self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
@@ -71,7 +71,7 @@
             return;
         };
         let failed = answer.as_ref().err().cloned();
-        weights.planner.answered(now, number, answer);
+        weights.planner.on_result(now, number, answer);
         match failed {
             Some(error) => self.log_event(Event::PlanFailed { error }),
             None => self.apply_plan_step(),
@@ -84,14 +84,14 @@
             return;
         };
         let listed = weights.planner_hosts(now, &self.endpoints);
-        let stepped = weights.planner.step(now, &listed);
+        let stepped = weights.planner.advance(now, &listed);
         let source = weights.planner.source();
-        let admitted_rates = weights.planner.let_in();
+        let admitted_rates = weights.planner.admitted_share();
         let source_changed = std::mem::replace(&mut weights.last_source, source) != source;
         self.controller.apply_capacity_plan(now, admitted_rates);
         if source_changed {
             self.log_event(Event::WeightSourceChanged {
-                source: source.word().into(),
+                source: source.name().into(),
             });
         }
         let Some(planned_weights) = stepped else {
@@ -130,7 +130,9 @@
         let id = peer.id;
         let zone = peer.zone;
         if let Some(weights) = &mut self.weight_planner {
-            weights.estimates().asked(id, zone, class, many, over);
+            weights
+                .estimator()
+                .observe_demand(id, zone, class, many, over);
         }
     }
 }
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -5,24 +5,24 @@
 use pondarch_config::Site;
 use pondarch_controller::{EndpointState, HostId, Time};
 use pondarch_proxy_session::sums::Look;
-use pondarch_weight_solver::planner::KindFacts;
-use pondarch_weight_solver::{Estimates, Listed, Planner, Seen, Source};
+use pondarch_weight_solver::planner::ClassSettings;
+use pondarch_weight_solver::{Estimator, HostObservation, ListedHost, Planner, WeightSource};
 use std::collections::BTreeMap;
 
 pub(crate) struct WeightPlanner {
     pub(crate) planner: Planner,
     start_share: f64,
     /// Observations of the interval that is open, by host.
-    observed: BTreeMap<HostId, Seen>,
+    observed: BTreeMap<HostId, HostObservation>,
     pub(crate) started: BTreeMap<HostId, Time>,
-    pub(crate) last_source: Source,
+    pub(crate) last_source: WeightSource,
 }
 
 impl WeightPlanner {
     pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
-        let class = |class: &pondarch_config::site::Kind| KindFacts {
+        let class = |class: &pondarch_config::site::Kind| ClassSettings {
             name: class.name.clone(),
-            response_target: class.response_target.0,
+            latency_objective: class.response_target.0,
             benefit: class.benefit,
         };
         let classes = site.kinds.iter().map(class).collect();
@@ -42,35 +42,35 @@
             start_share: site.cold.start_share,
             observed: BTreeMap::new(),
             started: BTreeMap::new(),
-            last_source: Source::Listed,
+            last_source: WeightSource::Listed,
         }
     }
 
     pub(crate) fn source(&self) -> &'static str {
-        self.planner.source().word()
+        self.planner.source().name()
     }
 
     pub(crate) fn failed(&self) -> Option<&str> {
-        self.planner.failed()
+        self.planner.last_error()
     }
 
     pub(crate) fn wake_at(&self) -> Time {
         self.planner.wake_at()
     }
 
-    pub(crate) fn estimates(&mut self) -> &mut Estimates {
-        &mut self.planner.estimates
+    pub(crate) fn estimator(&mut self) -> &mut Estimator {
+        &mut self.planner.estimator
     }
 
     /// Counters of one proxy, of which each figure counts once.
     pub(crate) fn record(&mut self, look: &Look) {
         for (host, class, done, took) in &look.done {
             let seen = self.observed.entry(host.clone()).or_default();
-            match seen.done.iter_mut().find(|(k, _, _)| k == class) {
+            match seen.completed.iter_mut().find(|(k, _, _)| k == class) {
                 Some((_, all, time)) => (*all, *time) = (*all + done, *time + *took),
-                None => seen.done.push((*class, *done, *took)),
+                None => seen.completed.push((*class, *done, *took)),
             }
-            seen.over = seen.over.max(look.over);
+            seen.period = seen.period.max(look.over);
         }
     }
 
@@ -86,24 +86,24 @@
                 && list.warm_fraction(&host, now, self.start_share) >= 1.0
             {
                 seen.load = loads(&host);
-                self.planner.estimates.seen(now, &host, &seen);
+                self.planner.estimator.observe_host(now, &host, &seen);
             }
         }
     }
 
-    pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<Listed> {
+    pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<ListedHost> {
         let known = list
             .hosts
             .iter()
             .filter(|(_, k)| k.state != EndpointState::Removed);
         known
-            .map(|(host, k)| Listed {
-                host: host.clone(),
+            .map(|(host, k)| ListedHost {
+                id: host.clone(),
                 zone: list.zone_of(k),
                 cores: k.entry.cores,
                 weight: k.entry.weight,
-                warm: list.warm_fraction(host, now, self.start_share),
-                open: k.state == EndpointState::Ready,
+                warm_fraction: list.warm_fraction(host, now, self.start_share),
+                ready: k.state == EndpointState::Ready,
             })
             .collect()
     }
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -68,13 +68,13 @@
         weights: (0..hosts)
             .map(|n| if n + 1 == hosts { hosts as f64 } else { 0.0 })
             .collect(),
-        utilisation: vec![0.5; hosts],
-        let_in: vec![1.0; fleet.kinds.len()],
-        in_time: vec![1.0; fleet.kinds.len()],
-        served: Some(1.0),
-        crossing: 0.0,
-        little_room: Vec::new(),
-        worth: 1.0,
+        utilization: vec![0.5; hosts],
+        admitted: vec![1.0; fleet.classes.len()],
+        on_time: vec![1.0; fleet.classes.len()],
+        admitted_benefit: Some(1.0),
+        cross_zone_share: 0.0,
+        nearly_full: Vec::new(),
+        objective: 1.0,
     }
 }
 
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -8,8 +8,8 @@
 use pondarch_config::Site;
 use pondarch_daemon_core::{Input, Output};
 use pondarch_load_report_protocol::ToSender;
-use pondarch_weight_solver::planner::SOLVE_LIMIT;
-use pondarch_weight_solver::{Fleet, Warm};
+use pondarch_weight_solver::planner::SOLVER_TIME_LIMIT;
+use pondarch_weight_solver::{Fleet, WarmStartSolver};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -35,7 +35,7 @@
     /// Health checks under way; they end with the daemon.
     checks: JoinSet<()>,
     /// The last plan, which the next one starts from.
-    warm: Arc<Mutex<Warm>>,
+    warm: Arc<Mutex<WarmStartSolver>>,
     /// The solve under way, which ends by its own limit.
     solving: JoinSet<()>,
     commands: CoreCommandHandler,
@@ -185,7 +185,7 @@
         self.solving.spawn_blocking(move || {
             let mut warm = warm.lock().unwrap_or_else(PoisonError::into_inner);
             let plan = warm
-                .solve(&fleet, SOLVE_LIMIT)
+                .solve(&fleet, SOLVER_TIME_LIMIT)
                 .map(|(plan, _)| plan)
                 .map_err(|error| error.to_string());
             // The daemon may have ended meanwhile.
--- a/crates/load-ingestion/src/selection.rs
+++ b/crates/load-ingestion/src/selection.rs
@@ -7,7 +7,7 @@
 
 /// No host waits for longer than this number of rounds if the budget has room for all hosts in that time; otherwise it waits
 /// for the number of rounds that all hosts need.
-const WAIT_LIMIT_ROUNDS: usize = 3;
+const WAIT_ROUNDS: usize = 3;
 /// Part of the budget that urgent hosts may take at most, so that the others get their turn.
 const URGENT_BUDGET_SHARE: f64 = 0.5;
 /// Failure ratio from which a host is urgent.
@@ -56,15 +56,16 @@
         if candidates.len() <= budget {
             return (0..candidates.len()).collect();
         }
-        let mean = candidates.iter().map(|c| c.attempts).sum::<f64>() / candidates.len() as f64;
-        let rounds = candidates
-            .len()
-            .div_ceil(budget.max(1))
-            .max(WAIT_LIMIT_ROUNDS);
+        let mean = candidates
+            .iter()
+            .map(|candidate| candidate.attempts)
+            .sum::<f64>()
+            / candidates.len() as f64;
+        let rounds = candidates.len().div_ceil(budget.max(1)).max(WAIT_ROUNDS);
         let max_wait = interval.scaled(rounds as f64 - 0.5);
-        let urgency = |c: &Candidate| {
-            let failure_ratio = if c.attempts > 0.0 {
-                c.failures / c.attempts
+        let urgency = |candidate: &Candidate| {
+            let failure_ratio = if candidate.attempts > 0.0 {
+                candidate.failures / candidate.attempts
             } else {
                 0.0
             };
@@ -74,10 +75,10 @@
                 0.0
             };
             failing
-                + f64::from(u8::from(c.changing))
-                + f64::from(u8::from(c.attempts > mean * BUSY_MULTIPLE))
+                + f64::from(u8::from(candidate.changing))
+                + f64::from(u8::from(candidate.attempts > mean * BUSY_MULTIPLE))
         };
-        let mut selected: Vec<usize> = Vec::with_capacity(budget);
+        let mut chosen: Vec<usize> = Vec::with_capacity(budget);
         let mut overdue: Vec<usize> = (0..candidates.len())
             .filter(|&n| now - candidates[n].last_applied >= max_wait)
             .collect();
@@ -85,9 +86,9 @@
         // Urgent hosts get their share of the budget, however many others are overdue.
         let urgent_budget =
             ((budget as f64 * URGENT_BUDGET_SHARE) as usize).min(budget.saturating_sub(1));
-        let unselected = |selected: &[usize]| {
+        let rest = |chosen: &[usize]| {
             (0..candidates.len())
-                .filter(|n| !selected.contains(n))
+                .filter(|n| !chosen.contains(n))
                 .collect::<Vec<_>>()
         };
         let mut urgent: Vec<usize> = (0..candidates.len())
@@ -100,21 +101,17 @@
                 .then(a.cmp(&b))
         });
         urgent.truncate(urgent_budget);
-        selected.extend(urgent);
+        chosen.extend(urgent);
         for n in overdue {
-            if selected.len() < budget && !selected.contains(&n) {
-                selected.push(n);
+            if chosen.len() < budget && !chosen.contains(&n) {
+                chosen.push(n);
             }
         }
-        let mut others = unselected(&selected);
+        let mut others = rest(&chosen);
         self.rng.shuffle(&mut others);
-        selected.extend(
-            others
-                .into_iter()
-                .take(budget.saturating_sub(selected.len())),
-        );
-        selected.sort_unstable();
-        selected
+        chosen.extend(others.into_iter().take(budget.saturating_sub(chosen.len())));
+        chosen.sort_unstable();
+        chosen
     }
 }
 
--- a/crates/weight-solver/src/lib.rs
+++ b/crates/weight-solver/src/lib.rs
@@ -1,28 +1,26 @@
-//! Weights under the capacity of hosts and the cost of crossing zones. No I/O and no clock.
+//! Weights of hosts from their capacity, the demand and the cost of cross-zone work. No I/O and no clock.
 //!
-//! - `model`: a fleet and what is asked of it, with checks.
-//! - `delay`: how waiting bends with load, as a piecewise-linear bound.
-//! - `solve`: the linear program, and what it says of weights, shares let in and limits.
-//! - `warm`: a solve that starts from the last one.
-//! - `estimate`: speed, work and demand from the sums that a steward has.
-//! - `guard`: what a cold host can bear, whatever a solver says.
-//! - `steady`: bounded steps with hysteresis, so that tables do not flap.
-//! - `planner`: when to solve, what to do with an answer, and which weights are in use.
+//! - `model`: a fleet and its demand, with validation.
+//! - `latency`: how missed latency objectives rise with load, as a piecewise-linear bound.
+//! - `solve`: the linear program, and the plan that follows from its solution.
+//! - `warm_start`: a solver that reuses the last solution where it is still good enough.
+//! - `estimator`: estimates of speed, work and demand from load reports.
+//! - `guard`: limits the weights of hosts that are warming up, whatever a solver says.
+//! - `smoothing`: bounded weight changes with a dead band, so that tables do not oscillate.
+//! - `planner`: when to solve, what to do with a result, and which weights are in use.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, missing_docs)]
-
-pub mod delay;
-pub mod estimate;
+pub mod estimator;
 pub mod guard;
+pub mod latency;
 pub mod model;
 pub mod planner;
+mod recorded_debug;
+pub mod smoothing;
 pub mod solve;
-pub mod steady;
-pub mod warm;
+pub mod warm_start;
 
-pub use estimate::{Estimates, Listed, Seen};
-pub use model::{Fleet, Host, Kind, ModelError, Table};
-pub use planner::{Planner, Problem, Source};
+pub use estimator::{Estimator, HostObservation, ListedHost};
+pub use model::{Fleet, Host, ModelError, RequestClass, Table};
+pub use planner::{Planner, Problem, WeightSource};
 pub use solve::{Plan, SolveError, Solver, solve};
-pub use warm::{Start, Warm};
+pub use warm_start::{PlanOrigin, WarmStartSolver};
--- a/crates/weight-solver/src/model.rs
+++ b/crates/weight-solver/src/model.rs
@@ -1,71 +1,86 @@
-//! A fleet and what is asked of it. Work is counted in seconds of one core of speed 1.
+//! The model that is solved: a fleet of hosts and its demand. Work is measured in seconds of one core of speed 1.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Hosts, tables and reqs a second that make sense; beyond these a figure is a mistake.
-const HOSTS_MOST: usize = 20_000;
-const TABLES_MOST: usize = 2_000;
-const RATE_MOST: f64 = 1e7;
-/// Time in which a figure of others' load loses half its say.
-const TAKEN_HALF_S: f64 = 10.0;
-/// Part of a host that others can be taken to use at most: nobody can say more for sure.
-const TAKEN_MOST: f64 = 0.9;
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// Plausible numbers of hosts and tables, and requests a second; larger values are rejected as mistakes.
+const MAX_HOSTS: usize = 20_000;
+const MAX_TABLES: usize = 2_000;
+const MAX_REQUEST_RATE: f64 = 1e7;
+/// Time in which a measurement of other work loses half its weight.
+const OTHER_WORK_HALF_LIFE_S: f64 = 10.0;
+/// Largest part of a host's capacity that is assumed to go to other work: no higher share is certain enough.
+const MAX_OTHER_WORK_SHARE: f64 = 0.9;
+
+/// A host that can be given work.
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct Host {
+    /// Name of the host.
     pub name: String,
-    /// Place of its zone.
+    /// Index of its zone.
     pub zone: usize,
+    /// Number of cores.
     pub cores: f64,
-    /// Work of one core a second; 1 is the yardstick.
+    /// Work of one core a second, relative to the reference speed of 1.
     pub speed: f64,
-    /// Reqs that it works on at one time at most; none: as many as it has cores.
-    pub connections: Option<f64>,
-    /// The part of its work that it can do now: under 1 while it is cold.
-    pub warm: f64,
-    /// Work a second that it does for others than the demand of this fleet, and how old that figure is in seconds.
-    pub taken: f64,
-    pub taken_age_s: f64,
+    /// How many requests it works on concurrently at most; none: as many as it has cores.
+    #[serde(rename = "connections")]
+    pub max_concurrent_requests: Option<f64>,
+    /// Part of its capacity that it has now: under 1 while it is warming up.
+    #[serde(rename = "warm")]
+    pub warm_fraction: f64,
+    /// Work a second that it does outside the demand of this fleet.
+    #[serde(rename = "taken")]
+    pub other_work: f64,
+    /// Age of the measurement of other work, in seconds.
+    #[serde(rename = "taken_age_s")]
+    pub other_work_age_s: f64,
 }
 
 impl Host {
-    /// Work it can do a second, now.
+    /// Work that it can do a second now.
     pub fn capacity(&self) -> f64 {
-        self.connections
-            .map_or(self.cores, |most| most.min(self.cores))
+        self.max_concurrent_requests
+            .map_or(self.cores, |max| max.min(self.cores))
             * self.speed
-            * self.warm
+            * self.warm_fraction
     }
 
-    /// Others' work a second as far as an old figure still says anything.
-    pub fn taken_now(&self) -> f64 {
-        (self.taken * 0.5f64.powf(self.taken_age_s / TAKEN_HALF_S))
-            .min(TAKEN_MOST * self.capacity())
+    /// Other work a second, discounted by the age of its measurement.
+    pub fn current_other_work(&self) -> f64 {
+        (self.other_work * 0.5f64.powf(self.other_work_age_s / OTHER_WORK_HALF_LIFE_S))
+            .min(MAX_OTHER_WORK_SHARE * self.capacity())
     }
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kind {
+/// A request class.
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
+pub struct RequestClass {
+    /// Name of the class.
     pub name: String,
-    /// Seconds of a core of speed 1, each req.
+    /// Work of one request, in seconds of a core of speed 1.
     pub work_s: f64,
-    pub response_target_s: f64,
+    /// Latency objective, in seconds.
+    #[serde(rename = "response_target_s")]
+    pub latency_objective_s: f64,
+    /// Benefit of one request that is admitted, in any unit.
     pub benefit: f64,
 }
 
-/// Some hosts, and the reqs a second that go to them: `rates[zone][kind]`.
+/// Some hosts, and the requests a second that go to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
+    /// Name of the table.
     pub name: String,
-    /// Places of its hosts; none: all of the fleet.
+    /// Indices of its hosts; none: all hosts of the fleet.
     pub hosts: Option<Vec<usize>>,
+    /// Requests a second, as `rates[zone][class]`.
     pub rates: Vec<Vec<f64>>,
 }
 
 impl Table {
-    /// One table of all hosts.
-    pub fn of_all(rates: Vec<Vec<f64>>) -> Table {
+    /// A table of all hosts.
+    pub fn of_all_hosts(rates: Vec<Vec<f64>>) -> Table {
         Table {
             name: "all".into(),
             hosts: None,
@@ -74,104 +89,118 @@
     }
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// A fleet and its demand.
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
+    /// Names of the zones.
     pub zones: Vec<String>,
-    pub kinds: Vec<Kind>,
+    /// The request classes.
+    #[serde(rename = "kinds")]
+    pub classes: Vec<RequestClass>,
+    /// The hosts.
     pub hosts: Vec<Host>,
+    /// The tables, with their demand.
     pub tables: Vec<Table>,
-    /// What a crossing of zones costs, as a part of the mean benefit of a req.
-    pub crossing: f64,
+    /// Cost of work that crosses zones, as a part of the mean benefit of a request.
+    #[serde(rename = "crossing")]
+    pub crossing_price: f64,
 }
 
-/// A figure that cannot be, and where it stands.
+/// An invalid value of the model, and where it is.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ModelError {
+    /// A value, its minimum and its maximum.
     #[error("{0}: {1} is not within {2} and {3}")]
     Range(String, f64, f64, f64),
+    /// The length of a list, and the expected length.
     #[error("{0}: {1} where {2} are due")]
     Count(String, usize, usize),
+    /// An index, and the length of the list that it points into.
     #[error("{0}: place {1} of {2}")]
-    Place(String, usize, usize),
+    Index(String, usize, usize),
+    /// A number of things, what they are, and the limit.
     #[error("{0} {1}; {2} at most")]
     TooMany(usize, &'static str, usize),
 }
 
 impl Fleet {
-    /// Errors: the first figure that is negative, huge or no number, or lists that do not fit each other.
-    pub fn check(&self) -> Result<(), ModelError> {
-        if self.hosts.len() > HOSTS_MOST {
-            return Err(ModelError::TooMany(self.hosts.len(), "hosts", HOSTS_MOST));
+    /// Checks all values.
+    ///
+    /// # Errors
+    ///
+    /// The first value that is out of range or not a number, or the first list whose length does not match the others.
+    pub fn validate(&self) -> Result<(), ModelError> {
+        if self.hosts.len() > MAX_HOSTS {
+            return Err(ModelError::TooMany(self.hosts.len(), "hosts", MAX_HOSTS));
         }
-        if self.tables.len() > TABLES_MOST {
-            return Err(ModelError::TooMany(
-                self.tables.len(),
-                "tables",
-                TABLES_MOST,
-            ));
+        if self.tables.len() > MAX_TABLES {
+            return Err(ModelError::TooMany(self.tables.len(), "tables", MAX_TABLES));
         }
-        within("crossing", self.crossing, 0.0, 1.0)?;
-        for kind in &self.kinds {
-            let key = |figure: &str| format!("kind {}: {figure}", kind.name);
-            within(&key("work"), kind.work_s, 1e-6, 3_600.0)?;
-            within(
+        check_range("crossing", self.crossing_price, 0.0, 1.0)?;
+        for class in &self.classes {
+            let key = |value: &str| format!("kind {}: {value}", class.name);
+            check_range(&key("work"), class.work_s, 1e-6, 3_600.0)?;
+            check_range(
                 &key("response target"),
-                kind.response_target_s,
+                class.latency_objective_s,
                 1e-6,
                 3_600.0,
             )?;
-            within(&key("benefit"), kind.benefit, 0.0, 1e9)?;
+            check_range(&key("benefit"), class.benefit, 0.0, 1e9)?;
         }
         for host in &self.hosts {
-            let key = |figure: &str| format!("host {}: {figure}", host.name);
-            within(&key("cores"), host.cores, 1e-3, 4_096.0)?;
-            within(&key("speed"), host.speed, 1e-3, 1e3)?;
-            within(
+            let key = |value: &str| format!("host {}: {value}", host.name);
+            check_range(&key("cores"), host.cores, 1e-3, 4_096.0)?;
+            check_range(&key("speed"), host.speed, 1e-3, 1e3)?;
+            check_range(
                 &key("connections"),
-                host.connections.unwrap_or(1.0),
+                host.max_concurrent_requests.unwrap_or(1.0),
                 1e-3,
                 1e6,
             )?;
-            within(&key("warm"), host.warm, 1e-3, 1.0)?;
-            within(&key("taken"), host.taken, 0.0, 1e7)?;
-            within(&key("age of taken"), host.taken_age_s, 0.0, 1e9)?;
-            place(&key("zone"), host.zone, self.zones.len())?;
+            check_range(&key("warm"), host.warm_fraction, 1e-3, 1.0)?;
+            check_range(&key("taken"), host.other_work, 0.0, 1e7)?;
+            check_range(&key("age of taken"), host.other_work_age_s, 0.0, 1e9)?;
+            check_index(&key("zone"), host.zone, self.zones.len())?;
         }
         self.tables
             .iter()
-            .try_for_each(|table| self.check_table(table))
+            .try_for_each(|table| self.validate_table(table))
     }
 
-    fn check_table(&self, table: &Table) -> Result<(), ModelError> {
-        let key = |of: &str| format!("table {}: demand{of}", table.name);
+    fn validate_table(&self, table: &Table) -> Result<(), ModelError> {
+        let key = |part: &str| format!("table {}: demand{part}", table.name);
         for host in table.hosts.iter().flatten() {
-            place(
+            check_index(
                 &format!("table {}: hosts", table.name),
                 *host,
                 self.hosts.len(),
             )?;
         }
-        count(&key(": zones"), table.rates.len(), self.zones.len())?;
+        check_count(&key(": zones"), table.rates.len(), self.zones.len())?;
         for (zone, rates) in self.zones.iter().zip(&table.rates) {
-            count(
+            check_count(
                 &key(&format!(" of {zone}: kinds")),
                 rates.len(),
-                self.kinds.len(),
+                self.classes.len(),
             )?;
-            for (kind, rate) in self.kinds.iter().zip(rates) {
-                within(
-                    &key(&format!(" of {zone}: {}", kind.name)),
+            for (class, rate) in self.classes.iter().zip(rates) {
+                check_range(
+                    &key(&format!(" of {zone}: {}", class.name)),
                     *rate,
                     0.0,
-                    RATE_MOST,
+                    MAX_REQUEST_RATE,
                 )?;
             }
         }
         Ok(())
     }
 
-    /// Places of a table's hosts.
-    pub fn hosts_of<'a>(&'a self, table: &'a Table) -> impl Iterator<Item = usize> + Clone + 'a {
+    /// Indices of a table's hosts.
+    pub fn hosts_of_table<'a>(
+        &'a self,
+        table: &'a Table,
+    ) -> impl Iterator<Item = usize> + Clone + 'a {
         let listed = table.hosts.iter().flatten().copied();
         listed.chain(
             0..if table.hosts.is_none() {
@@ -182,41 +211,44 @@
         )
     }
 
-    /// Each demand: reqs a second, and their kind.
-    pub fn asked(&self) -> impl Iterator<Item = (f64, &Kind)> {
-        let zones = self.tables.iter().flat_map(|table| &table.rates);
-        zones.flat_map(|rates| rates.iter().copied().zip(&self.kinds))
+    /// Each demand: requests a second, and their class.
+    pub fn demands(&self) -> impl Iterator<Item = (f64, &RequestClass)> {
+        let rates_by_zone = self.tables.iter().flat_map(|table| &table.rates);
+        rates_by_zone.flat_map(|rates| rates.iter().copied().zip(&self.classes))
     }
 
-    /// Work asked for a second, all zones and kinds.
-    pub fn work_asked(&self) -> f64 {
-        self.asked().map(|(rate, kind)| rate * kind.work_s).sum()
+    /// Demanded work a second, of all zones and classes.
+    pub fn demanded_work(&self) -> f64 {
+        self.demands()
+            .map(|(rate, class)| rate * class.work_s)
+            .sum()
     }
 
+    /// Work that all hosts can do a second now.
     pub fn capacity(&self) -> f64 {
         self.hosts.iter().map(Host::capacity).sum()
     }
 }
 
-fn within(place: &str, value: f64, least: f64, most: f64) -> Result<(), ModelError> {
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), ModelError> {
     match value {
-        value if (least..=most).contains(&value) => Ok(()),
-        value => Err(ModelError::Range(place.into(), value, least, most)),
+        value if (min..=max).contains(&value) => Ok(()),
+        value => Err(ModelError::Range(key.into(), value, min, max)),
     }
 }
 
-fn count(key: &str, count: usize, due: usize) -> Result<(), ModelError> {
-    if count == due {
+fn check_count(key: &str, actual: usize, expected: usize) -> Result<(), ModelError> {
+    if actual == expected {
         Ok(())
     } else {
-        Err(ModelError::Count(key.into(), count, due))
+        Err(ModelError::Count(key.into(), actual, expected))
     }
 }
 
-fn place(key: &str, at: usize, of: usize) -> Result<(), ModelError> {
-    if at < of {
+fn check_index(key: &str, index: usize, len: usize) -> Result<(), ModelError> {
+    if index < len {
         Ok(())
     } else {
-        Err(ModelError::Place(key.into(), at, of))
+        Err(ModelError::Index(key.into(), index, len))
     }
 }
--- a/crates/weight-solver/src/solve.rs
+++ b/crates/weight-solver/src/solve.rs
@@ -1,10 +1,11 @@
-//! The linear program: how much work of each table goes to each of its hosts, and how much of each kind is let in.
+//! The linear program: how much work of each table goes to each of its hosts, and how much of each request class is admitted.
 //!
-//! Worth most is benefit let in, less what crossing zones costs, less the benefit of what misses its target by
-//! waiting. Work that a zone's hosts get beyond what the zone lets in has crossed.
+//! The objective is the benefit that is admitted, less the cost of work that crosses zones, less the benefit of requests that
+//! wait so long that they miss their latency objective. Work that the hosts of a zone get beyond the work that the zone
+//! admits has crossed zones.
 
-use crate::delay::{missing, pieces};
-use crate::model::{Fleet, Host, Kind, ModelError, Table};
+use crate::latency::{missed_share, segments};
+use crate::model::{Fleet, Host, ModelError, RequestClass, Table};
 use good_lp::constraint::ConstraintReference;
 use good_lp::solvers::DualValues;
 use good_lp::{
@@ -15,356 +16,411 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Room that is taken to be there at least, in times of one req: targets under that cannot be planned for.
-const ROOM_LEAST: f64 = 2.0;
-/// A host that is planned to bear this much or more has little room left: a further unit of work costs others much.
-const LITTLE_ROOM: f64 = 0.85;
-/// What is left of a difference of two solved plans is noise under this part of the worth.
-const NOISE: f64 = 1e-6;
+/// Smallest assumed wait budget, in service times: stricter latency objectives cannot be planned for.
+const MIN_WAIT_BUDGET: f64 = 2.0;
+/// Planned utilization from which a host counts as nearly full: further work there delays much other work.
+const NEARLY_FULL: f64 = 0.85;
+/// A difference between the objectives of two plans is noise below this part of the objective.
+const RELATIVE_NOISE: f64 = 1e-6;
 
-/// Which library solves: an interior point method, or a simplex.
+/// Which method, and so which library, solves the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Solver {
+    /// The interior point method of Clarabel.
     #[default]
-    Interior,
+    InteriorPoint,
+    /// The simplex method of microlp.
     Simplex,
 }
 
+/// Why there is no plan.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SolveError {
+    /// The model is invalid.
     #[error(transparent)]
     Model(#[from] ModelError),
+    /// The library found no solution.
     #[error("the solver found no plan: {0}")]
     Solver(String),
 }
 
-/// What the program says.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// The plan for a fleet.
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// A weight for each host, in the fleet's order; the mean is 1. Work a second that the host should get, in parts of
-    /// the mean; where nothing is asked for, its capacity in parts of the mean.
+    /// Weight of each host, in the order of the fleet: the work a second that the host should get relative to the mean or,
+    /// without demand, its capacity relative to the mean.
     pub weights: Vec<f64>,
-    /// Planned part of each host's capacity, others' work with it.
-    pub utilisation: Vec<f64>,
-    /// Part of each kind that is let in.
-    pub let_in: Vec<f64>,
-    /// Part of each kind that is let in and answered within its target, by the curve of the delay.
-    pub in_time: Vec<f64>,
-    /// Benefit let in over benefit asked for; none where nothing is asked for.
-    pub served: Option<f64>,
+    /// Planned utilization of each host, including other work.
+    #[serde(rename = "utilisation")]
+    pub utilization: Vec<f64>,
+    /// Part of each request class that is admitted.
+    #[serde(rename = "let_in")]
+    pub admitted: Vec<f64>,
+    /// Part of each request class that is admitted and meets its latency objective, by the curve in `latency`.
+    #[serde(rename = "in_time")]
+    pub on_time: Vec<f64>,
+    /// Admitted part of the demanded benefit; none without demand.
+    #[serde(rename = "served")]
+    pub admitted_benefit: Option<f64>,
     /// Part of the work that crosses zones.
-    pub crossing: f64,
-    /// Hosts planned to bear 0.85 or more.
-    pub little_room: Vec<String>,
-    /// Worth a second by the program's own measure, in benefit.
-    pub worth: f64,
+    #[serde(rename = "crossing")]
+    pub cross_zone_share: f64,
+    /// Hosts with a planned utilization of 0.85 or more.
+    #[serde(rename = "little_room")]
+    pub nearly_full: Vec<String>,
+    /// Value of the program's objective: benefit a second.
+    #[serde(rename = "worth")]
+    pub objective: f64,
 }
 
-/// Solves for a fleet.
+/// Plans for a fleet.
 ///
-/// Errors: a figure of the model cannot be, or the library finds no plan.
+/// # Errors
+///
+/// The model is invalid, or the library finds no solution.
 pub fn solve(fleet: &Fleet, solver: Solver) -> Result<Plan, SolveError> {
-    solve_within(fleet, solver, None).map(|(plan, _)| plan)
+    solve_with_limit(fleet, solver, None).map(|(plan, _)| plan)
 }
 
-/// Solves for a fleet within a time that the interior point method keeps (the simplex knows none). The second is
-/// what a later solve can start from; none where there was nothing to solve.
+/// Plans for a fleet within a time limit, which only the interior point method observes. Also returns the solution, for a warm
+/// start; none if there was nothing to solve.
+///
+/// # Errors
 ///
-/// Errors: as `solve`; the time was up.
-pub fn solve_within(
+/// As `solve`, or the time limit was hit.
+pub fn solve_with_limit(
     fleet: &Fleet,
     solver: Solver,
-    limit: Option<Duration>,
-) -> Result<(Plan, Option<Values>), SolveError> {
-    fleet.check()?;
-    if fleet.work_asked() <= 0.0 || fleet.hosts.is_empty() {
+    time_limit: Option<Duration>,
+) -> Result<(Plan, Option<ProgramSolution>), SolveError> {
+    fleet.validate()?;
+    if fleet.demanded_work() <= 0.0 || fleet.hosts.is_empty() {
         return Ok((idle(fleet), None));
     }
-    let values = Program::new(fleet).values(solver, limit)?;
-    Ok((plan(fleet, &values), Some(values)))
+    let solution = Program::new(fleet).solution(solver, time_limit)?;
+    Ok((plan(fleet, &solution), Some(solution)))
 }
 
-/// What one more host of this make would bring in each zone: benefit a second, by the program's own measure. It
-/// stands in all tables.
+/// By how much the objective (benefit a second) would rise with one more host like `template`, for each zone. The host is
+/// added to all tables.
+///
+/// # Errors
 ///
-/// Errors: as `solve`.
-pub fn one_more(fleet: &Fleet, make: &Host, solver: Solver) -> Result<Vec<f64>, SolveError> {
-    let now = solve(fleet, solver)?.worth;
-    let with = |zone: usize| {
-        let mut more = fleet.clone();
-        more.tables
+/// As `solve`.
+pub fn added_host_gains(
+    fleet: &Fleet,
+    template: &Host,
+    solver: Solver,
+) -> Result<Vec<f64>, SolveError> {
+    let current = solve(fleet, solver)?.objective;
+    let gain_in = |zone: usize| {
+        let mut larger = fleet.clone();
+        larger
+            .tables
             .iter_mut()
-            .filter_map(|t| t.hosts.as_mut())
-            .for_each(|h| h.push(fleet.hosts.len()));
-        more.hosts.push(Host {
+            .filter_map(|table| table.hosts.as_mut())
+            .for_each(|hosts| hosts.push(fleet.hosts.len()));
+        larger.hosts.push(Host {
             name: "one more".into(),
             zone,
-            ..make.clone()
+            ..template.clone()
         });
-        let gain = solve(&more, solver)?.worth - now;
-        Ok(if gain.abs() <= now.abs() * NOISE {
+        let gain = solve(&larger, solver)?.objective - current;
+        Ok(if gain.abs() <= current.abs() * RELATIVE_NOISE {
             0.0
         } else {
             gain
         })
     };
-    (0..fleet.zones.len()).map(with).collect()
+    (0..fleet.zones.len()).map(gain_in).collect()
 }
 
-/// Nothing is asked for, or nobody is there: weights by capacity.
+/// The plan without demand or without hosts: weights by capacity.
 pub(crate) fn idle(fleet: &Fleet) -> Plan {
     let mean = fleet.capacity() / fleet.hosts.len().max(1) as f64;
-    let nothing_asked = fleet.work_asked() <= 0.0;
+    let no_demand = fleet.demanded_work() <= 0.0;
     Plan {
         weights: fleet
             .hosts
             .iter()
             .map(|host| host.capacity() / mean)
             .collect(),
-        utilisation: fleet
+        utilization: fleet
             .hosts
             .iter()
-            .map(|host| host.taken_now() / host.capacity())
+            .map(|host| host.current_other_work() / host.capacity())
             .collect(),
-        let_in: vec![if nothing_asked { 1.0 } else { 0.0 }; fleet.kinds.len()],
-        in_time: vec![if nothing_asked { 1.0 } else { 0.0 }; fleet.kinds.len()],
-        served: (!nothing_asked).then_some(0.0),
-        crossing: 0.0,
-        little_room: Vec::new(),
-        worth: 0.0,
+        admitted: vec![if no_demand { 1.0 } else { 0.0 }; fleet.classes.len()],
+        on_time: vec![if no_demand { 1.0 } else { 0.0 }; fleet.classes.len()],
+        admitted_benefit: (!no_demand).then_some(0.0),
+        cross_zone_share: 0.0,
+        nearly_full: Vec::new(),
+        objective: 0.0,
     }
 }
 
-/// What a kind's target leaves for waiting, in times of one req.
-fn room(kind: &Kind) -> f64 {
-    (kind.response_target_s / kind.work_s - 1.0).max(ROOM_LEAST)
+/// The part of a class's latency objective that is left for waiting, in service times.
+fn wait_budget(class: &RequestClass) -> f64 {
+    (class.latency_objective_s / class.work_s - 1.0).max(MIN_WAIT_BUDGET)
 }
 
-/// The prices that the fleet's demand sets, by which a plan is judged.
+/// Prices in the objective, from the mean benefit of the demand.
 pub(crate) struct Prices {
-    /// Of a second of work that crosses.
+    /// Price of a second of work that crosses zones.
     pub(crate) crossing: f64,
-    /// Of a second of work whose reqs miss their target.
+    /// Price of a second of work whose requests miss their latency objective.
     pub(crate) missed: f64,
-    /// Room for waiting, in times of one req.
-    pub(crate) room: f64,
+    /// Mean wait budget of the demanded requests, in service times.
+    pub(crate) wait_budget: f64,
 }
 
 impl Prices {
     pub(crate) fn of(fleet: &Fleet) -> Prices {
-        let (reqs, benefit) = fleet.asked().fold((0.0, 0.0), |(r, b), (rate, kind)| {
-            (r + rate, b + rate * kind.benefit)
-        });
-        let work = fleet.work_asked();
-        let room = fleet
-            .asked()
-            .map(|(rate, kind)| rate * room(kind))
+        let (requests, benefit) = fleet
+            .demands()
+            .fold((0.0, 0.0), |(requests, benefit), (rate, class)| {
+                (requests + rate, benefit + rate * class.benefit)
+            });
+        let work = fleet.demanded_work();
+        let wait_budget = fleet
+            .demands()
+            .map(|(rate, class)| rate * wait_budget(class))
             .sum::<f64>()
-            / reqs;
+            / requests;
         Prices {
-            crossing: fleet.crossing * benefit / work,
+            crossing: fleet.crossing_price * benefit / work,
             missed: benefit / work,
-            room,
+            wait_budget,
         }
     }
 }
 
+/// The variables and the objective of the program for a fleet.
 struct Program<'a> {
     fleet: &'a Fleet,
     variables: ProblemVariables,
-    /// Reqs a second let in, by table, zone and kind.
-    let_in: Vec<Vec<Vec<Variable>>>,
-    /// Work a second from a table to its hosts, with their places.
+    /// Admitted requests a second, by table, zone and request class.
+    admitted: Vec<Vec<Vec<Variable>>>,
+    /// Work a second from each table to its hosts, with their indices.
     flow: Vec<Vec<(usize, Variable)>>,
     /// Work a second that crosses into a zone, by table.
-    away: Vec<Vec<Variable>>,
-    /// Utilisation of a host by the pieces of the delay.
-    filled: Vec<Vec<Variable>>,
-    worth: Expression,
+    crossing: Vec<Vec<Variable>>,
+    /// Utilization of each host, split into the segments of `latency::segments`.
+    segment_fill: Vec<Vec<Variable>>,
+    objective: Expression,
 }
 
-/// What a library found.
+/// The values of the variables and the shadow prices that a library found.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Values {
-    pub(crate) let_in: Vec<Vec<Vec<f64>>>,
+pub struct ProgramSolution {
+    pub(crate) admitted: Vec<Vec<Vec<f64>>>,
     pub(crate) flow: Vec<Vec<(usize, f64)>>,
-    pub(crate) away: Vec<Vec<f64>>,
-    pub(crate) worth: f64,
-    /// By table: the price of a second of work, and what being in a zone takes off it.
+    pub(crate) crossing: Vec<Vec<f64>>,
+    pub(crate) objective: f64,
+    /// By table: the shadow price of a second of work, and by how much it is lower in each zone.
     pub(crate) price: Vec<(f64, Vec<f64>)>,
 }
 
-/// The rows of a table: the one that sends on all that is let in, and those that count what crosses into each zone.
+/// The constraints of a table: all admitted work goes to hosts; and, for each zone, the work that crosses into it.
 type TableRows = (ConstraintReference, Vec<ConstraintReference>);
 
 impl<'a> Program<'a> {
     fn new(fleet: &'a Fleet) -> Program<'a> {
         let mut variables = variables!();
-        let mut worth = Expression::from(0.0);
+        let mut objective = Expression::from(0.0);
         let prices = Prices::of(fleet);
-        let (mut let_in, mut flow, mut away) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut admitted, mut flow, mut crossing) = (Vec::new(), Vec::new(), Vec::new());
         for table in &fleet.tables {
-            let mut of_kind = |(kind, rate): (&crate::Kind, &f64)| {
-                let reqs = variables.add(variable().min(0.0).max(*rate));
-                worth += kind.benefit * reqs;
-                reqs
+            let mut add_class = |(class, rate): (&RequestClass, &f64)| {
+                let requests = variables.add(variable().min(0.0).max(*rate));
+                objective += class.benefit * requests;
+                requests
             };
-            let mut of_zone = |rates: &Vec<f64>| {
+            let mut add_zone = |rates: &Vec<f64>| {
                 fleet
-                    .kinds
+                    .classes
                     .iter()
                     .zip(rates)
-                    .map(&mut of_kind)
+                    .map(&mut add_class)
                     .collect::<Vec<_>>()
             };
-            let_in.push(table.rates.iter().map(&mut of_zone).collect::<Vec<_>>());
-            let to_host = |host: usize| (host, variables.add(variable().min(0.0)));
-            flow.push(fleet.hosts_of(table).map(to_host).collect::<Vec<_>>());
-            let to_zone = |_| {
+            admitted.push(table.rates.iter().map(&mut add_zone).collect::<Vec<_>>());
+            let add_flow = |host: usize| (host, variables.add(variable().min(0.0)));
+            flow.push(
+                fleet
+                    .hosts_of_table(table)
+                    .map(add_flow)
+                    .collect::<Vec<_>>(),
+            );
+            let add_crossing = |_| {
                 let work = variables.add(variable().min(0.0));
-                worth += -prices.crossing * work;
+                objective += -prices.crossing * work;
                 work
             };
-            away.push((0..fleet.zones.len()).map(to_zone).collect::<Vec<_>>());
+            crossing.push((0..fleet.zones.len()).map(add_crossing).collect::<Vec<_>>());
         }
-        let of_host = |host: &Host| {
-            let piece = |(width, slope): (f64, f64)| {
+        let add_host = |host: &Host| {
+            let add_segment = |(width, slope): (f64, f64)| {
                 let part = variables.add(variable().min(0.0).max(width));
-                worth += -(host.capacity() * prices.missed * slope) * part;
+                objective += -(host.capacity() * prices.missed * slope) * part;
                 part
             };
-            pieces(host.cores, prices.room).map(piece).collect()
+            segments(host.cores, prices.wait_budget)
+                .map(add_segment)
+                .collect()
         };
-        let filled = fleet.hosts.iter().map(of_host).collect();
+        let segment_fill = fleet.hosts.iter().map(add_host).collect();
         Program {
             fleet,
             variables,
-            let_in,
+            admitted,
             flow,
-            away,
-            filled,
-            worth,
+            crossing,
+            segment_fill,
+            objective,
         }
     }
 
-    fn values(&self, solver: Solver, limit: Option<Duration>) -> Result<Values, SolveError> {
-        let (variables, worth) = (self.variables.clone(), self.worth.clone());
-        let failed = |wrong: ResolutionError| SolveError::Solver(wrong.to_string());
-        let values = match solver {
-            Solver::Interior => {
-                let mut model = variables.maximise(worth).using(clarabel);
+    fn solution(
+        &self,
+        solver: Solver,
+        time_limit: Option<Duration>,
+    ) -> Result<ProgramSolution, SolveError> {
+        let (variables, objective) = (self.variables.clone(), self.objective.clone());
+        let solver_error = |error: ResolutionError| SolveError::Solver(error.to_string());
+        let solution = match solver {
+            Solver::InteriorPoint => {
+                let mut model = variables.maximise(objective).using(clarabel);
                 model.settings().verbose(false);
-                if let Some(limit) = limit {
-                    model.settings().time_limit(limit.as_secs_f64());
+                if let Some(time_limit) = time_limit {
+                    model.settings().time_limit(time_limit.as_secs_f64());
                 }
-                let rows = self.constrain(&mut model);
-                let mut solution = model.solve().map_err(failed)?;
+                let table_rows = self.constrain(&mut model);
+                let mut solution = model.solve().map_err(solver_error)?;
                 let found = self.read(&solution);
                 let dual = solution.compute_dual();
-                let of = |(all, zones): &TableRows| {
-                    // Signs as libraries have them; a price is none under zero.
+                let prices_of = |(flow_row, zones): &TableRows| {
+                    // The sign of a dual depends on the library; a shadow price is not negative.
                     let zones = zones
                         .iter()
                         .map(|row| dual.dual(row.clone()).abs())
                         .collect();
-                    (dual.dual(all.clone()).abs(), zones)
+                    (dual.dual(flow_row.clone()).abs(), zones)
                 };
-                Values {
-                    price: rows.iter().map(of).collect(),
+                ProgramSolution {
+                    price: table_rows.iter().map(prices_of).collect(),
                     ..found
                 }
             }
             Solver::Simplex => {
-                let mut model = variables.maximise(worth).using(microlp);
+                let mut model = variables.maximise(objective).using(microlp);
                 self.constrain(&mut model);
-                self.read(&model.solve().map_err(failed)?)
+                self.read(&model.solve().map_err(solver_error)?)
             }
         };
-        // A library may give an answer that it knows to be none.
-        let all = values
+        // A library may return values that it knows to be no solution.
+        let all = solution
             .flow
             .iter()
             .flatten()
             .map(|(_, work)| *work)
-            .chain([values.worth]);
-        let sound = all
+            .chain([solution.objective]);
+        let plausible = all
             .into_iter()
             .all(|value| value.is_finite() && value.abs() < 1e12);
-        if sound {
-            Ok(values)
+        if plausible {
+            Ok(solution)
         } else {
             Err(SolveError::Solver("its figures are no plan".into()))
         }
     }
 
-    /// By table: the row that sends on all that is let in, and those that count what crosses into a zone.
+    /// Adds all constraints to the model; returns those of each table.
     fn constrain<M: SolverModel>(&self, model: &mut M) -> Vec<TableRows> {
         let fleet = self.fleet;
-        let of_zone = |let_in: &Vec<Variable>| -> Expression {
-            let_in
+        let admitted_work = |admitted: &Vec<Variable>| -> Expression {
+            admitted
                 .iter()
-                .zip(&fleet.kinds)
-                .map(|(reqs, kind)| kind.work_s * *reqs)
+                .zip(&fleet.classes)
+                .map(|(requests, class)| class.work_s * *requests)
                 .sum()
         };
-        let mut rows = Vec::new();
-        for ((let_in, flow), away) in self.let_in.iter().zip(&self.flow).zip(&self.away) {
-            let work: Expression = let_in.iter().map(of_zone).sum();
+        let mut table_rows = Vec::new();
+        for ((admitted, flow), crossing) in self.admitted.iter().zip(&self.flow).zip(&self.crossing)
+        {
+            let work: Expression = admitted.iter().map(admitted_work).sum();
             let sent: Expression = flow.iter().map(|(_, work)| *work).sum();
-            let all = model.add_constraint(constraint!(sent == work));
-            let zone = |(zone, (let_in, away)): (usize, (&Vec<Variable>, &Variable))| {
-                let here = flow
+            let flow_row = model.add_constraint(constraint!(sent == work));
+            let add_zone_row =
+                |(zone, (admitted, crossing)): (usize, (&Vec<Variable>, &Variable))| {
+                    let to_zone = flow
+                        .iter()
+                        .filter(|(host, _)| fleet.hosts[*host].zone == zone);
+                    let received: Expression = to_zone.map(|(_, work)| *work).sum();
+                    let own = admitted_work(admitted);
+                    model.add_constraint(constraint!(received - own - *crossing <= 0.0))
+                };
+            table_rows.push((
+                flow_row,
+                admitted
                     .iter()
-                    .filter(|(host, _)| fleet.hosts[*host].zone == zone);
-                let came: Expression = here.map(|(_, work)| *work).sum();
-                let own = of_zone(let_in);
-                model.add_constraint(constraint!(came - own - *away <= 0.0))
-            };
-            rows.push((all, let_in.iter().zip(away).enumerate().map(zone).collect()));
+                    .zip(crossing)
+                    .enumerate()
+                    .map(add_zone_row)
+                    .collect(),
+            ));
         }
-        // What comes to a host fills it, beside what others bring.
-        let mut came: Vec<Expression> = fleet
+        // The work that a host gets, with its other work, fills its segments.
+        let mut received: Vec<Expression> = fleet
             .hosts
             .iter()
-            .map(|host| Expression::from(host.taken_now()))
+            .map(|host| Expression::from(host.current_other_work()))
             .collect();
         self.flow
             .iter()
             .flatten()
-            .for_each(|(host, work)| came[*host] += *work);
-        for ((came, pieces), host) in came.into_iter().zip(&self.filled).zip(&fleet.hosts) {
-            let filled: Expression = pieces.iter().sum();
-            model.add_constraint(constraint!(came == host.capacity() * filled));
+            .for_each(|(host, work)| received[*host] += *work);
+        for ((received, fill), host) in received
+            .into_iter()
+            .zip(&self.segment_fill)
+            .zip(&fleet.hosts)
+        {
+            let utilization: Expression = fill.iter().sum();
+            model.add_constraint(constraint!(received == host.capacity() * utilization));
         }
-        rows
+        table_rows
     }
 
-    fn read(&self, solution: &impl Solution) -> Values {
-        // A solver's zero may be a little under it.
-        let value = |v: &Variable| solution.value(*v).max(0.0);
+    fn read(&self, solution: &impl Solution) -> ProgramSolution {
+        // Solvers may return slightly negative values for zero.
+        let value = |variable: &Variable| solution.value(*variable).max(0.0);
         let row = |row: &Vec<Variable>| row.iter().map(value).collect::<Vec<f64>>();
-        Values {
-            let_in: self
-                .let_in
+        ProgramSolution {
+            admitted: self
+                .admitted
                 .iter()
                 .map(|zones| zones.iter().map(row).collect())
                 .collect(),
             flow: self
                 .flow
                 .iter()
-                .map(|flow| flow.iter().map(|(h, v)| (*h, value(v))).collect())
+                .map(|flow| {
+                    flow.iter()
+                        .map(|(host, work)| (*host, value(work)))
+                        .collect()
+                })
                 .collect(),
-            away: self.away.iter().map(row).collect(),
-            worth: solution.eval(&self.worth),
+            crossing: self.crossing.iter().map(row).collect(),
+            objective: solution.eval(&self.objective),
             price: Vec::new(),
         }
     }
 }
 
-/// Work a second at each host, others' not counted.
-pub(crate) fn loads(fleet: &Fleet, values: &Values) -> Vec<f64> {
+/// Planned work a second at each host, without other work.
+pub(crate) fn loads(fleet: &Fleet, solution: &ProgramSolution) -> Vec<f64> {
     let mut load = vec![0.0; fleet.hosts.len()];
-    values
+    solution
         .flow
         .iter()
         .flatten()
@@ -372,77 +428,100 @@
     load
 }
 
-pub(crate) fn plan(fleet: &Fleet, values: &Values) -> Plan {
-    let load = loads(fleet, values);
+/// The plan that follows from a solution.
+#[expect(
+    clippy::too_many_lines,
+    reason = "the fields of a plan are derived one by one from one solution"
+)]
+pub(crate) fn plan(fleet: &Fleet, solution: &ProgramSolution) -> Plan {
+    let load = loads(fleet, solution);
     let all: f64 = load.iter().sum();
     let mean = all / load.len() as f64;
-    let part = |(load, host): (&f64, &Host)| (load + host.taken_now()) / host.capacity();
-    let utilisation: Vec<f64> = load.iter().zip(&fleet.hosts).map(part).collect();
-    let of_kind = |kind: usize| {
-        let rate = |table: &Table| table.rates.iter().map(|rates| rates[kind]).sum::<f64>();
-        let asked: f64 = fleet.tables.iter().map(rate).sum();
-        let came: f64 = values
-            .let_in
+    let utilization_of =
+        |(load, host): (&f64, &Host)| (load + host.current_other_work()) / host.capacity();
+    let utilization: Vec<f64> = load.iter().zip(&fleet.hosts).map(utilization_of).collect();
+    let admitted_part = |class: usize| {
+        let rate = |table: &Table| table.rates.iter().map(|rates| rates[class]).sum::<f64>();
+        let demanded: f64 = fleet.tables.iter().map(rate).sum();
+        let admitted: f64 = solution
+            .admitted
             .iter()
             .flatten()
-            .map(|let_in| let_in[kind])
+            .map(|admitted| admitted[class])
             .sum();
-        if asked > 0.0 {
-            (came / asked).min(1.0)
+        if demanded > 0.0 {
+            (admitted / demanded).min(1.0)
         } else {
             1.0
         }
     };
-    let let_in: Vec<f64> = (0..fleet.kinds.len()).map(of_kind).collect();
-    let of_let_in = |let_in: &Vec<f64>| -> f64 {
-        let_in
+    let admitted: Vec<f64> = (0..fleet.classes.len()).map(admitted_part).collect();
+    let admitted_benefit_of = |admitted: &Vec<f64>| -> f64 {
+        admitted
             .iter()
-            .zip(&fleet.kinds)
-            .map(|(reqs, kind)| reqs * kind.benefit)
+            .zip(&fleet.classes)
+            .map(|(requests, class)| requests * class.benefit)
             .sum()
     };
-    let late = |kind: &Kind| -> f64 {
-        let of = |((load, host), u): ((&f64, &Host), &f64)| match *u > 0.0 {
-            true => load * missing(u.min(1.0), host.cores, room(kind)) / u.min(1.0),
-            false => 0.0,
-        };
+    let missed_share_of = |class: &RequestClass| -> f64 {
+        let missed_work =
+            |((load, host), utilization): ((&f64, &Host), &f64)| match *utilization > 0.0 {
+                true => {
+                    load * missed_share(utilization.min(1.0), host.cores, wait_budget(class))
+                        / utilization.min(1.0)
+                }
+                false => 0.0,
+            };
         load.iter()
             .zip(&fleet.hosts)
-            .zip(&utilisation)
-            .map(of)
+            .zip(&utilization)
+            .map(missed_work)
             .sum::<f64>()
             / all.max(1e-12)
     };
-    let in_time = fleet
-        .kinds
+    let on_time = fleet
+        .classes
         .iter()
-        .zip(&let_in)
-        .map(|(kind, part)| part * (1.0 - late(kind)))
+        .zip(&admitted)
+        .map(|(class, part)| part * (1.0 - missed_share_of(class)))
         .collect();
-    let asked: f64 = fleet.asked().map(|(rate, kind)| rate * kind.benefit).sum();
-    let full = |(host, u): (&Host, &f64)| (*u >= LITTLE_ROOM).then(|| host.name.clone());
+    let demanded: f64 = fleet
+        .demands()
+        .map(|(rate, class)| rate * class.benefit)
+        .sum();
+    let nearly_full = |(host, utilization): (&Host, &f64)| {
+        (*utilization >= NEARLY_FULL).then(|| host.name.clone())
+    };
     Plan {
         weights: if mean > 0.0 {
             load.iter().map(|load| load / mean).collect()
         } else {
             idle(fleet).weights
         },
-        little_room: fleet
+        nearly_full: fleet
             .hosts
             .iter()
-            .zip(&utilisation)
-            .filter_map(full)
+            .zip(&utilization)
+            .filter_map(nearly_full)
             .collect(),
-        utilisation,
-        served: (asked > 0.0)
-            .then(|| (values.let_in.iter().flatten().map(of_let_in).sum::<f64>() / asked).min(1.0)),
-        let_in,
-        in_time,
-        crossing: if all > 0.0 {
-            values.away.iter().flatten().sum::<f64>() / all
+        utilization,
+        admitted_benefit: (demanded > 0.0).then(|| {
+            (solution
+                .admitted
+                .iter()
+                .flatten()
+                .map(admitted_benefit_of)
+                .sum::<f64>()
+                / demanded)
+                .min(1.0)
+        }),
+        admitted,
+        on_time,
+        cross_zone_share: if all > 0.0 {
+            solution.crossing.iter().flatten().sum::<f64>() / all
         } else {
             0.0
         },
-        worth: values.worth,
+        objective: solution.objective,
     }
 }
