--- a/crates/load-ingestion/src/clock_offset.rs
+++ b/crates/load-ingestion/src/clock_offset.rs
@@ -54,7 +54,7 @@
         let sent = i64::try_from(sent_us).unwrap_or(i64::MAX);
         let micros = |at: Time| (at - Time::default()).micros() as i64;
         let drift = ((now - self.updated_at).micros() as f64 * MAX_DRIFT) as i64;
-        // An echo is only believed if it is not later than the arrival of the report.
+        // An echo counts only if its times are possible: not later than the arrival of the report.
         let earliest_sent = echo
             .filter(|(credit_at, _)| *credit_at <= now)
             .map(|(credit_at, delay)| credit_at + delay)
--- a/crates/weight-solver/src/estimator.rs
+++ b/crates/weight-solver/src/estimator.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Half-life of evidence of speed and work: hosts change with deployments and with other load on their machine, not by the
-/// second. With 10 s, weights wandered by a tenth, and at 0.85 of the capacity some host was always overloaded.
+/// second. With 10 s, weights fluctuated by a tenth, and at 0.85 of the capacity some host was always overloaded.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_millis(20_000);
 /// Time over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_millis(5_000);
@@ -125,8 +125,8 @@
     updated_at: Time,
     /// Completed requests and their total time in seconds, by class. All totals decay together.
     classes: Vec<(f64, f64)>,
-    utilization: f64,
-    queue_length: f64,
+    utilization_sum: f64,
+    queue_length_sum: f64,
     load_report_count: f64,
     period_s: f64,
     /// Mean age of the evidence at `updated_at`, in seconds.
@@ -201,8 +201,8 @@
             && (0.0..=1.0).contains(&utilization)
             && (0.0..=MAX_QUEUE_LENGTH).contains(&queue_length)
         {
-            totals.utilization += utilization;
-            totals.queue_length += queue_length;
+            totals.utilization_sum += utilization;
+            totals.queue_length_sum += queue_length;
             totals.load_report_count += 1.0;
         }
         self.last_observed = self.last_observed.max(Some(now));
@@ -483,8 +483,8 @@
             .iter_mut()
             .for_each(|(requests, time)| (*requests, *time) = (*requests * factor, *time * factor));
         for sum in [
-            &mut self.utilization,
-            &mut self.queue_length,
+            &mut self.utilization_sum,
+            &mut self.queue_length_sum,
             &mut self.load_report_count,
             &mut self.period_s,
         ] {
@@ -512,8 +512,8 @@
         };
         let mean_load = (totals.load_report_count > 0.0).then(|| {
             (
-                totals.utilization / totals.load_report_count,
-                totals.queue_length / totals.load_report_count,
+                totals.utilization_sum / totals.load_report_count,
+                totals.queue_length_sum / totals.load_report_count,
             )
         });
         let (waiting_share, variance) = mean_load.map_or(
--- a/crates/weight-solver/src/planner.rs
+++ b/crates/weight-solver/src/planner.rs
@@ -287,7 +287,9 @@
         // The plan's weight of a host that is warming up is for its present capacity. The controller applies the warm fraction
         // itself, so that it is divided out here.
         let hosts = plan.weights.iter().zip(pending.host_state);
-        let weights = hosts.map(|(weight, (warm, relative_error))| (weight / warm, relative_error));
+        let weights = hosts.map(|(weight, (warm_fraction, relative_error))| {
+            (weight / warm_fraction, relative_error)
+        });
         let demanded: f64 = pending.rates.iter().sum();
         let admitted_rate = pending
             .rates
--- a/crates/weight-solver/src/solve.rs
+++ b/crates/weight-solver/src/solve.rs
@@ -435,8 +435,8 @@
 )]
 pub(crate) fn plan(fleet: &Fleet, solution: &ProgramSolution) -> Plan {
     let load = loads(fleet, solution);
-    let all: f64 = load.iter().sum();
-    let mean = all / load.len() as f64;
+    let total_work: f64 = load.iter().sum();
+    let mean = total_work / load.len() as f64;
     let utilization_of =
         |(load, host): (&f64, &Host)| (load + host.current_other_work()) / host.capacity();
     let utilization: Vec<f64> = load.iter().zip(&fleet.hosts).map(utilization_of).collect();
@@ -477,7 +477,7 @@
             .zip(&utilization)
             .map(missed_work)
             .sum::<f64>()
-            / all.max(1e-12)
+            / total_work.max(1e-12)
     };
     let on_time = fleet
         .classes
@@ -517,8 +517,8 @@
         }),
         admitted,
         on_time,
-        cross_zone_share: if all > 0.0 {
-            solution.crossing.iter().flatten().sum::<f64>() / all
+        cross_zone_share: if total_work > 0.0 {
+            solution.crossing.iter().flatten().sum::<f64>() / total_work
         } else {
             0.0
         },
--- a/crates/weight-solver/tests/planner.rs
+++ b/crates/weight-solver/tests/planner.rs
@@ -122,7 +122,7 @@
                 planner.estimator.observe_host(now, &id(n), &observation);
             }
         }
-        for (n, (planner, warm, weights)) in self.planners.iter_mut().enumerate() {
+        for (n, (planner, solver, weights)) in self.planners.iter_mut().enumerate() {
             for zone in 0..2 {
                 let proxy = ProxyId((2 * n + zone) as u16);
                 planner.estimator.observe_demand(
@@ -137,7 +137,7 @@
             if let Some(problem) = planner.next_problem(now, &self.list)
                 && with_solver
             {
-                let result = warm.solve(&problem.fleet, SOLVER_TIME_LIMIT);
+                let result = solver.solve(&problem.fleet, SOLVER_TIME_LIMIT);
                 planner.on_result(
                     now,
                     problem.number,
