--- a/crates/load-ingestion/src/memory.rs
+++ b/crates/load-ingestion/src/memory.rs
@@ -1,5 +1,5 @@
-//! Memory use by purpose: limit, current use, and how often the limit was hit. Sizes are rough figures in bytes that the
-//! users of the memory report. They also act on the limits; the actions are described here for operators to read.
+//! Memory use by purpose: limit, current use, and how often the limit was hit. Sizes are rough, in bytes, as stated by the
+//! code that owns the memory. That code also acts on the limits; its actions are described here for operators to read.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
