--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -112,10 +112,10 @@
         let name = peer.name.clone();
         let failed_before = peer.failed_dials > 1;
         self.outcomes.proxy_lost(proxy);
-        self.pushed_reports.silence.left(id);
+        self.pushed_reports.liveness.remove(id);
         if was_joined {
             if let Some(weights) = &mut self.weight_planner {
-                weights.estimates().left(id);
+                weights.estimator().remove_proxy(id);
             }
             self.controller.proxy_left(self.now, id);
         }
