--- a/crates/daemon-core/src/decisions.rs
+++ b/crates/daemon-core/src/decisions.rs
@@ -8,7 +8,7 @@
 use crate::update_queue::QueueCapacity;
 use pondarch_controller::JoiningProxy;
 use pondarch_controller::{Decision, HostId, RequestClassId, TableId, Time};
-use pondarch_proxy_session::{Batch, Urgency, Wanted, table};
+use pondarch_proxy_session::{DesiredState, UpdateBatch, Urgency, proxy_state};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
     since: Option<Time>,
     /// Number of the proxy.
     proxy: usize,
-    batch: Batch,
+    batch: UpdateBatch,
 }
 
 impl DaemonState {
@@ -148,7 +148,7 @@
             table: table.0,
             class: self.request_classes[class.0 as usize].clone(),
             quota: admission.quota,
-            retry_policy: table::tries_word(admission.retry_policy).into(),
+            retry_policy: proxy_state::retry_policy_value(admission.retry_policy).into(),
             cause: self.cause.clone(),
         };
         self.log_event(event);
@@ -225,8 +225,8 @@
     }
 
     /// All that a proxy should hold.
-    fn wanted_state(&mut self, n: usize) -> Wanted {
-        let mut wanted = Wanted::default();
+    fn wanted_state(&mut self, n: usize) -> DesiredState {
+        let mut wanted = DesiredState::default();
         for (&class, &table) in &self.peers[n].bindings {
             wanted
                 .lines
@@ -234,8 +234,8 @@
             if let Some((level, retry_policy)) =
                 self.tables.admission(table, class, self.admits_by_rate)
             {
-                wanted.levels.insert(class, level);
-                wanted.tries.insert(class, retry_policy);
+                wanted.quotas.insert(class, level);
+                wanted.retry_policies.insert(class, retry_policy);
             }
         }
         wanted
@@ -248,7 +248,7 @@
         for DueUpdate { proxy, batch, .. } in self.due_updates() {
             let peer = &mut self.peers[proxy];
             let urgency = batch.urgency;
-            let commands = batch.steps.len() + 1;
+            let commands = batch.updates.len() + 1;
             match self
                 .update_queue
                 .capacity(now, &mut peer.sent_messages, commands, urgency)
@@ -277,7 +277,7 @@
         let now = self.now;
         let may = |peer: &Peer| {
             let waits = peer.blocked_until.is_some_and(|until| until > now);
-            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_quiet()
+            peer.is_joined() && peer.pending_update.is_some() && !waits && peer.session.is_idle()
         };
         let ready: Vec<usize> = (0..self.peers.len())
             .filter(|&n| may(&self.peers[n]))
@@ -287,14 +287,17 @@
             let wanted = self.wanted_state(proxy);
             let list = &self.endpoints;
             let peer = &mut self.peers[proxy];
-            match peer.session.due(now, &wanted, |host| list.must_drain(host)) {
+            match peer
+                .session
+                .next_batch(now, &wanted, |host| list.must_drain(host))
+            {
                 Some(batch) => due.push(DueUpdate {
                     since: peer.pending_update.as_ref().map(|pending| pending.since),
                     proxy,
                     batch,
                 }),
                 // Nothing to do, unless a refused line is left for later.
-                None if peer.session.next_due().is_none() => peer.pending_update = None,
+                None if peer.session.next_retry_at().is_none() => peer.pending_update = None,
                 None => {}
             }
         }
@@ -302,12 +305,12 @@
         due
     }
 
-    fn send_update(&mut self, proxy: usize, batch: Batch) {
+    fn send_update(&mut self, proxy: usize, batch: UpdateBatch) {
         let now = self.now;
         let peer = &mut self.peers[proxy];
         let urgency = urgency_word(batch.urgency).into();
         // The version is one more.
-        let commands = batch.steps.len() + 1;
+        let commands = batch.updates.len() + 1;
         peer.in_flight = self
             .update_queue
             .record_sent(now, &mut peer.sent_messages, commands);
@@ -319,7 +322,7 @@
             .take()
             .map(|pending| pending.cause)
             .unwrap_or_default();
-        let lines = peer.session.order(now, batch);
+        let lines = peer.session.send_batch(now, batch);
         self.outputs.push_back(Output::Write {
             proxy: peer.id.0,
             connection: peer.connection,
--- a/crates/daemon-core/src/operator/maps.rs
+++ b/crates/daemon-core/src/operator/maps.rs
@@ -8,7 +8,7 @@
 use pondarch_config::HostEntry;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{HostId, TableId, Time};
-use pondarch_proxy_session::table;
+use pondarch_proxy_session::proxy_state;
 use pondarch_runtime_api::info::write_map;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -185,7 +185,7 @@
     match map {
         "levels" => Ok(by_class(state, |admission| admission.quota.to_string())),
         "tries" => Ok(by_class(state, |admission| {
-            table::tries_word(admission.retry_policy).to_string()
+            proxy_state::retry_policy_value(admission.retry_policy).to_string()
         })),
         "proxies" => Ok(proxies(state)),
         "lingering" => Ok(lingering(state)),
--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -168,7 +168,7 @@
             server: id.0.to_string(),
             addr: line.addr,
             state: AdminState::Ready,
-            weight: line.units,
+            weight: line.weight,
             used: 0,
             changed_s: 0,
         }));
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -2,7 +2,7 @@
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, Time};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -68,12 +68,12 @@
 
     /// Adds the counters of one proxy as of then, of which this part counts. Those of several proxies add up; their
     /// periods are the same.
-    pub(crate) fn record(&mut self, proxy: u16, counters: &Look, part: f64, at: Time) {
+    pub(crate) fn record(&mut self, proxy: u16, counters: &CounterDelta, part: f64, at: Time) {
         self.awaited.remove(&proxy);
         if part <= 0.0 {
             return;
         }
-        for (host, outcomes) in &counters.met {
+        for (host, outcomes) in &counters.outcomes {
             let outcomes = AttemptOutcomes {
                 attempts: outcomes.attempts * part,
                 failures: outcomes.failures * part,
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -124,7 +124,7 @@
             + self
                 .peers
                 .iter()
-                .map(|peer| peer.session.bytes())
+                .map(|peer| peer.session.estimated_bytes())
                 .sum::<u64>();
         if !self.memory.takes(Purpose::Tables, tables) {
             let used = self
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -4,7 +4,7 @@
 use pondarch_config::site::Links;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, TableId, Time, ZoneId};
-use pondarch_proxy_session::{Front, Session};
+use pondarch_proxy_session::{ProxyMapping, Session};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -64,7 +64,7 @@
         n: usize,
         settings: &pondarch_config::site::Proxy,
         zone: u16,
-        front: Arc<Front>,
+        mapping: Arc<ProxyMapping>,
         now: Time,
     ) -> Peer {
         let link = if settings.runtime.is_some() {
@@ -79,7 +79,7 @@
             usual_rate: settings.usual_rate,
             link,
             connection: 0,
-            session: Session::new(front),
+            session: Session::new(mapping),
             bindings: BTreeMap::new(),
             sent_messages: SentMessages::default(),
             in_flight: 0.0,
--- a/crates/daemon-core/src/peer_events.rs
+++ b/crates/daemon-core/src/peer_events.rs
@@ -5,7 +5,7 @@
 use crate::peer::{Link, Peer};
 use crate::state::DaemonState;
 use pondarch_controller::DurationExt;
-use pondarch_proxy_session::Told;
+use pondarch_proxy_session::SessionEvent;
 use std::time::Duration;
 
 impl DaemonState {
@@ -21,7 +21,7 @@
         if let Some(peer) = self.peer(proxy, connection) {
             peer.link = Link::ReadingState;
             peer.silent_since = Some(now);
-            let lines = peer.session.begin();
+            let lines = peer.session.on_connected();
             self.outputs.push_back(Output::Write {
                 proxy,
                 connection,
@@ -38,11 +38,11 @@
         else {
             return;
         };
-        let (event, lines) = match peer.session.answered(now, text) {
+        let (event, lines) = match peer.session.on_reply(now, text) {
             Ok(result) => result,
             Err(error) => return self.hang_up(proxy, &error.to_string()),
         };
-        peer.silent_since = (!peer.session.is_quiet() || !lines.is_empty()).then_some(now);
+        peer.silent_since = (!peer.session.is_idle() || !lines.is_empty()).then_some(now);
         if !lines.is_empty() {
             self.outputs.push_back(Output::Write {
                 proxy,
@@ -52,17 +52,21 @@
         }
         match event {
             None => {}
-            Some(Told::Learned { fresh }) => {
+            Some(SessionEvent::StateRead { newly_started }) => {
                 let peer = &mut self.peers[proxy as usize];
                 if peer.link == Link::ReadingState {
-                    peer.link = Link::Waiting { fresh };
+                    peer.link = Link::Waiting {
+                        fresh: newly_started,
+                    };
                 } else {
                     // Its state was read again after a refusal: what is still different is due.
                     peer.require_update(now, &self.cause);
                 }
             }
-            Some(Told::Applied { took, refused }) => self.on_acknowledged(proxy, took, refused),
-            Some(Told::Sums(counters)) => {
+            Some(SessionEvent::BatchAcknowledged { duration, rejected }) => {
+                self.on_acknowledged(proxy, duration, rejected)
+            }
+            Some(SessionEvent::Counters(counters)) => {
                 let id = self.peers[proxy as usize].id;
                 self.record_counters(id, counters, now);
             }
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -59,7 +59,7 @@
             let mut holding = Vec::new();
             let mut unknown = 0;
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
-                match peer.session.holds(host) {
+                match peer.session.may_select(host) {
                     Some(true) => holding.push(peer.name.as_str()),
                     Some(false) => {}
                     None => unknown += 1,
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -9,7 +9,7 @@
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::age;
 use pondarch_load_report_protocol::{Counted, Report, SenderIs};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -154,7 +154,7 @@
         let id = peer.id;
         let at = sent.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(row).collect();
-        let Some(counters) = peer.session.counted(at, &rows) else {
+        let Some(counters) = peer.session.record_pushed_counters(at, &rows) else {
             return;
         };
         self.pushed_reports.silence.heard(now, id);
@@ -164,18 +164,18 @@
     }
 
     /// Records the counters of a proxy as of then, pushed or read.
-    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
+    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: CounterDelta, at: Time) {
         let now = self.now;
-        for &(class, many) in &counters.reqs {
+        for &(class, many) in &counters.requests {
             self.controller
-                .record_arrivals(now, id, class, many, counters.over);
-            self.record_requests(id.0, class, many, counters.over);
+                .record_arrivals(now, id, class, many, counters.period);
+            self.record_requests(id.0, class, many, counters.period);
         }
         if let Some(weights) = &mut self.weight_planner {
             weights.record(&counters);
         }
         self.outcomes
-            .record(id.0, &counters, age::counts(now - at, counters.over), at);
+            .record(id.0, &counters, age::counts(now - at, counters.period), at);
         self.loads.extend(
             counters
                 .loads
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -19,7 +19,7 @@
 use pondarch_controller::Controller;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
 use pondarch_load_ingestion::{Account, Choice};
-use pondarch_proxy_session::{Front, FrontKind};
+use pondarch_proxy_session::{ClassMapping, ProxyMapping};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -238,13 +238,13 @@
 
 /// The proxies by their numbers: those of the settings, then those that stand for unknown ones.
 fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
-    let front = Arc::new(front(site, mark));
+    let mapping = Arc::new(proxy_mapping(site, mark));
     let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
     site.proxies
         .iter()
         .chain(&dns_state::unknown_proxies(site))
         .enumerate()
-        .map(|(n, proxy)| Peer::new(n, proxy, zone(&proxy.zone), front.clone(), now))
+        .map(|(n, proxy)| Peer::new(n, proxy, zone(&proxy.zone), mapping.clone(), now))
         .collect()
 }
 
@@ -260,13 +260,13 @@
     )
 }
 
-fn front(site: &Site, mark: &str) -> Front {
-    let class = |class: &pondarch_config::site::Kind| FrontKind {
+fn proxy_mapping(site: &Site, mark: &str) -> ProxyMapping {
+    let class = |class: &pondarch_config::site::Kind| ClassMapping {
         name: class.name.clone(),
         backend: class.backend().to_string(),
     };
-    Front {
-        mark: mark.to_string(),
-        kinds: site.kinds.iter().map(class).collect(),
+    ProxyMapping {
+        controller_incarnation: mark.to_string(),
+        classes: site.kinds.iter().map(class).collect(),
     }
 }
--- a/crates/daemon-core/src/table_assignments.rs
+++ b/crates/daemon-core/src/table_assignments.rs
@@ -2,8 +2,8 @@
 
 use crate::endpoint_list::EndpointList;
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, TableId, Time};
-use pondarch_proxy_session::units::{Share, units};
-use pondarch_proxy_session::{Lines, WantedLine, table};
+use pondarch_proxy_session::integer_weights::{LineWeight, integer_weights};
+use pondarch_proxy_session::{DesiredLine, TableLines, proxy_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     pub(crate) weights: BTreeMap<HostId, f64>,
     pub(crate) admission: BTreeMap<RequestClassId, ClassAdmission>,
     /// As proxies are to hold it; none: to be made anew.
-    lines: Option<Arc<Lines>>,
+    lines: Option<Arc<TableLines>>,
     too_small: Vec<HostId>,
 }
 
@@ -61,7 +61,8 @@
             let Some(lines) = &assignment.lines else {
                 continue;
             };
-            let same = |(host, line): (&HostId, &WantedLine)| list.address(host) == Some(line.addr);
+            let same =
+                |(host, line): (&HostId, &DesiredLine)| list.address(host) == Some(line.addr);
             if !lines.iter().all(same) {
                 assignment.lines = None;
                 changed.push(*id);
@@ -91,7 +92,12 @@
     }
 
     /// A table as proxies are to hold it.
-    pub(crate) fn lines(&mut self, table: TableId, list: &EndpointList, now: Time) -> Arc<Lines> {
+    pub(crate) fn lines(
+        &mut self,
+        table: TableId,
+        list: &EndpointList,
+        now: Time,
+    ) -> Arc<TableLines> {
         let assignment = self.by_id.entry(table).or_default();
         if let Some(lines) = &assignment.lines {
             return lines.clone();
@@ -107,18 +113,18 @@
             } else {
                 weight
             };
-            Share {
+            LineWeight {
                 weight,
-                cold: list.is_warming_up(host, now),
+                warming_up: list.is_warming_up(host, now),
             }
         };
-        let shares: Vec<Share> = assignment.weights.iter().map(share).collect();
-        let mut lines = Lines::new();
+        let shares: Vec<LineWeight> = assignment.weights.iter().map(share).collect();
+        let mut lines = TableLines::new();
         assignment.too_small.clear();
-        for (host, units) in assignment.weights.keys().zip(units(&shares)) {
-            match (list.address(host), units) {
-                (Some(addr), Some(units)) => {
-                    lines.insert(host.clone(), WantedLine { addr, units });
+        for (host, weight) in assignment.weights.keys().zip(integer_weights(&shares)) {
+            match (list.address(host), weight) {
+                (Some(addr), Some(weight)) => {
+                    lines.insert(host.clone(), DesiredLine { addr, weight });
                 }
                 (_, None) => assignment.too_small.push(host.clone()),
                 // A host the list no longer knows at all cannot be reached by anybody.
@@ -185,8 +191,8 @@
     ) -> Option<(String, &'static str)> {
         let admission = self.by_id.get(&table)?.admission.get(&class)?;
         Some((
-            table::level_word(admission.quota, by_rate),
-            table::tries_word(admission.retry_policy),
+            proxy_state::quota_value(admission.quota, by_rate),
+            proxy_state::retry_policy_value(admission.retry_policy),
         ))
     }
 }
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -34,7 +34,7 @@
                 Link::Down(dial_at) => sooner(Some(dial_at)),
                 Link::Joined if peer.pending_update.is_some() => {
                     sooner(peer.blocked_until);
-                    sooner(peer.session.next_due());
+                    sooner(peer.session.next_retry_at());
                 }
                 _ => {}
             }
@@ -70,7 +70,7 @@
             .collect();
         let is_read = |(peer, pushes): &(&mut Peer, bool)| peer.is_joined() && !pushes;
         for (peer, _) in self.peers.iter_mut().zip(pushing).filter(is_read) {
-            let Some(line) = peer.session.read_stat() else {
+            let Some(line) = peer.session.request_counters() else {
                 continue;
             };
             peer.silent_since = Some(now);
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
 use pondarch_controller::{EndpointState, HostId, Time};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_weight_solver::planner::KindFacts;
 use pondarch_weight_solver::{Estimates, Listed, Planner, Seen, Source};
 use std::collections::BTreeMap;
@@ -63,14 +63,14 @@
     }
 
     /// Counters of one proxy, of which each figure counts once.
-    pub(crate) fn record(&mut self, look: &Look) {
-        for (host, class, done, took) in &look.done {
+    pub(crate) fn record(&mut self, delta: &CounterDelta) {
+        for (host, class, done, took) in &delta.completed {
             let seen = self.observed.entry(host.clone()).or_default();
             match seen.done.iter_mut().find(|(k, _, _)| k == class) {
                 Some((_, all, time)) => (*all, *time) = (*all + done, *time + *took),
                 None => seen.done.push((*class, *done, *took)),
             }
-            seen.over = seen.over.max(look.over);
+            seen.over = seen.over.max(delta.period);
         }
     }
 
--- a/crates/proxy-session/src/session.rs
+++ b/crates/proxy-session/src/session.rs
@@ -1,8 +1,11 @@
-//! The course of one connection to a proxy: look at what it holds, then orders and reports in turn.
+//! One connection to a proxy: first its state is read, then updates and readings of counters take turns.
 
-use crate::order::{Batch, Effect, Refused, Step, Target, Urgency, difference};
-use crate::sums::{Counters, Look};
-use crate::table::{Front, Held, HeldLine, LEVELS, MARK, STATE, TRIES, Wanted};
+use crate::counters::{CounterDelta, CounterTracker};
+use crate::proxy_state::{
+    AppliedLine, AppliedState, CONTROLLER_KEY, DesiredState, ProxyMapping, QUOTA_MAP,
+    RETRY_POLICY_MAP, STATE_MAP,
+};
+use crate::update::{Effect, RejectedTargets, Target, Update, UpdateBatch, Urgency, compute_batch};
 use pondarch_controller::{HostId, RequestClassId, Time};
 use pondarch_runtime_api::Command;
 use pondarch_runtime_api::command::PromptMode;
@@ -14,124 +17,145 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest line written, in bytes: well under what a peer must take (16 KiB).
-const LINE_MOST: usize = 8 * 1024;
-/// How long a refused line is left alone, so that a proxy that cannot take it is not asked without end.
-const REFUSED_FOR: Duration = Duration::from_millis(5_000);
-/// The same for a host that is to go: the grace runs.
-const REFUSED_GOING: Duration = Duration::from_millis(250);
+/// Longest line written, in bytes: well below what a peer must accept (16 KiB).
+const MAX_LINE_BYTES: usize = 8 * 1024;
+/// Delay before a rejected update is sent again, so that a proxy that cannot apply it does not get it continuously.
+const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(5_000);
+/// The same delay for an update that takes a host out of use: shorter, as the drain grace period is running.
+const REJECTED_DRAIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What a session has to say after an answer.
+/// What a reply completed.
 #[derive(Debug)]
-pub enum Told {
-    /// The proxy's state is known: it can be joined. Fresh: it holds only its standing tables.
-    Learned {
-        fresh: bool,
+pub enum SessionEvent {
+    /// The proxy's state is known, so that it can be joined.
+    StateRead {
+        /// Whether no controller has joined the proxy since it started: it has only its static hosts.
+        newly_started: bool,
     },
-    /// All answers to a batch are in.
-    Applied {
-        took: Duration,
-        refused: Vec<String>,
+    /// All replies to an update batch have arrived.
+    BatchAcknowledged {
+        /// Time from writing the batch to the last reply.
+        duration: Duration,
+        /// The rejected commands, each with the reply.
+        rejected: Vec<String>,
     },
-    Sums(Look),
+    /// The counters were read.
+    Counters(CounterDelta),
 }
 
+/// Why a connection to a proxy has to be closed.
 #[derive(Debug, Error)]
-pub enum FrontError {
+pub enum SessionError {
+    /// A reply arrived while none was pending.
     #[error("an answer came that nothing asked for")]
-    Unasked,
+    UnexpectedReply,
+    /// The proxy lacks one of the maps.
     #[error("the proxy has no map '{0}'")]
-    NoMap(&'static str),
+    MissingMap(&'static str),
+    /// The reply to `show servers state` is malformed.
     #[error(transparent)]
     State(#[from] StateError),
+    /// The reply to `show stat` is malformed.
     #[error(transparent)]
     Stat(#[from] StatError),
+    /// The proxy rejected a command.
     #[error("the proxy refuses '{command}': {answer}")]
-    Refused { command: String, answer: String },
+    CommandRejected {
+        /// The command that was sent.
+        command: String,
+        /// The reply of the proxy.
+        answer: String,
+    },
 }
 
-/// What the next answer answers.
+/// What a reply that has not arrived yet belongs to.
 #[derive(Debug)]
-enum Asked {
+enum PendingReply {
     Prompt,
     Info,
     Servers,
     Map(&'static str),
     Stat,
-    Step(Step),
+    Update(Update),
 }
 
-/// One proxy's side of things; it outlives connections, as counters and refusals do.
+/// What is known of one proxy. It outlives connections, as counters and rejected updates do.
 #[derive(Debug)]
 pub struct Session {
-    front: Arc<Front>,
-    held: Held,
-    asked: VecDeque<Asked>,
-    counters: Counters,
-    refusals: BTreeMap<Target, Time>,
-    /// Answers of the batch under way.
-    batch_since: Option<Time>,
-    refused: Vec<String>,
-    learned: bool,
+    mapping: Arc<ProxyMapping>,
+    applied: AppliedState,
+    pending: VecDeque<PendingReply>,
+    counters: CounterTracker,
+    /// When updates that were rejected may be sent again.
+    retry_at: BTreeMap<Target, Time>,
+    /// When the batch in flight was written.
+    batch_sent_at: Option<Time>,
+    /// The rejected commands of the batch in flight.
+    rejected: Vec<String>,
+    state_known: bool,
+    /// Identifies the proxy's process.
     process: u64,
     joining: bool,
-    /// Batches so far; it goes on over connections, as versions must rise.
-    batches: u64,
+    /// Batches written so far. It is not reset by a new connection, as versions must rise.
+    batch_count: u64,
 }
 
 impl Session {
-    pub fn new(front: Arc<Front>) -> Session {
+    /// A session that is not connected yet.
+    pub fn new(mapping: Arc<ProxyMapping>) -> Session {
         Session {
-            front,
-            held: Held::default(),
-            asked: VecDeque::new(),
-            counters: Counters::default(),
-            refusals: BTreeMap::new(),
-            batch_since: None,
-            refused: Vec::new(),
-            learned: false,
+            mapping,
+            applied: AppliedState::default(),
+            pending: VecDeque::new(),
+            counters: CounterTracker::default(),
+            retry_at: BTreeMap::new(),
+            batch_sent_at: None,
+            rejected: Vec::new(),
+            state_known: false,
             process: 0,
             joining: false,
-            batches: 0,
+            batch_count: 0,
         }
     }
 
-    /// Whether the proxy may pick a host for any kind, as far as it has said; none: it has not said anything yet.
-    pub fn holds(&self, host: &HostId) -> Option<bool> {
-        let holds =
-            |((_, own), line): (&(RequestClassId, HostId), &HeldLine)| own == host && line.serves();
-        self.learned.then(|| self.held.lines.iter().any(holds))
+    /// Whether the proxy may pick a host for any request class; `None` while its state is not known.
+    pub fn may_select(&self, host: &HostId) -> Option<bool> {
+        let selectable = |((_, line_host), line): (&(RequestClassId, HostId), &AppliedLine)| {
+            line_host == host && line.is_selectable()
+        };
+        self.state_known
+            .then(|| self.applied.lines.iter().any(selectable))
     }
 
-    /// What it takes, in bytes, roughly: what the proxy holds, and its counters.
-    pub fn bytes(&self) -> u64 {
-        self.held.lines.len() as u64 * 250 + self.asked.len() as u64 * 120
+    /// Estimate of the memory of this session, in bytes: the proxy's state and its counters.
+    pub fn estimated_bytes(&self) -> u64 {
+        self.applied.lines.len() as u64 * 250 + self.pending.len() as u64 * 120
     }
 
-    /// Whether all that was asked is answered.
-    pub fn is_quiet(&self) -> bool {
-        self.asked.is_empty()
+    /// Whether no reply is pending.
+    pub fn is_idle(&self) -> bool {
+        self.pending.is_empty()
     }
 
-    /// A connection stands: nothing of the last one is awaited any more. Gives the lines to write.
-    pub fn begin(&mut self) -> Vec<String> {
-        self.asked.clear();
-        (self.batch_since, self.learned, self.joining) = (None, false, true);
-        self.refused.clear();
+    /// Starts a new connection: replies that the previous one left pending are dropped. Returns the lines to write.
+    pub fn on_connected(&mut self) -> Vec<String> {
+        self.pending.clear();
+        (self.batch_sent_at, self.state_known, self.joining) = (None, false, true);
+        self.rejected.clear();
         let mut lines = vec![Command::Prompt(PromptMode::Interactive).to_string()];
-        self.asked.push_back(Asked::Prompt);
+        self.pending.push_back(PendingReply::Prompt);
         lines.push(Command::ShowInfo { json: false }.to_string());
-        self.asked.push_back(Asked::Info);
-        lines.extend(self.relearn());
+        self.pending.push_back(PendingReply::Info);
+        lines.extend(self.request_state());
         lines
     }
 
-    /// Asks what the proxy holds.
-    fn relearn(&mut self) -> Vec<String> {
-        self.learned = false;
-        let maps = [LEVELS, TRIES, STATE];
-        self.asked.push_back(Asked::Servers);
-        self.asked.extend(maps.map(Asked::Map));
+    /// Returns the lines that ask for the proxy's state.
+    fn request_state(&mut self) -> Vec<String> {
+        self.state_known = false;
+        let maps = [QUOTA_MAP, RETRY_POLICY_MAP, STATE_MAP];
+        self.pending.push_back(PendingReply::Servers);
+        self.pending.extend(maps.map(PendingReply::Map));
         let show = |map: &str| {
             Command::ShowMap {
                 map: map.into(),
@@ -144,131 +168,149 @@
             .collect()
     }
 
-    /// Reads the counters, if the session is quiet.
-    pub fn read_stat(&mut self) -> Option<String> {
-        (self.learned && self.is_quiet()).then(|| {
-            self.asked.push_back(Asked::Stat);
+    /// Returns the line that asks for the counters, if the state is known and no reply is pending.
+    pub fn request_counters(&mut self) -> Option<String> {
+        (self.state_known && self.is_idle()).then(|| {
+            self.pending.push_back(PendingReply::Stat);
             Command::ShowStat { json: false }.to_string()
         })
     }
 
-    /// Counters that the proxy told by another way, as of then. They are the same counters: none counts twice. None while
-    /// the proxy's process is not known, or if it told them before the last ones.
-    pub fn counted(&mut self, at: Time, rows: &[StatRow]) -> Option<Look> {
-        // Counters of before the last look are lower: they would count as those of a process that began anew.
-        let newer = self.counters.last().is_none_or(|last| at > last);
-        (self.learned && newer).then(|| self.counters.look(at, &self.front, rows))
+    /// Takes counters that the proxy pushed in a load report, as of this time. They are the same counters as those of
+    /// `show stat`, so that nothing is counted twice. `None` while the proxy's process is not known, or if they are not newer
+    /// than the previous reading.
+    pub fn record_pushed_counters(&mut self, at: Time, rows: &[StatRow]) -> Option<CounterDelta> {
+        // Counters from before the previous reading are lower: they would be taken for those of a restarted process.
+        let is_newer = self
+            .counters
+            .last_read_at()
+            .is_none_or(|last_read_at| at > last_read_at);
+        (self.state_known && is_newer).then(|| self.counters.take_delta(at, &self.mapping, rows))
     }
 
-    /// What would have to be written now; nothing while answers are awaited.
-    pub fn due(
+    /// The update batch that is due now; `None` if there is no difference or a reply is pending.
+    pub fn next_batch(
         &mut self,
         now: Time,
-        wanted: &Wanted,
-        must_go: impl Fn(&HostId) -> bool,
-    ) -> Option<Batch> {
-        if !self.learned || !self.is_quiet() {
+        desired: &DesiredState,
+        must_drain: impl Fn(&HostId) -> bool,
+    ) -> Option<UpdateBatch> {
+        if !self.state_known || !self.is_idle() {
             return None;
         }
-        self.refusals.retain(|_, until| *until > now);
-        let refused: Refused = self.refusals.keys().cloned().collect();
-        let batch = difference(
-            &self.front,
-            &self.held,
-            wanted,
-            &refused,
-            must_go,
+        self.retry_at.retain(|_, until| *until > now);
+        let rejected: RejectedTargets = self.retry_at.keys().cloned().collect();
+        let batch = compute_batch(
+            &self.mapping,
+            &self.applied,
+            desired,
+            &rejected,
+            must_drain,
             self.joining,
         );
         (!batch.is_empty()).then_some(batch)
     }
 
-    /// When a line that was refused may be asked for again.
-    pub fn next_due(&self) -> Option<Time> {
-        self.refusals.values().min().copied()
+    /// When the first of the rejected updates may be sent again.
+    pub fn next_retry_at(&self) -> Option<Time> {
+        self.retry_at.values().min().copied()
     }
 
-    /// Takes a batch that is written now. Gives its lines.
-    pub fn order(&mut self, now: Time, mut batch: Batch) -> Vec<String> {
-        self.batches += 1;
-        batch.stamp(&self.held, format!("{}/{}", self.front.mark, self.batches));
-        let lines = batch.lines(LINE_MOST);
+    /// Records a batch as written now, and returns its lines.
+    pub fn send_batch(&mut self, now: Time, mut batch: UpdateBatch) -> Vec<String> {
+        self.batch_count += 1;
+        batch.prepend_version(
+            &self.applied,
+            format!(
+                "{}/{}",
+                self.mapping.controller_incarnation, self.batch_count
+            ),
+        );
+        let lines = batch.command_lines(MAX_LINE_BYTES);
         self.joining &= batch.urgency < Urgency::Join;
-        self.batch_since = Some(now);
-        self.asked.extend(batch.steps.into_iter().map(Asked::Step));
+        self.batch_sent_at = Some(now);
+        self.pending
+            .extend(batch.updates.into_iter().map(PendingReply::Update));
         lines
     }
 
-    /// Takes the next answer. Gives what there is to say, and lines to write at once.
+    /// Takes the next reply. Returns what it completed, and lines to write at once.
     ///
-    /// Errors: the peer does not speak as documented; the connection is to be closed.
-    pub fn answered(
+    /// Errors: the reply is not as documented; the connection has to be closed.
+    pub fn on_reply(
         &mut self,
         now: Time,
         text: &str,
-    ) -> Result<(Option<Told>, Vec<String>), FrontError> {
-        let asked = self.asked.pop_front().ok_or(FrontError::Unasked)?;
-        let told = match asked {
-            Asked::Prompt => None,
-            Asked::Info => {
+    ) -> Result<(Option<SessionEvent>, Vec<String>), SessionError> {
+        let pending = self
+            .pending
+            .pop_front()
+            .ok_or(SessionError::UnexpectedReply)?;
+        let event = match pending {
+            PendingReply::Prompt => None,
+            PendingReply::Info => {
                 let info = Info::read(text);
-                // A process is known by its id and its start; either alone may come again.
+                // A process is identified by its id and start time together, as either may repeat.
                 let started = info.number("Start_time_sec").unwrap_or(0);
                 self.process = info.number("Pid").unwrap_or(0) ^ started.rotate_left(32);
                 None
             }
-            Asked::Servers => {
-                self.take_servers(text)?;
+            PendingReply::Servers => {
+                self.apply_servers(text)?;
                 None
             }
-            Asked::Map(map) => {
-                let entries = read_map(text).ok_or(FrontError::NoMap(map))?;
+            PendingReply::Map(map) => {
+                let entries = read_map(text).ok_or(SessionError::MissingMap(map))?;
                 match map {
-                    LEVELS => self.held.levels = entries,
-                    TRIES => self.held.tries = entries,
+                    QUOTA_MAP => self.applied.quotas = entries,
+                    RETRY_POLICY_MAP => self.applied.retry_policies = entries,
                     _ => {
-                        self.held.state = entries;
-                        self.learned = true;
+                        self.applied.state = entries;
+                        self.state_known = true;
                     }
                 }
-                if self.learned {
-                    Some(self.learned(now))
+                if self.state_known {
+                    Some(self.on_state_read(now))
                 } else {
                     None
                 }
             }
-            Asked::Stat => {
+            PendingReply::Stat => {
                 let rows = stat::read(text)?;
-                Some(Told::Sums(self.counters.look(now, &self.front, &rows)))
+                Some(SessionEvent::Counters(self.counters.take_delta(
+                    now,
+                    &self.mapping,
+                    &rows,
+                )))
             }
-            Asked::Step(step) => return Ok(self.step_answered(now, step, text)),
+            PendingReply::Update(update) => return Ok(self.on_update_reply(now, update, text)),
         };
-        Ok((told, Vec::new()))
+        Ok((event, Vec::new()))
     }
 
-    fn learned(&mut self, now: Time) -> Told {
-        let fresh = !self.held.state.contains_key(MARK);
-        self.counters.process(now, self.process, fresh);
-        Told::Learned { fresh }
+    fn on_state_read(&mut self, now: Time) -> SessionEvent {
+        let newly_started = !self.applied.state.contains_key(CONTROLLER_KEY);
+        self.counters.set_process(now, self.process, newly_started);
+        SessionEvent::StateRead { newly_started }
     }
 
-    fn take_servers(&mut self, text: &str) -> Result<(), FrontError> {
-        self.held.lines.clear();
+    fn apply_servers(&mut self, text: &str) -> Result<(), SessionError> {
+        self.applied.lines.clear();
         for server in state::read_state(text)? {
-            let kind = self
-                .front
-                .kinds
+            let class = self
+                .mapping
+                .classes
                 .iter()
-                .position(|kind| kind.backend == server.backend);
-            let Some(kind) = kind else { continue };
-            let line = HeldLine {
+                .position(|mapping| mapping.backend == server.backend);
+            let Some(class) = class else { continue };
+            let line = AppliedLine {
                 addr: server.addr,
-                units: server.weight,
+                weight: server.weight,
                 state: server.state,
             };
-            self.held.lines.insert(
+            self.applied.lines.insert(
                 (
-                    RequestClassId(kind as u8),
+                    RequestClassId(class as u8),
                     HostId(server.server.as_str().into()),
                 ),
                 line,
@@ -277,53 +319,63 @@
         Ok(())
     }
 
-    fn step_answered(&mut self, now: Time, step: Step, text: &str) -> (Option<Told>, Vec<String>) {
-        let (command, effect) = (&step.command, step.effect);
-        match (accepted(command, text), &effect) {
-            // Housekeeping: a server still at work is deleted some other time.
+    fn on_update_reply(
+        &mut self,
+        now: Time,
+        update: Update,
+        text: &str,
+    ) -> (Option<SessionEvent>, Vec<String>) {
+        let (command, effect) = (&update.command, update.effect);
+        match (is_accepted(command, text), &effect) {
+            // A server that still has requests in flight is deleted by a later batch.
             (false, Effect::Deleted(..)) => {}
             (false, _) => {
-                let wait = if effect.is_away() {
-                    REFUSED_GOING
+                let delay = if effect.takes_host_out_of_use() {
+                    REJECTED_DRAIN_RETRY_DELAY
                 } else {
-                    REFUSED_FOR
+                    REJECTED_RETRY_DELAY
                 };
-                self.refusals.insert(effect.target(), now + wait);
-                self.refused.push(format!("{command}: {}", text.trim()));
+                self.retry_at.insert(effect.target(), now + delay);
+                self.rejected.push(format!("{command}: {}", text.trim()));
             }
-            (true, _) => self.take_effect(effect),
+            (true, _) => self.apply_effect(effect),
         }
-        if !self.asked.is_empty() {
+        if !self.pending.is_empty() {
             return (None, Vec::new());
         }
-        let took = self
-            .batch_since
+        let duration = self
+            .batch_sent_at
             .take()
-            .map_or(Duration::ZERO, |since| now - since);
-        let refused = std::mem::take(&mut self.refused);
-        // After a refusal nothing is sure: look again, then send only the difference.
-        let lines = if refused.is_empty() {
+            .map_or(Duration::ZERO, |sent_at| now - sent_at);
+        let rejected = std::mem::take(&mut self.rejected);
+        // After a rejection the proxy's state is uncertain: read it again, then send only the difference.
+        let lines = if rejected.is_empty() {
             Vec::new()
         } else {
-            self.relearn()
+            self.request_state()
         };
-        (Some(Told::Applied { took, refused }), lines)
+        (
+            Some(SessionEvent::BatchAcknowledged { duration, rejected }),
+            lines,
+        )
     }
 
-    fn take_effect(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Line(kind, host, line) => drop(self.held.lines.insert((kind, host), line)),
-            Effect::Deleted(kind, host) => drop(self.held.lines.remove(&(kind, host))),
-            Effect::Level(kind, level) => drop(self.held.levels.insert(kind, level)),
-            Effect::Tries(kind, tries) => drop(self.held.tries.insert(kind, tries)),
-            Effect::State(key, value) => drop(self.held.state.insert(key, value)),
+            Effect::Line(class, host, line) => drop(self.applied.lines.insert((class, host), line)),
+            Effect::Deleted(class, host) => drop(self.applied.lines.remove(&(class, host))),
+            Effect::Quota(class, quota) => drop(self.applied.quotas.insert(class, quota)),
+            Effect::RetryPolicy(class, policy) => {
+                drop(self.applied.retry_policies.insert(class, policy))
+            }
+            Effect::StateEntry(key, value) => drop(self.applied.state.insert(key, value)),
         }
     }
 }
 
-/// Whether an answer means that the command took effect. The guide gives no codes: success is silence for most
-/// commands and a known sentence for the others.
-fn accepted(command: &Command, text: &str) -> bool {
+/// Whether a reply means that the command took effect. The management guide documents no status codes: on success most
+/// commands reply with an empty text, the others with a known sentence.
+fn is_accepted(command: &Command, text: &str) -> bool {
     let text = text.trim();
     match command {
         Command::AddServer { .. } => text.starts_with("New server registered"),
@@ -331,14 +383,17 @@
             text.starts_with("Server deleted") || text.starts_with("No such server")
         }
         Command::SetAddr(..) => {
-            let fine = [
+            let success_prefixes = [
                 "",
                 "IP changed",
                 "port changed",
                 "no need to change",
                 "nothing changed",
             ];
-            text.is_empty() || fine[1..].iter().any(|start| text.starts_with(start))
+            text.is_empty()
+                || success_prefixes[1..]
+                    .iter()
+                    .any(|prefix| text.starts_with(prefix))
         }
         Command::PrepareMap { .. } => text.starts_with("New version created"),
         _ => text.is_empty(),
--- a/crates/proxy-session/tests/wire_texts.rs
+++ b/crates/proxy-session/tests/wire_texts.rs
@@ -1,12 +1,14 @@
-//! The literal commands that a scripted proxy is sent: when it is looked at, bound, when a weight, a level or a retry
-//! policy changes, and when a host drains. A renaming in the code must leave each as it is.
+//! The literal commands that a scripted proxy is sent: when its state is read, when it is bound, when a weight, an admission
+//! quota or a retry policy changes, and when a host drains. Renaming identifiers must not change any of them.
 
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, Time};
-use pondarch_proxy_session::table::{level_word, tries_word};
-use pondarch_proxy_session::{Front, FrontKind, Lines, Session, Told, Wanted, WantedLine};
+use pondarch_proxy_session::proxy_state::{quota_value, retry_policy_value};
+use pondarch_proxy_session::{
+    ClassMapping, DesiredLine, DesiredState, ProxyMapping, Session, SessionEvent, TableLines,
+};
 use std::sync::Arc;
 
-const LOOK: [&str; 6] = [
+const STATE_COMMANDS: [&str; 6] = [
     "prompt i",
     "show info",
     "show servers state",
@@ -15,8 +17,8 @@
     "show map pond_state",
 ];
 
-/// What a proxy with one server says of itself, in the order of `LOOK`.
-const HELD: [&str; 6] = [
+/// The replies of a proxy with one server, in the order of `STATE_COMMANDS`.
+const STATE_REPLIES: [&str; 6] = [
     "",
     "Name: pondproxy\nPid: 7\nStart_time_sec: 9\n",
     "1\n# be_name srv_name srv_addr srv_port srv_admin_state srv_uweight srv_time_since_last_change\n\
@@ -27,83 +29,88 @@
 ];
 
 fn session() -> Session {
-    let kinds = vec![FrontKind {
+    let classes = vec![ClassMapping {
         name: "proof".into(),
         backend: "b-proof".into(),
     }];
-    Session::new(Arc::new(Front {
-        mark: "steward:1".into(),
-        kinds,
+    Session::new(Arc::new(ProxyMapping {
+        controller_incarnation: "steward:1".into(),
+        classes,
     }))
 }
 
-fn wanted(hosts: &[(&str, u8, u16)], level: &str, tries: RetryPolicy) -> Wanted {
-    let line = |&(name, ip, units): &(&str, u8, u16)| {
+fn desired(hosts: &[(&str, u8, u16)], quota: &str, retry_policy: RetryPolicy) -> DesiredState {
+    let line = |&(name, ip, weight): &(&str, u8, u16)| {
         (
             HostId(name.into()),
-            WantedLine {
+            DesiredLine {
                 addr: ([127, 0, 0, ip], 80).into(),
-                units,
+                weight,
             },
         )
     };
-    let mut wanted = Wanted::default();
-    let lines: Lines = hosts.iter().map(line).collect();
-    wanted.lines.insert(RequestClassId(0), Arc::new(lines));
-    wanted.levels.insert(RequestClassId(0), level.into());
-    wanted.tries.insert(RequestClassId(0), tries_word(tries));
-    wanted
+    let mut desired = DesiredState::default();
+    let lines: TableLines = hosts.iter().map(line).collect();
+    desired.lines.insert(RequestClassId(0), Arc::new(lines));
+    desired.quotas.insert(RequestClassId(0), quota.into());
+    desired
+        .retry_policies
+        .insert(RequestClassId(0), retry_policy_value(retry_policy));
+    desired
 }
 
-/// The commands that a difference is written as, one each; each is answered as a good proxy does.
-fn commands(session: &mut Session, wanted: &Wanted, must_go: &str) -> Vec<String> {
+/// The commands of the next update batch, each acknowledged as a proxy does.
+fn commands(session: &mut Session, desired: &DesiredState, draining_host: &str) -> Vec<String> {
     let now = Time::from_micros(1_000_000);
     let batch = session
-        .due(now, wanted, |host| &*host.0 == must_go)
+        .next_batch(now, desired, |host| &*host.0 == draining_host)
         .expect("a difference");
-    let lines = session.order(now, batch);
+    let lines = session.send_batch(now, batch);
     let sent: Vec<String> = lines
         .iter()
         .flat_map(|line| line.split("; "))
         .map(str::to_string)
         .collect();
     for command in &sent {
-        let answer = match command {
-            add if add.starts_with("add server") => "New server registered.",
-            del if del.starts_with("del server") => "Server deleted.",
+        let reply = match command {
+            text if text.starts_with("add server") => "New server registered.",
+            text if text.starts_with("del server") => "Server deleted.",
             _ => "",
         };
-        session
-            .answered(now, answer)
-            .expect("an answer that was asked for");
+        session.on_reply(now, reply).expect("an accepted reply");
     }
     sent
 }
 
-fn joined() -> (Session, Vec<String>) {
+fn joined_session() -> (Session, Vec<String>) {
     let mut session = session();
-    assert_eq!(session.begin(), LOOK);
-    for (place, answer) in HELD.iter().enumerate() {
-        let (told, lines) = session
-            .answered(Time::from_micros(1), answer)
-            .expect("a good answer");
+    assert_eq!(session.on_connected(), STATE_COMMANDS);
+    for (index, reply) in STATE_REPLIES.iter().enumerate() {
+        let (event, lines) = session
+            .on_reply(Time::from_micros(1), reply)
+            .expect("a valid reply");
         assert!(lines.is_empty());
         assert_eq!(
-            matches!(told, Some(Told::Learned { fresh: true })),
-            place == HELD.len() - 1
+            matches!(
+                event,
+                Some(SessionEvent::StateRead {
+                    newly_started: true
+                })
+            ),
+            index == STATE_REPLIES.len() - 1
         );
     }
-    let sent = commands(&mut session, &usual(), "");
+    let sent = commands(&mut session, &two_hosts(), "");
     (session, sent)
 }
 
-fn usual() -> Wanted {
-    wanted(&[("a", 1, 64), ("b", 2, 32)], "100", RetryPolicy::Never)
+fn two_hosts() -> DesiredState {
+    desired(&[("a", 1, 64), ("b", 2, 32)], "100", RetryPolicy::Never)
 }
 
 #[test]
-fn bound() {
-    let (mut session, first) = joined();
+fn proxy_is_bound() {
+    let (mut session, first) = joined_session();
     let expected = [
         "add map pond_state table steward:1/1",
         "add server b-proof/a 127.0.0.1:80 weight 64",
@@ -115,7 +122,7 @@
         "add map pond_state steward steward:1",
     ];
     assert_eq!(first, expected);
-    let second = commands(&mut session, &usual(), "");
+    let second = commands(&mut session, &two_hosts(), "");
     assert_eq!(
         second,
         [
@@ -125,16 +132,16 @@
     );
 }
 
-/// A proxy whose standing server is out of use already.
-fn settled() -> Session {
-    let (mut session, _) = joined();
-    commands(&mut session, &usual(), "");
+/// A session whose proxy is bound, with the static server out of use.
+fn bound_session() -> Session {
+    let (mut session, _) = joined_session();
+    commands(&mut session, &two_hosts(), "");
     session
 }
 
 #[test]
 fn weights_and_address_change() {
-    let wanted = wanted(&[("a", 1, 32), ("b", 3, 33)], "100", RetryPolicy::Never);
+    let desired = desired(&[("a", 1, 32), ("b", 3, 33)], "100", RetryPolicy::Never);
     let expected = [
         "set map pond_state table steward:1/3",
         "set server b-proof/a weight 32",
@@ -142,22 +149,22 @@
         "set server b-proof/b weight 33",
         "del server b-proof/old",
     ];
-    assert_eq!(commands(&mut settled(), &wanted, ""), expected);
+    assert_eq!(commands(&mut bound_session(), &desired, ""), expected);
 }
 
 #[test]
-fn host_drains() {
-    let mut session = settled();
-    let wanted = wanted(&[("a", 1, 64)], "100", RetryPolicy::Never);
+fn host_drains_and_returns() {
+    let mut session = bound_session();
+    let desired = desired(&[("a", 1, 64)], "100", RetryPolicy::Never);
     let expected = [
         "set map pond_state table steward:1/3",
         "set server b-proof/b state drain",
         "del server b-proof/old",
     ];
-    assert_eq!(commands(&mut session, &wanted, "b"), expected);
-    let back = commands(&mut session, &usual(), "");
+    assert_eq!(commands(&mut session, &desired, "b"), expected);
+    let after_return = commands(&mut session, &two_hosts(), "");
     assert_eq!(
-        back,
+        after_return,
         [
             "set map pond_state table steward:1/4",
             "set server b-proof/b state ready"
@@ -166,10 +173,10 @@
 }
 
 #[test]
-fn level_and_retry_policy_change() {
-    let wanted = wanted(
+fn quota_and_retry_policy_change() {
+    let desired = desired(
         &[("a", 1, 64), ("b", 2, 32)],
-        &level_word(0.7549, false),
+        &quota_value(0.7549, false),
         RetryPolicy::OnceOnFailure,
     );
     let expected = [
@@ -178,59 +185,63 @@
         "set map pond_tries proof failure",
         "del server b-proof/old",
     ];
-    assert_eq!(commands(&mut settled(), &wanted, ""), expected);
+    assert_eq!(commands(&mut bound_session(), &desired, ""), expected);
 }
 
 #[test]
-fn level_words() {
-    assert_eq!(level_word(1.0, false), "100");
-    assert_eq!(level_word(0.0, false), "0");
-    assert_eq!(level_word(12.5, true), "12.500/s");
-    assert_eq!(level_word(1e9, true), "100");
+fn quota_values() {
+    assert_eq!(quota_value(1.0, false), "100");
+    assert_eq!(quota_value(0.0, false), "0");
+    assert_eq!(quota_value(12.5, true), "12.500/s");
+    assert_eq!(quota_value(1e9, true), "100");
 }
 
 #[test]
-fn retry_words() {
-    let tries = [
+fn retry_policy_values() {
+    let retry_policies = [
         RetryPolicy::Never,
         RetryPolicy::IfUnprocessed,
         RetryPolicy::OnceOnFailure,
         RetryPolicy::TwiceOnFailure,
     ];
     assert_eq!(
-        tries.map(tries_word),
+        retry_policies.map(retry_policy_value),
         ["never", "unsent", "failure", "failure-twice"]
     );
 }
 
 #[test]
-fn counters_are_asked_for() {
-    assert_eq!(settled().read_stat().as_deref(), Some("show stat"));
+fn counters_are_requested() {
+    assert_eq!(
+        bound_session().request_counters().as_deref(),
+        Some("show stat")
+    );
 }
 
 #[test]
-fn refusal_texts() {
-    let refusal = |place: usize, text: &str| {
+fn error_texts() {
+    let error_text = |index: usize, text: &str| {
         let mut session = session();
-        session.begin();
-        let answers = HELD[..place].iter().chain([&text]);
-        let last = answers
-            .map(|answer| session.answered(Time::from_micros(1), answer))
+        session.on_connected();
+        let replies = STATE_REPLIES[..index].iter().chain([&text]);
+        let last_result = replies
+            .map(|reply| session.on_reply(Time::from_micros(1), reply))
             .last();
-        last.expect("an answer")
-            .expect_err("a bad answer")
+        last_result
+            .expect("a reply")
+            .expect_err("an invalid reply")
             .to_string()
     };
     assert_eq!(
-        refusal(3, "Unknown map."),
+        error_text(3, "Unknown map."),
         "the proxy has no map 'pond_levels'"
     );
     assert_eq!(
-        refusal(4, "Unknown map."),
+        error_text(4, "Unknown map."),
         "the proxy has no map 'pond_tries'"
     );
     assert_eq!(
-        refusal(5, "Unknown map."),
+        error_text(5, "Unknown map."),
         "the proxy has no map 'pond_state'"
     );
 }
