--- a/crates/proxy-session/src/session.rs
+++ b/crates/proxy-session/src/session.rs
@@ -127,7 +127,7 @@
             .then(|| self.applied.lines.iter().any(selectable))
     }
 
-    /// Estimate of the memory of this session, in bytes: the proxy's state and its counters.
+    /// Estimate of the memory of this session, in bytes: the state and counters of each line, and the pending replies.
     pub fn estimated_bytes(&self) -> u64 {
         self.applied.lines.len() as u64 * 250 + self.pending.len() as u64 * 120
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -21,4 +21,4 @@
 mod run;
 mod shared;
 
-pub use run::{ProxyError, Running, run, start};
+pub use run::{ProxyError, RunningProxy, run, start};
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -31,14 +31,17 @@
 pub enum ProxyError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("cannot listen at {at}: {wrong}")]
-    Listen { at: Endpoint, wrong: std::io::Error },
+    #[error("cannot listen at {endpoint}: {error}")]
+    Listen {
+        endpoint: Endpoint,
+        error: std::io::Error,
+    },
     #[error("cannot follow signals: {0}")]
     Signals(std::io::Error),
 }
 
 /// A proxy that serves. Dropping it ends it at once; `drain` lets reqs under way end.
-pub struct Running {
+pub struct RunningProxy {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
     draining: CancellationToken,
@@ -49,7 +52,7 @@
 /// Starts a proxy.
 ///
 /// Errors: the list cannot be read, or a socket cannot be had.
-pub async fn start(site: &ProxySite) -> Result<Running, ProxyError> {
+pub async fn start(site: &ProxySite) -> Result<RunningProxy, ProxyError> {
     let clock = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -58,9 +61,9 @@
     let list = read_hosts(&site.hosts_file, &site.zones)?;
     let standing = standing(site, &list.hosts, seed);
     let shared = Arc::new(Shared::new(site, &standing, seed));
-    let listen = |wrong| ProxyError::Listen {
-        at: Endpoint::Tcp(site.listen),
-        wrong,
+    let listen = |error| ProxyError::Listen {
+        endpoint: Endpoint::Tcp(site.listen),
+        error,
     };
     let listener = TcpListener::bind(site.listen).await.map_err(listen)?;
     let addr = listener.local_addr().map_err(listen)?;
@@ -70,9 +73,9 @@
         connections: Arc::default(),
     };
     for of in &site.runtime_api {
-        let listen = |wrong| ProxyError::Listen {
-            at: of.listen.clone(),
-            wrong,
+        let listen = |error| ProxyError::Listen {
+            endpoint: of.listen.clone(),
+            error,
         };
         let listener = Listener::bind(&of.listen).await.map_err(listen)?;
         runtime.spawn(serve(listener, of.level.into(), desk.clone()));
@@ -104,7 +107,7 @@
     let draining = CancellationToken::new();
     info!(name = site.name, %addr, hosts = standing.len(), seed, "proxy started with its standing table");
     let serving = Some(tokio::spawn(accept(listener, carrier, draining.clone())));
-    Ok(Running {
+    Ok(RunningProxy {
         addr,
         shared,
         draining,
@@ -188,7 +191,7 @@
     connection.await.ok();
 }
 
-impl Running {
+impl RunningProxy {
     /// New habits and limits at once; what is under way goes on.
     pub fn reload(&self, site: &ProxySite) {
         self.shared.reload(site);
@@ -207,7 +210,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         if let Some(serving) = &self.serving {
             serving.abort();
--- a/crates/proxy/tests/real/stage.rs
+++ b/crates/proxy/tests/real/stage.rs
@@ -1,7 +1,7 @@
 //! A running proxy, hosts that do as they are told, and a client that writes bytes.
 
 use pondarch_config::read_proxy;
-use pondarch_proxy::{Running, start};
+use pondarch_proxy::{RunningProxy, start};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -134,7 +134,7 @@
 }
 
 pub(crate) struct Stage {
-    pub proxy: Running,
+    pub proxy: RunningProxy,
     pub folder: tempfile::TempDir,
     steward: UnixStream,
     number: u64,
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -7,7 +7,7 @@
 use pondarch_config::proxy::{Avoid, Limits, Pick, ProxyKind};
 use pondarch_config::site::{Listener, ListenerLevel, Repeats};
 use pondarch_config::{Endpoint, Length, ProxySite};
-use pondarch_proxy::{ProxyError, Running, start};
+use pondarch_proxy::{ProxyError, RunningProxy, start};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_runtime_api::codec::framed_answer;
 use pondarch_runtime_api::command::parse_line;
@@ -37,7 +37,7 @@
     pub addr: SocketAddr,
     relay: Arc<Relay>,
     task: JoinHandle<()>,
-    _running: Running,
+    _running: RunningProxy,
 }
 
 struct Relay {
@@ -75,9 +75,9 @@
         let names: Vec<&str> = kinds.iter().map(|kind| kind.name).collect();
         let mut mirror = ProxyState::new(name, 0, &names);
         let listen = |at: PathBuf| {
-            move |wrong| ProxyError::Listen {
-                at: Endpoint::Unix(at),
-                wrong,
+            move |error| ProxyError::Listen {
+                endpoint: Endpoint::Unix(at),
+                error,
             }
         };
         let mut wire = Framed::new(
