--- a/crates/proxy-session/src/integer_weights.rs
+++ b/crates/proxy-session/src/integer_weights.rs
@@ -3,8 +3,8 @@
 
 /// Largest weight of the runtime API (management guide, `set server ... weight`: 0 to 256).
 pub const MAX_WEIGHT: u16 = 256;
-/// Factors (1, 2, 4, up to 256) by which the lines of warm hosts may be scaled up to make the fraction of a host that is
-/// warming up small enough.
+/// Factors (1, 2, 4, up to 256) by which the lines of warm hosts may be scaled up to make the fraction of a host that
+/// is warming up small enough.
 const WARM_FACTORS: u32 = 9;
 
 /// The weight of one line before the conversion.
@@ -20,9 +20,9 @@
 ///
 /// - A positive weight never becomes 0.
 /// - The fraction of the table that a line gets while its host is warming up never exceeds its fraction by the given
-///   weights, as long as there are lines of warm hosts to take the difference. If even a weight of 1 beside warm lines of
-///   256 each is too much, the result is `None` and the line is left out: a host that joins late does no harm, but one
-///   that is overloaded while it is warming up does not recover.
+///   weights, as long as there are lines of warm hosts to take the difference. If even a weight of 1 beside warm lines
+///   of 256 each is too much, the result is `None` and the line is left out: a host that joins late does no harm, but
+///   one that is overloaded while it is warming up does not recover.
 /// - The scale is a power of two, so that a change of one line does not change the weights of the others.
 ///
 /// Weights that are not finite and positive give `None`.
@@ -37,8 +37,8 @@
         return vec![None; lines.len()];
     }
     let scale = (f64::from(MAX_WEIGHT) / heaviest).log2().floor().exp2();
-    // Fractions refer to the whole table as it was decided, including the lines left out here: the warm lines take their
-    // part as well.
+    // Fractions refer to the whole table as it was decided, including the lines left out here: the warm lines take
+    // their part as well.
     let total: f64 = lines
         .iter()
         .filter(|line| is_valid(line))
@@ -74,8 +74,8 @@
     }
 }
 
-/// Whole weights for the lines at these indices, where the lines of warm hosts are scaled up by `warm_factor`; `None` if a
-/// line of a host that is warming up would get more than its fraction.
+/// Whole weights for the lines at these indices, where the lines of warm hosts are scaled up by `warm_factor`; `None`
+/// if a line of a host that is warming up would get more than its fraction.
 fn fit(
     lines: &[LineWeight],
     indices: &[usize],
--- a/crates/proxy-session/src/lib.rs
+++ b/crates/proxy-session/src/lib.rs
@@ -1,5 +1,5 @@
-//! The controller's side of the runtime API of one proxy. No I/O and no clock: a session is given replies and returns the
-//! lines to write.
+//! The controller's side of the runtime API of one proxy. No I/O and no clock: a session is given replies and returns
+//! the lines to write.
 //!
 //! - [`integer_weights`]: a table's weights as whole numbers from 1 to 256.
 //! - [`proxy_state`]: the state a proxy should have and the state it has.
--- a/crates/proxy-session/src/proxy_state.rs
+++ b/crates/proxy-session/src/proxy_state.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How tables map to the objects of the runtime API: one backend for each request class, one server for each line, named
-/// as the host, and three maps, two of them with an entry for each request class.
+/// How tables map to the objects of the runtime API: one backend for each request class, one server for each line,
+/// named as the host, and three maps, two of them with an entry for each request class.
 #[derive(Clone, Debug)]
 pub struct ProxyMapping {
     /// Name and incarnation of the controller, `name:start`; a joined proxy has it in the map `pond_state`.
@@ -25,7 +25,8 @@
     pub backend: String,
 }
 
-/// Map of the admission quotas by request class: `100` admits all, `75` that percentage, `12.5/s` that rate at each proxy.
+/// Map of the admission quotas by request class: `100` admits all, `75` that percentage, `12.5/s` that rate at each
+/// proxy.
 pub const QUOTA_MAP: &str = "pond_levels";
 /// Map of the retry policies by request class: `never`, `unsent`, `failure`, `failure-twice`.
 pub const RETRY_POLICY_MAP: &str = "pond_tries";
@@ -100,8 +101,8 @@
     }
 }
 
-/// The value of an admission quota in the map `pond_levels`. A fraction is rounded down to tenths of a percent, so that no
-/// more is admitted than was decided.
+/// The value of an admission quota in the map `pond_levels`. A fraction is rounded down to tenths of a percent, so that
+/// no more is admitted than was decided.
 pub fn quota_value(quota: f64, by_rate: bool) -> String {
     if by_rate {
         // A rate that no proxy can reach means no limit.
--- a/crates/proxy-session/src/session.rs
+++ b/crates/proxy-session/src/session.rs
@@ -59,12 +59,12 @@
     #[error(transparent)]
     Stat(#[from] StatError),
     /// The proxy rejected a command.
-    #[error("the proxy refuses '{command}': {answer}")]
+    #[error("the proxy refuses '{command}': {reply}")]
     CommandRejected {
         /// The command that was sent.
         command: String,
         /// The reply of the proxy.
-        answer: String,
+        reply: String,
     },
 }
 
@@ -177,8 +177,8 @@
     }
 
     /// Takes counters that the proxy pushed in a load report, as of this time. They are the same counters as those of
-    /// `show stat`, so that nothing is counted twice. `None` while the proxy's process is not known, or if they are not newer
-    /// than the previous reading.
+    /// `show stat`, so that nothing is counted twice. `None` while the proxy's process is not known, or if they are not
+    /// newer than the previous reading.
     pub fn record_pushed_counters(&mut self, at: Time, rows: &[StatRow]) -> Option<CounterDelta> {
         // Counters from before the previous reading are lower: they would be taken for those of a restarted process.
         let is_newer = self
--- a/crates/proxy-session/src/update.rs
+++ b/crates/proxy-session/src/update.rs
@@ -1,9 +1,9 @@
 //! The commands that lead from the state a proxy has to the state it should have.
 //!
-//! A connection can break after any command, and any command can be rejected. So a batch first decreases weights, then adds
-//! lines, then increases weights, and only then takes lines out of use; and a removal that would leave a request class with
-//! only lines that the proxy has not acknowledged yet waits for the next batch. Wherever the batch ends, each line is as it
-//! was or as it should be, and a request class that had a host to pick still has one.
+//! A connection can break after any command, and any command can be rejected. So a batch first decreases weights, then
+//! adds lines, then increases weights, and only then takes lines out of use; and a removal that would leave a request
+//! class with only lines that the proxy has not acknowledged yet waits for the next batch. Wherever the batch ends,
+//! each line is as it was or as it should be, and a request class that had a host to pick still has one.
 
 use crate::proxy_state::{
     AppliedLine, AppliedState, CONTROLLER_KEY, DesiredLine, DesiredState, ProxyMapping, QUOTA_MAP,
@@ -129,7 +129,8 @@
 }
 
 impl UpdateBatch {
-    /// Puts the version first: a proxy that supports versions applies what follows as of this version, or rejects all of it.
+    /// Puts the version first: a proxy that supports versions applies what follows as of this version, or rejects all
+    /// of it.
     pub fn prepend_version(&mut self, applied: &AppliedState, version: String) {
         let (map, key) = (STATE_MAP.to_string(), VERSION_KEY.to_string());
         let command = match applied.state.contains_key(VERSION_KEY) {
@@ -155,8 +156,8 @@
     }
 }
 
-/// The difference as one batch. `must_drain` returns whether no proxy may use a host any more; `joining` adds the name and
-/// incarnation of the controller.
+/// The difference as one batch. `must_drain` returns whether no proxy may use a host any more; `joining` adds the name
+/// and incarnation of the controller.
 #[expect(
     clippy::too_many_lines,
     reason = "one pass collects the updates and puts them in their order"
@@ -293,8 +294,8 @@
 }
 
 impl BatchParts {
-    /// Adds the updates of one line. A host at another address is another process: a decrease of the weight is sent before
-    /// the address, so that a successor that is warming up never gets the weight of the warm process.
+    /// Adds the updates of one line. A host at another address is another process: a decrease of the weight is sent
+    /// before the address, so that a successor that is warming up never gets the weight of the warm process.
     #[expect(
         clippy::too_many_lines,
         reason = "the cases of one line: it is missing, out of use, or in use"
--- a/crates/proxy-session/tests/wire_texts.rs
+++ b/crates/proxy-session/tests/wire_texts.rs
@@ -1,5 +1,5 @@
-//! The literal commands that a scripted proxy is sent: when its state is read, when it is bound, when a weight, an admission
-//! quota or a retry policy changes, and when a host drains. Renaming identifiers must not change any of them.
+//! The literal commands that a scripted proxy is sent: when its state is read, when it is bound, when a weight, an
+//! admission quota or a retry policy changes, and when a host drains. Renaming identifiers must not change any of them.
 
 use pondarch_controller::{HostId, RequestClassId, RetryPolicy, Time};
 use pondarch_proxy_session::proxy_state::{quota_value, retry_policy_value};
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use pondarch_proxy_core::retry::{AttemptOutcome, RetryDecision};
 use pondarch_proxy_core::routing_table::TableMembership;
 
-/// An attempt in flight. However it ends, its outcome is recorded in the proxy core and the host's capacity is released.
+/// An attempt in flight. However it ends, it is recorded in the proxy core, which frees the host's capacity.
 pub(crate) struct Attempt {
     shared: SharedHandle,
     request: AdmittedRequest,
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// The body of a host's response. The attempt is counted when the body ends: as a success if it is complete, as a failure if
-/// the host breaks the connection or takes too long, as neither if the client disconnects.
+/// The body of a host's response. The attempt is counted when the body ends: as a success if it is complete, as a
+/// failure if the host breaks the connection or takes too long, as neither if the client disconnects.
 pub(crate) struct ResponseBody {
     body: Incoming,
     attempt: Option<Attempt>,
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -223,8 +223,8 @@
                 Pick::Wait => {}
             }
             let (position, released) = {
-                // The core's lock is held until the waiter is registered: a host may get capacity at any moment, and the
-                // release would find no waiter.
+                // The core's lock is held until the waiter is registered: a host may get capacity at any moment, and
+                // the release would find no waiter.
                 let mut core = self.shared.core();
                 let (number, offer) = core.offer_to_queue(now, admitted);
                 let released = offer.queued.then(|| self.shared.register_waiter(number));
@@ -316,7 +316,7 @@
         && class.header.as_ref().is_none_or(header_matches)
 }
 
-/// Whether the HTTP library reports that nothing of the request was written, as the pooled connection was closed just then.
+/// Whether the HTTP library reports that the pooled connection closed before any of the request was written.
 fn was_not_sent(error: &hyper_util::client::legacy::Error) -> bool {
     let mut cause = std::error::Error::source(error);
     while let Some(inner) = cause {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! A small HTTP/1.1 reverse proxy that sends requests to hosts by the tables that a controller sets. All its decisions are
-//! made in `pondarch-proxy-core`.
+//! A small HTTP/1.1 reverse proxy that sends requests to hosts by the tables that a controller sets. All its decisions
+//! are made in `pondarch-proxy-core`.
 //!
 //! - `run`: start, reload, drain and stop.
 //! - `shared_state`: what all parts of a running proxy share: the proxy core under a lock, the clock, waiting requests.
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -1,5 +1,5 @@
-//! Load reports: the proxy's counters, sent to a controller for as long as the proxy runs, over one connection that is made
-//! again after it breaks.
+//! Load reports: the proxy's counters, sent to a controller for as long as the proxy runs, over one connection that is
+//! made again after it breaks.
 
 use crate::shared_state::SharedHandle;
 use futures_util::{SinkExt, StreamExt};
--- a/crates/proxy/src/request_framing.rs
+++ b/crates/proxy/src/request_framing.rs
@@ -1,6 +1,6 @@
-//! Detects requests whose body length is ambiguous: more than one `content-length`, or one beside a `transfer-encoding` (RFC
-//! 9112, section 6.3). Such requests are used for request smuggling. The HTTP library silently ignores a length beside
-//! chunked encoding, so the bytes are inspected on their way to it.
+//! Detects requests whose body length is ambiguous: more than one `content-length`, or one beside a `transfer-encoding`
+//! (RFC 9112, section 6.3). Such requests are used for request smuggling. The HTTP library silently ignores a length
+//! beside chunked encoding, so the bytes are inspected on their way to it.
 //!
 //! A body of known length is skipped. After a chunked body the connection is closed with the response, as the next head
 //! cannot be found without decoding the body.
@@ -39,7 +39,8 @@
     Head(Vec<u8>),
     /// In a body, with the number of bytes that remain.
     Body(u64),
-    /// Further heads cannot be found: the connection is closed with the response, or the HTTP library rejects the request.
+    /// Further heads cannot be found: the connection is closed with the response, or the HTTP library rejects the
+    /// request.
     Stopped,
 }
 
@@ -73,7 +74,8 @@
                 ScanState::Head(head) => {
                     let (old_len, search_from) = (head.len(), head.len().saturating_sub(3));
                     head.extend_from_slice(bytes);
-                    // The parser skips an empty line before a head; two are parsed as an incomplete head, which ends the scan.
+                    // The parser skips an empty line before a head; two are parsed as an incomplete head, which ends
+                    // the scan.
                     let end = head[search_from..]
                         .windows(4)
                         .position(|window| window == b"\r\n\r\n")
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -143,8 +143,8 @@
     })
 }
 
-/// The hosts to use until a controller sends a table: a random choice of the ready hosts of the proxy's zone, or of all zones
-/// if its own has fewer than three.
+/// The hosts to use until a controller sends a table: a random choice of the ready hosts of the proxy's zone, or of all
+/// zones if its own has fewer than three.
 fn choose_static_hosts(site: &ProxySite, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
     let ready_hosts = || hosts.iter().filter(|host| host.state == HostState::Ready);
     let mut candidates: Vec<&HostEntry> = ready_hosts()
@@ -254,8 +254,8 @@
 
 /// Runs a proxy until SIGTERM or SIGINT; SIGHUP reloads the settings.
 ///
-/// Errors: as [`start`], or the settings cannot be read at the start. Settings that fail to reload are logged, and the current
-/// ones stay in force.
+/// Errors: as [`start`], or the settings cannot be read at the start. Settings that fail to reload are logged, and the
+/// current ones stay in force.
 pub async fn run(settings: &Path) -> Result<(), ProxyError> {
     let site = read_proxy(settings)?;
     let running = start(&site).await?;
--- a/crates/proxy/src/shared_state.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -75,8 +75,8 @@
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = site.limits;
     }
 
-    /// Registers a queue number. The receiver gets `true` when the request should pick a host again, and `false` when it is
-    /// rejected.
+    /// Registers a queue number. The receiver gets `true` when the request should pick a host again, and `false` when
+    /// it is rejected.
     pub(crate) fn register_waiter(&self, number: u64) -> oneshot::Receiver<bool> {
         let (sender, receiver) = oneshot::channel();
         self.waiters
--- a/crates/proxy/tests/real_sockets/harness.rs
+++ b/crates/proxy/tests/real_sockets/harness.rs
@@ -157,7 +157,8 @@
     version_number: u64,
 }
 
-/// Settings with two request classes: requests of `proof` are idempotent, those of `release` are not. Both may take 1 s.
+/// Settings with two request classes, both with a client timeout of 1 s: requests of `proof` are idempotent, those of
+/// `release` are not.
 pub(crate) const SETTINGS: &str = "{
     name: 'front', zone: 'ede', zones: ['ede'], listen: '127.0.0.1:0',
     runtime_api: [{ listen: 'unix:front.sock', level: 'admin' }],
--- a/crates/proxy/tests/real_sockets/main.rs
+++ b/crates/proxy/tests/real_sockets/main.rs
@@ -379,8 +379,8 @@
     assert_eq!(a.request_count(), 30, "a request was lost or repeated");
 }
 
-/// Hosts change their behavior at any moment, die and come back at another address. Whatever the retry policy, no request of
-/// `release` is processed by more than one host.
+/// Hosts change their behavior at any moment, die and come back at another address. Whatever the retry policy, no
+/// request of `release` is processed by more than one host.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[expect(
     clippy::too_many_lines,
