--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -20,7 +20,7 @@
 use pondarch_controller::Controller;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
 use pondarch_load_ingestion::{HostSelector, MemoryAccounting};
-use pondarch_proxy_session::{Front, FrontKind};
+use pondarch_proxy_session::{ClassMapping, ProxyMapping};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -243,13 +243,13 @@
 
 /// The proxies by their ids: those of the settings, then those that stand for unknown proxies.
 fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
-    let front = Arc::new(front(site, mark));
+    let mapping = Arc::new(proxy_mapping(site, mark));
     let zone = |name: &str| site.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
     site.proxies
         .iter()
         .chain(&dns_state::unknown_proxies(site))
         .enumerate()
-        .map(|(index, proxy)| Peer::new(index, proxy, zone(&proxy.zone), front.clone(), now))
+        .map(|(index, proxy)| Peer::new(index, proxy, zone(&proxy.zone), mapping.clone(), now))
         .collect()
 }
 
@@ -265,13 +265,13 @@
     )
 }
 
-fn front(site: &Site, mark: &str) -> Front {
-    let class = |class: &pondarch_config::site::Kind| FrontKind {
+fn proxy_mapping(site: &Site, mark: &str) -> ProxyMapping {
+    let class = |class: &pondarch_config::site::Kind| ClassMapping {
         name: class.name.clone(),
         backend: class.backend().to_string(),
     };
-    Front {
-        mark: mark.to_string(),
-        kinds: site.kinds.iter().map(class).collect(),
+    ProxyMapping {
+        controller_incarnation: mark.to_string(),
+        classes: site.kinds.iter().map(class).collect(),
     }
 }
