--- a/crates/platform-core/tests/decision_streams/main.rs
+++ b/crates/platform-core/tests/decision_streams/main.rs
@@ -12,7 +12,7 @@
 mod site;
 
 use session::{Counts, run};
-use site::{SMALL, Site};
+use site::{SMALL_SITE, Site};
 
 /// Asserts the digest of a run, and that the run covers enough decisions for its digest to be meaningful.
 fn assert_digest(site: &Site, digest: &str, covers_enough: impl Fn(&Counts) -> bool) {
@@ -33,9 +33,9 @@
 fn small_fleet() {
     let site = Site {
         seed: 21,
-        trouble: 50,
+        incident_percent: 50,
         seconds: 300,
-        ..SMALL
+        ..SMALL_SITE
     };
     assert_digest(
         &site,
@@ -53,7 +53,7 @@
         hosts: 24,
         overload: true,
         seconds: 160,
-        ..SMALL
+        ..SMALL_SITE
     };
     assert_digest(
         &site,
@@ -74,12 +74,12 @@
         seed: 23,
         proxies: 600,
         hosts: 200,
-        trouble: 80,
+        incident_percent: 80,
         overload: true,
-        most_waiting: 60_000,
-        channel_rate: 40_000,
+        update_queue_limit: 60_000,
+        relay_rate: 40_000,
         seconds: 60,
-        ..SMALL
+        ..SMALL_SITE
     };
     assert_digest(
         &site,
@@ -102,16 +102,16 @@
         proxies: 90,
         hosts: 30,
         zones: 3,
-        own_zone: true,
+        zone_local_class: true,
         crossing_price: true,
         message_cap: 6,
-        most_waiting: 1_200,
-        channel_rate: 1_500,
-        slow_channel: true,
-        trouble: 80,
+        update_queue_limit: 1_200,
+        relay_rate: 1_500,
+        slow_relay: true,
+        incident_percent: 80,
         overload: true,
         seconds: 300,
-        ..SMALL
+        ..SMALL_SITE
     };
     assert_digest(
         &site,
--- a/crates/platform-core/tests/decision_streams/session.rs
+++ b/crates/platform-core/tests/decision_streams/session.rs
@@ -4,7 +4,7 @@
 mod relay;
 
 use crate::controller::Controller;
-use crate::fleet::{Change, Fleet, Health, HostReport, decimal};
+use crate::fleet::{Change, Fleet, HostReport, HostState, decimal};
 use crate::site::{CLASSES, REPORT_PERIOD, Site, ZONES};
 use serde_json::json;
 use sha2::{Digest, Sha256};
@@ -109,7 +109,7 @@
         self.schedule(0, Event::RelayReachable(true));
         self.schedule_list(0, None);
         self.start_membership_watch();
-        let changes = self.fleet.proxies_join();
+        let changes = self.fleet.connect_some_proxies();
         self.announce_changes(changes);
     }
 
@@ -148,14 +148,14 @@
     fn schedule_list(&mut self, delay: u64, hosts: Option<&[usize]>) {
         self.generation += 1;
         let all: Vec<usize> = (0..self.fleet.hosts.len())
-            .filter(|&host| self.fleet.hosts[host].health != Health::Removed)
+            .filter(|&host| self.fleet.hosts[host].state != HostState::Removed)
             .collect();
         let entry = |&n: &usize| {
             let host = &self.fleet.hosts[n];
-            let state = match host.health {
-                Health::Listed => "Ready",
-                Health::Draining => "Terminating",
-                Health::Removed => "Gone",
+            let state = match host.state {
+                HostState::Listed => "Ready",
+                HostState::Draining => "Terminating",
+                HostState::Removed => "Gone",
             };
             let address = if n % 13 == 7 {
                 String::new()
@@ -175,7 +175,7 @@
         };
         let entries: Vec<String> = hosts.unwrap_or(&all).iter().map(entry).collect();
         // Some changes are older than the list that the controller holds.
-        let outdated = hosts.is_some() && self.fleet.random.percent(4);
+        let outdated = hosts.is_some() && self.fleet.random.chance(4);
         let generation = if outdated {
             self.generation - 2
         } else {
@@ -194,11 +194,12 @@
         self.schedule(delay, Event::RelayLine(text));
     }
 
-    fn schedule_join(&mut self, delay: u64, proxy: usize, fresh: bool) {
+    fn schedule_join(&mut self, delay: u64, proxy: usize, newly_started: bool) {
         let joining = &self.fleet.proxies[proxy];
         let (zone, rate) = (ZONES[joining.zone], decimal(joining.rate));
-        let params =
-            format!("{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{fresh}}}");
+        let params = format!(
+            "{{\"id\":{proxy},\"site\":\"{zone}\",\"rps\":{rate},\"new\":{newly_started}}}"
+        );
         self.schedule_relay_event(delay, "joined", &params);
     }
 
@@ -222,12 +223,13 @@
             match change {
                 Change::Hosts(hosts) => {
                     let delay = self.fleet.random.between(0, 400_000);
-                    let complete = self.fleet.random.percent(20);
+                    let complete = self.fleet.random.chance(20);
                     self.schedule_list(delay, if complete { None } else { Some(&hosts) });
                 }
-                Change::Joined { proxy, fresh } => {
-                    self.schedule_join(proxy as u64 * 1_000, proxy, fresh)
-                }
+                Change::Joined {
+                    proxy,
+                    newly_started,
+                } => self.schedule_join(proxy as u64 * 1_000, proxy, newly_started),
                 Change::Left(proxy) => {
                     self.schedule_relay_event(
                         200_000 + proxy as u64 * 1_000,
@@ -260,18 +262,18 @@
             let delay = self.fleet.random.between(0, 500_000);
             self.schedule(delay, Event::Report(text));
         }
-        if self.fleet.random.percent(10) {
+        if self.fleet.random.chance(10) {
             self.schedule_invalid_inputs();
         }
-        if self.fleet.random.percent(5) {
+        if self.fleet.random.chance(5) {
             self.schedule(0, Event::RelayReachable(false));
             self.schedule(700_000, Event::RelayReachable(true));
         }
-        if self.fleet.random.percent(self.site.trouble) {
+        if self.fleet.random.chance(self.site.incident_percent) {
             let changes = self.fleet.incident(self.now);
             // The membership watch may restart at this time. The new watch lists the connected proxies; endpoint lists
             // still arrive.
-            if self.fleet.random.percent(25) {
+            if self.fleet.random.chance(25) {
                 let is_of_hosts = |change: &Change| matches!(change, Change::Hosts(_));
                 self.announce_changes(changes.into_iter().filter(is_of_hosts).collect());
                 return self.start_membership_watch();
@@ -283,7 +285,7 @@
 
     fn schedule_host_report(&mut self, report: &HostReport) {
         let delay = self.fleet.random.between(0, 600_000)
-            + if self.fleet.random.percent(3) {
+            + if self.fleet.random.chance(3) {
                 3_000_000
             } else {
                 0
@@ -291,13 +293,13 @@
         let HostReport {
             attempts,
             errors,
-            mean_time,
+            mean_latency,
             queue,
             ..
         } = report;
         let (zone, host) = (ZONES[report.zone], &self.fleet.hosts[report.host].name);
         let mut text = format!("heard site {zone} target {host} count {attempts} fail {errors}");
-        text += &format!(" mean {} over 1000.0", decimal(*mean_time));
+        text += &format!(" mean {} over 1000.0", decimal(*mean_latency));
         if self.site.report_source == "inline" {
             text += &format!(
                 " util inflight:{queue},queue:{queue},util:{}",
--- a/crates/platform-core/tests/decision_streams/session/relay.rs
+++ b/crates/platform-core/tests/decision_streams/session/relay.rs
@@ -3,7 +3,7 @@
 
 use super::{Event, START, Session};
 use crate::controller::Action;
-use crate::fleet::{Fault, Health, thousandths};
+use crate::fleet::{Fault, HostState, thousandths};
 use crate::site::{CLASSES, REPORT_PERIOD};
 use serde_json::Value;
 
@@ -38,7 +38,7 @@
             self.fleet.random.between(0, 100),
         );
         let updates_applied_at_most = if fault < 4 {
-            self.fleet.random.place(updates.len())
+            self.fleet.random.index(updates.len())
         } else {
             updates.len()
         };
@@ -87,7 +87,7 @@
                     self.counts.lines += 1;
                     let host = update["target"].as_str().expect("a host");
                     self.fleet.set_line(table, host, thousandths(number("rps")));
-                    reached.extend(self.fleet.users(table));
+                    reached.extend(self.fleet.joined_proxies_with(table));
                 }
                 "bind" => {
                     let proxy = number("id") as usize;
@@ -96,7 +96,7 @@
                     }
                     self.counts.bindings += 1;
                     self.fleet
-                        .hand_table(proxy, table, class_bits(&update["routes"]));
+                        .bind_table(proxy, table, class_bits(&update["routes"]));
                     reached.push(proxy);
                 }
                 "admit" => {
@@ -105,8 +105,8 @@
                     self.counts.quotas_raised +=
                         usize::from(quota >= 1_000 && self.counts.quotas_lowered > 0);
                     self.fleet
-                        .set_level(table, class_bits(&update["routes"]), quota);
-                    reached.extend(self.fleet.users(table));
+                        .set_quota(table, class_bits(&update["routes"]), quota);
+                    reached.extend(self.fleet.joined_proxies_with(table));
                 }
                 "mark" => self.request_acks(number("nonce_out") as u64, &mut reached),
                 other => panic!("unknown update: {other}"),
@@ -122,10 +122,10 @@
         reached.dedup();
         let relay_delay = self.site.extra_delay((self.now - START) / REPORT_PERIOD);
         for &proxy in reached.iter() {
-            if self.fleet.random.percent(8) {
+            if self.fleet.random.chance(8) {
                 continue;
             }
-            let extra_delay = if self.fleet.random.percent(5) {
+            let extra_delay = if self.fleet.random.chance(5) {
                 5_000_000
             } else {
                 relay_delay
@@ -144,11 +144,11 @@
             .iter()
             .find(|host| host.name == name)
             .expect("a host that was listed");
-        let (health, fault, queue) = (host.health, host.fault, host.queue / 1_000);
+        let (health, fault, queue) = (host.state, host.fault, host.queue / 1_000);
         let random = &mut self.fleet.random;
-        let answers = health == Health::Listed && fault != Fault::Hangs;
-        let healthy = answers && (fault != Fault::Fails || random.percent(50));
-        if random.percent(10) {
+        let answers = health == HostState::Listed && fault != Fault::Hangs;
+        let healthy = answers && (fault != Fault::Fails || random.chance(50));
+        if random.chance(10) {
             return;
         }
         let body = match random.between(0, 4) {
--- a/crates/simulator-adapter/tests/decision_streams/fleet.rs
+++ b/crates/simulator-adapter/tests/decision_streams/fleet.rs
@@ -1,66 +1,76 @@
-//! A simulated fleet: hosts with queues, proxies that send by the tables they were handed, and what happens to both.
-//! It knows no wire, and counts in whole numbers (thousandths), so that its reports are the same on every platform.
+//! A simulated fleet: hosts with request queues, proxies that send requests according to their tables, and incidents
+//! that affect both. It is independent of any protocol, and calculates in integers (thousandths) so that its reports
+//! are the same on every platform.
 
 use crate::random::Random;
-use crate::site::{CLASSES, MACHINES, Site};
+use crate::site::{CLASSES, MACHINE_TYPES, Site};
 use std::collections::BTreeMap;
 
-/// Requests that a host of size 1 can do in a second.
-const HOST_RATE: u64 = 30;
-/// Time of an answer while nothing waits, and of one waiting request, in microseconds.
-const BASE_TIME: u64 = 40_000;
-const QUEUE_TIME: u64 = 30_000;
-const MAX_QUEUE: u64 = 60_000;
-const COLD_TIME: u64 = 18_000_000;
+/// Requests that a host of size 1 can process in a second.
+const REQUESTS_PER_SECOND: u64 = 30;
+/// Latency of a request when none is waiting, in microseconds.
+const BASE_LATENCY: u64 = 40_000;
+/// Additional latency for each waiting request, in microseconds.
+const LATENCY_PER_WAITING_REQUEST: u64 = 30_000;
+/// Most requests that wait at a host, in thousandths.
+const QUEUE_LIMIT: u64 = 60_000;
+/// Time for which a started host is warming up, in microseconds.
+const WARM_UP_TIME: u64 = 18_000_000;
 
+/// The state of a host in the endpoint list.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Health {
+pub(crate) enum HostState {
     Listed,
     Draining,
     Removed,
 }
 
+/// A fault of a host.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
-    Nothing,
+    None,
     Fails,
     Slow,
     Hangs,
 }
 
+/// A simulated host.
 pub(crate) struct Host {
     pub name: String,
     pub zone: usize,
     pub machine: &'static str,
     pub cell: usize,
-    /// In thousandths.
+    /// Size relative to a host of size 1, in thousandths.
     pub size: u64,
-    /// When it last started, in microseconds; 0: long ago.
+    /// Time of the last start, in microseconds; 0 if the host started long before the run.
     pub started: u64,
-    pub health: Health,
+    pub state: HostState,
     pub fault: Fault,
-    /// Requests waiting, in thousandths.
+    /// Waiting requests, in thousandths.
     pub queue: u64,
 }
 
+/// A simulated proxy.
 pub(crate) struct Proxy {
     pub zone: usize,
     pub joined: bool,
-    /// Requests a second, in thousandths.
+    /// Usual request rate, in thousandths of a request per second.
     pub rate: u64,
+    /// The table for each request class.
     tables: [Option<u16>; CLASSES.len()],
 }
 
-/// What the attempts of one zone's proxies at one host gave within a report period.
+/// A load report: outcomes of the attempts of one zone's proxies at one host within a report period.
 pub(crate) struct HostReport {
     pub zone: usize,
     pub host: usize,
     pub attempts: u64,
     pub errors: u64,
-    /// In microseconds.
-    pub mean_time: u64,
-    /// In thousandths.
+    /// Mean latency, in microseconds.
+    pub mean_latency: u64,
+    /// Utilization, in thousandths.
     pub busy: u64,
+    /// Waiting requests.
     pub queue: u64,
 }
 
@@ -72,19 +82,25 @@
     pub errors: u64,
 }
 
-/// What the controller is to hear of an incident.
+/// A change that the registry or the relay announces to the controller.
 pub(crate) enum Change {
+    /// The endpoint list changed for these hosts.
     Hosts(Vec<usize>),
-    Joined { proxy: usize, fresh: bool },
+    /// A proxy joined; a newly started one has no tables.
+    Joined { proxy: usize, newly_started: bool },
+    /// A proxy left.
     Left(usize),
 }
 
+/// The hosts and proxies of a simulated site, and the tables in force.
 pub(crate) struct Fleet {
     pub hosts: Vec<Host>,
     pub proxies: Vec<Proxy>,
     pub random: Random,
+    /// Lines of each table: weights by host, in thousandths.
     lines: BTreeMap<u16, BTreeMap<usize, u64>>,
-    levels: BTreeMap<(u16, usize), u64>,
+    /// Quotas by table and class, in thousandths.
+    quotas: BTreeMap<(u16, usize), u64>,
     zones: usize,
 }
 
@@ -94,12 +110,15 @@
         let hosts: Vec<Host> = (0..site.hosts)
             .map(|n| new_host(n, site.zones, &mut random))
             .collect();
-        let capacity: u64 = hosts.iter().map(|host| host.size * HOST_RATE).sum();
-        let usual = capacity * 6 / 10 / site.proxies as u64;
+        let capacity: u64 = hosts
+            .iter()
+            .map(|host| host.size * REQUESTS_PER_SECOND)
+            .sum();
+        let usual_rate = capacity * 6 / 10 / site.proxies as u64;
         let proxy = |n| Proxy {
             zone: n % site.zones,
             joined: false,
-            rate: usual * random.between(500, 1_500) / 1_000,
+            rate: usual_rate * random.between(500, 1_500) / 1_000,
             tables: [None; CLASSES.len()],
         };
         let proxies = (0..site.proxies).map(proxy).collect();
@@ -108,20 +127,20 @@
             proxies,
             random,
             lines: BTreeMap::new(),
-            levels: BTreeMap::new(),
+            quotas: BTreeMap::new(),
             zones: site.zones,
         }
     }
 
-    // ---- What the controller decides ---------------------------------------------------------------------
+    // ---- Updates from the controller ---------------------------------------------------------------------
 
-    /// Sets a line of a table; a weight of zero thousandths removes it.
+    /// Sets a line of a table; a weight of 0 thousandths removes it.
     pub(crate) fn set_line(&mut self, table: u16, host: &str, weight: u64) {
         let host = self
             .hosts
             .iter()
-            .position(|known| known.name == host)
-            .expect("a host that was listed");
+            .position(|candidate| candidate.name == host)
+            .expect("the host is listed");
         let lines = self.lines.entry(table).or_default();
         if weight > 0 {
             lines.insert(host, weight)
@@ -130,31 +149,31 @@
         };
     }
 
-    /// Hands a table to a proxy, for the classes whose bits are set; no bit: for all.
-    pub(crate) fn hand_table(&mut self, proxy: usize, table: u16, classes: u64) {
+    /// Binds a proxy to a table for the classes whose bits are set, or for all classes if no bit is set.
+    pub(crate) fn bind_table(&mut self, proxy: usize, table: u16, classes: u64) {
         for class in (0..CLASSES.len()).filter(|class| classes == 0 || classes >> class & 1 == 1) {
             self.proxies[proxy].tables[class] = Some(table);
         }
     }
 
-    /// Sets the share, in thousandths, of the classes whose bits are set.
-    pub(crate) fn set_level(&mut self, table: u16, classes: u64, share: u64) {
+    /// Sets the quota, in thousandths, of the classes whose bits are set.
+    pub(crate) fn set_quota(&mut self, table: u16, classes: u64, quota: u64) {
         for class in (0..CLASSES.len()).filter(|class| classes >> class & 1 == 1) {
-            self.levels.insert((table, class), share);
+            self.quotas.insert((table, class), quota);
         }
     }
 
-    /// The joined proxies that hold a table.
-    pub(crate) fn users(&self, table: u16) -> Vec<usize> {
-        let uses = |proxy: &Proxy| proxy.joined && proxy.tables.contains(&Some(table));
+    /// Returns the joined proxies that are bound to a table.
+    pub(crate) fn joined_proxies_with(&self, table: u16) -> Vec<usize> {
+        let is_bound = |proxy: &Proxy| proxy.joined && proxy.tables.contains(&Some(table));
         (0..self.proxies.len())
-            .filter(|&n| uses(&self.proxies[n]))
+            .filter(|&n| is_bound(&self.proxies[n]))
             .collect()
     }
 
     // ---- One report period ------------------------------------------------------------------------------
 
-    /// Sends the requests of one second and gives the proxies' reports.
+    /// Sends the requests of one report period and returns the load reports and the usage reports of the proxies.
     pub(crate) fn serve(
         &mut self,
         now: u64,
@@ -163,10 +182,12 @@
         let mut usage = Vec::new();
         let mut sent: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         for n in 0..self.proxies.len() {
-            for (class, part) in [500, 300, 200].into_iter().enumerate() {
-                let noise = self.random.between(850, 1_150);
+            for (class, share_permille) in [500, 300, 200].into_iter().enumerate() {
+                let variation_permille = self.random.between(850, 1_150);
                 let proxy = &self.proxies[n];
-                let count = proxy.rate * demand_percent / 100 * part / 1_000 * noise / 1_000;
+                let count = proxy.rate * demand_percent / 100 * share_permille / 1_000
+                    * variation_permille
+                    / 1_000;
                 if !proxy.joined {
                     continue;
                 }
@@ -179,10 +200,10 @@
                 });
             }
         }
-        (self.work(now, &sent), usage)
+        (self.process_requests(now, &sent), usage)
     }
 
-    /// Spreads requests (in thousandths) over the lines of the proxy's table; gives those that found no host.
+    /// Distributes requests (in thousandths) over the lines of the proxy's table; returns how many found no host.
     fn send(
         &self,
         proxy: usize,
@@ -194,25 +215,30 @@
         let Some(table) = tables[class] else {
             return count;
         };
-        let level = self
-            .levels
+        let quota = self
+            .quotas
             .get(&(table, class))
             .copied()
             .unwrap_or(1_000)
             .min(1_000);
         let lines = self.lines.get(&table);
-        let all: u64 = lines.iter().flat_map(|lines| lines.values()).sum();
-        if all == 0 {
+        let total_weight: u64 = lines.iter().flat_map(|lines| lines.values()).sum();
+        if total_weight == 0 {
             return count;
         }
         for (&host, &weight) in lines.into_iter().flatten() {
-            *sent.entry((*zone, host)).or_default() += count * level / 1_000 * weight / all;
+            *sent.entry((*zone, host)).or_default() +=
+                count * quota / 1_000 * weight / total_weight;
         }
         0
     }
 
-    /// Lets the hosts work on what they were sent.
-    fn work(&mut self, now: u64, sent: &BTreeMap<(usize, usize), u64>) -> Vec<HostReport> {
+    /// Processes the requests that the hosts received, and returns the load reports on them.
+    fn process_requests(
+        &mut self,
+        now: u64,
+        sent: &BTreeMap<(usize, usize), u64>,
+    ) -> Vec<HostReport> {
         let mut arrived = vec![0; self.hosts.len()];
         sent.iter()
             .for_each(|(&(_, host), &count)| arrived[host] += count);
@@ -222,31 +248,42 @@
             busy.push((arrived * 1_000 / capacity).min(1_000));
             host.queue = (host.queue + arrived)
                 .saturating_sub(capacity)
-                .min(MAX_QUEUE);
+                .min(QUEUE_LIMIT);
         }
         let mut reports = Vec::new();
         for (&(zone, host), &count) in sent {
             let attempts = (count + self.random.between(0, 1_000)) / 1_000;
-            let found = &self.hosts[host];
-            if attempts == 0 || found.fault == Fault::Hangs || found.health == Health::Removed {
+            let target_host = &self.hosts[host];
+            if attempts == 0
+                || target_host.fault == Fault::Hangs
+                || target_host.state == HostState::Removed
+            {
                 continue;
             }
-            let slow = if found.fault == Fault::Slow { 8 } else { 1 };
-            let noise = self.random.between(900, 1_100);
-            let mean_time = (BASE_TIME + QUEUE_TIME * found.queue / 1_000) * slow * noise / 1_000;
-            let failing = if found.fault == Fault::Fails {
+            let latency_factor = if target_host.fault == Fault::Slow {
+                8
+            } else {
+                1
+            };
+            let variation_permille = self.random.between(900, 1_100);
+            let mean_latency = (BASE_LATENCY
+                + LATENCY_PER_WAITING_REQUEST * target_host.queue / 1_000)
+                * latency_factor
+                * variation_permille
+                / 1_000;
+            let failure_percent = if target_host.fault == Fault::Fails {
                 90
             } else {
-                u64::from(mean_time > 1_500_000) * 40
+                u64::from(mean_latency > 1_500_000) * 40
             };
-            let errors = (attempts * failing + self.random.between(0, 100)) / 100;
-            let queue = found.queue / 1_000;
+            let errors = (attempts * failure_percent + self.random.between(0, 100)) / 100;
+            let queue = target_host.queue / 1_000;
             reports.push(HostReport {
                 zone,
                 host,
                 attempts,
                 errors: errors.min(attempts),
-                mean_time,
+                mean_latency,
                 busy: busy[host],
                 queue,
             });
@@ -256,10 +293,10 @@
 
     // ---- Incidents --------------------------------------------------------------------------------------
 
-    /// Something happens to a host or a proxy.
+    /// Applies a random incident to the hosts or proxies, and returns the changes to announce.
     pub(crate) fn incident(&mut self, now: u64) -> Vec<Change> {
-        let host = self.random.place(self.hosts.len());
-        let incident = self.random.place(12);
+        let host = self.random.index(self.hosts.len());
+        let incident = self.random.index(12);
         match incident {
             0 => self.hosts[host].fault = Fault::Fails,
             1 => self.hosts[host].fault = Fault::Slow,
@@ -267,66 +304,67 @@
             3 => self
                 .hosts
                 .iter_mut()
-                .for_each(|host| host.fault = Fault::Nothing),
+                .for_each(|host| host.fault = Fault::None),
             4 | 5 => {
-                return self.retire(
+                return self.withdraw_host(
                     host,
                     if incident == 4 {
-                        Health::Draining
+                        HostState::Draining
                     } else {
-                        Health::Removed
+                        HostState::Removed
                     },
                 );
             }
-            6 | 7 => return self.restart(host, now),
+            6 | 7 => return self.restart_host(host, now),
             8 if self.hosts.len() < 400 => {
                 let mut host = new_host(self.hosts.len(), self.zones, &mut self.random);
                 host.started = now;
                 self.hosts.push(host);
                 return vec![Change::Hosts(vec![self.hosts.len() - 1])];
             }
-            9 => return self.proxies_leave(),
-            _ => return self.proxies_join(),
+            9 => return self.disconnect_some_proxies(),
+            _ => return self.connect_some_proxies(),
         }
         Vec::new()
     }
 
-    /// A host drains or goes, while most of the fleet is left.
-    fn retire(&mut self, host: usize, health: Health) -> Vec<Change> {
+    /// Drains or removes a host, unless less than two thirds of the hosts are listed.
+    fn withdraw_host(&mut self, host: usize, state: HostState) -> Vec<Change> {
         let listed = self
             .hosts
             .iter()
-            .filter(|host| host.health == Health::Listed)
+            .filter(|host| host.state == HostState::Listed)
             .count();
-        if listed * 3 < self.hosts.len() * 2 || self.hosts[host].health == Health::Removed {
+        if listed * 3 < self.hosts.len() * 2 || self.hosts[host].state == HostState::Removed {
             return Vec::new();
         }
-        self.hosts[host].health = health;
+        self.hosts[host].state = state;
         vec![Change::Hosts(vec![host])]
     }
 
-    /// A host, and every other one of its cell that drains or is removed, starts again.
-    fn restart(&mut self, host: usize, now: u64) -> Vec<Change> {
+    /// Restarts a host together with all draining or removed hosts of its cell.
+    fn restart_host(&mut self, host: usize, now: u64) -> Vec<Change> {
         let cell = self.hosts[host].cell;
-        let away =
-            |n: &usize| self.hosts[*n].cell == cell && self.hosts[*n].health != Health::Listed;
-        let mut back: Vec<usize> = (0..self.hosts.len()).filter(away).collect();
-        if !back.contains(&host) {
-            back.push(host);
+        let is_not_listed =
+            |n: &usize| self.hosts[*n].cell == cell && self.hosts[*n].state != HostState::Listed;
+        let mut restarted: Vec<usize> = (0..self.hosts.len()).filter(is_not_listed).collect();
+        if !restarted.contains(&host) {
+            restarted.push(host);
         }
-        for &n in &back {
+        for &n in &restarted {
             let host = &mut self.hosts[n];
-            (host.health, host.fault, host.started, host.queue) =
-                (Health::Listed, Fault::Nothing, now, 0);
+            (host.state, host.fault, host.started, host.queue) =
+                (HostState::Listed, Fault::None, now, 0);
         }
-        vec![Change::Hosts(back)]
+        vec![Change::Hosts(restarted)]
     }
 
-    fn proxies_leave(&mut self) -> Vec<Change> {
-        let leaving: Vec<usize> = (0..self.proxies.len())
-            .filter(|_| self.random.percent(10))
+    /// Disconnects about a tenth of the proxies.
+    fn disconnect_some_proxies(&mut self) -> Vec<Change> {
+        let selected: Vec<usize> = (0..self.proxies.len())
+            .filter(|_| self.random.chance(10))
             .collect();
-        let joined: Vec<usize> = leaving
+        let joined: Vec<usize> = selected
             .into_iter()
             .filter(|&n| self.proxies[n].joined)
             .collect();
@@ -334,35 +372,38 @@
         joined.into_iter().map(Change::Left).collect()
     }
 
-    /// Some of the proxies that are away join; one in three has forgotten its tables.
-    pub(crate) fn proxies_join(&mut self) -> Vec<Change> {
+    /// Connects about 70 % of the proxies that are not connected; one in three has restarted and lost its tables.
+    pub(crate) fn connect_some_proxies(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         for proxy in 0..self.proxies.len() {
-            if self.proxies[proxy].joined || !self.random.percent(70) {
+            if self.proxies[proxy].joined || !self.random.chance(70) {
                 continue;
             }
-            let fresh =
-                self.random.percent(33) || self.proxies[proxy].tables == [None; CLASSES.len()];
+            let newly_started =
+                self.random.chance(33) || self.proxies[proxy].tables == [None; CLASSES.len()];
             self.proxies[proxy].joined = true;
-            if fresh {
+            if newly_started {
                 self.proxies[proxy].tables = [None; CLASSES.len()];
             }
-            changes.push(Change::Joined { proxy, fresh });
+            changes.push(Change::Joined {
+                proxy,
+                newly_started,
+            });
         }
         changes
     }
 }
 
 impl Host {
-    /// Requests that it can do in a second, in thousandths: a cold one does less.
+    /// Requests that the host can process in a second, in thousandths; the rate is lower while it warms up.
     fn capacity(&self, now: u64) -> u64 {
-        let age = (now - self.started).min(COLD_TIME);
-        let warm = if self.started == 0 {
+        let age = (now - self.started).min(WARM_UP_TIME);
+        let warm_up_permille = if self.started == 0 {
             1_000
         } else {
-            250 + 750 * age / COLD_TIME
+            250 + 750 * age / WARM_UP_TIME
         };
-        self.size * HOST_RATE * warm / 1_000
+        self.size * REQUESTS_PER_SECOND * warm_up_permille / 1_000
     }
 }
 
@@ -371,22 +412,22 @@
     Host {
         name: format!("host_{n}_{}", random.between(0, 100_000)),
         zone: n % zones,
-        machine: MACHINES[usize::from(size > 1_000)],
+        machine: MACHINE_TYPES[usize::from(size > 1_000)],
         cell: n / 4,
         size,
         started: 0,
-        health: Health::Listed,
-        fault: Fault::Nothing,
+        state: HostState::Listed,
+        fault: Fault::None,
         queue: 0,
     }
 }
 
-/// A whole number of thousandths as text with three decimals.
+/// Formats a number of thousandths with three decimal places.
 pub(crate) fn decimal(thousandths: u64) -> String {
     format!("{}.{:03}", thousandths / 1_000, thousandths % 1_000)
 }
 
-/// A number of an update, in thousandths.
-pub(crate) fn thousandths(figure: f64) -> u64 {
-    (figure * 1_000.0).round() as u64
+/// Converts a number of an update to thousandths.
+pub(crate) fn thousandths(number: f64) -> u64 {
+    (number * 1_000.0).round() as u64
 }
--- a/crates/simulator-adapter/tests/decision_streams/main.rs
+++ b/crates/simulator-adapter/tests/decision_streams/main.rs
@@ -1,6 +1,6 @@
-//! Seeded runs of the adapter against simulated fleets. The digest of every byte that it writes stands here: any other
-//! decision, random draw, order of lines or sum of floats gives another digest. A digest may change only together with
-//! a change of decisions that is meant.
+//! Seeded runs of the adapter with simulated fleets. Each run has a digest of every byte that the adapter writes, which
+//! any change of a decision, a random draw, the order of lines or a floating-point sum changes. A digest may be updated
+//! only together with an intended change of decisions.
 
 mod fleet;
 mod random;
@@ -8,14 +8,14 @@
 mod site;
 
 use session::{Counts, run};
-use site::{SMALL, Site};
+use site::{SMALL_SITE, Site};
 
-/// Checks the digest of a run, and that the run decides enough to be worth guarding.
-fn guard(sites: &[Site], digest: &str, worth: impl Fn(&Counts) -> bool) {
+/// Asserts the digest of a run, and that the run covers enough decisions for its digest to be meaningful.
+fn assert_digest(sites: &[Site], digest: &str, covers_enough: impl Fn(&Counts) -> bool) {
     let outcome = run(sites);
     assert!(
-        worth(&outcome.counts),
-        "too little happened: {:?}",
+        covers_enough(&outcome.counts),
+        "the run covers too few decisions: {:?}",
         outcome.counts
     );
     assert_eq!(
@@ -27,42 +27,42 @@
 
 #[test]
 fn small_fleet() {
-    guard(
+    assert_digest(
         &[Site {
-            seconds: 2 * SMALL.seconds,
-            ..SMALL
+            seconds: 2 * SMALL_SITE.seconds,
+            ..SMALL_SITE
         }],
         "635d6f3a4fc6ff771ed742b96e49ccdbe1c3960f5ffe9af6c939251b108d70e8",
-        |counts| counts.lines >= 200 && counts.tables >= 12 && counts.ack_requests >= 40,
+        |counts| counts.lines >= 200 && counts.bindings >= 12 && counts.ack_requests >= 40,
     );
 }
 
-/// Levels fall and rise again; hosts fail meanwhile.
+/// Quotas are shares of the requests. They are lowered and raised again while hosts fail.
 #[test]
-fn overload_by_share() {
+fn overload_with_share_quotas() {
     let site = Site {
         seed: 2,
         proxies: 60,
         hosts: 24,
         overload: true,
         seconds: 400,
-        ..SMALL
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "b861e2dcd32d4dbfe699ce78a3300925cf74b0a9bf8677da1e5e09f81619a3ed",
         |counts| {
             counts.lines >= 1_000
-                && counts.lowered >= 350
-                && counts.raised >= 45
+                && counts.quotas_lowered >= 350
+                && counts.quotas_raised >= 45
                 && counts.ack_requests >= 200
         },
     );
 }
 
-/// Levels are requests a second at each proxy, and there are no health checks.
+/// Quotas are requests per second at each proxy, and there are no health checks.
 #[test]
-fn overload_by_rate() {
+fn overload_with_rate_quotas() {
     let site = Site {
         seed: 3,
         proxies: 40,
@@ -72,15 +72,15 @@
         overload: true,
         seconds: 160,
         report_source: "off",
-        ..SMALL
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "8a53f21b0b3403db12bfe95118cf8b72c5a745947b6d856cd01f7278add21fe8",
         |counts| {
             counts.lines >= 800
-                && counts.levels >= 150
-                && counts.tables >= 40
+                && counts.quotas >= 150
+                && counts.bindings >= 40
                 && counts.ack_requests >= 70
         },
     );
@@ -92,83 +92,83 @@
         seed: 4,
         proxies: 600,
         hosts: 200,
-        trouble: 80,
+        incident_percent: 80,
         overload: true,
-        most_waiting: 60_000,
-        channel_rate: 40_000,
+        update_queue_limit: 60_000,
+        relay_rate: 40_000,
         seconds: 60,
-        ..SMALL
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "d80738eacea2cff996758b64f17b9ca4213ef233ad3346030e0f57ae74d60e8d",
         |counts| {
             counts.lines >= 8_000
-                && counts.tables >= 900
-                && counts.lowered >= 800
-                && counts.raised >= 300
+                && counts.bindings >= 900
+                && counts.quotas_lowered >= 800
+                && counts.quotas_raised >= 300
                 && counts.ack_requests >= 50
         },
     );
 }
 
-/// Three zones, a class that keeps to the proxy's zone, and crossings that cost.
+/// Three zones, a zone-local class, and a price for requests across zones.
 #[test]
-fn zones_with_a_class_of_their_own() {
+fn zones_with_a_zone_local_class() {
     let site = Site {
         seed: 5,
         proxies: 90,
         hosts: 30,
         zones: 3,
-        own_zone: true,
+        zone_local_class: true,
         crossing_price: true,
-        trouble: 70,
+        incident_percent: 70,
         overload: true,
-        ..SMALL
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "e7e18661353525e4f78e9404c6e268813a87905eca741d0c56a56d3eece92b08",
         |counts| {
             counts.lines >= 400
-                && counts.tables >= 200
-                && counts.lowered >= 40
-                && counts.raised >= 40
+                && counts.bindings >= 200
+                && counts.quotas_lowered >= 40
+                && counts.quotas_raised >= 40
                 && counts.ack_requests >= 30
         },
     );
 }
 
-/// Few messages per proxy, a short queue and a slow channel.
+/// A low message cap, a short update queue and a slow relay.
 #[test]
-fn tight_channel() {
+fn low_message_cap_and_slow_relay() {
     let site = Site {
         seed: 6,
         proxies: 120,
         hosts: 40,
         message_cap: 5,
-        most_waiting: 900,
-        channel_rate: 900,
-        slow_channel: true,
-        trouble: 90,
+        update_queue_limit: 900,
+        relay_rate: 900,
+        slow_relay: true,
+        incident_percent: 90,
         seconds: 400,
-        ..SMALL
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "891527bc2aa93fd31ce2322654732d78594cb167a0530ac1cf760fb9c42c5f79",
         |counts| {
             counts.lines >= 4_000
-                && counts.tables >= 240
+                && counts.bindings >= 240
                 && counts.ack_requests >= 350
                 && counts.health_checks >= 240
         },
     );
 }
 
-/// The list comes on request and breaks; hosts that it drops may stay in tables.
+/// The endpoint list is sent on request and its watch may fail; hosts that the list drops may stay in tables.
 #[test]
-fn list_on_request() {
+fn endpoint_list_on_request() {
     let site = Site {
         seed: 7,
         proxies: 30,
@@ -177,55 +177,55 @@
         list_on_request: true,
         removal_not_binding: true,
         crossing_price: true,
-        trouble: 60,
-        ..SMALL
+        incident_percent: 60,
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[site],
         "3ad9ad96195f85d04913f83f1d5444171ca55c4440daeac5ca2ec33cf357d705",
         |counts| {
             counts.lines >= 600
-                && counts.tables >= 35
+                && counts.bindings >= 35
                 && counts.list_requests >= 5
                 && counts.ack_requests >= 60
         },
     );
 }
 
-/// Three controllers in one process, each with a site of its own; two of them restart.
+/// Three controllers in one process, each with its own site; two of them restart.
 #[test]
 fn several_controllers() {
     let first = Site {
         seed: 8,
         proxies: 24,
         hosts: 12,
-        trouble: 90,
-        ..SMALL
+        incident_percent: 90,
+        ..SMALL_SITE
     };
     let second = Site {
         seed: 9,
         proxies: 36,
         hosts: 16,
         zones: 4,
-        own_zone: true,
+        zone_local_class: true,
         overload: true,
-        ..SMALL
+        ..SMALL_SITE
     };
     let third = Site {
         seed: 10,
         admission: "off",
         message_cap: 0,
-        trouble: 90,
-        ..SMALL
+        incident_percent: 90,
+        ..SMALL_SITE
     };
-    guard(
+    assert_digest(
         &[first, second, third],
         "5138c44ce4d416770d0c630f6034b2e29a0b92473b4beb41f3dd7b52d6471d13",
         |counts| {
             counts.lines >= 1_000
-                && counts.tables >= 100
+                && counts.bindings >= 100
                 && counts.health_checks >= 60
-                && counts.lowered >= 80
+                && counts.quotas_lowered >= 80
                 && counts.ack_requests >= 130
         },
     );
--- a/crates/simulator-adapter/tests/decision_streams/random.rs
+++ b/crates/simulator-adapter/tests/decision_streams/random.rs
@@ -1,6 +1,7 @@
-//! The generator of the simulated fleet: splitmix64, written out here so that no library can change the runs.
+//! The random number generator of the simulated fleet: splitmix64, implemented here so that no library update can
+//! change the runs.
 
-/// One stream of numbers.
+/// A seeded random number generator.
 pub(crate) struct Random(u64);
 
 impl Random {
@@ -15,16 +16,18 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from `from` up to but not including `to`.
+    /// Returns a number from `from` up to but not including `to`.
     pub(crate) fn between(&mut self, from: u64, to: u64) -> u64 {
         from + self.next() % (to - from).max(1)
     }
 
-    pub(crate) fn place(&mut self, count: usize) -> usize {
+    /// Returns a random index into a collection of `count` elements.
+    pub(crate) fn index(&mut self, count: usize) -> usize {
         self.between(0, count as u64) as usize
     }
 
-    pub(crate) fn percent(&mut self, percent: u64) -> bool {
+    /// Returns true with a probability of `percent` percent.
+    pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.between(0, 100) < percent
     }
 }
