--- a/crates/simulator-adapter/src/decision_lines.rs
+++ b/crates/simulator-adapter/src/decision_lines.rs
@@ -1,10 +1,10 @@
-//! From decisions to the wire's lines.
+//! Formats decisions as lines of the simulator's protocol.
 
 use pondarch_controller::{Decision, DurationExt, RequestClassId};
 use pondarch_deployment::retry_policy_number;
 
-/// The line of a decision.
-pub(crate) fn line_of(decision: &Decision) -> String {
+/// Returns the line of a decision.
+pub(crate) fn format_decision(decision: &Decision) -> String {
     match decision {
         Decision::SetWeight {
             table,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A bit for each request class.
+/// Returns a mask with one bit set for each request class.
 fn class_mask(classes: &[RequestClassId]) -> u64 {
     classes.iter().map(|class| 1u64 << class.0).sum()
 }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,12 +1,13 @@
-//! The numbered lists of endpoints that the simulator defines, entry by entry.
+//! The numbered endpoint lists, which the simulator defines one entry per line.
 
 use crate::error::LineError;
-use crate::row::Row;
+use crate::message::Message;
 use pondarch_controller::{CellId, Endpoint, EndpointState, HostId, Time};
 use pondarch_deployment::DeploymentNames;
 use std::collections::BTreeMap;
 
-/// An entry, with names that each controller numbers for itself.
+/// An entry of a list. Zone and machine type are kept as names, because each controller numbers
+/// them on its own.
 struct Entry {
     started: Time,
     host: HostId,
@@ -17,54 +18,54 @@
     state: EndpointState,
 }
 
-/// A list whose entries are still to come.
-struct OpenList {
+/// A list that still lacks entries.
+struct IncompleteList {
     list: u64,
     missing_entries: u64,
 }
 
-/// The lists that are defined, and the one that is being read.
+/// The defined lists, and the list whose entries are being read.
 #[derive(Default)]
 pub(crate) struct EndpointLists {
     lists: BTreeMap<u64, Vec<Entry>>,
-    open: Option<OpenList>,
+    incomplete: Option<IncompleteList>,
 }
 
 impl EndpointLists {
     /// Whether the next line must be an entry.
     pub(crate) fn expects_entry(&self) -> bool {
-        self.open.is_some()
+        self.incomplete.is_some()
     }
 
-    /// Begins a list.
-    pub(crate) fn begin(&mut self, mut row: Row<'_>) -> Result<(), LineError> {
-        let list = row.integer("list")?;
-        let missing_entries = row.integer("members")?;
+    /// Begins a list, which replaces any list of the same number.
+    pub(crate) fn begin(&mut self, mut message: Message<'_>) -> Result<(), LineError> {
+        let list = message.integer("list")?;
+        let missing_entries = message.integer("members")?;
         self.lists.insert(list, Vec::new());
-        self.open = (missing_entries > 0).then_some(OpenList {
+        self.incomplete = (missing_entries > 0).then_some(IncompleteList {
             list,
             missing_entries,
         });
-        row.end()
+        message.end()
     }
 
-    /// Adds an entry to the list that is being read.
-    pub(crate) fn add_entry(&mut self, mut row: Row<'_>) -> Result<(), LineError> {
-        if row.name() != "M" {
-            let name = row.name().to_string();
+    /// Adds an entry to the list whose entries are being read.
+    pub(crate) fn add_entry(&mut self, mut message: Message<'_>) -> Result<(), LineError> {
+        if message.name() != "M" {
+            let name = message.name().to_string();
             return Err(LineError::ListEntryMissing { name });
         }
-        let entry = read_entry(&mut row)?;
-        row.end()?;
-        if let Some(mut open) = self.open.take() {
-            self.lists.entry(open.list).or_default().push(entry);
-            open.missing_entries -= 1;
-            self.open = (open.missing_entries > 0).then_some(open);
+        let entry = read_entry(&mut message)?;
+        message.end()?;
+        if let Some(mut incomplete) = self.incomplete.take() {
+            self.lists.entry(incomplete.list).or_default().push(entry);
+            incomplete.missing_entries -= 1;
+            self.incomplete = (incomplete.missing_entries > 0).then_some(incomplete);
         }
         Ok(())
     }
 
-    /// The endpoints of a list, with the numbers of one controller's names.
+    /// Returns the endpoints of a list, with zones and machine types as one controller numbers them.
     pub(crate) fn endpoints(
         &self,
         list: u64,
@@ -87,15 +88,15 @@
     }
 }
 
-fn read_entry(row: &mut Row<'_>) -> Result<Entry, LineError> {
+fn read_entry(message: &mut Message<'_>) -> Result<Entry, LineError> {
     Ok(Entry {
-        started: Time::from_micros(row.count("since")? as u64),
-        host: row.host()?,
-        machine_type: row.text("type")?.to_string(),
-        cell: row.number("bay")?.unwrap_or(0.0) as u64,
-        weight: row.number("weight")?.unwrap_or(0.0),
-        zone: row.text("dc")?.to_string(),
-        state: match row.text("health")? {
+        started: Time::from_micros(message.count("since")? as u64),
+        host: message.host()?,
+        machine_type: message.text("type")?.to_string(),
+        cell: message.number("bay")?.unwrap_or(0.0) as u64,
+        weight: message.number("weight")?.unwrap_or(0.0),
+        zone: message.text("dc")?.to_string(),
+        state: match message.text("health")? {
             "IN" => EndpointState::Ready,
             "LAME" => EndpointState::Draining,
             "OUT" => EndpointState::Removed,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,14 +1,14 @@
-//! Why the adapter stops. The texts go to standard error, which the simulator shows.
+//! The errors that stop the adapter. Their texts are written to standard error, which the simulator shows.
 
 use pondarch_deployment::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// An error that stops the adapter.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub(crate) enum AdapterError {
-    /// Standard input failed.
+    /// Standard input cannot be read.
     #[error("input cannot be read: {0}")]
     Input(#[source] io::Error),
     /// Standard input ended before `YOUR_TURN`.
@@ -17,75 +17,75 @@
         /// The number of the last line.
         line_number: u64,
     },
-    /// A line is invalid, or its answer can't be written.
+    /// A line is invalid, or the reply to its batch cannot be written.
     #[error("line {line_number}: {source}")]
     Line {
-        /// The number of the line, from 1 on.
+        /// The number of the line, counted from 1.
         line_number: u64,
-        /// What is wrong with it.
+        /// The error of the line.
         source: LineError,
     },
 }
 
-/// What is wrong with a line.
+/// An error of a line.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub(crate) enum LineError {
-    /// The line is no text.
-    #[error("not UTF-8 text")]
+    /// The line is not valid UTF-8.
+    #[error("invalid UTF-8")]
     NotUtf8,
-    /// The line has no line end.
-    #[error("cut off before its end")]
-    Incomplete,
-    /// A batch begins inside another.
-    #[error("CLOCK before YOUR_TURN")]
+    /// The input ends before the line feed of the line.
+    #[error("input ended before the line feed")]
+    MissingLineFeed,
+    /// A batch begins before the previous one has ended.
+    #[error("CLOCK before the YOUR_TURN of the previous batch")]
     NestedBatch,
-    /// A message that is only valid in a batch.
+    /// A message that is only valid inside a batch is outside one.
     #[error("{name} outside a batch")]
     OutsideBatch {
-        /// The message.
+        /// The name of the message.
         name: String,
     },
     /// No controller is selected, or the message is unknown.
-    #[error("'{name}' is unknown or comes before any SELECT")]
+    #[error("'{name}' is unknown or precedes the first SELECT of its batch")]
     NothingSelected {
-        /// The message.
+        /// The name of the message.
         name: String,
     },
-    /// The selected controller was never attached.
-    #[error("{name} for steward {id}, never attached")]
+    /// The selected controller is not attached.
+    #[error("{name} for steward {id}, which is not attached")]
     NotAttached {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// The controller.
+        /// The ID of the controller.
         id: u64,
     },
-    /// The settings are no JSON.
+    /// The settings are not valid JSON.
     #[error("ATTACH: settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error("ATTACH: settings: {0}")]
     Settings(#[from] SettingsError),
     /// The message is unknown.
     #[error("unknown message '{name}'")]
     UnknownMessage {
-        /// The message.
+        /// The name of the message.
         name: String,
     },
     /// A value is missing or invalid.
     #[error("{message}: {field}: {reason}")]
     Field {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What is wrong with its value.
+        /// The error of its value.
         reason: FieldError,
     },
-    /// A list of endpoints is not complete.
-    #[error("{name} where a list entry was due")]
+    /// An endpoint list is incomplete: another message came in place of an entry.
+    #[error("expected a list entry (M), found {name}")]
     ListEntryMissing {
-        /// The message that came in its place.
+        /// The name of the other message.
         name: String,
     },
     /// A list entry has an unknown state.
@@ -94,50 +94,50 @@
         /// The value.
         value: String,
     },
-    /// The kind of a change of endpoints is unknown.
-    #[error("how: unknown value '{value}'")]
+    /// A message about changed endpoints has an unknown kind of change.
+    #[error("BACKENDS_CHANGED: how: unknown value '{value}'")]
     UnknownChange {
         /// The value.
         value: String,
     },
-    /// A list of endpoints is used that was never defined.
-    #[error("list {list} was never defined")]
+    /// A message refers to an endpoint list that is not defined.
+    #[error("list {list} is not defined")]
     UnknownList {
-        /// The list.
+        /// The number of the list.
         list: u64,
     },
-    /// Standard output failed.
+    /// Standard output cannot be written.
     #[error("output cannot be written: {0}")]
     Output(#[source] io::Error),
 }
 
-/// What is wrong with a value.
+/// An error of a value.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub(crate) enum FieldError {
-    /// The line ends before it.
+    /// The line ends before the value.
     #[error("missing")]
     Missing,
-    /// It has no text.
+    /// The value is empty.
     #[error("empty")]
     Empty,
-    /// The line goes on after the last value.
-    #[error("more than expected: '{rest}'")]
-    Excess {
+    /// The line has more values than the message.
+    #[error("unexpected values '{rest}'")]
+    UnexpectedValues {
         /// The rest of the line.
         rest: String,
     },
-    /// It is not of the expected form.
+    /// The value does not have the expected form.
     #[error("'{value}' is not {expected}")]
     Invalid {
         /// The value.
         value: String,
-        /// The form.
+        /// A description of the expected form.
         expected: &'static str,
     },
-    /// It is no flag.
+    /// The value of a flag is neither 0 nor 1.
     #[error("'{value}' is neither 0 nor 1")]
-    NotAFlag {
+    InvalidFlag {
         /// The value.
         value: String,
     },
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,26 +1,26 @@
-//! One controller of the simulation: its messages to the decision module's calls.
+//! Translates messages of the simulator to calls of one controller.
 
-use crate::decision_lines::line_of;
+use crate::decision_lines::format_decision;
 use crate::endpoint_lists::EndpointLists;
 use crate::error::LineError;
-use crate::row::Row;
+use crate::message::Message;
 use pondarch_controller::EndpointList;
 use pondarch_controller::HealthCheckResult;
 use pondarch_controller::JoiningProxy;
 use pondarch_controller::{AckId, Controller, ProxyId, RequestClassId, Time};
 use pondarch_deployment::DeploymentNames;
 
-/// A controller, and the names of its deployment.
+/// A controller of the simulation, and the names that its settings define.
 pub(crate) struct Instance {
     controller: Controller,
     names: DeploymentNames,
 }
 
 impl Instance {
-    /// The controller that an `ATTACH` describes.
-    pub(crate) fn attach(now: Time, row: &mut Row<'_>) -> Result<Instance, LineError> {
-        let seed = row.integer("rngSeed")?;
-        let settings = serde_json::from_str(row.rest("settings")?)?;
+    /// Creates the controller that an `ATTACH` message describes.
+    pub(crate) fn attach(now: Time, message: &mut Message<'_>) -> Result<Instance, LineError> {
+        let seed = message.integer("rngSeed")?;
+        let settings = serde_json::from_str(message.rest("settings")?)?;
         let (config, names) = pondarch_deployment::read(&settings)?;
         Ok(Instance {
             controller: Controller::new(config, seed, now),
@@ -28,64 +28,65 @@
         })
     }
 
-    /// Appends the lines of all decisions that are due to `text`, the first one behind the controller's id.
+    /// Appends the lines of all pending decisions to `text`. An `ON_BEHALF` line with the controller's ID precedes the
+    /// first one.
     pub(crate) fn write_decisions(&mut self, now: Time, id: u64, text: &mut String) {
-        let mut announced = false;
+        let mut header_written = false;
         while let Some(decision) = self.controller.next_decision(now) {
-            if !announced {
-                announced = true;
+            if !header_written {
+                header_written = true;
                 text.push_str(&format!("ON_BEHALF\t{id}\n"));
             }
-            text.push_str(&line_of(&decision));
+            text.push_str(&format_decision(&decision));
         }
     }
 
-    /// Applies a message.
+    /// Applies a message to the controller.
     pub(crate) fn apply(
         &mut self,
         now: Time,
         lists: &EndpointLists,
-        mut row: Row<'_>,
+        mut message: Message<'_>,
     ) -> Result<(), LineError> {
-        match row.name() {
-            "BACKENDS_CHANGED" => return self.on_endpoints_changed(now, lists, row),
+        match message.name() {
+            "BACKENDS_CHANGED" => return self.on_endpoints_changed(now, lists, message),
             "DEADLINE_HIT" => {
-                row.text("mark")?;
+                message.text("mark")?;
                 self.controller.on_timer(now);
             }
-            "PROBE_DONE" => self.on_health_check_result(now, &mut row)?,
-            "JOINED" => self.on_proxy_joined(now, &mut row)?,
+            "PROBE_DONE" => self.on_health_check_result(now, &mut message)?,
+            "JOINED" => self.on_proxy_joined(now, &mut message)?,
             "LOST_STREAM" => {
-                let proxy = ProxyId(row.small_integer("sidecar")?);
+                let proxy = ProxyId(message.integer_16_bit("sidecar")?);
                 self.controller.proxy_left(now, proxy);
             }
             "ROUNDUP" => {
-                row.text("dc")?;
-                let host = row.host()?;
-                let outcomes = row.outcomes(&self.names)?;
+                message.text("dc")?;
+                let host = message.host()?;
+                let outcomes = message.outcomes(&self.names)?;
                 self.controller.record_outcomes(now, &host, outcomes);
             }
-            "USAGE" => self.on_usage_report(now, &mut row)?,
-            "APPLIED" => self.on_ack(now, &mut row)?,
-            _ => check_unused(&mut row)?,
+            "USAGE" => self.on_usage_report(now, &mut message)?,
+            "APPLIED" => self.on_ack(now, &mut message)?,
+            _ => check_unused(&mut message)?,
         }
-        row.end()
+        message.end()
     }
 
     fn on_endpoints_changed(
         &mut self,
         now: Time,
         lists: &EndpointLists,
-        mut row: Row<'_>,
+        mut message: Message<'_>,
     ) -> Result<(), LineError> {
-        let change = row.text("how")?;
-        if change == "broken" {
+        let kind = message.text("how")?;
+        if kind == "broken" {
             self.controller.endpoint_list_failed(now);
             return Ok(());
         }
-        let generation = row.integer("rev")?;
-        let endpoints = lists.endpoints(row.integer("list")?, &mut self.names)?;
-        let complete = match change {
+        let generation = message.integer("rev")?;
+        let endpoints = lists.endpoints(message.integer("list")?, &mut self.names)?;
+        let complete = match kind {
             "patch" => false,
             "whole" | "stale_copy" => true,
             other => {
@@ -101,42 +102,46 @@
                 endpoints,
             },
         );
-        row.end()
+        message.end()
     }
 
-    fn on_health_check_result(&mut self, now: Time, row: &mut Row<'_>) -> Result<(), LineError> {
-        let healthy = row.text("result")? == "GOOD";
-        let host = row.host()?;
-        row.duration("took")?;
-        let load = row.load(&self.names)?;
+    fn on_health_check_result(
+        &mut self,
+        now: Time,
+        message: &mut Message<'_>,
+    ) -> Result<(), LineError> {
+        let healthy = message.text("result")? == "GOOD";
+        let host = message.host()?;
+        message.duration("took")?;
+        let load = message.load(&self.names)?;
         self.controller
             .on_health_check(now, &host, HealthCheckResult { healthy, load });
         Ok(())
     }
 
-    fn on_proxy_joined(&mut self, now: Time, row: &mut Row<'_>) -> Result<(), LineError> {
-        let proxy = ProxyId(row.small_integer("sidecar")?);
-        let fresh = row.flag("on")?;
-        let usual_request_rate = row.number("weight")?.unwrap_or(0.0);
-        let zone = self.names.zone(row.text("dc")?);
+    fn on_proxy_joined(&mut self, now: Time, message: &mut Message<'_>) -> Result<(), LineError> {
+        let proxy = ProxyId(message.integer_16_bit("sidecar")?);
+        let newly_started = message.flag("on")?;
+        let usual_rate = message.number("weight")?.unwrap_or(0.0);
+        let zone = self.names.zone(message.text("dc")?);
         self.controller.proxy_joined(
             now,
             JoiningProxy {
                 id: proxy,
                 zone,
-                newly_started: fresh,
-                usual_rate: usual_request_rate,
+                newly_started,
+                usual_rate,
             },
         );
         Ok(())
     }
 
-    fn on_usage_report(&mut self, now: Time, row: &mut Row<'_>) -> Result<(), LineError> {
-        let requests = row.count("many")?;
-        let class = self.names.request_class(row.text("grade")?);
-        row.count("errors")?;
-        let period = row.duration("elapsed")?;
-        let proxy = ProxyId(row.small_integer("sidecar")?);
+    fn on_usage_report(&mut self, now: Time, message: &mut Message<'_>) -> Result<(), LineError> {
+        let requests = message.count("many")?;
+        let class = self.names.request_class(message.text("grade")?);
+        message.count("errors")?;
+        let period = message.duration("elapsed")?;
+        let proxy = ProxyId(message.integer_16_bit("sidecar")?);
         if let Some(class) = class {
             self.controller
                 .record_arrivals(now, proxy, RequestClassId(class), requests, period);
@@ -144,37 +149,37 @@
         Ok(())
     }
 
-    fn on_ack(&mut self, now: Time, row: &mut Row<'_>) -> Result<(), LineError> {
-        row.small_integer("sidecar")?;
-        let ack = AckId(row.small_integer("rev")?);
-        row.duration("took")?;
+    fn on_ack(&mut self, now: Time, message: &mut Message<'_>) -> Result<(), LineError> {
+        message.integer_16_bit("sidecar")?;
+        let ack = AckId(message.integer_16_bit("rev")?);
+        message.duration("took")?;
         self.controller.on_ack(now, ack);
         Ok(())
     }
 }
 
-/// Checks the values of messages that no decision uses: those of partitioned deployments and of other controllers.
-fn check_unused(row: &mut Row<'_>) -> Result<(), LineError> {
-    match row.name() {
+/// Checks the values of messages that no decision uses: those about partitioned deployments and other controllers.
+fn check_unused(message: &mut Message<'_>) -> Result<(), LineError> {
+    match message.name() {
         "HOTNESS" => {
-            row.count("errors")?;
-            row.small_integer("routeTable")?;
-            row.count("many")?;
-            row.text("grade")?;
-            row.duration("elapsed")?;
+            message.count("errors")?;
+            message.integer_16_bit("routeTable")?;
+            message.count("many")?;
+            message.text("grade")?;
+            message.duration("elapsed")?;
         }
         "GIVEN" => {
-            row.flag("on")?;
-            row.small_integer("routeTable")?;
+            message.flag("on")?;
+            message.integer_16_bit("routeTable")?;
         }
         "CURRENT_OWNER" => {
-            row.number("weight")?;
-            row.small_integer("routeTable")?;
-            row.host()?;
+            message.number("weight")?;
+            message.integer_16_bit("routeTable")?;
+            message.host()?;
         }
         "NEIGHBOUR_SAYS" => {
-            row.integer("originPeer")?;
-            row.text("content")?;
+            message.integer("originPeer")?;
+            message.text("content")?;
         }
         other => {
             let name = other.to_string();
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,19 +1,20 @@
-//! Lets the decision module play on the simulator's wire: lines on standard input to calls, decisions to lines on
-//! standard output. It decides nothing and shares nothing between controllers.
+//! Connects controllers to the simulator. Lines on standard input become calls of the decision code, and its decisions
+//! become lines on standard output. The adapter makes no decisions itself, and controllers share no state except the
+//! defined endpoint lists.
 //!
-//! - `adapter`: batches of messages to controllers, and the answer to each batch.
-//! - `instance`: one controller's messages to calls.
-//! - `endpoint_lists`: the numbered lists of endpoints.
-//! - `row`: one line, read value by value.
-//! - `decision_lines`: decisions to lines.
-//! - `error`: why the adapter stops.
+//! - `adapter`: passes batches of messages to the controllers and writes the reply to each batch.
+//! - `instance`: translates messages to calls of one controller.
+//! - `endpoint_lists`: stores the numbered endpoint lists that the simulator defines.
+//! - `message`: reads the values of one line in order.
+//! - `decision_lines`: formats decisions as lines.
+//! - `error`: the errors that stop the adapter.
 
 mod adapter;
 mod decision_lines;
 mod endpoint_lists;
 mod error;
 mod instance;
-mod row;
+mod message;
 
 use adapter::Adapter;
 use error::{AdapterError, LineError};
@@ -21,7 +22,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is reported to the simulator, by its text.
+    // Panics are reported to the simulator as `INTERNAL_ERROR` lines, so none is printed to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -60,7 +61,7 @@
 
 fn apply_line(adapter: &mut Adapter, bytes: &[u8], out: &mut impl Write) -> Result<(), LineError> {
     let line = std::str::from_utf8(bytes).map_err(|_| LineError::NotUtf8)?;
-    let line = line.strip_suffix('\n').ok_or(LineError::Incomplete)?;
+    let line = line.strip_suffix('\n').ok_or(LineError::MissingLineFeed)?;
     if line.is_empty() {
         return Ok(());
     }
--- a/crates/simulator-adapter/src/row.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,4 +1,4 @@
-//! One line of the wire, read value by value.
+//! Reads the values of one line of the simulator's protocol in order.
 
 use crate::error::{FieldError, LineError};
 use pondarch_controller::{AttemptOutcomes, HostId, HostLoad, Time};
@@ -6,18 +6,21 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// One line: the name of a message, and its values, separated by tabs. The wire's `-` is no value.
-pub(crate) struct Row<'a> {
+/// The values of a line that are not read yet, and the name of the message. Name and values are separated by tabs; `-`
+/// stands for a missing value.
+pub(crate) struct Message<'a> {
     name: &'a str,
     rest: Option<&'a str>,
 }
 
-impl<'a> Row<'a> {
-    pub(crate) fn new(line: &'a str) -> Row<'a> {
+impl<'a> Message<'a> {
+    /// Splits a line into the name of its message and the values.
+    pub(crate) fn new(line: &'a str) -> Message<'a> {
         let (name, rest) = split_at_tab(line);
-        Row { name, rest }
+        Message { name, rest }
     }
 
+    /// Returns the name of the message.
     pub(crate) fn name(&self) -> &'a str {
         self.name
     }
@@ -30,7 +33,7 @@
         }
     }
 
-    /// The next value.
+    /// Reads the next value as text.
     pub(crate) fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         let rest = self.rest(field)?;
         let (value, rest) = split_at_tab(rest);
@@ -42,19 +45,19 @@
         }
     }
 
-    /// All that is left of the line.
+    /// Returns the rest of the line.
     pub(crate) fn rest(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.rest
             .take()
             .ok_or_else(|| self.error(field, FieldError::Missing))
     }
 
-    /// Checks that nothing follows the last value.
+    /// Checks that no more values follow.
     pub(crate) fn end(&self) -> Result<(), LineError> {
         match self.rest {
             Some(rest) => {
                 let rest = rest.to_string();
-                Err(self.error("end of line", FieldError::Excess { rest }))
+                Err(self.error("end of line", FieldError::UnexpectedValues { rest }))
             }
             None => Ok(()),
         }
@@ -76,60 +79,60 @@
         self.error(field, FieldError::Invalid { value, expected })
     }
 
-    /// The next value, an integer.
+    /// Reads the next value as an unsigned integer.
     pub(crate) fn integer(&mut self, field: &'static str) -> Result<u64, LineError> {
         self.parse(field, "a whole number")
     }
 
-    /// The next value, an integer of 16 bits.
-    pub(crate) fn small_integer(&mut self, field: &'static str) -> Result<u16, LineError> {
+    /// Reads the next value as a 16-bit unsigned integer.
+    pub(crate) fn integer_16_bit(&mut self, field: &'static str) -> Result<u16, LineError> {
         self.parse(field, "a whole number below 65536")
     }
 
-    /// The next value, a number.
+    /// Reads the next value as a number, which may be missing.
     pub(crate) fn number(&mut self, field: &'static str) -> Result<Option<f64>, LineError> {
         let value = self.text(field)?;
         if value == "-" {
             return Ok(None);
         }
-        finite(value)
+        parse_finite(value)
             .map(Some)
             .ok_or_else(|| self.invalid(field, value, "a number"))
     }
 
-    /// The next value, a number from 0 on; no value and numbers below are 0.
+    /// Reads the next value as a number of at least 0. A missing value and negative numbers count as 0.
     pub(crate) fn count(&mut self, field: &'static str) -> Result<f64, LineError> {
         Ok(self.number(field)?.unwrap_or(0.0).max(0.0))
     }
 
-    /// The next value, 0 or 1.
+    /// Reads the next value as a flag, 0 or 1.
     pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
             other => {
                 let value = other.to_string();
-                Err(self.error(field, FieldError::NotAFlag { value }))
+                Err(self.error(field, FieldError::InvalidFlag { value }))
             }
         }
     }
 
-    /// The next value, a time in microseconds.
+    /// Reads the next value as a time in microseconds.
     pub(crate) fn time(&mut self, field: &'static str) -> Result<Time, LineError> {
         self.integer(field).map(Time::from_micros)
     }
 
-    /// The next value, a duration in microseconds.
+    /// Reads the next value as a duration in microseconds. A missing value and negative numbers count as 0.
     pub(crate) fn duration(&mut self, field: &'static str) -> Result<Duration, LineError> {
         Ok(Duration::from_micros(self.count(field)? as u64))
     }
 
-    /// The next value, a host.
+    /// Reads the next value as the ID of a host.
     pub(crate) fn host(&mut self) -> Result<HostId, LineError> {
         Ok(HostId(self.text("host")?.into()))
     }
 
-    /// The next values: the outcomes of attempts at one host.
+    /// Reads the next values as the outcomes of attempts at one host.
     pub(crate) fn outcomes(
         &mut self,
         names: &DeploymentNames,
@@ -143,7 +146,7 @@
         })
     }
 
-    /// The next value, a load report: values in the order that the settings name.
+    /// Reads the next value as a load report, whose values are in the order that the settings name.
     pub(crate) fn load(&mut self, names: &DeploymentNames) -> Result<Option<HostLoad>, LineError> {
         let report = self.text("report")?;
         if report == "-" {
@@ -154,8 +157,8 @@
             if value == "-" {
                 continue;
             }
-            let value =
-                finite(value).ok_or_else(|| self.invalid("report", report, "a load report"))?;
+            let value = parse_finite(value)
+                .ok_or_else(|| self.invalid("report", report, "a load report"))?;
             record_load_value(&mut load, name, value);
         }
         Ok(Some(load))
@@ -169,6 +172,6 @@
     }
 }
 
-fn finite(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|value| value.is_finite())
 }
