--- a/crates/proxy-core/benches/tables.rs
+++ b/crates/proxy-core/benches/tables.rs
@@ -22,7 +22,7 @@
         min_duration: Duration::from_millis(2_000),
         max_duration: Duration::from_millis(5_000),
         max_ejected_fraction: 0.5,
-        forget_after: Duration::from_millis(60_000),
+        record_lifetime: Duration::from_millis(60_000),
     };
     let policy = RoutingPolicy {
         pick,
--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -20,7 +20,7 @@
     pub max_ejected_fraction: f64,
     /// How long a host without attempts is remembered: one that returns within this time is the same host, no better
     /// than it was.
-    pub forget_after: Duration,
+    pub record_lifetime: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     ) -> HostRecord {
         // At another address it is another process: the results of the old one say nothing about it.
         let known = self.records.get(host).filter(|record| {
-            record.address == address && now - record.last_attempt <= policy.forget_after
+            record.address == address && now - record.last_attempt <= policy.record_lifetime
         });
         let mut record = known.cloned().unwrap_or(HostRecord {
             address,
@@ -143,7 +143,7 @@
     /// Forgets hosts without attempts for the time of the policy.
     pub fn forget_unused(&mut self, now: Time, policy: &EjectionPolicy) {
         self.records
-            .retain(|_, record| now - record.last_attempt <= policy.forget_after);
+            .retain(|_, record| now - record.last_attempt <= policy.record_lifetime);
     }
 
     /// How many hosts are remembered.
--- a/crates/proxy-core/tests/ejection.rs
+++ b/crates/proxy-core/tests/ejection.rs
@@ -12,7 +12,7 @@
     min_duration: Duration::from_millis(2_000),
     max_duration: Duration::from_millis(4_000),
     max_ejected_fraction: 0.5,
-    forget_after: Duration::from_millis(60_000),
+    record_lifetime: Duration::from_millis(60_000),
 };
 
 fn at_ms(ms: u64) -> Time {
--- a/crates/proxy/src/shared_state.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -148,7 +148,7 @@
             min_duration: ejection.least.0,
             max_duration: ejection.most.0,
             max_ejected_fraction: ejection.part,
-            forget_after: ejection.remembered.0,
+            record_lifetime: ejection.remembered.0,
         },
         retry_ratio: site.further_tries,
         max_in_flight_per_host: site.limits.at_host,
