--- a/crates/proxy-core/src/admission.rs
+++ b/crates/proxy-core/src/admission.rs
@@ -1,43 +1,44 @@
-//! Who is admitted: limits by fraction or by rate.
+//! Admission control of a request class: limits by fraction or by rate, and the reasons for a rejection.
 
 use fastrand::Rng;
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
 use std::time::Duration;
 
-/// Burst that a rate allows, in seconds of that rate; one request at least.
+/// Burst that a rate limit allows, in seconds of that rate; it is at least one request.
 const RATE_BURST_S: f64 = 1.0;
-/// Longest Retry-After of a rate limit, in seconds.
+/// Maximum Retry-After of a rate limit, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// How much of a request class is admitted.
+/// How many requests of a class are admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionLimit {
-    /// Part of all requests, 0 to 1.
+    /// A fraction of all requests, 0 to 1.
     Fraction(f64),
-    /// Requests a second.
+    /// A number of requests per second.
     Rate(f64),
 }
 
-/// Why a request is rejected. It is rejected at once: nothing that will not be answered is held back.
+/// Why a request is rejected. A request that will not be served is rejected at once instead of being held until it
+/// times out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
-    /// By the admitted fraction of the class: the fleet has no more capacity.
+    /// The admitted fraction of the class: the fleet lacks the capacity for all requests.
     Fraction,
-    /// By the admitted rate of the class.
+    /// The admitted rate of the class is exceeded.
     Rate {
-        /// After this time another request would be admitted.
+        /// The time after which another request would be admitted.
         retry_after: Duration,
     },
-    /// The proxy's wait queue is full, or the request could not be answered in time.
+    /// The proxy's wait queue is full, or the request can no longer be answered before its deadline.
     QueueFull,
     /// The class has no ready host.
     NoHost,
 }
 
 impl AdmissionLimit {
-    /// Reads a value of the map `pond_levels`: `75` per cent, or `12.5/s`. Anything else admits all: a limit that
-    /// cannot be read must not shut a class out.
+    /// Parses a value of the map `pond_levels`: a percentage such as `75`, or a rate such as `12.5/s`. Anything else
+    /// admits all requests, because an unreadable limit must not block a class.
     #[must_use]
     pub fn parse(text: &str) -> AdmissionLimit {
         let number = |text: &str| {
@@ -55,21 +56,21 @@
     }
 }
 
-/// The tokens of a rate limit and when they were last refilled.
+/// Token bucket of a rate limit: its tokens and when they were last refilled.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled_at: Time,
 }
 
-/// The admission gate of one request class.
+/// Admits or rejects the requests of one class.
 #[derive(Clone, Debug, Default)]
-pub struct AdmissionGate {
+pub struct AdmissionLimiter {
     bucket: Option<TokenBucket>,
 }
 
-impl AdmissionGate {
-    /// Admits a request or rejects it, by the limit that holds now.
+impl AdmissionLimiter {
+    /// Admits or rejects a request under the given limit.
     pub fn admit(
         &mut self,
         now: Time,
--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejecting hosts after consecutive failed attempts of this proxy.
+//! Outlier ejection: a host is ejected for a while after consecutive failed attempts of this proxy.
 
 use fastrand::Rng;
 use pondarch_controller::DurationExt;
@@ -10,19 +10,21 @@
 /// When and for how long a proxy ejects a host.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionPolicy {
-    /// Consecutive failures after which a host is ejected; 0: never.
+    /// Number of consecutive failures after which a host is ejected; 0 disables ejection.
     pub consecutive_failures: u32,
-    /// Shortest ejection. The time is drawn between the two, so that proxies do not return in step.
+    /// Minimum duration of an ejection. The duration is random between minimum and maximum, so that the proxies do not
+    /// all resume sending to the host at the same time.
     pub min_duration: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_duration: Duration,
-    /// Part of a table's hosts that may be ejected at once.
+    /// Maximum fraction of a table's hosts that may be ejected at the same time.
     pub max_ejected_fraction: f64,
-    /// How long a host without attempts is remembered: one that returns within this time is the same host, no better
-    /// than it was.
+    /// How long the record of a host without attempts is kept. A host that returns within this time is assumed to be no
+    /// healthier than before, so it keeps its failure count.
     pub record_lifetime: Duration,
 }
 
+/// The recent results of one host.
 #[derive(Clone, Debug)]
 struct HostRecord {
     address: SocketAddr,
@@ -37,14 +39,14 @@
     }
 }
 
-/// The results of this proxy's attempts by host, and which hosts are ejected.
+/// The results of this proxy's attempts by host, and the hosts that are ejected.
 #[derive(Clone, Debug, Default)]
 pub struct Ejections {
     records: BTreeMap<String, HostRecord>,
 }
 
 impl Ejections {
-    /// Records an attempt that succeeded; it ends the host's ejection.
+    /// Records a successful attempt, which ends the host's ejection.
     pub fn record_success(
         &mut self,
         now: Time,
@@ -58,8 +60,8 @@
         self.records.insert(host.to_string(), record);
     }
 
-    /// Records an attempt that failed, and ejects the host if the policy says so. `table_hosts` are all hosts of the
-    /// table: of these only a part may be ejected, and never the last.
+    /// Records a failed attempt, and ejects the host if the policy requires it. `table_hosts` are all hosts of the
+    /// table: only the policy's fraction of them may be ejected, and never all of them.
     pub fn record_failure<'a>(
         &mut self,
         now: Time,
@@ -71,19 +73,21 @@
     ) {
         let mut record = self.current_record(now, policy, host, address);
         record.consecutive_failures += 1;
-        let is_due = policy.consecutive_failures > 0
+        let reached_threshold = policy.consecutive_failures > 0
             && record.consecutive_failures >= policy.consecutive_failures;
-        if is_due
+        if reached_threshold
             && !record.is_ejected(now)
             && self.may_eject_another(now, policy, host, table_hosts)
         {
             record.ejected_until = Some(now + draw_duration(policy, random));
-            // After its return one success makes it as good as any, and the first failure ejects it again.
+            // After the ejection a single failure ejects the host again; a success resets the count.
             record.consecutive_failures = policy.consecutive_failures - 1;
         }
         self.records.insert(host.to_string(), record);
     }
 
+    /// The record of a host with its last attempt set to now; a new one if the old one expired or is for another
+    /// address.
     fn current_record(
         &self,
         now: Time,
@@ -91,11 +95,11 @@
         host: &str,
         address: SocketAddr,
     ) -> HostRecord {
-        // At another address it is another process: the results of the old one say nothing about it.
-        let known = self.records.get(host).filter(|record| {
+        // A different address means a different process, to which the earlier results do not apply.
+        let existing = self.records.get(host).filter(|record| {
             record.address == address && now - record.last_attempt <= policy.record_lifetime
         });
-        let mut record = known.cloned().unwrap_or(HostRecord {
+        let mut record = existing.cloned().unwrap_or(HostRecord {
             address,
             consecutive_failures: 0,
             ejected_until: None,
@@ -120,11 +124,11 @@
                 ejected += 1;
             }
         }
-        let by_fraction = (total as f64 * policy.max_ejected_fraction) as usize;
-        ejected <= by_fraction.min(total.saturating_sub(1))
+        let max_by_fraction = (total as f64 * policy.max_ejected_fraction) as usize;
+        ejected <= max_by_fraction.min(total.saturating_sub(1))
     }
 
-    /// Whether a host is ejected now.
+    /// Whether a host is ejected at this time.
     #[must_use]
     pub fn is_ejected(&self, now: Time, host: &str) -> bool {
         self.records
@@ -132,7 +136,7 @@
             .is_some_and(|record| record.is_ejected(now))
     }
 
-    /// The hosts that are ejected now.
+    /// The hosts that are ejected at this time.
     pub fn ejected(&self, now: Time) -> impl Iterator<Item = &str> {
         self.records
             .iter()
@@ -140,19 +144,20 @@
             .map(|(host, _)| host.as_str())
     }
 
-    /// Forgets hosts without attempts for the time of the policy.
-    pub fn forget_unused(&mut self, now: Time, policy: &EjectionPolicy) {
+    /// Removes the records of hosts whose last attempt is older than the policy's record lifetime.
+    pub fn remove_expired_records(&mut self, now: Time, policy: &EjectionPolicy) {
         self.records
             .retain(|_, record| now - record.last_attempt <= policy.record_lifetime);
     }
 
-    /// How many hosts are remembered.
+    /// Number of hosts with a record.
     #[must_use]
-    pub fn remembered_hosts(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 }
 
+/// A random ejection duration between the minimum and the maximum of the policy.
 fn draw_duration(policy: &EjectionPolicy, random: &mut Rng) -> Duration {
     let min_us = policy.min_duration.micros();
     let range_us = policy.max_duration.micros().saturating_sub(min_us) as f64;
--- a/crates/proxy-core/src/last_ready.rs
+++ b/crates/proxy-core/src/last_ready.rs
@@ -1,10 +1,14 @@
-//! A table that lists no ready host for a class while the one before did would leave nothing to pick. It is applied for
-//! the members it has, and for that class the last ready hosts stay in use for a while.
+//! Fallback to the last ready hosts of a request class.
 //!
-//! Why not reject the table: it may be the only notice of draining. Why not go on without end: hosts that were ready
-//! long ago may be anything by now, and a controller that means "none" must be able to say so. Why a draining host is
-//! never among them: the drain rule holds in every case, and its grace period may end before the limit does. A host
-//! that merely left the table may serve: nothing was said against it.
+//! A new table without a ready host would leave the class without a host to pick. The table is applied, but the hosts
+//! of the last table with ready hosts stay in use for a limited time.
+//!
+//! - The table is not rejected, because it may be the only notice that a host is draining.
+//! - The time is limited, because hosts that were ready long ago may be in any state, and a controller must be able to
+//!   leave a class without hosts on purpose.
+//! - Draining hosts are excluded: a draining host gets no new requests in any case, and its drain grace period may end
+//!   before the limit does.
+//! - Hosts that merely left the table are kept, because nothing indicates that they cannot serve.
 
 use crate::routing_table::{RoutingTable, TableMembership};
 use pondarch_controller::Time;
@@ -12,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The tables of one class: the one that was set, and the last that had a ready host.
+/// The tables of one request class: the current one, and the last one with a ready host.
 #[derive(Clone, Debug, Default)]
 pub struct ClassTables {
     current: Arc<RoutingTable>,
@@ -20,19 +24,20 @@
     empty_since: Option<Time>,
 }
 
-/// Which table of a class is in use.
+/// Which table of a request class is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableInUse {
-    /// The one that was set.
+    /// The current table.
     Current,
-    /// No host is ready: the last ready ones, until this time.
+    /// The current table has no ready host; the last ready hosts are used until this time.
     LastReadyUntil(Time),
-    /// No host is ready, and the last ready ones may not be used any more.
+    /// The current table has no ready host, and there are no last ready hosts or their time limit has passed.
     NoHost,
 }
 
 impl ClassTables {
-    /// Sets a new table. `excluded` are hosts that are known to be draining or removed.
+    /// Sets a new current table. If it is empty, the `excluded` hosts, which are known to be draining or removed, are
+    /// dropped from the last ready hosts.
     pub fn set(&mut self, now: Time, table: RoutingTable, excluded: &BTreeSet<String>) {
         if table.is_empty() {
             self.empty_since.get_or_insert(now);
@@ -54,7 +59,7 @@
         }
     }
 
-    /// Which table is in use, if the last ready hosts may be used for `limit`.
+    /// Which table is in use, where the last ready hosts may be used for at most `limit`.
     #[must_use]
     pub fn in_use(&self, now: Time, limit: Duration) -> TableInUse {
         match self.empty_since {
@@ -67,7 +72,7 @@
         }
     }
 
-    /// The table to pick from now.
+    /// The table in use, where the last ready hosts may be used for at most `limit`.
     #[must_use]
     pub fn table(&self, now: Time, limit: Duration) -> &Arc<RoutingTable> {
         match self.in_use(now, limit) {
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,16 +1,17 @@
-//! What the proxy decides: which host gets a request, who is admitted, what is retried. No I/O and no clock.
+//! Decision logic of the proxy: which requests are admitted, which host serves them, and what is retried. It does no
+//! I/O and reads no clock: callers pass the time in.
 //!
-//! - [`version`]: which update is newer, and which controller may send one.
-//! - [`routing_table`]: an immutable table of a request class, and how a host is picked from it.
-//! - [`last_ready`]: a table without a ready host does not leave a request class without hosts.
-//! - [`ejection`]: ejecting hosts after failed attempts of this proxy.
-//! - [`retry`]: whether another attempt may follow, and the retry budget.
-//! - [`admission`]: limits by fraction or rate, and why a request is rejected.
-//! - [`wait_queue`]: requests that wait for a host with capacity.
-//! - [`policy`]: request classes and the proxy's settings.
-//! - [`proxy_state`]: all that the runtime API shows and sets.
-//! - [`updates`]: who may send updates, and that older ones never replace newer ones.
-//! - [`proxy_core`]: all of these together, as the data path calls them.
+//! - [`version`]: the order of update versions, and which controller may send updates.
+//! - [`routing_table`]: the table of a request class, and the load balancing policies that pick a host from it.
+//! - [`last_ready`]: falls back to the last ready hosts of a request class when its table has none.
+//! - [`ejection`]: ejects hosts after consecutive failed attempts of this proxy.
+//! - [`retry`]: whether a failed attempt may be retried, and the retry budget.
+//! - [`admission`]: admission limits by fraction or rate, and the reasons for a rejection.
+//! - [`wait_queue`]: the bounded queue of requests that wait for a host with capacity.
+//! - [`policy`]: request classes and the settings of the proxy.
+//! - [`proxy_state`]: the state that the runtime API reads and changes.
+//! - [`updates`]: applies update batches in version order and commits prepared changes atomically.
+//! - [`proxy_core`]: combines these modules into the state machine that the data path calls.
 
 pub mod admission;
 pub mod ejection;
--- a/crates/proxy-core/src/policy.rs
+++ b/crates/proxy-core/src/policy.rs
@@ -1,4 +1,4 @@
-//! Request classes and the settings of a proxy, as the decisions use them.
+//! Request classes and proxy settings that the decision logic uses.
 
 use crate::ejection::EjectionPolicy;
 use crate::retry::Idempotency;
@@ -6,58 +6,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is known of a request class.
+/// Static properties of a request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name: that of its backend and of its key in maps.
+    /// The name of the class, which is also the name of its backend and its key in maps.
     pub name: String,
-    /// What processing one of its requests twice does.
+    /// Whether a request of this class can safely be processed twice.
     pub idempotency: Idempotency,
-    /// How long its clients wait for an answer.
+    /// How long clients wait for a response.
     pub client_timeout: Duration,
-    /// What an answered request of this class is worth.
+    /// The value of a response to a request of this class. When the wait queue is full, the request with the lowest
+    /// weight is rejected.
     pub priority_weight: f64,
 }
 
-/// The settings by which a proxy routes, retries and limits.
+/// Settings for load balancing, ejection, retries and limits.
 #[derive(Clone, Debug)]
 pub struct RoutingPolicy {
-    /// How a host is picked from a table.
+    /// The load balancing policy.
     pub pick: PickPolicy,
-    /// When a host is ejected.
+    /// When and for how long a host is ejected.
     pub ejection: EjectionPolicy,
-    /// Retries, as a part of first attempts.
+    /// Retry budget, as a fraction of the first attempts.
     pub retry_ratio: f64,
-    /// The proxy's requests in flight at one host at a time; more wait.
+    /// Maximum number of the proxy's requests in flight at one host; further ones wait.
     pub max_in_flight_per_host: usize,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// How long the last ready hosts of a class stay in use when its table lists none.
+    /// How long the last ready hosts of a class stay in use when its table has no ready host.
     pub last_ready_for: Duration,
 }
 
-/// A host to use until a controller sends a table.
+/// A configured host that is used until a controller sends a table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaticHost {
     /// The name of the host.
     pub name: String,
-    /// Where it listens.
+    /// The address that the host listens on.
     pub address: SocketAddr,
 }
 
-/// What a [`ProxyCore`](crate::proxy_core::ProxyCore) is made from.
+/// Options of a new [`ProxyCore`](crate::proxy_core::ProxyCore).
 #[derive(Clone, Debug)]
 pub struct ProxyCoreOptions {
     /// The name of the proxy.
     pub name: String,
-    /// The number of its process, for `show info`.
+    /// The process id, shown by `show info`.
     pub process_id: u64,
-    /// All request classes; their order gives their index.
+    /// All request classes; the index of a class is its position here.
     pub classes: Vec<RequestClass>,
-    /// The settings.
+    /// Settings for load balancing, ejection, retries and limits.
     pub policy: RoutingPolicy,
-    /// The hosts of all classes until a controller sends a table.
+    /// The hosts that all classes use until a controller sends a table.
     pub static_hosts: Vec<StaticHost>,
-    /// Seed of all random draws.
+    /// Seed of the random generator.
     pub seed: u64,
 }
--- a/crates/proxy-core/src/proxy_core/mod.rs
+++ b/crates/proxy-core/src/proxy_core/mod.rs
@@ -1,5 +1,5 @@
-//! All of the proxy's decisions together, as the data path calls them: is a request admitted, which host is next, may it
-//! be retried. The data path forwards requests and records how attempts ended.
+//! The state machine of a proxy. The data path asks it whether a request is admitted, which host is next and whether
+//! the request may be retried; it forwards the requests itself and reports the outcome of each attempt.
 
 mod requests;
 mod status;
@@ -9,7 +9,7 @@
 pub use requests::{AdmittedRequest, Pick};
 pub use status::{TableStatus, TableStatusChange};
 
-use crate::admission::AdmissionGate;
+use crate::admission::AdmissionLimiter;
 use crate::ejection::Ejections;
 use crate::last_ready::ClassTables;
 use crate::policy::{ProxyCoreOptions, RequestClass, RoutingPolicy};
@@ -23,7 +23,7 @@
 use pondarch_runtime_api::AdminState;
 use std::collections::BTreeMap;
 
-/// Weight of the static hosts that are used until a controller sends a table.
+/// Weight of each static host; these are used until a controller sends a table.
 const STATIC_HOST_WEIGHT: u16 = 100;
 
 /// The state machine of a proxy.
@@ -33,27 +33,27 @@
     policy: RoutingPolicy,
     state: ProxyState,
     updates: UpdateConnections,
-    /// By class: its tables.
+    /// The tables of each class.
     tables: Vec<ClassTables>,
-    /// By class: its admission gate.
-    gates: Vec<AdmissionGate>,
+    /// The admission limiter of each class.
+    admission_limiters: Vec<AdmissionLimiter>,
     ejections: Ejections,
     retry_budget: RetryBudget,
     wait_queue: WaitQueue,
     last_queue_number: u64,
-    /// The proxy's own requests in flight at each host.
+    /// Number of this proxy's requests in flight at each host.
     in_flight: BTreeMap<String, usize>,
     random: Rng,
     started_at: Time,
     table_changed_at: Time,
     table_changes: u64,
     requests_by_last_ready: u64,
-    /// By class: the status that was reported last.
-    reported_status: Vec<TableStatus>,
+    /// The last reported table status of each class.
+    reported_statuses: Vec<TableStatus>,
 }
 
 impl ProxyCore {
-    /// A proxy that uses its static hosts until a controller sends a table.
+    /// Creates a proxy that uses its static hosts until a controller sends a table.
     #[must_use]
     pub fn new(options: ProxyCoreOptions, now: Time) -> ProxyCore {
         let state = initial_state(&options, now);
@@ -65,7 +65,7 @@
         } = options;
         let mut core = ProxyCore {
             tables: vec![ClassTables::default(); classes.len()],
-            gates: vec![AdmissionGate::default(); classes.len()],
+            admission_limiters: vec![AdmissionLimiter::default(); classes.len()],
             retry_budget: RetryBudget::new(policy.retry_ratio),
             wait_queue: WaitQueue::new(policy.max_waiting),
             classes,
@@ -80,7 +80,7 @@
             table_changed_at: now,
             table_changes: 0,
             requests_by_last_ready: 0,
-            reported_status: Vec::new(),
+            reported_statuses: Vec::new(),
         };
         for class in 0..core.classes.len() {
             core.rebuild_table(now, class);
@@ -94,25 +94,26 @@
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// All request classes; their order gives their index.
+    /// All request classes; the index of a class is its position here.
     #[must_use]
     pub fn classes(&self) -> &[RequestClass] {
         &self.classes
     }
 
-    /// What the runtime API shows.
+    /// The state that the runtime API shows.
     #[must_use]
     pub fn state(&self) -> &ProxyState {
         &self.state
     }
 
-    /// Sets another policy; requests that wait or are in flight stay as they are.
+    /// Replaces the policy and resets the retry budget; requests that wait or are in flight are not affected.
     pub fn set_policy(&mut self, policy: RoutingPolicy) {
         self.retry_budget = RetryBudget::new(policy.retry_ratio);
         self.policy = policy;
     }
 }
 
+/// The state before any update: each backend has the static hosts.
 fn initial_state(options: &ProxyCoreOptions, now: Time) -> ProxyState {
     let class_names: Vec<&str> = options
         .classes
--- a/crates/proxy-core/src/proxy_core/requests.rs
+++ b/crates/proxy-core/src/proxy_core/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request: admission, picks, attempts and what may follow them.
+//! The life cycle of a request: admission, host selection, attempts and retries.
 
 use super::ProxyCore;
 use crate::admission::{AdmissionLimit, Rejected};
@@ -11,31 +11,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the client timeout after which the proxy gives up: a final answer is due before the client gives up, and a
-/// host that answers nothing must be seen to fail before clients leave.
+/// Fraction of the client timeout after which the proxy gives up on a request. It is below 1 so that the client gets a
+/// final response, and so that an attempt at a host that never responds counts as failed before the client disconnects.
 const DEADLINE_FRACTION: f64 = 0.95;
 
-/// A request that was admitted. It uses this one table from start to end.
+/// An admitted request. All of its attempts use the same table.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
     /// The index of its request class.
     pub class: usize,
-    /// The table that it uses.
+    /// The table that its attempts use.
     pub table: Arc<RoutingTable>,
-    /// The version of the table; none: the static hosts.
+    /// The applied version at admission, or `None` if no controller has sent one and the static hosts are used.
     pub version: Option<String>,
-    /// Its attempts so far.
+    /// The state that decides about retries.
     pub progress: RequestProgress,
 }
 
-/// Where the next attempt goes.
+/// Where the next attempt is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// To this host.
+    /// At this host.
     Host(TableMembership),
-    /// All hosts that may be used are at their limit.
+    /// There are candidate hosts, but none may be used now: they are at the limit of requests in flight, or ejected.
     Wait,
-    /// No host may be used.
+    /// There is no candidate host.
     NoHost,
 }
 
@@ -48,11 +48,12 @@
             .map_entry("pond_levels", name)
             .map_or(AdmissionLimit::Fraction(1.0), AdmissionLimit::parse);
         let in_use = self.tables[class].in_use(now, self.policy.last_ready_for);
-        // The gate is asked in every case: it draws, and its tokens are spent.
-        let by_limit = self.gates[class].admit(now, limit, &mut self.random);
+        // The limit is checked even if there is no host, because the check draws from the random generator and takes
+        // a token.
+        let limit_result = self.admission_limiters[class].admit(now, limit, &mut self.random);
         let admitted = match in_use {
-            TableInUse::NoHost => by_limit.and(Err(Rejected::NoHost)),
-            TableInUse::Current | TableInUse::LastReadyUntil(_) => by_limit,
+            TableInUse::NoHost => limit_result.and(Err(Rejected::NoHost)),
+            TableInUse::Current | TableInUse::LastReadyUntil(_) => limit_result,
         };
         if let Some(backend) = self.state.backends.get_mut(name) {
             backend.requests += 1;
@@ -91,7 +92,8 @@
         }
     }
 
-    /// The next host for a request, not one of those that it was sent to already, and of this group if one is given.
+    /// Picks the next host for a request, excluding `used_hosts`, which it was sent to already, and hosts outside
+    /// `group` if one is given.
     pub fn pick(
         &mut self,
         now: Time,
@@ -115,12 +117,13 @@
         let is_usable = |member: &TableMembership| has_capacity(member) && !is_ejected(member);
         let policy = self.policy.pick;
         let random = &mut self.random;
-        // Ejected hosts are avoided as long as there is another; that the others are full is no reason to use one.
+        // Ejected hosts are used only if all candidates are ejected, not if the others are at their limit.
         let mut picked = request.table.pick(policy, random, is_usable, in_flight);
         if picked.is_none() {
             let mut candidates = request.table.members().iter().filter(|m| is_candidate(m));
             let all_ejected = candidates.all(is_ejected);
-            // Picked in both cases: the draws and turns that follow stay the same.
+            // The pick is made even if its result is dropped, so that random draws and round robin credits advance
+            // the same way in both cases.
             let fallback = request.table.pick(policy, random, has_capacity, in_flight);
             picked = fallback.filter(|_| all_ejected);
         }
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Records that an attempt is sent.
+    /// Records that an attempt was sent to a host.
     pub fn attempt_sent(
         &mut self,
         now: Time,
@@ -143,13 +146,13 @@
         }
         request.progress.attempts += 1;
         *self.in_flight.entry(host.host.clone()).or_default() += 1;
-        self.change_server(request.class, &host.host, |server| {
+        self.modify_server(request.class, &host.host, |server| {
             server.in_flight += 1;
             server.attempts += 1;
         });
     }
 
-    /// Records that an attempt ended, and decides what may follow.
+    /// Records the outcome of an attempt, and decides whether the request is retried.
     pub fn attempt_ended(
         &mut self,
         now: Time,
@@ -163,16 +166,16 @@
         if in_doubt && !request.progress.in_doubt {
             request.progress.group = group_of(&self.state, &host.host).map(str::to_string);
         }
-        let decision = request.progress.retry_after(outcome, now);
+        let decision = request.progress.decide_retry(outcome, now);
         request.progress.in_doubt |= in_doubt;
-        if decision != RetryDecision::Stop && !self.retry_budget.take() {
+        if decision != RetryDecision::Stop && !self.retry_budget.try_take() {
             RetryDecision::Stop
         } else {
             decision
         }
     }
 
-    /// Records that an attempt ended and that none is to follow.
+    /// Records the outcome of an attempt that is not retried in any case.
     pub fn final_attempt_ended(
         &mut self,
         now: Time,
@@ -183,7 +186,7 @@
     ) {
         self.release_in_flight(&host.host);
         let succeeded = outcome == AttemptOutcome::Success;
-        self.change_server(request.class, &host.host, |server| {
+        self.modify_server(request.class, &host.host, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
             if succeeded {
                 server.results.done += 1;
@@ -210,15 +213,16 @@
         }
     }
 
-    /// Records that the client of an attempt has gone before the attempt said anything about the host.
+    /// Records that the client disconnected before the attempt had an outcome; it does not count for or against the
+    /// host.
     pub fn attempt_abandoned(&mut self, request: &AdmittedRequest, host: &TableMembership) {
         self.release_in_flight(&host.host);
-        self.change_server(request.class, &host.host, |server| {
+        self.modify_server(request.class, &host.host, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
         });
     }
 
-    /// Records a host's load report, as an answer carried it; controllers read it with the counters.
+    /// Records a load report that a host's response carried; controllers read it along with the counters.
     pub fn record_load_report(
         &mut self,
         host: &str,
@@ -242,15 +246,15 @@
         }
     }
 
-    fn change_server(&mut self, class: usize, host: &str, change: impl FnOnce(&mut Server)) {
+    fn modify_server(&mut self, class: usize, host: &str, modify: impl FnOnce(&mut Server)) {
         let backend = self.state.backends.get_mut(&self.classes[class].name);
         if let Some(server) = backend.and_then(|backend| backend.servers.get_mut(host)) {
-            change(server);
+            modify(server);
         }
     }
 }
 
-/// The group of hosts that recognise each other's idempotency keys; none: not known.
+/// The group of a host, or `None` if unknown. Hosts of one group recognise each other's idempotency keys.
 fn group_of<'a>(state: &'a ProxyState, host: &str) -> Option<&'a str> {
     state.map_entry("pond_groups", host)
 }
--- a/crates/proxy-core/src/proxy_core/status.rs
+++ b/crates/proxy-core/src/proxy_core/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: which tables are in use, and the lines of `show info`.
+//! Status for operators: which tables are in use, and the fields of `show info`.
 
 use super::ProxyCore;
 use crate::last_ready::TableInUse;
@@ -6,23 +6,23 @@
 use pondarch_controller::Time;
 use std::fmt;
 
-/// Which table of a class is in use, as operators are shown it.
+/// Which table of a request class is in use, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableStatus {
-    /// The one that was set.
+    /// The current table.
     Current,
-    /// The last ready hosts: the table that was set lists none.
+    /// The last ready hosts, because the current table has no ready host.
     LastReady,
-    /// No host may be used.
+    /// There is no host to use.
     NoHost,
 }
 
-/// A class whose table status changed.
+/// A change of the table status of a request class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableStatusChange {
     /// The name of the request class.
     pub class: String,
-    /// Its status now.
+    /// Its new status.
     pub status: TableStatus,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl TableStatus {
-    /// The text in `show info` and in log lines.
+    /// The text shown in `show info` and in log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -55,10 +55,10 @@
 }
 
 impl ProxyCore {
-    /// The classes whose table status changed since this was last called.
+    /// Returns the classes whose table status changed since the last call.
     pub fn take_status_changes(&mut self, now: Time) -> Vec<TableStatusChange> {
         let statuses = self.table_statuses(now);
-        let reported = std::mem::replace(&mut self.reported_status, statuses.clone());
+        let reported = std::mem::replace(&mut self.reported_statuses, statuses.clone());
         let mut changes = Vec::new();
         for (index, (class, status)) in self.classes.iter().zip(statuses).enumerate() {
             if *reported.get(index).unwrap_or(&TableStatus::Current) != status {
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// Refreshes what `show info` shows of the proxy's state.
+    /// Refreshes the fields of `show info` that depend on time and on the decision logic.
     pub(super) fn refresh_info(&mut self, now: Time) {
         let statuses: Vec<String> = self
             .classes
@@ -104,6 +104,7 @@
         ];
     }
 
+    /// The ejected hosts, separated by commas, or `-` if there are none.
     fn ejected_hosts(&self, now: Time) -> String {
         let ejected: Vec<&str> = self.ejections.ejected(now).collect();
         if ejected.is_empty() {
--- a/crates/proxy-core/src/proxy_core/tables.rs
+++ b/crates/proxy-core/src/proxy_core/tables.rs
@@ -1,4 +1,4 @@
-//! Commands of the runtime API, and the tables that follow from them.
+//! Executes commands of the runtime API, and rebuilds the tables that they change.
 
 use super::ProxyCore;
 use crate::routing_table::{RoutingTable, TableMembership};
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl ProxyCore {
-    /// Executes one line of the runtime API; gives an answer for each command. Tables are rebuilt once, after the
-    /// whole line.
+    /// Executes one line of runtime API commands and returns one reply for each command. Changed tables are rebuilt
+    /// once, after the whole line.
     pub fn execute_line(
         &mut self,
         now: Time,
@@ -17,7 +17,7 @@
         line: &str,
     ) -> Vec<String> {
         self.refresh_info(now);
-        let answers = self
+        let replies = self
             .updates
             .execute_line(now, connection, level, line, &mut self.state);
         for backend in self.state.take_changed_backends() {
@@ -25,7 +25,7 @@
                 self.rebuild_table(now, class);
             }
         }
-        answers
+        replies
     }
 
     /// Records that a connection of the runtime API was closed.
@@ -56,6 +56,7 @@
         self.tables[class].set(now, RoutingTable::new(members), &draining);
         self.table_changed_at = now;
         self.table_changes += 1;
-        self.ejections.forget_unused(now, &self.policy.ejection);
+        self.ejections
+            .remove_expired_records(now, &self.policy.ejection);
     }
 }
--- a/crates/proxy-core/src/proxy_core/waiting.rs
+++ b/crates/proxy-core/src/proxy_core/waiting.rs
@@ -1,11 +1,12 @@
-//! Requests that wait for a host with capacity.
+//! The wait queue of requests that wait for a host with capacity.
 
 use super::{AdmittedRequest, ProxyCore};
 use crate::wait_queue::{QueueOffer, QueueRelease};
 use pondarch_controller::Time;
 
 impl ProxyCore {
-    /// Offers a request that found all hosts at their limit to the wait queue. Gives its number there.
+    /// Offers a request that no host has capacity for to the wait queue. Returns its number in the queue and the
+    /// result.
     pub fn offer_to_queue(&mut self, now: Time, request: &AdmittedRequest) -> (u64, QueueOffer) {
         self.last_queue_number += 1;
         let number = self.last_queue_number;
@@ -17,12 +18,12 @@
         (number, offer)
     }
 
-    /// A host may have capacity: which request picks again, and which are rejected.
+    /// Releases the next waiting request when a host may have capacity, and returns the requests to reject.
     pub fn release_from_queue(&mut self, now: Time) -> QueueRelease {
         self.wait_queue.release_next(now)
     }
 
-    /// Removes a request that waits no longer.
+    /// Removes a request that no longer waits.
     pub fn remove_from_queue(&mut self, number: u64) {
         self.wait_queue.remove(number);
     }
--- a/crates/proxy-core/src/proxy_state/error.rs
+++ b/crates/proxy-core/src/proxy_state/error.rs
@@ -1,8 +1,8 @@
-//! Why a command is not executed.
+//! Errors of runtime API commands.
 
 use thiserror::Error;
 
-/// Why a command is not executed; the text of each is the answer.
+/// Why a command was not executed. The text of the error is the reply to the command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum StateError {
@@ -12,10 +12,10 @@
     /// The backend has no server of this name.
     #[error("No such server.")]
     NoServer,
-    /// The backend has a server of this name already.
+    /// The backend already has a server of this name.
     #[error("Already exists a server with the same name in the backend.")]
     ServerExists,
-    /// The backend has as many servers as it may have.
+    /// The backend has the maximum number of servers.
     #[error("The backend is full.")]
     BackendFull,
     /// Only a server in maintenance can be deleted.
@@ -30,16 +30,16 @@
     /// No map has this name, so no version of it can be prepared.
     #[error("Unknown map identifier.")]
     NoMapToPrepare,
-    /// The map has as many entries as it may have.
+    /// The map has the maximum number of entries.
     #[error("The map is full.")]
     MapFull,
-    /// The map has no such key to be set.
+    /// The key to set does not exist in the map.
     #[error("entry not found.")]
     NoEntry,
-    /// The map has no such key to be deleted.
+    /// The key to delete does not exist in the map.
     #[error("Key not found.")]
     NoKey,
-    /// No such version of the map is prepared.
+    /// The map has no prepared version of this number.
     #[error("Version not found.")]
     NoVersion,
 }
--- a/crates/proxy-core/src/proxy_state/map_commands.rs
+++ b/crates/proxy-core/src/proxy_state/map_commands.rs
@@ -1,14 +1,14 @@
-//! Commands on maps and on prepared versions of maps.
+//! Runtime API commands for maps and their prepared versions.
 
 use super::{MapEntries, ProxyState, StateError};
 use pondarch_runtime_api::info::write_map;
 
-/// Entries of a map at most.
+/// Maximum number of entries in a map.
 const MAX_MAP_ENTRIES: usize = 10_000;
-/// Prepared versions of all maps at most.
+/// Maximum number of prepared versions of all maps together.
 const MAX_PREPARED_VERSIONS: usize = 16;
 
-/// The answer to a prepared version.
+/// The reply to a `prepare map` command.
 pub(crate) fn version_created(version: u64) -> String {
     format!("New version created: {version}\n")
 }
@@ -16,11 +16,11 @@
 impl ProxyState {
     /// The entries of a prepared version of a map.
     #[must_use]
-    pub fn prepared(&self, map: &str, version: u64) -> Option<&MapEntries> {
+    pub fn prepared_entries(&self, map: &str, version: u64) -> Option<&MapEntries> {
         self.prepared.get(&(map.to_string(), version))
     }
 
-    /// Prepares an empty version of a map; gives its number.
+    /// Prepares an empty version of a map and returns its number.
     pub fn prepare_map(&mut self, map: &str) -> Result<u64, StateError> {
         if !self.maps.contains_key(map) {
             return Err(StateError::NoMapToPrepare);
@@ -34,7 +34,7 @@
         Ok(self.last_map_version)
     }
 
-    /// The oldest version may be one that is never committed.
+    /// Drops the oldest prepared version, which may be one that is never committed.
     fn drop_oldest_prepared(&mut self) {
         let oldest = self
             .prepared
--- a/crates/proxy-core/src/proxy_state/mod.rs
+++ b/crates/proxy-core/src/proxy_state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of a proxy that the runtime API shows and sets: a command goes in, an answer comes out. Who may send
-//! updates is checked before, in [`crate::updates`].
+//! The state of a proxy that the runtime API reads and changes. It executes commands and returns their replies. Whether
+//! a connection may send updates is checked beforehand in [`crate::updates`].
 
 mod error;
 mod map_commands;
@@ -14,9 +14,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The maps that controllers use: admission limits, retry modes and the version. They exist from the start.
+/// The maps that controllers use, for admission limits, retry modes and the applied version. They always exist.
 const MAPS: [&str; 3] = ["pond_levels", "pond_tries", "pond_state"];
-/// Unix time that [`ProxyState::new`] counts the start from, until the start is set.
+/// Default start time in Unix seconds, to which [`ProxyState::new`] adds the process id.
 const DEFAULT_START_UNIX_S: u64 = 1_700_000_000;
 
 /// The entries of a map.
@@ -25,58 +25,59 @@
 /// One server of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its weight in the backend.
+    /// The weight of the server in the backend.
     pub weight: u16,
-    /// Whether it takes requests.
+    /// Its administrative state: whether it gets requests.
     pub state: AdminState,
-    /// The proxy's requests in flight there.
+    /// Number of the proxy's requests in flight at the server.
     pub in_flight: u64,
-    /// All attempts since the start.
+    /// Number of attempts since the start.
     pub attempts: u64,
-    /// The results of the attempts that ended.
+    /// Totals of the finished attempts by result.
     pub results: Sums,
-    /// The host's newest load report: the busy part of its cores.
+    /// CPU utilization from the host's latest load report, as a fraction of its cores.
     pub utilization: Option<f64>,
-    /// The host's newest load report: requests that wait there.
+    /// Number of requests queued at the host, from its latest load report.
     pub queue_length: Option<f64>,
 }
 
 /// The servers and counters of one request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// The servers by name.
+    /// Servers by name.
     pub servers: BTreeMap<String, Server>,
-    /// Requests since the start.
+    /// Number of requests since the start.
     pub requests: u64,
-    /// Requests that were rejected before any attempt.
+    /// Number of requests that were rejected before any attempt.
     pub rejected: u64,
 }
 
-/// All of a proxy's state that the runtime API shows or sets.
+/// The state of a proxy that the runtime API reads and changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyState {
     /// The name of the proxy.
     pub name: String,
-    /// The number of its process.
+    /// The process id.
     pub process_id: u64,
-    /// When it started, in seconds since 1970.
+    /// The start time of the proxy, in seconds since 1970.
     pub started_unix_s: u64,
-    /// The backends by name, one for each request class.
+    /// Backends by name, one for each request class.
     pub backends: BTreeMap<String, Backend>,
-    /// The maps by name.
+    /// Maps by name.
     pub maps: BTreeMap<String, MapEntries>,
-    /// What `show info` shows beside the above; kept by the owner of this state.
+    /// Further fields of `show info`, maintained by the owner of this state.
     pub extra_info: Vec<(&'static str, String)>,
-    /// Prepared versions of maps, by map and number.
+    /// Prepared versions of maps, by map name and version number.
     prepared: BTreeMap<(String, u64), MapEntries>,
     last_map_version: u64,
+    /// Backends with a server command since the last [`ProxyState::take_changed_backends`].
     changed_backends: BTreeSet<String>,
 }
 
 impl Server {
-    /// A server without attempts so far.
+    /// Creates a server without attempts.
     #[must_use]
     pub fn new(address: SocketAddr, weight: u16, state: AdminState) -> Server {
         Server {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whether it may be picked.
+    /// Whether requests may be sent to the server.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.state == AdminState::Ready && self.weight > 0
@@ -99,7 +100,7 @@
 }
 
 impl ProxyState {
-    /// A proxy with one backend for each request class, and the maps that controllers use, empty.
+    /// Creates the state of a proxy with one empty backend for each request class and empty maps.
     #[must_use]
     pub fn new(name: &str, process_id: u64, classes: &[&str]) -> ProxyState {
         ProxyState {
@@ -115,37 +116,37 @@
         }
     }
 
-    /// The value of a key of a map.
+    /// The value of a key in a map.
     #[must_use]
     pub fn map_entry(&self, map: &str, key: &str) -> Option<&str> {
         self.maps.get(map)?.get(key).map(String::as_str)
     }
 
-    /// Whether a command changes anything: these are updates, the others only read.
+    /// Whether a command is an update; other commands change nothing.
     #[must_use]
     pub fn is_update(command: &Command) -> bool {
         command.level() == Level::Admin
     }
 
-    /// Executes one line of commands; gives an answer for each command.
+    /// Executes one line of commands and returns one reply for each command.
     pub fn execute_line(&mut self, line: &str) -> Vec<String> {
         let commands = command::parse_line(line);
         if commands.is_empty() {
             return vec![String::new()];
         }
-        let answer = |command: Result<Command, command::CommandError>| match command {
+        let reply = |command: Result<Command, command::CommandError>| match command {
             Ok(command) => self.execute(command),
             Err(error) => format!("{error}\n"),
         };
-        commands.into_iter().map(answer).collect()
+        commands.into_iter().map(reply).collect()
     }
 
-    /// The backends whose servers may have changed since the last call.
+    /// Returns the backends whose servers may have changed since the last call.
     pub fn take_changed_backends(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.changed_backends)
     }
 
-    /// Executes one command and gives its answer.
+    /// Executes one command and returns its reply.
     pub fn execute(&mut self, command: Command) -> String {
         self.mark_changed(&command);
         self.dispatch(command)
--- a/crates/proxy-core/src/proxy_state/server_commands.rs
+++ b/crates/proxy-core/src/proxy_state/server_commands.rs
@@ -1,4 +1,4 @@
-//! Commands on the servers of a backend.
+//! Runtime API commands for the servers of a backend.
 
 use super::{Backend, ProxyState, Server, StateError};
 use crate::routing_table::MAX_MEMBERSHIPS;
@@ -6,7 +6,7 @@
 use pondarch_runtime_api::{AdminState, ServerRef};
 use std::net::{IpAddr, SocketAddr};
 
-/// Weight of a server that is added without one.
+/// Weight of a server that is added without an explicit weight.
 const DEFAULT_WEIGHT: u16 = 1;
 
 impl ProxyState {
--- a/crates/proxy-core/src/proxy_state/show_commands.rs
+++ b/crates/proxy-core/src/proxy_state/show_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that show state and counters.
+//! Runtime API commands that show state and counters.
 
 use super::{Backend, ProxyState, Server};
 use pondarch_runtime_api::AdminState;
@@ -52,7 +52,7 @@
             .collect()
     }
 
-    /// All counters, as `show stat` has them.
+    /// The rows of `show stat`.
     #[must_use]
     pub fn stat_rows(&self) -> Vec<StatRow> {
         let mut rows = Vec::new();
--- a/crates/proxy-core/src/retry.rs
+++ b/crates/proxy-core/src/retry.rs
@@ -1,83 +1,83 @@
-//! Whether another attempt may follow one that ended, and the retry budget.
+//! Whether a failed attempt may be retried, and the retry budget.
 
 use pondarch_controller::Time;
 use std::time::Duration;
 
-/// Most attempts of one request, the first one included.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: usize = 3;
-/// Retries that the budget holds at most: what a quiet proxy may spend at once when a host fails.
+/// Maximum number of retries in the budget: the burst that an idle proxy may spend when a host fails.
 const MAX_BUDGET: f64 = 50.0;
 
-/// When a proxy retries at another host, as the controller sets it for a request class.
+/// When a proxy retries at another host; the controller sets it for each request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryMode {
     /// No retries.
     #[default]
     Never,
-    /// One retry, on proof that no attempt so far was processed.
+    /// One retry, only if no attempt so far can have been processed.
     Unprocessed,
-    /// One retry after a failure.
+    /// One retry after any failure.
     Failure,
-    /// Two retries after failures.
+    /// Up to two retries after any failures.
     FailureTwice,
 }
 
-/// What processing the same request twice does.
+/// Whether a request can safely be processed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It has the effect of once.
+    /// Processing it twice has the same effect as processing it once.
     Idempotent,
-    /// It carries an idempotency key: hosts of one group drop a repetition within this time of the first attempt.
+    /// It carries an idempotency key: hosts of the same group drop a duplicate within this time of the first attempt.
     ByKey(Duration),
-    /// It takes effect twice.
+    /// Processing it twice takes effect twice.
     NotIdempotent,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The host answered without a server error.
+    /// The host responded without a server error.
     Success,
-    /// It failed, with proof that it had no effect: no connection, nothing sent, or the host says so.
+    /// It failed and certainly had no effect: no connection, nothing sent, or the host reported it as unprocessed.
     Unprocessed,
-    /// It failed and may have had an effect.
+    /// It failed and may have been processed.
     InDoubt,
 }
 
-/// One request so far.
+/// The state of a request that matters for its retries.
 #[derive(Clone, Debug)]
 pub struct RequestProgress {
-    /// When it may be retried.
+    /// When the request may be retried.
     pub retry_mode: RetryMode,
-    /// What processing it twice does.
+    /// Whether the request can safely be processed twice.
     pub idempotency: Idempotency,
     /// When the first attempt was sent.
     pub first_sent_at: Time,
-    /// When the proxy gives up.
+    /// When the proxy gives up on the request.
     pub deadline: Time,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     pub attempts: usize,
-    /// Whether an attempt before the last may have been processed.
+    /// Whether an attempt before the latest one may have been processed.
     pub in_doubt: bool,
-    /// The group of the first host that may have processed it; none: not known.
+    /// The group of the first host that may have processed the request, or `None` if unknown.
     pub group: Option<String>,
-    /// Whether the whole body is buffered, so that it can be sent again.
+    /// Whether the whole request body is buffered and can be sent again.
     pub body_buffered: bool,
 }
 
-/// Whether and where a request is retried.
+/// Whether a request is retried, and at which hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// No further attempt.
+    /// No retry.
     Stop,
-    /// At any host that was not used yet.
+    /// Retry at any host that has not been tried yet.
     AnyHost,
-    /// At another host of this group only.
+    /// Retry only at another host of this group.
     WithinGroup(String),
 }
 
 impl RetryMode {
-    /// Reads a value of the map `pond_tries`; unknown ones mean no retries, as the safe reading.
+    /// Parses a value of the map `pond_tries`. Unknown values mean no retries, the safe default.
     #[must_use]
     pub fn parse(text: &str) -> RetryMode {
         match text {
@@ -98,10 +98,10 @@
 }
 
 impl RequestProgress {
-    /// What may follow an attempt with this outcome. A request that may have been processed is retried only if that
-    /// is safe for its class, whatever the controller has set: no effect twice.
+    /// Decides what follows an attempt with this outcome. Whatever mode the controller has set, a request that may have
+    /// been processed is retried only if its class allows it, so that it never takes effect twice.
     #[must_use]
-    pub fn retry_after(&self, outcome: AttemptOutcome, now: Time) -> RetryDecision {
+    pub fn decide_retry(&self, outcome: AttemptOutcome, now: Time) -> RetryDecision {
         let exhausted = self.attempts >= self.retry_mode.max_attempts()
             || now >= self.deadline
             || !self.body_buffered;
@@ -115,7 +115,9 @@
             (RetryMode::Never | RetryMode::Unprocessed, ..)
             | (_, Idempotency::NotIdempotent, _) => RetryDecision::Stop,
             (_, Idempotency::Idempotent, _) => RetryDecision::AnyHost,
-            (_, Idempotency::ByKey(memory), Some(group)) if now - self.first_sent_at < memory => {
+            (_, Idempotency::ByKey(key_lifetime), Some(group))
+                if now - self.first_sent_at < key_lifetime =>
+            {
                 RetryDecision::WithinGroup(group.clone())
             }
             (_, Idempotency::ByKey(_), _) => RetryDecision::Stop,
@@ -123,8 +125,8 @@
     }
 }
 
-/// Retries as a part of first attempts: when everything fails, unbounded retries would double the load that makes it
-/// fail.
+/// Limits retries to a fraction of the first attempts. Without it, retries would double the load on hosts that fail
+/// because of overload.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     retry_ratio: f64,
@@ -132,7 +134,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of so many retries for each first attempt.
+    /// A budget that grows by `retry_ratio` retries with each first attempt.
     #[must_use]
     pub fn new(retry_ratio: f64) -> RetryBudget {
         RetryBudget {
@@ -141,13 +143,13 @@
         }
     }
 
-    /// Records a first attempt, which adds to the budget.
+    /// Records a first attempt, which adds the retry ratio to the budget.
     pub fn record_first_attempt(&mut self) {
         self.available = (self.available + self.retry_ratio).min(MAX_BUDGET);
     }
 
-    /// Takes one retry from the budget; false if there is none.
-    pub fn take(&mut self) -> bool {
+    /// Takes one retry from the budget, or returns false if less than one is left.
+    pub fn try_take(&mut self) -> bool {
         let is_available = self.available >= 1.0;
         if is_available {
             self.available -= 1.0;
--- a/crates/proxy-core/src/routing_table.rs
+++ b/crates/proxy-core/src/routing_table.rs
@@ -1,25 +1,27 @@
-//! An immutable table of a request class, and how a host is picked from it. It is built once when memberships change;
-//! picks change nothing in it but the turns of [`PickPolicy::RoundRobin`].
+//! The routing table of a request class, and the policies that pick a host from it.
+//!
+//! A table is built once when memberships change and is immutable from then on, except for the credits of
+//! [`PickPolicy::RoundRobin`].
 
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// Most memberships of one table; more are rejected.
+/// Maximum number of memberships in one table; further ones are rejected.
 pub const MAX_MEMBERSHIPS: usize = 10_000;
-/// Draws that may find a host that can't be used before the memberships are searched one by one.
+/// Number of random draws that may hit an unusable host before the draw is made among the usable hosts only.
 const MAX_DRAWS: usize = 8;
 
-/// How a proxy picks a host.
+/// The load balancing policy by which a proxy picks a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PickPolicy {
-    /// At random by weight.
+    /// Weighted random choice.
     #[default]
     WeightedRandom,
-    /// Evenly by weight, in turn.
+    /// Smooth weighted round robin.
     RoundRobin,
-    /// Of two drawn by weight, the one with fewer of the proxy's own requests in flight.
+    /// Power of two choices: of two weighted random draws, the host with fewer of the proxy's own requests in flight.
     TwoChoices,
 }
 
@@ -28,30 +30,30 @@
 pub struct TableMembership {
     /// The name of the host.
     pub host: String,
-    /// Where it listens.
+    /// The address that the host listens on.
     pub address: SocketAddr,
-    /// Its weight in this table.
+    /// The weight of the host in this table.
     pub weight: u16,
 }
 
-/// The memberships that may be picked, each with a weight above 0.
+/// The memberships of a request class that can be picked, each with a weight above 0, sorted by host name.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     members: Vec<TableMembership>,
-    /// Sum of the weights up to and with each member.
+    /// For each member, the sum of the weights up to and including it.
     cumulative_weights: Vec<u64>,
     round_robin_credits: Mutex<Vec<i64>>,
 }
 
 impl RoutingTable {
-    /// Memberships of weight 0 are left out. A host that is named twice counts with the sum of its weights at the
-    /// last address named: it is one host.
+    /// Builds a table, leaving out memberships of weight 0. Several memberships of the same host are merged: their
+    /// weights are added and the last address is used.
     pub fn new(memberships: impl IntoIterator<Item = TableMembership>) -> RoutingTable {
         let mut by_host: BTreeMap<String, TableMembership> = BTreeMap::new();
         for member in memberships.into_iter().filter(|member| member.weight > 0) {
             let weight = by_host
                 .get(&member.host)
-                .map_or(0, |earlier| earlier.weight)
+                .map_or(0, |existing| existing.weight)
                 .saturating_add(member.weight);
             by_host.insert(member.host.clone(), TableMembership { weight, ..member });
         }
@@ -72,20 +74,20 @@
         }
     }
 
-    /// All members, by the name of the host.
+    /// All members, sorted by host name.
     #[must_use]
     pub fn members(&self) -> &[TableMembership] {
         &self.members
     }
 
-    /// Whether no host may be picked.
+    /// Whether the table has no members.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// A member that may be used now; none if there is none. `in_flight` gives how many of the proxy's own requests a
-    /// host has.
+    /// Picks a usable member by the given policy, or `None` if no member is usable. `in_flight` returns the number of
+    /// the proxy's own requests in flight at a member.
     pub fn pick(
         &self,
         policy: PickPolicy,
@@ -95,7 +97,7 @@
     ) -> Option<&TableMembership> {
         match policy {
             PickPolicy::WeightedRandom => self.draw(random, &is_usable),
-            PickPolicy::RoundRobin => self.next_in_turn(&is_usable),
+            PickPolicy::RoundRobin => self.pick_round_robin(&is_usable),
             PickPolicy::TwoChoices => {
                 let first = self.draw(random, &is_usable)?;
                 let second = self.draw(random, &is_usable)?;
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Draws by weight. Drawing again until a member may be used leaves the proportions of the usable ones as they
-    /// are.
+    /// Draws a usable member at random by weight. Repeating the draw after an unusable member keeps the proportions
+    /// among the usable members.
     fn draw(
         &self,
         random: &mut Rng,
@@ -127,6 +129,7 @@
         self.draw_among_usable(random, is_usable)
     }
 
+    /// Draws among the usable members only, in time linear in the size of the table.
     fn draw_among_usable(
         &self,
         random: &mut Rng,
@@ -144,15 +147,15 @@
         let mut drawn = random.u64(0..total);
         usable.into_iter().find(|member| {
             let weight = u64::from(member.weight);
-            let is_here = drawn < weight;
+            let is_drawn = drawn < weight;
             drawn = drawn.saturating_sub(weight);
-            is_here
+            is_drawn
         })
     }
 
-    /// Smooth weighted round robin: each member gains its weight, the one with the most credit is picked and pays for
-    /// all.
-    fn next_in_turn(
+    /// Smooth weighted round robin: each usable member's credit grows by its weight, the member with the most credit is
+    /// picked, and the total of these weights is subtracted from its credit.
+    fn pick_round_robin(
         &self,
         is_usable: &impl Fn(&TableMembership) -> bool,
     ) -> Option<&TableMembership> {
--- a/crates/proxy-core/src/updates.rs
+++ b/crates/proxy-core/src/updates.rs
@@ -1,12 +1,12 @@
-//! Who may send updates, and that older ones never replace newer ones.
+//! Applies updates from controllers: rejects batches with an older version, and commits prepared changes atomically.
 //!
-//! A batch names its version first: `set map pond_state table <version>`. Whatever follows on that connection belongs
-//! to that batch, until the next version. Requests see tables as they are after a whole line, never halfway through
-//! one. A change of many lines can be held together by a prepared version of that map: what is sent between `prepare
-//! map pond_state` and `commit map @<n> pond_state` takes effect at the commit, all at once, or not at all: if the
-//! connection is closed, the time runs out, or the version in it is an older one.
-//!
-//! A connection that never named a version is an operator's: its updates are applied as they are sent.
+//! - A batch starts with its version: `set map pond_state table <version>`. All updates that follow on the connection
+//!   belong to that batch, until the next version.
+//! - Tables change only after a whole line, so that no request sees a table halfway through a line.
+//! - A change of several lines is made atomic by a prepared version of the map: updates sent between `prepare map
+//!   pond_state` and `commit map @<n> pond_state` take effect together at the commit. They are dropped if the
+//!   connection is closed, the commit takes too long, or the version in the change is older than the applied one.
+//! - A connection that has never sent a version belongs to an operator; its updates are applied as they are sent.
 
 use crate::proxy_state::ProxyState;
 use crate::version::{AppliedVersion, Version, VersionError};
@@ -16,49 +16,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The map that holds the version.
+/// The map that holds the applied version.
 pub const STATE_MAP: &str = "pond_state";
 /// The key of the version in [`STATE_MAP`].
 pub const VERSION_KEY: &str = "table";
-/// How long a prepared change may wait for its commit.
+/// How long a prepared change is kept without a commit.
 const PREPARED_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Commands of a prepared change at most: a table of all memberships for several classes.
+/// Maximum number of commands in a prepared change: enough for a table of all memberships for several classes.
 const MAX_PREPARED_COMMANDS: usize = 50_000;
 
 const VERSION_NOT_FOUND: &str = "Version not found.\n";
 
-/// A change that a connection prepares and has not committed.
+/// A change that a connection has prepared and not committed yet.
 #[derive(Debug)]
 struct PreparedChange {
     map_version: u64,
-    since: Time,
+    prepared_at: Time,
     commands: Vec<Command>,
 }
 
-/// The connections that send updates, and the version that is applied.
+/// The connections that send updates, and the applied version.
 #[derive(Debug, Default)]
 pub struct UpdateConnections {
     /// The applied version and its sender.
     pub applied: AppliedVersion,
-    /// Batches rejected for their version.
+    /// Number of batches rejected because of their version.
     pub rejected_batches: u64,
-    /// Connections that named a version.
-    controllers: BTreeSet<u64>,
-    /// Connections whose last version was rejected: what follows it is rejected too.
-    rejected: BTreeSet<u64>,
+    /// Connections that have sent a version, and so belong to controllers.
+    controller_connections: BTreeSet<u64>,
+    /// Connections whose last version was rejected; the updates that follow it are rejected too.
+    rejected_connections: BTreeSet<u64>,
+    /// Prepared changes by connection.
     prepared: BTreeMap<u64, PreparedChange>,
 }
 
 impl UpdateConnections {
-    /// Records that a connection was closed; what it prepared is dropped.
+    /// Records that a connection was closed, and drops its prepared change.
     pub fn connection_closed(&mut self, connection: u64) {
         self.applied.connection_closed(connection);
-        self.controllers.remove(&connection);
-        self.rejected.remove(&connection);
+        self.controller_connections.remove(&connection);
+        self.rejected_connections.remove(&connection);
         self.prepared.remove(&connection);
     }
 
-    /// Executes one line of commands; gives an answer for each command.
+    /// Executes one line of commands and returns one reply for each command.
     pub fn execute_line(
         &mut self,
         now: Time,
@@ -67,22 +68,22 @@
         line: &str,
         state: &mut ProxyState,
     ) -> Vec<String> {
-        // Prepared and never committed: dropped, whichever connection sends next.
+        // Prepared changes that timed out are dropped here, whichever connection they belong to.
         self.prepared
-            .retain(|_, change| now - change.since < PREPARED_TIMEOUT);
+            .retain(|_, change| now - change.prepared_at < PREPARED_TIMEOUT);
         let commands = parse_line(line);
         if commands.is_empty() {
             return vec![String::new()];
         }
-        let mut answers = Vec::with_capacity(commands.len());
+        let mut replies = Vec::with_capacity(commands.len());
         for command in commands {
-            answers.push(match command {
+            replies.push(match command {
                 Ok(command) if command.level() > level => "Permission denied\n".into(),
                 Ok(command) => self.execute(now, connection, command, state),
                 Err(error) => format!("{error}\n"),
             });
         }
-        answers
+        replies
     }
 
     fn execute(
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Starts a batch with this version.
+    /// Starts a batch with this version, or rejects it.
     fn set_version(&mut self, connection: u64, version: String, state: &mut ProxyState) -> String {
         match self.apply_version(&version, connection) {
             Ok(()) => state.execute(Command::AddMap {
@@ -130,12 +131,13 @@
         }
     }
 
+    /// Prepares a version of [`STATE_MAP`] and starts the connection's prepared change.
     fn prepare(&mut self, now: Time, connection: u64, state: &mut ProxyState) -> String {
         match state.prepare_map(STATE_MAP) {
             Ok(map_version) => {
                 let change = PreparedChange {
                     map_version,
-                    since: now,
+                    prepared_at: now,
                     commands: Vec::new(),
                 };
                 self.prepared.insert(connection, change);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// An update that belongs to the connection's prepared change, or is executed at once.
+    /// Adds an update to the connection's prepared change, or executes it at once if there is none.
     fn update(&mut self, connection: u64, command: Command, state: &mut ProxyState) -> String {
         let is_rejected = self.is_rejected(connection);
         match self.prepared.get_mut(&connection) {
@@ -153,9 +155,9 @@
                 "The change is too long.\n".into()
             }
             Some(change) => {
-                let answer = answer_to_prepared(&command);
+                let reply = reply_to_prepared(&command);
                 change.commands.push(command);
-                answer.into()
+                reply.into()
             }
             None if is_rejected => {
                 "Refused: another steward has taken over, or the version was an older one.\n".into()
@@ -164,27 +166,30 @@
         }
     }
 
+    /// Parses and applies a version, and records whether the updates that follow it are rejected.
     fn apply_version(&mut self, version: &str, connection: u64) -> Result<(), VersionError> {
-        self.controllers.insert(connection);
+        self.controller_connections.insert(connection);
         let applied = version
             .parse()
             .and_then(|version: Version| self.applied.apply(version, connection));
         if applied.is_ok() {
-            self.rejected.remove(&connection);
+            self.rejected_connections.remove(&connection);
         } else {
             self.rejected_batches += 1;
-            self.rejected.insert(connection);
+            self.rejected_connections.insert(connection);
         }
         applied
     }
 
+    /// Whether updates of this connection are rejected: its last version was, or another controller has taken over.
     fn is_rejected(&self, connection: u64) -> bool {
-        let is_displaced =
-            self.controllers.contains(&connection) && !self.applied.is_from(connection);
-        is_displaced || self.rejected.contains(&connection)
+        let is_superseded = self.controller_connections.contains(&connection)
+            && !self.applied.is_current_sender(connection);
+        is_superseded || self.rejected_connections.contains(&connection)
     }
 
-    /// All that was prepared takes effect, or nothing does.
+    /// Executes the connection's prepared change, or none of it if its version is rejected. Returns the replies of the
+    /// commands that failed.
     fn commit(&mut self, connection: u64, map_version: u64, state: &mut ProxyState) -> String {
         let change = self
             .prepared
@@ -193,7 +198,7 @@
         let Some(change) = change else {
             return VERSION_NOT_FOUND.into();
         };
-        let Some(entries) = state.prepared(STATE_MAP, map_version) else {
+        let Some(entries) = state.prepared_entries(STATE_MAP, map_version) else {
             return VERSION_NOT_FOUND.into();
         };
         if let Some(version) = entries.get(VERSION_KEY)
@@ -203,13 +208,14 @@
         }
         let mut errors = String::new();
         for command in change.commands {
-            let expected = answer_to_prepared(&command);
-            let answer = state.execute(command);
-            // An answer where success has none is an error; a changed address says what it changed.
+            let expected = reply_to_prepared(&command);
+            let reply = state.execute(command);
+            // Commands whose success reply is empty failed if they return text, except for the report of an address
+            // change.
             let is_unexpected =
-                expected.is_empty() && !answer.is_empty() && !answer.starts_with("IP changed");
-            if is_unexpected || answer.starts_with("No such") {
-                errors.push_str(&answer);
+                expected.is_empty() && !reply.is_empty() && !reply.starts_with("IP changed");
+            if is_unexpected || reply.starts_with("No such") {
+                errors.push_str(&reply);
             }
         }
         state.execute(Command::CommitMap {
@@ -220,13 +226,13 @@
     }
 }
 
-/// The answer to a version that was rejected.
+/// The reply to a rejected version.
 fn rejection(error: &VersionError) -> String {
     format!("Refused: {error}.\n")
 }
 
-/// The answer to a command that waits for the commit.
-fn answer_to_prepared(command: &Command) -> &'static str {
+/// The reply to a command that is added to a prepared change.
+fn reply_to_prepared(command: &Command) -> &'static str {
     match command {
         Command::AddServer { .. } => "New server registered.\n",
         Command::DelServer(_) => "Server deleted.\n",
--- a/crates/proxy-core/src/version.rs
+++ b/crates/proxy-core/src/version.rs
@@ -1,18 +1,22 @@
-//! Which update is newer, and which controller may send one.
+//! Versions of update batches: which of two is newer, and which controller may send updates.
 //!
-//! A version names the controller, its incarnation (the start in microseconds since 1970), and a number that rises with
-//! each update batch: `name:start/number`. Controllers share nothing, so their numbers do not compare. Of one
-//! controller, a later incarnation wins, and within an incarnation the higher number; the same number again is the same
-//! batch, or its next line, and harmless, as updates only set. Of two controllers, the one whose connection is the
-//! newer wins while both are connected; once the connection of the last sender is closed, any other may send. A
-//! controller that was only silent and returns on its old connection is rejected from then on, and may dial anew.
+//! A version is written `name:start/number`: the name of the controller, its incarnation (its start time in
+//! microseconds since 1970), and a number that increases with each update batch.
+//!
+//! - Versions of the same controller are ordered by incarnation, then by batch number. The current version may be sent
+//!   again: it is the same batch or its next line, and updates are idempotent because they only set values.
+//! - Versions of different controllers cannot be compared, because controllers share no state. While both are
+//!   connected, the controller with the newer connection wins. Once the connection that sent the applied version is
+//!   closed, any controller may send.
+//! - A controller that is replaced while silent is rejected on its old connection, and has to reconnect to take over
+//!   again.
 
 use std::cmp::Ordering;
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Most characters of a malformed version that an error repeats.
+/// Maximum number of characters of a malformed version that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 80;
 
 /// The version of an update batch.
@@ -20,7 +24,7 @@
 pub struct Version {
     /// The name of the controller.
     pub controller: String,
-    /// When the controller started, in microseconds since 1970.
+    /// The start time of the controller, in microseconds since 1970.
     pub incarnation: u64,
     /// The number of the batch within the incarnation.
     pub batch: u64,
@@ -33,32 +37,32 @@
     /// The text is not a version.
     #[error("'{0}' is no version: name:start/number")]
     Malformed(String),
-    /// The same controller has sent a newer one.
+    /// The same controller has already sent a newer version.
     #[error("{sent} is older than {current}")]
     Older {
-        /// The version that was sent.
+        /// The rejected version.
         sent: Version,
-        /// The version that is applied.
+        /// The applied version.
         current: Version,
     },
-    /// Another controller has taken over by a newer connection.
+    /// Another controller with a newer connection has taken over.
     #[error("{sent} comes from a steward that {current} has taken over from")]
     Displaced {
-        /// The version that was sent.
+        /// The rejected version.
         sent: Version,
-        /// The version that is applied.
+        /// The applied version.
         current: Version,
     },
 }
 
-/// An applied version, and the connection that sent it; connections are numbered as they open.
+/// An applied version and the connection that sent it. Connections are numbered in the order in which they open.
 #[derive(Clone, Debug)]
 struct Applied {
     version: Version,
     connection: u64,
 }
 
-/// The version that is applied, and whether its sender is still connected.
+/// Tracks the applied version and whether its sender is still connected.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedVersion {
     applied: Option<Applied>,
@@ -66,15 +70,15 @@
 }
 
 impl AppliedVersion {
-    /// The applied version; none before the first.
+    /// The applied version, or `None` before the first one.
     #[must_use]
     pub fn version(&self) -> Option<&Version> {
         self.applied.as_ref().map(|applied| &applied.version)
     }
 
-    /// Whether the applied version was sent by this connection, and it is still open.
+    /// Whether this connection sent the applied version and is still open.
     #[must_use]
-    pub fn is_from(&self, connection: u64) -> bool {
+    pub fn is_current_sender(&self, connection: u64) -> bool {
         self.is_connected && self.was_sent_by(connection)
     }
 
@@ -97,7 +101,7 @@
             .is_some_and(|applied| applied.connection == connection)
     }
 
-    /// Applies a version that this connection sent. Nothing changes if it is rejected.
+    /// Applies a version sent by this connection. A rejected version changes nothing.
     pub fn apply(&mut self, sent: Version, connection: u64) -> Result<(), VersionError> {
         if let Some(applied) = &self.applied {
             let current = &applied.version;
--- a/crates/proxy-core/tests/admission.rs
+++ b/crates/proxy-core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 use pondarch_controller::Time;
-use pondarch_proxy_core::admission::{AdmissionGate, AdmissionLimit, Rejected};
+use pondarch_proxy_core::admission::{AdmissionLimit, AdmissionLimiter, Rejected};
 
 fn at_ms(ms: u64) -> Time {
     Time::from_micros(1_000_000 + ms * 1_000)
@@ -21,7 +21,7 @@
         [AdmissionLimit::Fraction(1.0); 3]
     );
     let mut random = Rng::with_seed(4);
-    let mut gate = AdmissionGate::default();
+    let mut gate = AdmissionLimiter::default();
     let by_fraction = (0..10_000)
         .filter(|_| {
             gate.admit(at_ms(0), AdmissionLimit::Fraction(0.25), &mut random)
--- a/crates/proxy-core/tests/ejection.rs
+++ b/crates/proxy-core/tests/ejection.rs
@@ -86,6 +86,6 @@
         fail(&mut ejections, 10_000 + n, 2);
     }
     assert!(ejections.is_ejected(at_ms(10_010), "a"));
-    ejections.forget_unused(at_ms(80_000), &POLICY);
-    assert_eq!(ejections.remembered_hosts(), 0);
+    ejections.remove_expired_records(at_ms(80_000), &POLICY);
+    assert_eq!(ejections.record_count(), 0);
 }
--- a/crates/proxy-core/tests/retry.rs
+++ b/crates/proxy-core/tests/retry.rs
@@ -35,7 +35,7 @@
         let idempotency = [Idempotency::Idempotent, Idempotency::ByKey(memory), Idempotency::NotIdempotent][class];
         let outcome = if proof { AttemptOutcome::Unprocessed } else { AttemptOutcome::InDoubt };
         let now = Time::from_micros(1_000_000 + after);
-        let decision = progress(mode, idempotency, attempts, in_doubt).retry_after(outcome, now);
+        let decision = progress(mode, idempotency, attempts, in_doubt).decide_retry(outcome, now);
         if in_doubt || !proof {
             match idempotency {
                 Idempotency::NotIdempotent => prop_assert_eq!(&decision, &RetryDecision::Stop),
@@ -54,7 +54,7 @@
 fn retries_follow_the_mode() {
     let now = Time::from_micros(1_100_000);
     let decide = |mode, attempts, outcome| {
-        progress(mode, Idempotency::Idempotent, attempts, false).retry_after(outcome, now)
+        progress(mode, Idempotency::Idempotent, attempts, false).decide_retry(outcome, now)
     };
     assert_eq!(
         decide(RetryMode::Never, 1, AttemptOutcome::Unprocessed),
@@ -89,7 +89,7 @@
         ..progress(RetryMode::Failure, Idempotency::Idempotent, 1, false)
     };
     assert_eq!(
-        unbuffered.retry_after(AttemptOutcome::Unprocessed, now),
+        unbuffered.decide_retry(AttemptOutcome::Unprocessed, now),
         RetryDecision::Stop
     );
 }
@@ -97,12 +97,12 @@
 #[test]
 fn the_budget_is_a_part_of_first_attempts() {
     let mut budget = RetryBudget::new(0.2);
-    let at_once = (0..100).filter(|_| budget.take()).count();
+    let at_once = (0..100).filter(|_| budget.try_take()).count();
     assert_eq!(at_once, 10);
     let retries = (0..1_000)
         .filter(|_| {
             budget.record_first_attempt();
-            budget.take()
+            budget.try_take()
         })
         .count();
     assert!((195..=205).contains(&retries), "{retries}");
