--- a/crates/proxy-core/benches/tables.rs
+++ b/crates/proxy-core/benches/tables.rs
@@ -1,4 +1,4 @@
-//! What a change of a table and a pick cost, by the memberships of the table: `cargo bench -p pondarch-proxy-core`.
+//! Cost of changing a table and of picking a host, by the number of memberships: `cargo bench -p pondarch-proxy-core`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use pondarch_controller::Time;
@@ -49,11 +49,11 @@
 
 fn tables(criterion: &mut Criterion) {
     let now = Time::from_micros(2_000_000);
-    let mut changes = criterion.benchmark_group("one weight changed");
+    let mut weight_changes = criterion.benchmark_group("one weight changed");
     for host_count in [8, 64, 700] {
         let mut core = proxy_core(host_count, PickPolicy::WeightedRandom);
         let mut weight = 1;
-        changes.bench_function(BenchmarkId::from_parameter(host_count), |bencher| {
+        weight_changes.bench_function(BenchmarkId::from_parameter(host_count), |bencher| {
             bencher.iter(|| {
                 weight = weight % 200 + 1;
                 core.execute_line(
@@ -65,7 +65,7 @@
             });
         });
     }
-    changes.finish();
+    weight_changes.finish();
     for (name, policy) in [
         ("weighted", PickPolicy::WeightedRandom),
         ("round", PickPolicy::RoundRobin),
--- a/crates/proxy-core/tests/ejection.rs
+++ b/crates/proxy-core/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of hosts after consecutive failures.
+//! Tests the ejection of hosts after consecutive failures.
 
 use fastrand::Rng;
 use pondarch_controller::Time;
@@ -24,9 +24,9 @@
 }
 
 proptest! {
-    /// Never more than the fraction, never the last, whatever fails in whatever order.
+    /// For any sequence of attempts, at most the configured fraction of the hosts is ejected, and never all of them.
     #[test]
-    fn some_hosts_are_never_ejected(
+    fn ejections_stay_within_the_fraction_and_leave_a_host(
         host_count in 1..9usize,
         attempts in prop::collection::vec((0..9usize, any::<bool>(), 0..900u64), 1..300),
     ) {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_host_is_ejected_and_returns() {
+fn a_host_is_ejected_and_used_again_until_it_fails() {
     let mut ejections = Ejections::default();
     let mut random = Rng::with_seed(3);
     let mut fail = |ejections: &mut Ejections, ms: u64, port: u16| {
@@ -76,10 +76,10 @@
             && ejections.is_ejected(at_ms(1_999), "a")
             && !ejections.is_ejected(at_ms(4_100), "a")
     );
-    // After its return one failure is enough.
+    // After an ejection, a single failure ejects the host again.
     fail(&mut ejections, 4_200, 1);
     assert!(ejections.is_ejected(at_ms(4_300), "a"));
-    // At another address nothing is held against it.
+    // The failures do not count for the same host at another address.
     fail(&mut ejections, 9_000, 2);
     assert!(!ejections.is_ejected(at_ms(9_001), "a"));
     for n in 0..3 {
--- a/crates/proxy-core/tests/last_ready.rs
+++ b/crates/proxy-core/tests/last_ready.rs
@@ -1,4 +1,4 @@
-//! The last ready hosts of a class stay in use for a while.
+//! Tests the fallback to the last ready hosts of a request class.
 
 use pondarch_controller::Time;
 use pondarch_proxy_core::last_ready::{ClassTables, TableInUse};
@@ -15,11 +15,11 @@
     }))
 }
 
-fn at(ms: u64) -> Time {
+fn at_ms(ms: u64) -> Time {
     Time::from_micros(1_000_000 + ms * 1_000)
 }
 
-fn hosts(tables: &ClassTables, now: Time) -> Vec<String> {
+fn hosts_in_use(tables: &ClassTables, now: Time) -> Vec<String> {
     tables
         .table(now, Duration::from_millis(500))
         .members()
@@ -29,31 +29,31 @@
 }
 
 #[test]
-fn the_last_ready_hosts_stay_within_the_limit_but_for_excluded_ones() {
+fn last_ready_hosts_stay_in_use_within_the_limit_except_excluded_ones() {
     let mut tables = ClassTables::default();
     assert_eq!(
-        tables.in_use(at(0), Duration::from_millis(500)),
+        tables.in_use(at_ms(0), Duration::from_millis(500)),
         TableInUse::NoHost
     );
-    tables.set(at(0), table(&["a", "b", "c"]), &BTreeSet::new());
-    tables.set(at(100), table(&[]), &["b".to_string()].into());
-    assert_eq!(hosts(&tables, at(200)), ["a", "c"]);
-    // Another empty table does not make the time longer, and a later drain counts too.
+    tables.set(at_ms(0), table(&["a", "b", "c"]), &BTreeSet::new());
+    tables.set(at_ms(100), table(&[]), &["b".to_string()].into());
+    assert_eq!(hosts_in_use(&tables, at_ms(200)), ["a", "c"]);
+    // A second empty table does not extend the time limit, and a host that drains later is excluded too.
     tables.set(
-        at(400),
+        at_ms(400),
         table(&[]),
         &["b".to_string(), "c".to_string()].into(),
     );
-    assert_eq!(hosts(&tables, at(599)), ["a"]);
+    assert_eq!(hosts_in_use(&tables, at_ms(599)), ["a"]);
     assert_eq!(
-        tables.in_use(at(600), Duration::from_millis(500)),
+        tables.in_use(at_ms(600), Duration::from_millis(500)),
         TableInUse::NoHost
     );
-    tables.set(at(700), table(&["d"]), &BTreeSet::new());
-    assert_eq!(hosts(&tables, at(9_000)), ["d"]);
-    tables.set(at(9_100), table(&[]), &["d".to_string()].into());
+    tables.set(at_ms(700), table(&["d"]), &BTreeSet::new());
+    assert_eq!(hosts_in_use(&tables, at_ms(9_000)), ["d"]);
+    tables.set(at_ms(9_100), table(&[]), &["d".to_string()].into());
     assert_eq!(
-        tables.in_use(at(9_101), Duration::from_millis(500)),
+        tables.in_use(at_ms(9_101), Duration::from_millis(500)),
         TableInUse::NoHost
     );
 }
--- a/crates/proxy-core/tests/retry.rs
+++ b/crates/proxy-core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which attempts may follow, and the retry budget.
+//! Tests retry decisions and the retry budget.
 
 use pondarch_controller::Time;
 use pondarch_proxy_core::retry::{
@@ -26,32 +26,32 @@
 }
 
 proptest! {
-    /// A request that is not idempotent and may have been processed is never sent again, and one with an idempotency key
-    /// only where it is dropped.
+    /// A request that may have been processed is never retried if it is not idempotent. With an idempotency key, it is
+    /// retried only within the group whose hosts drop the duplicate, and only while they remember the key.
     #[test]
-    fn nothing_takes_effect_twice(mode in 0..4usize, class in 0..3usize, attempts in 1..5usize, in_doubt: bool, proof: bool, after in 0..3_000_000u64) {
+    fn no_request_takes_effect_twice(mode in 0..4usize, idempotency in 0..3usize, attempts in 1..5usize, in_doubt: bool, unprocessed: bool, elapsed_us in 0..3_000_000u64) {
         let mode = [RetryMode::Never, RetryMode::Unprocessed, RetryMode::Failure, RetryMode::FailureTwice][mode];
-        let memory = Duration::from_millis(750);
-        let idempotency = [Idempotency::Idempotent, Idempotency::ByKey(memory), Idempotency::NotIdempotent][class];
-        let outcome = if proof { AttemptOutcome::Unprocessed } else { AttemptOutcome::InDoubt };
-        let now = Time::from_micros(1_000_000 + after);
+        let key_lifetime = Duration::from_millis(750);
+        let idempotency = [Idempotency::Idempotent, Idempotency::ByKey(key_lifetime), Idempotency::NotIdempotent][idempotency];
+        let outcome = if unprocessed { AttemptOutcome::Unprocessed } else { AttemptOutcome::InDoubt };
+        let now = Time::from_micros(1_000_000 + elapsed_us);
         let decision = progress(mode, idempotency, attempts, in_doubt).decide_retry(outcome, now);
-        if in_doubt || !proof {
+        if in_doubt || !unprocessed {
             match idempotency {
                 Idempotency::NotIdempotent => prop_assert_eq!(&decision, &RetryDecision::Stop),
                 Idempotency::ByKey(_) => {
-                    let dropped = decision == RetryDecision::WithinGroup("rack-1".into()) && after < 750_000;
-                    prop_assert!(decision == RetryDecision::Stop || dropped);
+                    let is_deduplicated = decision == RetryDecision::WithinGroup("rack-1".into()) && elapsed_us < 750_000;
+                    prop_assert!(decision == RetryDecision::Stop || is_deduplicated);
                 }
                 Idempotency::Idempotent => {}
             }
         }
-        prop_assert!(decision == RetryDecision::Stop || (attempts < 3 && mode != RetryMode::Never && after < 2_000_000));
+        prop_assert!(decision == RetryDecision::Stop || (attempts < 3 && mode != RetryMode::Never && elapsed_us < 2_000_000));
     }
 }
 
 #[test]
-fn retries_follow_the_mode() {
+fn the_retry_mode_limits_retries() {
     let now = Time::from_micros(1_100_000);
     let decide = |mode, attempts, outcome| {
         progress(mode, Idempotency::Idempotent, attempts, false).decide_retry(outcome, now)
@@ -95,10 +95,10 @@
 }
 
 #[test]
-fn the_budget_is_a_part_of_first_attempts() {
+fn the_retry_budget_is_a_fraction_of_first_attempts() {
     let mut budget = RetryBudget::new(0.2);
-    let at_once = (0..100).filter(|_| budget.try_take()).count();
-    assert_eq!(at_once, 10);
+    let initial_retries = (0..100).filter(|_| budget.try_take()).count();
+    assert_eq!(initial_retries, 10);
     let retries = (0..1_000)
         .filter(|_| {
             budget.record_first_attempt();
--- a/crates/proxy-core/tests/routing_table.rs
+++ b/crates/proxy-core/tests/routing_table.rs
@@ -1,4 +1,4 @@
-//! Picks from a table: proportions, odd tables, two choices.
+//! Tests picks from a routing table: proportions by weight, empty and full tables, and the power of two choices.
 
 use fastrand::Rng;
 use pondarch_proxy_core::routing_table::{
@@ -14,25 +14,26 @@
     }
 }
 
-fn counts(
+/// The fraction of picks that each host gets.
+fn pick_fractions(
     table: &RoutingTable,
     policy: PickPolicy,
     picks: usize,
     is_usable: impl Fn(&TableMembership) -> bool,
 ) -> BTreeMap<String, f64> {
     let mut random = Rng::with_seed(9);
-    let mut counts = BTreeMap::new();
+    let mut fractions = BTreeMap::new();
     for _ in 0..picks {
         let member = table
             .pick(policy, &mut random, &is_usable, |_| 0)
             .expect("a member");
-        *counts.entry(member.host.clone()).or_insert(0.0) += 1.0 / picks as f64;
+        *fractions.entry(member.host.clone()).or_insert(0.0) += 1.0 / picks as f64;
     }
-    counts
+    fractions
 }
 
 #[test]
-fn proportions_are_the_weights_also_of_the_usable_members() {
+fn picks_are_proportional_to_the_weights_of_the_usable_members() {
     let table = RoutingTable::new((0..12).map(|n| member(n, 1 + 20 * n as u16)));
     for policy in [
         PickPolicy::WeightedRandom,
@@ -48,13 +49,13 @@
                 .filter(|member| is_usable(member))
                 .collect();
             let total: f64 = usable.iter().map(|member| f64::from(member.weight)).sum();
-            let counts = counts(&table, policy, 200_000, is_usable);
+            let fractions = pick_fractions(&table, policy, 200_000, is_usable);
             for member in usable {
-                let fraction = counts.get(&member.host).copied().unwrap_or(0.0);
+                let fraction = fractions.get(&member.host).copied().unwrap_or(0.0);
                 let expected = f64::from(member.weight) / total;
                 assert!(
                     (fraction - expected).abs() < 0.004,
-                    "{policy:?} without {excluded}: {} {fraction} {expected}",
+                    "{policy:?} without host {excluded}: {} gets {fraction}, expected {expected}",
                     member.host
                 );
             }
@@ -63,11 +64,11 @@
 }
 
 #[test]
-fn empty_repeated_and_full_tables() {
-    let none = RoutingTable::new([member(1, 0), member(2, 0)]);
+fn tables_may_be_empty_name_a_host_twice_or_be_full() {
+    let empty = RoutingTable::new([member(1, 0), member(2, 0)]);
     assert!(
-        none.is_empty()
-            && none
+        empty.is_empty()
+            && empty
                 .pick(
                     PickPolicy::TwoChoices,
                     &mut Rng::with_seed(1),
@@ -76,11 +77,17 @@
                 )
                 .is_none()
     );
-    let twice = RoutingTable::new([member(1, 10), member(1, 20), member(2, 30)]);
-    assert_eq!((twice.members().len(), twice.members()[0].weight), (2, 30));
-    let many = RoutingTable::new((0..MAX_MEMBERSHIPS).map(|n| member(n, 1)));
+    let with_duplicate = RoutingTable::new([member(1, 10), member(1, 20), member(2, 30)]);
+    assert_eq!(
+        (
+            with_duplicate.members().len(),
+            with_duplicate.members()[0].weight
+        ),
+        (2, 30)
+    );
+    let full = RoutingTable::new((0..MAX_MEMBERSHIPS).map(|n| member(n, 1)));
     assert!(
-        many.pick(
+        full.pick(
             PickPolicy::RoundRobin,
             &mut Rng::with_seed(1),
             |_| true,
@@ -89,7 +96,7 @@
         .is_some()
     );
     assert!(
-        many.pick(
+        full.pick(
             PickPolicy::WeightedRandom,
             &mut Rng::with_seed(1),
             |_| false,
@@ -100,18 +107,18 @@
 }
 
 #[test]
-fn two_choices_prefer_the_host_with_fewer_in_flight() {
+fn two_choices_prefer_the_host_with_fewer_requests_in_flight() {
     let table = RoutingTable::new([member(1, 100), member(2, 100)]);
     let mut random = Rng::with_seed(2);
-    let busy = (0..1_000).filter(|_| {
+    let busy_picks = (0..1_000).filter(|_| {
         let in_flight = |member: &TableMembership| usize::from(member.host == "host-01") * 5;
         table
             .pick(PickPolicy::TwoChoices, &mut random, |_| true, in_flight)
             .is_some_and(|member| member.host == "host-01")
     });
-    let busy = busy.count();
+    let busy_picks = busy_picks.count();
     assert!(
-        (180..320).contains(&busy),
-        "{busy} of 1000: a quarter is due, where both draws meet it"
+        (180..320).contains(&busy_picks),
+        "{busy_picks} of 1000 picks; a quarter is expected, when both draws hit the busy host"
     );
 }
--- a/crates/proxy-core/tests/updates.rs
+++ b/crates/proxy-core/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Batches by version: older ones are rejected, prepared ones are all or nothing.
+//! Tests update batches: older versions are rejected, and prepared changes are atomic.
 
 use pondarch_controller::Time;
 use pondarch_proxy_core::proxy_state::ProxyState;
@@ -10,7 +10,7 @@
     state: ProxyState,
 }
 
-fn at(ms: u64) -> Time {
+fn at_ms(ms: u64) -> Time {
     Time::from_micros(1_000_000 + ms * 1_000)
 }
 
@@ -24,7 +24,7 @@
 
     fn send(&mut self, ms: u64, connection: u64, line: &str) -> String {
         self.updates
-            .execute_line(at(ms), connection, Level::Admin, line, &mut self.state)
+            .execute_line(at_ms(ms), connection, Level::Admin, line, &mut self.state)
             .concat()
     }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_older_batch_is_rejected_whole_and_the_same_again_is_harmless() {
+fn an_older_batch_is_rejected_as_a_whole_and_a_repeated_one_changes_nothing() {
     let mut proxy = Proxy::new();
     proxy.send(0, 1, &batch("a:5/2", "two"));
     assert!(
@@ -65,7 +65,7 @@
     assert_eq!(
         proxy.send(4, 1, "set server proof/two weight 7"),
         "",
-        "its version is still applied"
+        "the version of this connection is still applied"
     );
     assert_eq!(proxy.state.backends["proof"].servers["two"].weight, 7);
     assert!(
@@ -87,13 +87,13 @@
     assert_eq!(
         proxy.send(8, 9, "set server proof/two weight 11"),
         "",
-        "an operator"
+        "updates of an operator are applied"
     );
     assert_eq!(proxy.updates.rejected_batches, 3);
 }
 
 #[test]
-fn a_prepared_change_is_all_or_nothing() {
+fn a_prepared_change_is_atomic() {
     let mut proxy = Proxy::new();
     assert_eq!(
         proxy.send(0, 1, "prepare map pond_state"),
@@ -107,11 +107,14 @@
         ),
         "New server registered.\n"
     );
-    assert!(proxy.hosts().is_empty(), "not before the commit");
+    assert!(
+        proxy.hosts().is_empty(),
+        "nothing changes before the commit"
+    );
     assert_eq!(proxy.send(2, 1, "commit map @1 pond_state"), "");
     assert_eq!(proxy.hosts(), ["x"]);
     assert_eq!(proxy.state.map_entry("pond_state", "table"), Some("a:1/1"));
-    // The controller disconnects in between.
+    // A change is dropped if the controller disconnects before the commit.
     proxy.send(
         3,
         1,
@@ -124,7 +127,7 @@
             .contains("Version not found")
     );
     assert_eq!(proxy.hosts(), ["x"]);
-    // Or takes too long.
+    // A change is dropped if its commit takes longer than 5 s.
     proxy.send(
         5,
         4,
@@ -135,7 +138,7 @@
             .send(5_006, 4, "commit map @3 pond_state")
             .contains("Version not found")
     );
-    // Or sends an older one.
+    // A change with an older version is rejected.
     proxy.send(
         5_010,
         4,
--- a/crates/proxy-core/tests/wait_queue.rs
+++ b/crates/proxy-core/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of requests that wait for a host with capacity.
+//! Tests the bounded queue of requests that wait for a host with capacity.
 
 use pondarch_controller::Time;
 use pondarch_proxy_core::wait_queue::{QueueOffer, QueueRelease, WaitQueue};
@@ -10,13 +10,14 @@
 }
 
 proptest! {
-    /// Never more than the limit, no expired request is released, each request leaves once.
+    /// For any sequence of operations, the queue stays within its limit, releases no expired request, and removes each
+    /// request only once.
     #[test]
-    fn the_queue_is_bounded(steps in prop::collection::vec((0..50u64, 0..4u8, 1..400u64), 1..200)) {
+    fn the_queue_is_bounded_and_releases_no_expired_request(steps in prop::collection::vec((0..50u64, 0..4u8, 1..400u64), 1..200)) {
         let mut queue = WaitQueue::new(5);
         let mut now_ms = 0;
         let mut deadlines: BTreeMap<u64, u64> = BTreeMap::new();
-        for (number, (wait_ms, action, patience_ms)) in steps.into_iter().enumerate() {
+        for (number, (wait_ms, action, timeout_ms)) in steps.into_iter().enumerate() {
             now_ms += wait_ms;
             let number = number as u64;
             if action == 0 {
@@ -28,12 +29,12 @@
                     prop_assert!(deadlines.remove(&next).is_some_and(|deadline| deadline > now_ms));
                 }
             } else {
-                let offer = queue.offer(at_ms(now_ms), number, f64::from(action), at_ms(now_ms + patience_ms));
+                let offer = queue.offer(at_ms(now_ms), number, f64::from(action), at_ms(now_ms + timeout_ms));
                 for rejected in &offer.rejected {
                     prop_assert!(deadlines.remove(rejected).is_some());
                 }
                 if offer.queued {
-                    deadlines.insert(number, now_ms + patience_ms);
+                    deadlines.insert(number, now_ms + timeout_ms);
                 }
             }
             prop_assert!(queue.len() <= 5);
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn the_least_priority_weight_is_rejected_first() {
+fn the_lowest_priority_weight_is_rejected_first() {
     let mut queue = WaitQueue::new(2);
     let mut offer =
         |number, priority_weight| queue.offer(at_ms(0), number, priority_weight, at_ms(1_000));
