--- a/crates/proxy-core/src/ejection.rs
+++ b/crates/proxy-core/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: a host is ejected for a while after consecutive failed attempts of this proxy.
+//! Ejects a host for a limited time after consecutive failed attempts of this proxy.
 
 use fastrand::Rng;
 use pondarch_controller::DurationExt;
--- a/crates/proxy-core/src/last_ready.rs
+++ b/crates/proxy-core/src/last_ready.rs
@@ -21,6 +21,7 @@
 pub struct ClassTables {
     current: Arc<RoutingTable>,
     last_ready: Arc<RoutingTable>,
+    /// When the current table became empty, if an empty one was set.
     empty_since: Option<Time>,
 }
 
--- a/crates/proxy-core/src/proxy_core/mod.rs
+++ b/crates/proxy-core/src/proxy_core/mod.rs
@@ -40,6 +40,7 @@
     ejections: Ejections,
     retry_budget: RetryBudget,
     wait_queue: WaitQueue,
+    /// The number of the request that was last offered to the wait queue.
     last_queue_number: u64,
     /// Number of this proxy's requests in flight at each host.
     in_flight: BTreeMap<String, usize>,
@@ -47,8 +48,9 @@
     started_at: Time,
     table_changed_at: Time,
     table_changes: u64,
+    /// Number of requests admitted while their class used its last ready hosts.
     requests_by_last_ready: u64,
-    /// The last reported table status of each class.
+    /// The table status of each class as last returned by [`ProxyCore::take_status_changes`].
     reported_statuses: Vec<TableStatus>,
 }
 
--- a/crates/proxy-core/src/proxy_core/requests.rs
+++ b/crates/proxy-core/src/proxy_core/requests.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Records the outcome of an attempt that is not retried in any case.
+    /// Records the outcome of an attempt after which the request is not retried.
     pub fn final_attempt_ended(
         &mut self,
         now: Time,
--- a/crates/proxy-core/src/proxy_state/show_commands.rs
+++ b/crates/proxy-core/src/proxy_state/show_commands.rs
@@ -41,10 +41,10 @@
         state::write_conn(&self.server_states(backend))
     }
 
-    fn server_states(&self, only: Option<&str>) -> Vec<ServerState> {
+    fn server_states(&self, backend_filter: Option<&str>) -> Vec<ServerState> {
         self.backends
             .iter()
-            .filter(|(name, _)| only.is_none_or(|only| only == *name))
+            .filter(|(name, _)| backend_filter.is_none_or(|backend_filter| backend_filter == *name))
             .flat_map(|(name, backend)| {
                 let servers = backend.servers.iter();
                 servers.map(|(server_name, server)| server_state(name, server_name, server))
@@ -79,7 +79,7 @@
 
 fn server_row(backend: &str, name: &str, server: &Server) -> StatRow {
     let results = server.results;
-    let mean = results.done_time.checked_div(results.done.max(1) as u32);
+    let mean_duration = results.done_time.checked_div(results.done.max(1) as u32);
     let status = match server.state {
         AdminState::Ready => "UP",
         AdminState::Drain => "DRAIN",
@@ -93,7 +93,7 @@
         status: status.into(),
         weight: u64::from(server.weight),
         addr: server.address.to_string(),
-        mean: mean.unwrap_or_default(),
+        mean: mean_duration.unwrap_or_default(),
         sums: Some(results),
         busy: server.utilization,
         waiting: server.queue_length,
--- a/crates/proxy-core/src/routing_table.rs
+++ b/crates/proxy-core/src/routing_table.rs
@@ -42,6 +42,7 @@
     members: Vec<TableMembership>,
     /// For each member, the sum of the weights up to and including it.
     cumulative_weights: Vec<u64>,
+    /// For each member, its credit for [`PickPolicy::RoundRobin`].
     round_robin_credits: Mutex<Vec<i64>>,
 }
 
