--- a/crates/simulator-adapter/tests/decision_streams/fleet.rs
+++ b/crates/simulator-adapter/tests/decision_streams/fleet.rs
@@ -372,7 +372,8 @@
         joined.into_iter().map(Change::Left).collect()
     }
 
-    /// Connects about 70 % of the proxies that are not connected; one in three has restarted and lost its tables.
+    /// Connects about 70 % of the proxies that are not connected. One in three of them, and each one without tables, is
+    /// newly started and has no tables.
     pub(crate) fn connect_some_proxies(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         for proxy in 0..self.proxies.len() {
@@ -395,7 +396,7 @@
 }
 
 impl Host {
-    /// Requests that the host can process in a second, in thousandths; the rate is lower while it warms up.
+    /// Returns the requests that the host can process in a second, in thousandths; the rate is lower while it warms up.
     fn capacity(&self, now: u64) -> u64 {
         let age = (now - self.started).min(WARM_UP_TIME);
         let warm_up_permille = if self.started == 0 {
--- a/crates/simulator-adapter/tests/decision_streams/session.rs
+++ b/crates/simulator-adapter/tests/decision_streams/session.rs
@@ -329,6 +329,7 @@
         self.announce_changes(n, rejoining);
     }
 
+    /// Schedules a load report with a delay, which is 3 s longer for 3 % of the reports.
     fn schedule_host_report(&mut self, n: usize, report: &HostReport) {
         let Controller { site, fleet, .. } = &mut self.controllers[n];
         let delay =
@@ -370,6 +371,7 @@
 
     // ---- Decisions of the controllers --------------------------------------------------------------------
 
+    /// Applies the decisions in a reply to the fleets.
     fn apply_reply(&mut self, reply: &str) {
         let (mut n, mut reached) = (0, Vec::new());
         for line in reply.lines() {
@@ -383,6 +385,7 @@
         }
     }
 
+    /// Applies a decision. `reached` collects the proxies to which the decisions since the last `ON_BEHALF` apply.
     fn apply_decision(&mut self, n: usize, parts: &[&str], reached: &mut Vec<usize>) {
         let fleet = &mut self.controllers[n].fleet;
         let counts = &mut self.counts;
@@ -451,6 +454,7 @@
         }
     }
 
+    /// Schedules the result of a health check; 10 % of the checks have none.
     fn check_health(&mut self, n: usize, name: &str) {
         self.counts.health_checks += 1;
         let fleet = &mut self.controllers[n].fleet;
