--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -3,7 +3,7 @@
 
 use crate::channel_relay::{CallFault, ChannelRelay, MESSAGE_OVERHEAD};
 use crate::controller_process::*;
-use crate::stage::*;
+use crate::scripted_peers::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 
 const PROXIES: u16 = 200;
 const HOSTS: usize = 160;
-/// Lines a second that the settings state.
+/// ReceivedLines a second that the settings state.
 const STATED_RATE: f64 = 2_000.0;
-/// Lines that may wait: twice what all proxies take at their start.
+/// ReceivedLines that may wait: twice what all proxies take at their start.
 const LINE_LIMIT: f64 = 4_000.0;
 /// The host that drains at the end.
 const DRAINED: usize = 7;
@@ -25,7 +25,7 @@
     json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "1f",
         "limits": {"sockets": 128}, "hub": {"address": relay},
-        "known": serde_json::from_str::<Value>(&list_of(1, &ready_hosts())).expect("a list"),
+        "known": serde_json::from_str::<Value>(&endpoint_list(1, &ready_hosts())).expect("a list"),
         "settings": {
             "classes": [{"name": "proof", "aim": 1_500_000, "worth": 1.0}], "localities": ["a"],
             "familyInfo": {"proxies": PROXIES, "channelRate": STATED_RATE, "mostWaiting": LINE_LIMIT,
@@ -38,14 +38,14 @@
 }
 
 fn ready_hosts() -> Vec<String> {
-    (0..HOSTS).map(|n| host(1, n, "Ready")).collect()
+    (0..HOSTS).map(|n| host_entry(1, n, "Ready")).collect()
 }
 
-/// Lists all hosts, and one of them as draining some time after `begun`.
-fn discovery_with_a_drain(begun: Instant) -> (SocketAddr, Lines) {
-    scripted_discovery(1, move |_, line| {
-        line(&list_of(2, &ready_hosts()))?;
-        let drain_at = begun + DRAIN_AFTER;
+/// Lists all hosts, and one of them as draining some time after `started_at`.
+fn discovery_with_a_drain(started_at: Instant) -> (SocketAddr, ReceivedLines) {
+    start_scripted_registry(1, move |_, line| {
+        line(&endpoint_list(2, &ready_hosts()))?;
+        let drain_at = started_at + DRAIN_AFTER;
         loop {
             let left = drain_at.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -54,7 +54,7 @@
             thread::sleep(left.min(Duration::from_secs(1)));
             line("")?;
         }
-        let drained = list_of(3, &[host(1, DRAINED, "Terminating")]);
+        let drained = endpoint_list(3, &[host_entry(1, DRAINED, "Terminating")]);
         line(&drained.replace("\"reset\":true", "\"reset\":false"))?;
         loop {
             thread::sleep(Duration::from_secs(1));
@@ -67,9 +67,9 @@
 /// all its tries and an eighth of the proxies has most of the requests, others every two seconds, so that weights have to
 /// change all the time.
 fn collect_until(over: &AtomicBool, controller: &ControllerProcess, relay: &ChannelRelay) {
-    let mut stream = controller.dial();
+    let mut stream = controller.connect();
     stream
-        .write_all(&message("collector site a"))
+        .write_all(&resp_message("collector site a"))
         .expect("written");
     let mut round = 0;
     while !over.load(Relaxed) {
@@ -84,7 +84,7 @@
                 };
                 let report =
                     format!("heard site a target {id} count 6 fail {fail} mean {mean} over 500");
-                stream.write_all(&message(&report)).expect("written");
+                stream.write_all(&resp_message(&report)).expect("written");
             }
         }
         for n in 0..usize::from(PROXIES) {
@@ -94,7 +94,7 @@
                 1
             };
             let usage = format!("usage id {n} lane proof count {count} fail 0 over 500");
-            stream.write_all(&message(&usage)).expect("written");
+            stream.write_all(&resp_message(&usage)).expect("written");
         }
         round += 1;
         thread::sleep(Duration::from_millis(500));
@@ -134,11 +134,11 @@
 
 fn play(faults: &[(u64, Fault)]) -> Outcome {
     let relay = ChannelRelay::start(STATED_RATE, PROXIES);
-    let begun = Instant::now();
-    let (discovery, _asked) = discovery_with_a_drain(begun);
+    let started_at = Instant::now();
+    let (discovery, _asked) = discovery_with_a_drain(started_at);
     let controller =
-        ControllerProcess::start_configured(|listen| config(listen, discovery, relay.at));
-    let wait_until = |at: Duration| thread::sleep(at.saturating_sub(begun.elapsed()));
+        ControllerProcess::start_configured(|listen| config(listen, discovery, relay.address));
+    let wait_until = |at: Duration| thread::sleep(at.saturating_sub(started_at.elapsed()));
     let over = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| collect_until(&over, &controller, &relay));
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -3,7 +3,7 @@
 
 use crate::channel_state::State;
 pub(crate) use crate::channel_state::{CallFault, HeldTable, MESSAGE_OVERHEAD};
-use crate::stage::listener;
+use crate::scripted_peers::bind_listener;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
@@ -15,28 +15,28 @@
 const STEP: Duration = Duration::from_millis(5);
 
 pub(crate) struct ChannelRelay {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl ChannelRelay {
-    /// Lines a second; the proxies that are joined.
+    /// ReceivedLines a second; the proxies that are joined.
     pub(crate) fn start(rate: f64, proxies: u16) -> ChannelRelay {
-        let (listener, at) = listener();
+        let (listener, address) = bind_listener();
         let state = Arc::new(Mutex::new(State::new(rate, proxies)));
         let channel_state = state.clone();
         thread::spawn(move || run_channel(&channel_state));
         let serving = state.clone();
         thread::spawn(move || serve(&listener, &serving));
-        ChannelRelay { at, state }
+        ChannelRelay { address, state }
     }
 
     /// Another address of the same relay.
     pub(crate) fn listen_elsewhere(&self) -> SocketAddr {
-        let (listener, at) = listener();
+        let (listener, address) = bind_listener();
         let serving = self.state.clone();
         thread::spawn(move || serve(&listener, &serving));
-        at
+        address
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/crates/cli/tests/platform/clients.rs
+++ b/crates/cli/tests/platform/clients.rs
@@ -1,8 +1,8 @@
 //! Who connects to the controller's address: cut off, slow, too many, too fast, deaf.
 
 use crate::controller_process::*;
-use crate::party::Served;
-use crate::stage::*;
+use crate::manual_peer::ControllerFixture;
+use crate::scripted_peers::*;
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -16,13 +16,13 @@
 
 /// How long a sign of life takes, asked for on a connection of its own.
 fn pong(controller: &ControllerProcess) -> Duration {
-    let begun = Instant::now();
-    let mut stream = controller.dial();
-    stream.write_all(&message("ping")).expect("written");
+    let started_at = Instant::now();
+    let mut stream = controller.connect();
+    stream.write_all(&resp_message("ping")).expect("written");
     let mut said = [0; 14];
     stream.read_exact(&mut said).expect("an answer");
     assert_eq!(said, PONG);
-    begun.elapsed()
+    started_at.elapsed()
 }
 
 fn reset(stream: TcpStream) {
@@ -33,7 +33,7 @@
 
 /// A message goes out a byte at a time.
 fn slowly(stream: &mut TcpStream, text: &str, pause: Duration) {
-    for byte in message(text) {
+    for byte in resp_message(text) {
         stream.write_all(&[byte]).expect("the connection stands");
         thread::sleep(pause);
     }
@@ -43,34 +43,34 @@
 /// still, so that it finds them all dead; then one that is no such.
 #[test]
 fn connections_killed_right_after_accept_leave_nothing() {
-    let site = Served::with(4);
-    let before = site.controller.descriptors();
+    let fixture = ControllerFixture::start(4);
+    let before = fixture.controller.open_descriptors();
     for _ in 0..3 {
-        site.controller.signal("-STOP");
+        fixture.controller.signal("-STOP");
         for n in 0..200 {
-            let mut stream = site.controller.dial();
+            let mut stream = fixture.controller.connect();
             stream
-                .write_all(&message("collector site a")[..n % 20])
+                .write_all(&resp_message("collector site a")[..n % 20])
                 .expect("written");
             reset(stream);
         }
-        site.controller.signal("-CONT");
-        assert!(pong(&site.controller) < Duration::from_secs(1));
+        fixture.controller.signal("-CONT");
+        assert!(pong(&fixture.controller) < Duration::from_secs(1));
     }
     // The last of them may still be on their way out.
     thread::sleep(Duration::from_millis(200));
-    let after = site.controller.descriptors();
+    let after = fixture.controller.open_descriptors();
     assert!(after <= before + 2, "{after} descriptors, {before} before");
-    site.controller.ends();
+    fixture.controller.terminate();
 }
 
 /// A collector whose bytes come one at a time names itself after 1.5 s: it was refused, each time it came. Half a
 /// message that goes no further is closed within what all are owed.
 #[test]
 fn a_slow_collector_is_let_in() {
-    let site = Served::with(4);
-    let mut collector = site.controller.dial();
-    let bytes = message("collector site a").len() as u32;
+    let fixture = ControllerFixture::start(4);
+    let mut collector = fixture.controller.connect();
+    let bytes = resp_message("collector site a").len() as u32;
     slowly(
         &mut collector,
         "collector site a",
@@ -81,22 +81,22 @@
         "usage id 3 lane proof count 4 fail 0 over 1000",
         Duration::from_millis(5),
     );
-    site.controller.logs("collector joined zone=", 1);
-    let begun = Instant::now();
-    let mut half = site.controller.dial();
-    half.write_all(&message("collector site a")[..20])
+    fixture.controller.wait_for_log("collector joined zone=", 1);
+    let started_at = Instant::now();
+    let mut half = fixture.controller.connect();
+    half.write_all(&resp_message("collector site a")[..20])
         .expect("written");
-    let answer = said(half);
+    let answer = read_until_closed(half);
     assert!(
         answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
         "{answer}"
     );
     assert!(
-        begun.elapsed() < Duration::from_secs(3),
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    let log = site.controller.ends();
+    let log = fixture.controller.terminate();
     assert!(
         log.lines()
             .rfind(|line| line.contains("counters"))
@@ -108,34 +108,34 @@
 /// A thousand strangers who say nothing are there before a collector that returns, and stay.
 #[test]
 fn a_collector_returns_among_a_thousand_strangers() {
-    let site = Served::with(4);
-    let strangers: Vec<TcpStream> = (0..1_000).map(|_| site.controller.dial()).collect();
-    let begun = Instant::now();
-    let mut collector = site.controller.dial();
+    let fixture = ControllerFixture::start(4);
+    let strangers: Vec<TcpStream> = (0..1_000).map(|_| fixture.controller.connect()).collect();
+    let started_at = Instant::now();
+    let mut collector = fixture.controller.connect();
     collector
-        .write_all(&message("collector site a"))
+        .write_all(&resp_message("collector site a"))
         .expect("written");
-    site.controller.logs("collector joined zone=", 1);
+    fixture.controller.wait_for_log("collector joined zone=", 1);
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    assert!(site.controller.descriptors() <= 128);
+    assert!(fixture.controller.open_descriptors() <= 128);
     drop(strangers);
-    assert!(pong(&site.controller) < Duration::from_secs(2));
-    site.controller.ends();
+    assert!(pong(&fixture.controller) < Duration::from_secs(2));
+    fixture.controller.terminate();
 }
 
 /// Three collectors bring reports as fast as they are read, all the while. A sign of life, a new configuration and a
 /// drain are not behind them: the loop took reports first, and whoever asked waited until the flood was over.
 #[test]
 fn a_flood_of_reports_starves_nobody() {
-    let mut site = Served::with(4);
+    let mut fixture = ControllerFixture::start(4);
     let over = Arc::new(AtomicBool::new(false));
     let flood: Vec<u8> = (0..500)
         .flat_map(|n| {
-            message(&format!(
+            resp_message(&format!(
                 "heard site a target s-1-{} count 5 fail 0 mean 40 over 1000",
                 n % 8
             ))
@@ -144,41 +144,46 @@
     // Three of each zone's collectors stay, and all are of one zone.
     let floods: Vec<thread::JoinHandle<()>> = (0..3)
         .map(|_| {
-            let (mut stream, flood, over) = (site.controller.dial(), flood.clone(), over.clone());
+            let (mut stream, flood, over) =
+                (fixture.controller.connect(), flood.clone(), over.clone());
             thread::spawn(move || {
                 stream
-                    .write_all(&message("collector site a"))
+                    .write_all(&resp_message("collector site a"))
                     .expect("written");
                 while !over.load(Relaxed) && stream.write_all(&flood).is_ok() {}
             })
         })
         .collect();
-    site.controller.logs("collector joined zone=", 3);
+    fixture.controller.wait_for_log("collector joined zone=", 3);
     for _ in 0..20 {
         // On a busy machine this takes longer than a watch may be silent; one that was renewed would not hear the drain.
-        site.discovery.piece(site.watch, "\n");
-        assert!(pong(&site.controller) < Duration::from_secs(1));
+        fixture.discovery.send_chunk(fixture.watch_connection, "\n");
+        assert!(pong(&fixture.controller) < Duration::from_secs(1));
     }
-    site.drains(2, 3);
-    site.relay.takes(&crate::party::off(3));
-    let relay = crate::party::Party::open();
-    site.controller.moves(site.discovery.at, relay.at);
-    site.controller.logs("configuration reloaded", 1);
+    fixture.drain_host(2, 3);
+    fixture
+        .relay
+        .accept_calls_until(&crate::manual_peer::host_removal(3));
+    let relay = crate::manual_peer::ManualPeer::start();
+    fixture
+        .controller
+        .change_upstreams(fixture.discovery.address, relay.address);
+    fixture.controller.wait_for_log("configuration reloaded", 1);
     over.store(true, Relaxed);
     floods
         .into_iter()
         .for_each(|flood| flood.join().expect("no panic"));
-    site.controller.ends();
+    fixture.controller.terminate();
 }
 
 /// Strangers take all descriptors but what they leave in a moment: connections that stand go on, and once they have
 /// gone so does all else.
 #[test]
 fn out_of_descriptors_it_keeps_what_it_has() {
-    let (relay_at, calls) = relay(4);
-    let (discovery_at, _asked) = discovery(1);
+    let (relay_at, calls) = start_relay(4);
+    let (discovery_at, _asked) = start_registry(1);
     // More may connect by the configuration than the system lets it hold.
-    let controller = ControllerProcess::start_with(discovery_at, relay_at, |command| {
+    let controller = ControllerProcess::start_with_command(discovery_at, relay_at, |command| {
         let mut limited = Command::new("sh");
         limited
             .arg("-c")
@@ -192,25 +197,25 @@
         limited
     });
     wait_for(&calls, "\"verb\":\"bind\"");
-    let strangers: Vec<TcpStream> = (0..100).map(|_| controller.dial()).collect();
-    let until = Instant::now() + SOON;
-    while controller.descriptors() < 40 {
+    let strangers: Vec<TcpStream> = (0..100).map(|_| controller.connect()).collect();
+    let until = Instant::now() + TIMEOUT;
+    while controller.open_descriptors() < 40 {
         assert!(
             Instant::now() < until,
             "{} descriptors",
-            controller.descriptors()
+            controller.open_descriptors()
         );
     }
     // Each stranger goes within 1 s of being taken; the last are taken when the first have gone.
     drop(strangers);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     pong(&controller);
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    let log = controller.ends();
+    let log = controller.terminate();
     assert!(!log.contains("panicked"), "{log}");
 }
 
@@ -218,12 +223,12 @@
 /// within what all are owed, and all others are served.
 #[test]
 fn who_asks_without_end_is_closed() {
-    let site = Served::with(4);
+    let fixture = ControllerFixture::start(4);
     for reads in [false, true] {
-        let mut asker = site.controller.dial();
-        asker.set_write_timeout(Some(SOON)).expect("a limit");
-        let asks: Vec<u8> = (0..1_000).flat_map(|_| message("ping")).collect();
-        let begun = Instant::now();
+        let mut asker = fixture.controller.connect();
+        asker.set_write_timeout(Some(TIMEOUT)).expect("a limit");
+        let asks: Vec<u8> = (0..1_000).flat_map(|_| resp_message("ping")).collect();
+        let started_at = Instant::now();
         let mut answers = asker.try_clone().expect("a second handle");
         let reader =
             thread::spawn(
@@ -231,12 +236,12 @@
             );
         while asker.write_all(&asks).is_ok() {
             assert!(
-                begun.elapsed() < Duration::from_secs(3),
+                started_at.elapsed() < Duration::from_secs(3),
                 "it is still read from"
             );
         }
-        assert!(pong(&site.controller) < Duration::from_secs(1));
+        assert!(pong(&fixture.controller) < Duration::from_secs(1));
         reader.join().expect("no panic");
     }
-    site.controller.ends();
+    fixture.controller.terminate();
 }
--- a/crates/cli/tests/platform/controller_process.rs
+++ b/crates/cli/tests/platform/controller_process.rs
@@ -1,6 +1,6 @@
 //! `pondarch platform` as a process, with a configuration and a log of its own.
 
-use crate::stage::{SOON, list};
+use crate::scripted_peers::{TIMEOUT, ready_list};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -31,17 +31,17 @@
          \"familyInfo\":{{\"proxies\":20,\"channelRate\":9800.0,\"mostWaiting\":9800.0,\"perMessage\":3.0,\
          \"updateCap\":12,\"updateWindow\":10000000,\"reportEvery\":1000000,\"admission\":\"share\",\"baseMode\":0}},\
          \"obligations\":{{\"cold\":18000000,\"startCapacity\":0.2}}}}}}",
-        list(1)
+        ready_list(1)
     )
 }
 
 impl ControllerProcess {
     pub(crate) fn start(discovery: SocketAddr, relay: SocketAddr) -> ControllerProcess {
-        ControllerProcess::start_with(discovery, relay, |command| command)
+        ControllerProcess::start_with_command(discovery, relay, |command| command)
     }
 
     /// The same, with whatever that makes of the command.
-    pub(crate) fn start_with(
+    pub(crate) fn start_with_command(
         discovery: SocketAddr,
         relay: SocketAddr,
         so: impl FnOnce(Command) -> Command,
@@ -73,7 +73,7 @@
             7070,
         ));
         std::fs::write(&path, config(listen)).expect("written");
-        let mut command = so(platform(Some(&path)));
+        let mut command = so(platform_command(Some(&path)));
         let log = std::fs::File::create(folder.path().join("log")).expect("a log");
         let child = command.stderr(log).spawn().expect("the program");
         ControllerProcess {
@@ -95,7 +95,7 @@
         let log = std::fs::File::options()
             .append(true)
             .open(self.folder.path().join("log"));
-        self.child = platform(Some(&self.config))
+        self.child = platform_command(Some(&self.config))
             .stderr(log.expect("its log"))
             .spawn()
             .expect("the program");
@@ -108,7 +108,7 @@
     }
 
     /// Tells it where discovery and relay are from now on.
-    pub(crate) fn moves(&self, discovery: SocketAddr, relay: SocketAddr) {
+    pub(crate) fn change_upstreams(&self, discovery: SocketAddr, relay: SocketAddr) {
         self.reconfigure(&config(self.listen, discovery, relay));
     }
 
@@ -117,8 +117,8 @@
     }
 
     /// Waits until its log has that so many times.
-    pub(crate) fn logs(&self, what: &str, times: usize) {
-        let until = Instant::now() + SOON;
+    pub(crate) fn wait_for_log(&self, what: &str, times: usize) {
+        let until = Instant::now() + TIMEOUT;
         while self.log().matches(what).count() < times {
             assert!(
                 Instant::now() < until,
@@ -149,11 +149,11 @@
         assert!(sent.expect("kill").success());
     }
 
-    pub(crate) fn dial(&self) -> TcpStream {
-        let until = Instant::now() + SOON;
+    pub(crate) fn connect(&self) -> TcpStream {
+        let until = Instant::now() + TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
-                stream.set_read_timeout(Some(SOON)).expect("a limit");
+                stream.set_read_timeout(Some(TIMEOUT)).expect("a limit");
                 return stream;
             }
             assert!(Instant::now() < until, "the controller cannot be reached");
@@ -161,14 +161,14 @@
         }
     }
 
-    pub(crate) fn descriptors(&self) -> usize {
+    pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("its files")
             .count()
     }
 
     /// KiB that it has in memory.
-    pub(crate) fn memory(&self) -> u64 {
+    pub(crate) fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("its state");
         let line = status
@@ -182,7 +182,7 @@
     }
 
     /// Ends it, as a planned restart does; gives its log.
-    pub(crate) fn ends(mut self) -> String {
+    pub(crate) fn terminate(mut self) -> String {
         self.signal("-TERM");
         let ended = self.child.wait().expect("its end");
         let log = self.log();
@@ -191,7 +191,7 @@
     }
 }
 
-pub(crate) fn platform(config: Option<&Path>) -> Command {
+pub(crate) fn platform_command(config: Option<&Path>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
     command
         .arg("platform")
--- a/crates/cli/tests/platform/registry_stand_in.rs
+++ b/crates/cli/tests/platform/fake_registry.rs
@@ -1,6 +1,6 @@
 //! A registry on loopback: the complete list to whoever asks, and each change to all that watch.
 
-use crate::stage::{chunked_line, listener};
+use crate::scripted_peers::{bind_listener, write_chunked_line};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -43,14 +43,14 @@
     watchers: Vec<TcpStream>,
 }
 
-pub(crate) struct Registry {
-    pub at: SocketAddr,
+pub(crate) struct FakeRegistry {
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-impl Registry {
-    pub(crate) fn start(hosts: &[String]) -> Registry {
-        let (listener, at) = listener();
+impl FakeRegistry {
+    pub(crate) fn start(hosts: &[String]) -> FakeRegistry {
+        let (listener, address) = bind_listener();
         let listed = hosts.iter().map(|host| (host.clone(), Listed::READY));
         let state = Arc::new(Mutex::new(State {
             generation: 1,
@@ -59,15 +59,15 @@
         }));
         let serving = state.clone();
         thread::spawn(move || serve(&listener, &serving));
-        Registry { at, state }
+        FakeRegistry { address, state }
     }
 
     /// Another address of the same registry.
     pub(crate) fn listen_elsewhere(&self) -> SocketAddr {
-        let (listener, at) = listener();
+        let (listener, address) = bind_listener();
         let serving = self.state.clone();
         thread::spawn(move || serve(&listener, &serving));
-        at
+        address
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -90,7 +90,7 @@
         let line = list.to_string();
         state
             .watchers
-            .retain_mut(|watcher| chunked_line(watcher, &line).is_some());
+            .retain_mut(|watcher| write_chunked_line(watcher, &line).is_some());
     }
 
     /// Breaks all watches.
@@ -145,12 +145,12 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             .ok()?;
-        chunked_line(&mut stream, &state.complete_list().to_string())?;
+        write_chunked_line(&mut stream, &state.complete_list().to_string())?;
         state.watchers.push(stream);
     }
     loop {
         thread::sleep(KEEP_ALIVE);
         let _ordered = state.lock().expect("no panic");
-        chunked_line(&mut kept_alive, "")?;
+        write_chunked_line(&mut kept_alive, "")?;
     }
 }
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/lifecycle.rs
@@ -1,7 +1,7 @@
 //! A whole course: serving, a move, an end; memory and descriptors; strangers.
 
 use crate::controller_process::*;
-use crate::stage::*;
+use crate::scripted_peers::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -18,7 +18,7 @@
         (Some(broken.as_path()), "config.json"),
         (Some(Path::new("/nowhere")), "/nowhere"),
     ] {
-        let ended = platform(config).output().expect("the program");
+        let ended = platform_command(config).output().expect("the program");
         let text = String::from_utf8_lossy(&ended.stderr);
         assert_eq!(ended.status.code(), Some(2), "{text}");
         assert!(text.lines().count() == 1 && text.contains(says), "{text}");
@@ -27,8 +27,8 @@
 
 #[test]
 fn it_serves_moves_and_ends() {
-    let (relay_at, calls) = relay(12);
-    let (discovery_at, asked) = discovery(1);
+    let (relay_at, calls) = start_relay(12);
+    let (discovery_at, asked) = start_registry(1);
     let controller = ControllerProcess::start(discovery_at, relay_at);
     wait_for(&calls, "relay.watch");
     wait_for(&calls, "\"verb\":\"bind\"");
@@ -42,8 +42,8 @@
     controller.signal("-HUP");
     controller.signal("-HUP");
     thread::sleep(Duration::from_millis(300));
-    let (relay_next, calls_next) = relay(12);
-    let (discovery_next, asked_next) = discovery(0);
+    let (relay_next, calls_next) = start_relay(12);
+    let (discovery_next, asked_next) = start_registry(0);
     std::fs::write(
         &controller.config,
         config(controller.listen, discovery_next, relay_next),
@@ -52,7 +52,7 @@
     wait_for(&asked_next, "GET /registry/instances HTTP");
     wait_for(&calls_next, "relay.watch");
     // The new list has other hosts, under a lower version: they are dealt, by whichever address serves then.
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + TIMEOUT;
     let (mut dealt, mut bound) = (false, false);
     while !dealt || !bound {
         dealt |= calls.try_iter().any(|line| line.contains("s-0-"));
@@ -68,7 +68,7 @@
         );
         thread::sleep(Duration::from_millis(5));
     }
-    let log = controller.ends();
+    let log = controller.terminate();
     // Two signals may be told as one.
     assert!(
         (1..=2).contains(&log.matches("configuration reload failed").count()),
@@ -79,11 +79,11 @@
 /// The relay moves while a call is under way there: that call ends where it began, and none is taken for lost.
 #[test]
 fn a_call_under_way_ends_where_it_began() {
-    let (relay_at, calls) = slow_relay(12, Duration::from_millis(200));
-    let (discovery_at, _asked) = discovery(1);
+    let (relay_at, calls) = start_slow_relay(12, Duration::from_millis(200));
+    let (discovery_at, _asked) = start_registry(1);
     let controller = ControllerProcess::start(discovery_at, relay_at);
     wait_for(&calls, "\"verb\":\"bind\"");
-    let (relay_next, calls_next) = relay(14);
+    let (relay_next, calls_next) = start_relay(14);
     std::fs::write(
         &controller.config,
         config(controller.listen, discovery_at, relay_next),
@@ -93,7 +93,7 @@
     wait_for(&calls_next, "relay.watch");
     // Whoever joined meanwhile is bound by the new relay alone.
     wait_for(&calls_next, "\"bind\",\"id\":13");
-    let log = controller.ends();
+    let log = controller.terminate();
     assert!(
         !log.contains("update call failed") && !log.contains("relay connection failed"),
         "{log}"
@@ -103,15 +103,15 @@
 /// A host drains while the watch is silent: the next watch tells, well within the time after which it counts as told.
 #[test]
 fn a_silent_watch_hides_no_drain_for_long() {
-    let (relay_at, calls) = relay(4);
-    let (discovery_at, _asked) = watched_discovery(
+    let (relay_at, calls) = start_relay(4);
+    let (discovery_at, _asked) = start_registry_with_watch(
         1,
         Some(|number, line| {
             if number > 0 {
                 let hosts: Vec<String> = (0..8)
-                    .map(|n| host(1, n, if n == 3 { "Terminating" } else { "Ready" }))
+                    .map(|n| host_entry(1, n, if n == 3 { "Terminating" } else { "Ready" }))
                     .collect();
-                line(&list_of(2, &hosts))?;
+                line(&endpoint_list(2, &hosts))?;
             }
             thread::sleep(Duration::from_secs(60));
             Some(())
@@ -126,18 +126,18 @@
         "{:?}",
         before.elapsed()
     );
-    controller.ends();
+    controller.terminate();
 }
 
 /// Hosts under new ids fifty times a second, and strangers all the while: memory and descriptors stay as they were.
 #[test]
 fn many_releases_and_strangers_leave_nothing_behind() {
-    let (relay_at, calls) = relay(4);
-    let (discovery_at, _asked) = watched_discovery(
+    let (relay_at, calls) = start_relay(4);
+    let (discovery_at, _asked) = start_registry_with_watch(
         1,
         Some(|_, line| {
             for version in 2..1_000 {
-                line(&list(version))?;
+                line(&ready_list(version))?;
                 thread::sleep(Duration::from_millis(20));
             }
             Some(())
@@ -147,58 +147,58 @@
     wait_for(&calls, "\"verb\":\"bind\"");
     let strangers = |rounds: usize| {
         for _ in 0..rounds {
-            let mut some: Vec<TcpStream> = (0..10).map(|_| controller.dial()).collect();
+            let mut some: Vec<TcpStream> = (0..10).map(|_| controller.connect()).collect();
             some.iter_mut()
-                .for_each(|stranger| drop(stranger.write_all(&message("odd"))));
+                .for_each(|stranger| drop(stranger.write_all(&resp_message("odd"))));
             thread::sleep(Duration::from_millis(20));
         }
     };
     strangers(100);
-    let (memory, descriptors) = (controller.memory(), controller.descriptors());
+    let (memory, descriptors) = (controller.resident_kib(), controller.open_descriptors());
     strangers(200);
     // Hosts of the last 30 s are still known, some 300 bytes each; a connection or task that stays takes far more.
-    let grown = controller.memory().saturating_sub(memory);
+    let grown = controller.resident_kib().saturating_sub(memory);
     assert!(grown < 3_000, "{grown} KiB more than {memory}");
     assert!(
-        controller.descriptors() <= descriptors + 12,
+        controller.open_descriptors() <= descriptors + 12,
         "{} then {}",
         descriptors,
-        controller.descriptors()
+        controller.open_descriptors()
     );
-    controller.ends();
+    controller.terminate();
 }
 
 #[test]
 fn strangers_are_refused_and_lock_nobody_out() {
-    let (relay_at, _calls) = relay(4);
-    let (discovery_at, _asked) = discovery(1);
+    let (relay_at, _calls) = start_relay(4);
+    let (discovery_at, _asked) = start_registry(1);
     let controller = ControllerProcess::start(discovery_at, relay_at);
-    let mut ping = controller.dial();
-    ping.write_all(&message("ping")).expect("written");
+    let mut ping = controller.connect();
+    ping.write_all(&resp_message("ping")).expect("written");
     let mut pong = [0; 14];
     ping.read_exact(&mut pong).expect("an answer");
     assert_eq!(&pong, b"*1\r\n$4\r\npong\r\n");
     drop(ping);
 
-    let mut collector = controller.dial();
+    let mut collector = controller.connect();
     collector
-        .write_all(&message("collector site a"))
+        .write_all(&resp_message("collector site a"))
         .expect("written");
     let before = Instant::now();
-    let silent: Vec<TcpStream> = (0..400).map(|_| controller.dial()).collect();
+    let silent: Vec<TcpStream> = (0..400).map(|_| controller.connect()).collect();
     for bad in [
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         b"*1000000000000000000\r\n".to_vec(),
-        message("collector site nowhere"),
-        message("joined id 3 site a rps 2 new 1"),
-        message("heard site a target s-1-1 count 5 fail 0 mean 4 over 1000"),
-        message("ping")[..7].to_vec(),
+        resp_message("collector site nowhere"),
+        resp_message("joined id 3 site a rps 2 new 1"),
+        resp_message("heard site a target s-1-1 count 5 fail 0 mean 4 over 1000"),
+        resp_message("ping")[..7].to_vec(),
         vec![b'*'; 100_000],
     ] {
-        let mut stranger = controller.dial();
+        let mut stranger = controller.connect();
         // It may be closed before all is written.
         stranger.write_all(&bad).ok();
-        let answer = said(stranger);
+        let answer = read_until_closed(stranger);
         assert!(
             answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
             "{answer}"
@@ -206,9 +206,9 @@
     }
     assert!(before.elapsed() < Duration::from_secs(3));
     assert!(
-        controller.descriptors() <= 128,
+        controller.open_descriptors() <= 128,
         "{} descriptors",
-        controller.descriptors()
+        controller.open_descriptors()
     );
     // Reports go on all the while, spoilt ones among them.
     for text in [
@@ -217,12 +217,14 @@
         "odd",
     ] {
         collector
-            .write_all(&message(text))
+            .write_all(&resp_message(text))
             .expect("the collector's connection stands");
     }
     thread::sleep(Duration::from_millis(1_300));
     collector
-        .write_all(&message("usage id 3 lane proof count 4 fail 0 over 1000"))
+        .write_all(&resp_message(
+            "usage id 3 lane proof count 4 fail 0 over 1000",
+        ))
         .expect("written");
     thread::sleep(Duration::from_millis(50));
     collector.set_nonblocking(true).expect("set");
@@ -233,8 +235,8 @@
     drop(silent);
     thread::sleep(Duration::from_millis(300));
     assert!(
-        controller.descriptors() < 40,
+        controller.open_descriptors() < 40,
         "{} descriptors",
-        controller.descriptors()
+        controller.open_descriptors()
     );
 }
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,12 +1,16 @@
-//! `pondarch platform` as a process, between a scripted relay and a scripted discovery on loopback.
+//! Tests of `pondarch platform` as a process, with a relay and a registry that the tests play on loopback.
 //!
-//! - `controller_process`: the process; `stage`: peers that follow a script by themselves.
-//! - `party`: a party that does what the test says, so that events cross as it wants.
+//! - `controller_process`: the process under test.
+//! - `scripted_peers`: relays and registries that follow a fixed script.
+//! - `manual_peer`: a peer that sends only what the test tells it to, so that the test decides the order of events.
 //! - `channel_relay`, `channel_state`: a relay whose channel to the proxies sends at a limited rate.
-//! - `registry_stand_in`: a registry whose list the test changes.
-//! - `warming_fleet`, `warming_load`: hosts that start anew, and the rule on overload.
-//! - `warming_soak`: the same under seeded faults.
-//! - the rest: one file a way in and out.
+//! - `fake_registry`: a registry whose endpoint list the test changes.
+//! - `warming_fleet`, `warming_load`: a fleet in which hosts restart, and the rule on overload of warming hosts.
+//! - `warming_soak`: the same fleet under seeded faults.
+//! - `clients`, `endpoint_watch`, `relay_connections`: tests of the controller's clients, its registry watch and its
+//!   connections to the relay.
+//! - `lifecycle`, `startup`, `reload`, `shutdown`: tests of whole runs, of start-up, of SIGHUP and of termination.
+//! - `channel`, `warming`: tests of the update queue and of the load of warming hosts.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
@@ -16,15 +20,15 @@
 mod channel_state;
 mod clients;
 mod controller_process;
-mod ends;
-mod lists;
-mod moves;
-mod party;
-mod registry_stand_in;
-mod relay;
-mod serving;
-mod stage;
-mod starts;
+mod endpoint_watch;
+mod fake_registry;
+mod lifecycle;
+mod manual_peer;
+mod relay_connections;
+mod reload;
+mod scripted_peers;
+mod shutdown;
+mod startup;
 mod warming;
 mod warming_fleet;
 mod warming_load;
--- a/crates/cli/tests/platform/relay.rs
+++ b/crates/cli/tests/platform/relay_connections.rs
@@ -1,10 +1,11 @@
 //! Calls and news: answers too late or of another call, cuts in the worst moment, a relay that closes at once.
 
 use crate::controller_process::*;
-use crate::party::{
-    ALIVE, Party, Served, answer, caller_with_a_call, joined, narrow_listener, off,
+use crate::manual_peer::{
+    ControllerFixture, ManualPeer, PING, accept_pending_update_call, host_removal, joined_event,
+    response, small_buffer_listener,
 };
-use crate::stage::*;
+use crate::scripted_peers::*;
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read};
 use std::sync::Arc;
@@ -16,16 +17,16 @@
 /// The late answer says nothing of the second call.
 #[test]
 fn an_answer_after_its_limit_counts_for_nothing() {
-    let mut site = Served::with(4);
-    site.drains(2, 3);
-    let (first, call) = site.relay.call(&off(3));
-    let (second, again) = site.relay.call(&off(3));
+    let mut fixture = ControllerFixture::start(4);
+    fixture.drain_host(2, 3);
+    let (first, call) = fixture.relay.wait_for_call(&host_removal(3));
+    let (second, again) = fixture.relay.wait_for_call(&host_removal(3));
     assert_ne!(first, second, "the connection that owes an answer is left");
-    site.relay.take(first, &call);
-    site.relay.take(second, &again);
-    site.drains(3, 4);
-    assert_eq!(site.relay.takes(&off(4)), second);
-    let log = site.controller.ends();
+    fixture.relay.accept_call(first, &call);
+    fixture.relay.accept_call(second, &again);
+    fixture.drain_host(3, 4);
+    assert_eq!(fixture.relay.accept_calls_until(&host_removal(4)), second);
+    let log = fixture.controller.terminate();
     assert_eq!(log.matches("update call failed").count(), 1, "{log}");
 }
 
@@ -36,14 +37,14 @@
         "{\"jsonrpc\":\"2.0\",\"id\":999,\"result\":{\"ok_count\":1}}\n",
         "{\"jsonrpc\":\n",
     ] {
-        let mut site = Served::with(4);
-        site.drains(2, 3);
-        let (first, _) = site.relay.call(&off(3));
-        site.relay.say(first, wrong);
-        let second = site.relay.takes(&off(3));
+        let mut fixture = ControllerFixture::start(4);
+        fixture.drain_host(2, 3);
+        let (first, _) = fixture.relay.wait_for_call(&host_removal(3));
+        fixture.relay.send(first, wrong);
+        let second = fixture.relay.accept_calls_until(&host_removal(3));
         assert_ne!(first, second);
-        site.relay.closed(first);
-        site.controller.ends();
+        fixture.relay.wait_for_close(first);
+        fixture.controller.terminate();
     }
 }
 
@@ -52,18 +53,18 @@
 #[test]
 fn an_idle_close_as_a_call_is_due_loses_no_call() {
     for reset in [false, true] {
-        let mut site = Served::with(4);
-        site.controller.signal("-STOP");
+        let mut fixture = ControllerFixture::start(4);
+        fixture.controller.signal("-STOP");
         if reset {
-            site.relay.reset(site.caller);
+            fixture.relay.reset(fixture.update_connection);
         } else {
-            site.relay.close(site.caller);
+            fixture.relay.close(fixture.update_connection);
         }
-        site.drains(2, 3);
-        site.controller.signal("-CONT");
-        let caller = site.relay.takes(&off(3));
-        assert_ne!(caller, site.caller);
-        site.controller.ends();
+        fixture.drain_host(2, 3);
+        fixture.controller.signal("-CONT");
+        let caller = fixture.relay.accept_calls_until(&host_removal(3));
+        assert_ne!(caller, fixture.update_connection);
+        fixture.controller.terminate();
     }
 }
 
@@ -71,34 +72,36 @@
 #[test]
 fn a_cut_after_the_last_byte_is_made_good() {
     for reset in [false, true] {
-        let mut site = Served::with(4);
-        site.drains(2, 3);
-        let (caller, _) = site.relay.call(&off(3));
+        let mut fixture = ControllerFixture::start(4);
+        fixture.drain_host(2, 3);
+        let (caller, _) = fixture.relay.wait_for_call(&host_removal(3));
         if reset {
-            site.relay.reset(caller);
+            fixture.relay.reset(caller);
         } else {
-            site.relay.close(caller);
+            fixture.relay.close(caller);
         }
-        site.relay.takes(&off(3));
-        site.controller.ends();
+        fixture.relay.accept_calls_until(&host_removal(3));
+        fixture.controller.terminate();
     }
 }
 
 /// The connection breaks with part of a call on it: what was in it is ordered again on the next one.
 #[test]
 fn a_cut_before_the_last_byte_is_made_good() {
-    let (relay, at) = narrow_listener();
-    let (discovery, _asked) = discovery(1);
+    let (relay, at) = small_buffer_listener();
+    let (discovery, _asked) = start_registry(1);
     let controller = ControllerProcess::start(discovery, at);
-    let mut caller = caller_with_a_call(&relay);
-    caller.read_exact(&mut [0; 16]).expect("the call has begun");
+    let mut caller = accept_pending_update_call(&relay);
+    caller
+        .read_exact(&mut [0; 16])
+        .expect("the call has started_at");
     SockRef::from(&caller)
         .set_linger(Some(Duration::ZERO))
         .expect("set");
     drop(caller);
     loop {
         let (next, _) = relay.accept().expect("the next connection");
-        next.set_read_timeout(Some(SOON)).expect("a limit");
+        next.set_read_timeout(Some(TIMEOUT)).expect("a limit");
         let mut line = String::new();
         // News may be asked for anew in between.
         BufReader::new(next).read_line(&mut line).expect("a line");
@@ -108,26 +111,26 @@
             break;
         }
     }
-    controller.ends();
+    controller.terminate();
 }
 
 /// News break between what stands and the first sign of life. Whom only the broken list named has left.
 #[test]
 fn news_cut_before_the_first_sign_of_life_leave_no_ghosts() {
-    let (mut relay, mut discovery) = (Party::open(), Party::open());
-    let controller = ControllerProcess::start(discovery.at, relay.at);
-    discovery.watch(1);
-    let news = relay.watcher(&[0, 1, 2, 3]);
-    relay.takes("\"bind\",\"id\":3");
+    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
+    let controller = ControllerProcess::start(discovery.address, relay.address);
+    discovery.accept_watch(1);
+    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    relay.accept_calls_until("\"bind\",\"id\":3");
     relay.reset(news);
-    let news = relay.watcher(&[0, 1]);
-    relay.say(news, ALIVE);
-    relay.takes("\"bind\",\"id\":1");
+    let news = relay.accept_membership_watch(&[0, 1]);
+    relay.send(news, PING);
+    relay.accept_calls_until("\"bind\",\"id\":1");
     // Who joins after that is bound, and who was named by the broken list alone is not.
-    relay.say(news, &joined(7));
-    relay.takes("\"bind\",\"id\":7");
-    controller.logs("counters", 1);
-    let log = controller.ends();
+    relay.send(news, &joined_event(7));
+    relay.accept_calls_until("\"bind\",\"id\":7");
+    controller.wait_for_log("counters", 1);
+    let log = controller.terminate();
     let members = log
         .lines()
         .rfind(|line| line.contains("counters"))
@@ -138,34 +141,35 @@
 /// A proxy left and joined while no news came: it holds nothing of ours, and is bound again to the table it had.
 #[test]
 fn left_and_joined_across_a_reconnect_is_bound_again() {
-    let mut site = Served::with(4);
-    site.relay.reset(site.news);
-    let news = site.relay.watcher(&[0, 1, 2, 3]);
-    site.relay.takes("\"bind\",\"id\":2");
-    site.relay.say(news, ALIVE);
+    let mut fixture = ControllerFixture::start(4);
+    fixture.relay.reset(fixture.membership_connection);
+    let news = fixture.relay.accept_membership_watch(&[0, 1, 2, 3]);
+    fixture.relay.accept_calls_until("\"bind\",\"id\":2");
+    fixture.relay.send(news, PING);
     // And in the other order, on one connection.
-    site.relay
-        .say(news, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
-    site.relay.say(news, &joined(2));
-    site.relay.takes("\"bind\",\"id\":2");
-    site.controller.ends();
+    fixture
+        .relay
+        .send(news, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
+    fixture.relay.send(news, &joined_event(2));
+    fixture.relay.accept_calls_until("\"bind\",\"id\":2");
+    fixture.controller.terminate();
 }
 
 /// BUSY for two seconds: asked again at a calm pace on one connection, and served at once when it is over.
 #[test]
 fn a_busy_relay_is_asked_at_a_calm_pace() {
-    let (mut relay, mut discovery) = (Party::open(), Party::open());
-    let controller = ControllerProcess::start(discovery.at, relay.at);
-    discovery.watch(1);
-    let news = relay.watcher(&[0, 1, 2, 3]);
-    relay.say(news, ALIVE);
+    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
+    let controller = ControllerProcess::start(discovery.address, relay.address);
+    discovery.accept_watch(1);
+    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    relay.send(news, PING);
     let (until, mut asked) = (Instant::now() + Duration::from_secs(2), 0);
     let mut on = Vec::new();
     while Instant::now() < until {
-        let (who, call) = relay.call("\"bind\"");
-        relay.say(
+        let (who, call) = relay.wait_for_call("\"bind\"");
+        relay.send(
             who,
-            &answer(&call, "\"error\":{\"code\":-32000,\"message\":\"BUSY\"}"),
+            &response(&call, "\"error\":{\"code\":-32000,\"message\":\"BUSY\"}"),
         );
         asked += 1;
         on.push(who);
@@ -175,16 +179,16 @@
         on.iter().all(|who| *who == on[0]),
         "on one connection: {on:?}"
     );
-    relay.takes("\"bind\",\"id\":3");
-    controller.ends();
+    relay.accept_calls_until("\"bind\",\"id\":3");
+    controller.terminate();
 }
 
 /// A relay that takes each connection and closes it at once, as one that holds as many as it may does, was dialled
 /// again without end.
 #[test]
 fn a_relay_that_closes_at_once_is_dialled_calmly() {
-    let (listener, at) = listener();
-    let (discovery, _asked) = discovery(1);
+    let (listener, at) = bind_listener();
+    let (discovery, _asked) = start_registry(1);
     let dialled = Arc::new(AtomicUsize::new(0));
     let counted = dialled.clone();
     thread::spawn(move || {
@@ -193,10 +197,10 @@
         }
     });
     let controller = ControllerProcess::start(discovery, at);
-    controller.logs("relay connection failed", 1);
+    controller.wait_for_log("relay connection failed", 1);
     thread::sleep(Duration::from_secs(1));
     // Two connections, each ten times a second at most.
     let dialled = dialled.load(Relaxed);
     assert!((2..=40).contains(&dialled), "dialled {dialled} times");
-    controller.ends();
+    controller.terminate();
 }
--- a/crates/cli/tests/platform/starts.rs
+++ b/crates/cli/tests/platform/startup.rs
@@ -1,7 +1,7 @@
 //! Many that start at once, while hosts are cold.
 
 use crate::controller_process::*;
-use crate::stage::*;
+use crate::scripted_peers::*;
 use std::io::{Read, Write};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,7 +10,7 @@
 /// the first second. Each controller is ready long before 10 s, and each proxy has a host.
 #[test]
 fn two_dozen_start_at_once_with_cold_hosts() {
-    let (discovery_at, _asked) = watched_discovery(
+    let (discovery_at, _asked) = start_registry_with_watch(
         1,
         Some(|_, line| {
             let now = SystemTime::now()
@@ -19,41 +19,41 @@
                 .as_millis();
             let started = |n: usize| if n < 5 { now } else { 0 };
             let hosts = (0..8).map(|n| {
-                host(1, n, "Ready").replace(
+                host_entry(1, n, "Ready").replace(
                     "\"startedAtMs\":0",
                     &format!("\"startedAtMs\":{}", started(n)),
                 )
             });
-            line(&list_of(2, &hosts.collect::<Vec<_>>()))?;
+            line(&endpoint_list(2, &hosts.collect::<Vec<_>>()))?;
             thread::sleep(Duration::from_secs(60));
             Some(())
         }),
     );
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let started: Vec<_> = (0..24)
         .map(|_| {
-            let (relay_at, calls) = relay(20);
+            let (relay_at, calls) = start_relay(20);
             (ControllerProcess::start(discovery_at, relay_at), calls)
         })
         .collect();
     for (controller, _) in &started {
-        let mut ping = controller.dial();
-        ping.write_all(&message("ping")).expect("written");
+        let mut ping = controller.connect();
+        ping.write_all(&resp_message("ping")).expect("written");
         let mut pong = [0; 14];
         ping.read_exact(&mut pong).expect("an answer");
         assert_eq!(&pong, b"*1\r\n$4\r\npong\r\n");
     }
     assert!(
-        begun.elapsed() < Duration::from_secs(10),
+        started_at.elapsed() < Duration::from_secs(10),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     for (controller, calls) in started {
         let mut bound = std::collections::BTreeSet::new();
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + TIMEOUT;
         while bound.len() < 20 {
             assert!(Instant::now() < until, "{} of 20 are bound", bound.len());
-            let Ok(line) = calls.recv_timeout(SOON) else {
+            let Ok(line) = calls.recv_timeout(TIMEOUT) else {
                 panic!("{} of 20 are bound", bound.len())
             };
             let call: serde_json::Value = serde_json::from_str(&line).expect("an object");
@@ -68,6 +68,6 @@
                     .filter_map(|o| o["id"].as_u64()),
             );
         }
-        controller.ends();
+        controller.terminate();
     }
 }
--- a/crates/cli/tests/platform/warming_fleet.rs
+++ b/crates/cli/tests/platform/warming_fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::channel_relay::{ChannelRelay, MESSAGE_OVERHEAD};
 use crate::controller_process::ControllerProcess;
-use crate::registry_stand_in::{Listed, Registry};
-use crate::stage::message;
+use crate::fake_registry::{FakeRegistry, Listed};
+use crate::scripted_peers::resp_message;
 use crate::warming_load::{WarmingLoad, WarmingRule, Worst};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 pub(crate) const HOSTS: usize = 30;
 /// Messages that a proxy may be sent in 10 s.
 pub(crate) const MESSAGE_CAP: usize = 12;
-/// Lines a second of the channel, and how many may wait in it.
+/// ReceivedLines a second of the channel, and how many may wait in it.
 pub(crate) const CHANNEL_RATE: f64 = 8_000.0;
 pub(crate) const LINE_LIMIT: f64 = 8_000.0;
 /// Requests a second that reach all proxies.
@@ -68,9 +68,9 @@
 
 pub(crate) struct WarmingFleet {
     pub relay: Arc<ChannelRelay>,
-    pub registry: Registry,
+    pub registry: FakeRegistry,
     pub controller: ControllerProcess,
-    pub begun: Instant,
+    pub started_at: Instant,
     /// When the controller was started last.
     started: Instant,
     proxies: u16,
@@ -107,10 +107,10 @@
     /// A fleet with so many proxies.
     pub(crate) fn start(proxies: u16) -> WarmingFleet {
         let relay = Arc::new(ChannelRelay::start(CHANNEL_RATE, proxies));
-        let registry = Registry::start(&(0..HOSTS).map(host_name).collect::<Vec<_>>());
+        let registry = FakeRegistry::start(&(0..HOSTS).map(host_name).collect::<Vec<_>>());
         let upstreams = Upstreams {
-            registry: registry.at,
-            relay: relay.at,
+            registry: registry.address,
+            relay: relay.address,
         };
         let behaviour = Behaviour {
             proxies,
@@ -124,7 +124,7 @@
             relay,
             registry,
             controller,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             started: Instant::now(),
             proxies,
             upstreams,
@@ -156,7 +156,7 @@
 
     pub(crate) fn wait_until(&self, seconds: f64) {
         let at = Duration::from_secs_f64(seconds);
-        thread::sleep(at.saturating_sub(self.begun.elapsed()));
+        thread::sleep(at.saturating_sub(self.started_at.elapsed()));
     }
 
     /// Hosts start anew under their names, and the list says so in one change.
@@ -190,7 +190,7 @@
         self.load().told_again(START_GRACE);
     }
 
-    /// Registry and relay move to other addresses.
+    /// FakeRegistry and relay move to other addresses.
     pub(crate) fn move_upstreams(&mut self) {
         // The platform sends no SIGHUP before.
         thread::sleep(START_GRACE.saturating_sub(self.started.elapsed()));
@@ -248,7 +248,7 @@
         for (proxy, held) in relay.held_tables() {
             let requests = behaviour.rate(proxy) * REPORT_INTERVAL.as_secs_f64();
             let count = self.whole(&format!("proxy {proxy}"), requests);
-            text.extend(message(&format!(
+            text.extend(resp_message(&format!(
                 "usage id {proxy} lane proof count {count} fail 0 over {over}"
             )));
             let all: f64 = held.weights.values().sum();
@@ -261,7 +261,7 @@
             let is_failing = behaviour.failing.iter().any(|&n| host_name(n) == host);
             let (fail, mean) = if is_failing { (count, 0) } else { (0, 200) };
             if count > 0 {
-                text.extend(message(&format!(
+                text.extend(resp_message(&format!(
                     "heard site a target {host} count {count} fail {fail} mean {mean} over {over}"
                 )));
             }
@@ -283,7 +283,7 @@
         if self.stream.is_none() {
             self.stream = TcpStream::connect(listen).ok();
             if let Some(stream) = &mut self.stream {
-                stream.write_all(&message("collector site a")).ok();
+                stream.write_all(&resp_message("collector site a")).ok();
             }
         }
         if let Some(stream) = &mut self.stream
--- a/crates/cli/tests/platform/warming_soak.rs
+++ b/crates/cli/tests/platform/warming_soak.rs
@@ -90,7 +90,7 @@
     fn note(&mut self, fault: &str) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let second = now.expect("after 1970").as_secs_f64() % 60.0;
-        let at = self.fleet.begun.elapsed().as_secs_f64();
+        let at = self.fleet.started_at.elapsed().as_secs_f64();
         self.faults
             .push(format!("{at:6.3} s (second {second:6.3}): {fault}"));
     }
