--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -13,17 +13,17 @@
 
 const PROXIES: u16 = 200;
 const HOSTS: usize = 160;
-/// ReceivedLines a second that the settings state.
+/// Lines a second that the settings state.
 const STATED_RATE: f64 = 2_000.0;
-/// ReceivedLines that may wait: twice what all proxies take at their start.
+/// Lines that may wait: twice what all proxies take at their start.
 const LINE_LIMIT: f64 = 4_000.0;
 /// The host that drains at the end.
 const DRAINED: usize = 7;
 const DRAIN_AFTER: Duration = Duration::from_secs(14);
 
-fn config(listen: SocketAddr, discovery: SocketAddr, relay: SocketAddr) -> String {
+fn config(listen: SocketAddr, registry: SocketAddr, relay: SocketAddr) -> String {
     json!({
-        "name": "n0", "listen": listen, "discovery": discovery, "seed": "1f",
+        "name": "n0", "listen": listen, "discovery": registry, "seed": "1f",
         "limits": {"sockets": 128}, "hub": {"address": relay},
         "known": serde_json::from_str::<Value>(&endpoint_list(1, &ready_hosts())).expect("a list"),
         "settings": {
@@ -42,7 +42,7 @@
 }
 
 /// Lists all hosts, and one of them as draining some time after `started_at`.
-fn discovery_with_a_drain(started_at: Instant) -> (SocketAddr, ReceivedLines) {
+fn registry_with_a_drain(started_at: Instant) -> (SocketAddr, ReceivedLines) {
     start_scripted_registry(1, move |_, line| {
         line(&endpoint_list(2, &ready_hosts()))?;
         let drain_at = started_at + DRAIN_AFTER;
@@ -135,9 +135,9 @@
 fn play(faults: &[(u64, Fault)]) -> Outcome {
     let relay = ChannelRelay::start(STATED_RATE, PROXIES);
     let started_at = Instant::now();
-    let (discovery, _asked) = discovery_with_a_drain(started_at);
+    let (registry, _requests) = registry_with_a_drain(started_at);
     let controller =
-        ControllerProcess::start_configured(|listen| config(listen, discovery, relay.address));
+        ControllerProcess::start_configured(|listen| config(listen, registry, relay.address));
     let wait_until = |at: Duration| thread::sleep(at.saturating_sub(started_at.elapsed()));
     let over = AtomicBool::new(false);
     thread::scope(|scope| {
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -20,7 +20,7 @@
 }
 
 impl ChannelRelay {
-    /// ReceivedLines a second; the proxies that are joined.
+    /// Lines a second; the proxies that are joined.
     pub(crate) fn start(rate: f64, proxies: u16) -> ChannelRelay {
         let (listener, address) = bind_listener();
         let state = Arc::new(Mutex::new(State::new(rate, proxies)));
--- a/crates/cli/tests/platform/channel_state.rs
+++ b/crates/cli/tests/platform/channel_state.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// ReceivedLines that a message counts beyond its own.
+/// Lines that a message counts beyond its own.
 pub(crate) const MESSAGE_OVERHEAD: f64 = 3.0;
 /// From leaving the channel to being applied by the proxy.
 const TRANSIT: Duration = Duration::from_millis(200);
--- a/crates/cli/tests/platform/clients.rs
+++ b/crates/cli/tests/platform/clients.rs
@@ -157,7 +157,7 @@
     fixture.controller.wait_for_log("collector joined zone=", 3);
     for _ in 0..20 {
         // On a busy machine this takes longer than a watch may be silent; one that was renewed would not hear the drain.
-        fixture.discovery.send_chunk(fixture.watch_connection, "\n");
+        fixture.registry.send_chunk(fixture.watch_connection, "\n");
         assert!(pong(&fixture.controller) < Duration::from_secs(1));
     }
     fixture.drain_host(2, 3);
@@ -167,7 +167,7 @@
     let relay = crate::manual_peer::ManualPeer::start();
     fixture
         .controller
-        .change_upstreams(fixture.discovery.address, relay.address);
+        .change_upstreams(fixture.registry.address, relay.address);
     fixture.controller.wait_for_log("configuration reloaded", 1);
     over.store(true, Relaxed);
     floods
@@ -180,22 +180,23 @@
 /// gone so does all else.
 #[test]
 fn out_of_descriptors_it_keeps_what_it_has() {
-    let (relay_at, calls) = start_relay(4);
-    let (discovery_at, _asked) = start_registry(1);
+    let (relay_address, calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry(1);
     // More may connect by the configuration than the system lets it hold.
-    let controller = ControllerProcess::start_with_command(discovery_at, relay_at, |command| {
-        let mut limited = Command::new("sh");
-        limited
-            .arg("-c")
-            .arg("ulimit -n 40; exec \"$0\" platform")
-            .arg(command.get_program());
-        command.get_envs().for_each(|(name, value)| match value {
-            Some(value) => drop(limited.env(name, value)),
-            None => drop(limited.env_remove(name)),
+    let controller =
+        ControllerProcess::start_with_command(registry_address, relay_address, |command| {
+            let mut limited = Command::new("sh");
+            limited
+                .arg("-c")
+                .arg("ulimit -n 40; exec \"$0\" platform")
+                .arg(command.get_program());
+            command.get_envs().for_each(|(name, value)| match value {
+                Some(value) => drop(limited.env(name, value)),
+                None => drop(limited.env_remove(name)),
+            });
+            limited.stdout(std::process::Stdio::null());
+            limited
         });
-        limited.stdout(std::process::Stdio::null());
-        limited
-    });
     wait_for(&calls, "\"verb\":\"bind\"");
     let strangers: Vec<TcpStream> = (0..100).map(|_| controller.connect()).collect();
     let until = Instant::now() + TIMEOUT;
--- a/crates/cli/tests/platform/controller_process.rs
+++ b/crates/cli/tests/platform/controller_process.rs
@@ -1,4 +1,4 @@
-//! `pondarch platform` as a process, with a configuration and a log of its own.
+//! `pondarch platform` as a process, with its own configuration file and log file.
 
 use crate::scripted_peers::{TIMEOUT, ready_list};
 use std::net::{SocketAddr, TcpStream};
@@ -8,24 +8,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A running controller; dropping it kills the process.
 pub(crate) struct ControllerProcess {
     pub child: Child,
     pub config: PathBuf,
     pub listen: SocketAddr,
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
 }
 
 impl Drop for ControllerProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // It may have exited already.
         self.child.kill().ok();
         self.child.wait().ok();
     }
 }
 
-pub(crate) fn config(listen: SocketAddr, discovery: SocketAddr, relay: SocketAddr) -> String {
+/// A configuration with 20 proxies, one request class, one zone and a list of eight ready hosts.
+pub(crate) fn config(listen: SocketAddr, registry: SocketAddr, relay: SocketAddr) -> String {
     format!(
-        "{{\"name\":\"n0\",\"listen\":\"{listen}\",\"discovery\":\"{discovery}\",\"seed\":\"1f\",\
+        "{{\"name\":\"n0\",\"listen\":\"{listen}\",\"discovery\":\"{registry}\",\"seed\":\"1f\",\
          \"limits\":{{\"sockets\":128}},\"hub\":{{\"address\":\"{relay}\"}},\"known\":{},\
          \"settings\":{{\"classes\":[{{\"name\":\"proof\",\"aim\":1500000,\"worth\":1.0}}],\"localities\":[\"a\"],\
          \"familyInfo\":{{\"proxies\":20,\"channelRate\":9800.0,\"mostWaiting\":9800.0,\"perMessage\":3.0,\
@@ -36,106 +38,107 @@
 }
 
 impl ControllerProcess {
-    pub(crate) fn start(discovery: SocketAddr, relay: SocketAddr) -> ControllerProcess {
-        ControllerProcess::start_with_command(discovery, relay, |command| command)
+    pub(crate) fn start(registry: SocketAddr, relay: SocketAddr) -> ControllerProcess {
+        ControllerProcess::start_with_command(registry, relay, |command| command)
     }
 
-    /// The same, with whatever that makes of the command.
+    /// As `start`, with the command that `adapt` makes of the usual one.
     pub(crate) fn start_with_command(
-        discovery: SocketAddr,
+        registry: SocketAddr,
         relay: SocketAddr,
-        so: impl FnOnce(Command) -> Command,
+        adapt: impl FnOnce(Command) -> Command,
     ) -> ControllerProcess {
-        ControllerProcess::start_as(|listen| config(listen, discovery, relay), so)
+        ControllerProcess::start_as(|listen| config(listen, registry, relay), adapt)
     }
 
-    /// With a configuration of its own, made for the address at which it is to listen.
+    /// Starts it with the configuration that `config` makes for the address to listen on.
     pub(crate) fn start_configured(config: impl FnOnce(SocketAddr) -> String) -> ControllerProcess {
         ControllerProcess::start_as(config, |command| command)
     }
 
     fn start_as(
         config: impl FnOnce(SocketAddr) -> String,
-        so: impl FnOnce(Command) -> Command,
+        adapt: impl FnOnce(Command) -> Command,
     ) -> ControllerProcess {
-        let folder = tempfile::tempdir().expect("a folder");
-        let path = folder.path().join("config.json");
-        // An address of its own: a port that was merely free a moment ago may be some other connection's by now.
+        let directory = tempfile::tempdir().expect("no temporary directory");
+        let path = directory.path().join("config.json");
+        // Each process gets an address of its own: a port found free a moment ago may be in use by another connection by now.
         static STARTED: AtomicUsize = AtomicUsize::new(0);
-        let (n, id) = (STARTED.fetch_add(1, Relaxed), std::process::id());
+        let (n, process_id) = (STARTED.fetch_add(1, Relaxed), std::process::id());
         let listen = SocketAddr::from((
             [
                 127,
-                1 + (id % 250) as u8,
+                1 + (process_id % 250) as u8,
                 (n / 250) as u8,
                 1 + (n % 250) as u8,
             ],
             7070,
         ));
         std::fs::write(&path, config(listen)).expect("written");
-        let mut command = so(platform_command(Some(&path)));
-        let log = std::fs::File::create(folder.path().join("log")).expect("a log");
+        let mut command = adapt(platform_command(Some(&path)));
+        let log =
+            std::fs::File::create(directory.path().join("log")).expect("cannot create the log");
         let child = command.stderr(log).spawn().expect("the program");
         ControllerProcess {
             child,
             config: path,
             listen,
-            folder,
+            directory,
         }
     }
 
     pub(crate) fn kill(&mut self) {
         self.child.kill().expect("killed");
-        self.child.wait().expect("its end");
+        self.child.wait().expect("cannot wait for the process");
     }
 
-    /// Starts it again, once it is gone, at the same address with another configuration.
+    /// Starts it again after it has exited, on the same address with another configuration.
     pub(crate) fn restart(&mut self, config: &str) {
         std::fs::write(&self.config, config).expect("written");
         let log = std::fs::File::options()
             .append(true)
-            .open(self.folder.path().join("log"));
+            .open(self.directory.path().join("log"));
         self.child = platform_command(Some(&self.config))
-            .stderr(log.expect("its log"))
+            .stderr(log.expect("cannot read the log"))
             .spawn()
             .expect("the program");
     }
 
-    /// Has it read another configuration.
+    /// Writes another configuration and has the process reload it.
     pub(crate) fn reconfigure(&self, config: &str) {
         std::fs::write(&self.config, config).expect("written");
         self.signal("-HUP");
     }
 
-    /// Tells it where discovery and relay are from now on.
-    pub(crate) fn change_upstreams(&self, discovery: SocketAddr, relay: SocketAddr) {
-        self.reconfigure(&config(self.listen, discovery, relay));
+    /// Reloads with other addresses of the registry and the relay.
+    pub(crate) fn change_upstreams(&self, registry: SocketAddr, relay: SocketAddr) {
+        self.reconfigure(&config(self.listen, registry, relay));
     }
 
     pub(crate) fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.path().join("log")).expect("its log")
+        std::fs::read_to_string(self.directory.path().join("log")).expect("cannot read the log")
     }
 
-    /// Waits until its log has that so many times.
-    pub(crate) fn wait_for_log(&self, what: &str, times: usize) {
-        let until = Instant::now() + TIMEOUT;
-        while self.log().matches(what).count() < times {
+    /// Waits until the log contains `text` at least `times` times.
+    pub(crate) fn wait_for_log(&self, text: &str, times: usize) {
+        let deadline = Instant::now() + TIMEOUT;
+        while self.log().matches(text).count() < times {
             assert!(
-                Instant::now() < until,
-                "'{what}' is not {times} times in: {}",
+                Instant::now() < deadline,
+                "the log does not contain '{text}' {times} times: {}",
                 self.log()
             );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// How it ended; none: it has not within that time.
+    /// The exit status, or none if the process has not exited within `limit`.
     pub(crate) fn exits_within(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
-            let ended = self.child.try_wait().expect("its state");
-            if ended.is_some() || Instant::now() > until {
-                return ended;
+            let status = self.child.try_wait().expect("no process state");
+            if status.is_some() || Instant::now() > deadline {
+                return status;
             }
             thread::sleep(Duration::from_millis(2));
         }
@@ -149,48 +152,56 @@
         assert!(sent.expect("kill").success());
     }
 
+    /// Connects to the controller, with retries while it starts.
     pub(crate) fn connect(&self) -> TcpStream {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
-                stream.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+                stream
+                    .set_read_timeout(Some(TIMEOUT))
+                    .expect("cannot set a time limit");
                 return stream;
             }
-            assert!(Instant::now() < until, "the controller cannot be reached");
+            assert!(
+                Instant::now() < deadline,
+                "the controller cannot be reached"
+            );
             thread::sleep(Duration::from_millis(20));
         }
     }
 
+    /// The number of open file descriptors.
     pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("its files")
+            .expect("no file descriptors")
             .count()
     }
 
-    /// KiB that it has in memory.
+    /// Resident memory in KiB.
     pub(crate) fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
-            .expect("its state");
+            .expect("no process state");
         let line = status
             .lines()
             .find(|line| line.starts_with("VmRSS"))
-            .expect("its memory");
+            .expect("no VmRSS line");
         line.split_whitespace()
             .nth(1)
             .and_then(|count| count.parse().ok())
-            .expect("a count")
+            .expect("not a number")
     }
 
-    /// Ends it, as a planned restart does; gives its log.
+    /// Terminates it with SIGTERM, as a planned restart does, and returns its log.
     pub(crate) fn terminate(mut self) -> String {
         self.signal("-TERM");
-        let ended = self.child.wait().expect("its end");
+        let status = self.child.wait().expect("cannot wait for the process");
         let log = self.log();
-        assert!(ended.success(), "{log}");
+        assert!(status.success(), "{log}");
         log
     }
 }
 
+/// The command `pondarch platform` with this configuration file.
 pub(crate) fn platform_command(config: Option<&Path>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
     command
--- a/crates/cli/tests/platform/endpoint_watch.rs
+++ b/crates/cli/tests/platform/endpoint_watch.rs
@@ -19,11 +19,11 @@
 fn a_watch_that_says_nothing_is_renewed() {
     let mut fixture = ControllerFixture::start(4);
     let started_at = Instant::now();
-    fixture.discovery.accept_watch(1);
-    fixture.discovery.wait_for_line("follow=1&since=1 ");
-    let watch = fixture.discovery.accept_watch(1);
+    fixture.registry.accept_watch(1);
+    fixture.registry.wait_for_line("follow=1&since=1 ");
+    let watch = fixture.registry.accept_watch(1);
     fixture
-        .discovery
+        .registry
         .send_chunk(watch, &list_change(2, &[host_entry(1, 3, "Terminating")]));
     fixture.relay.accept_calls_until(&host_removal(3));
     assert!(
@@ -45,10 +45,10 @@
         if drips {
             // Each piece is a sign of life; the line would take a minute.
             for byte in half.as_bytes().chunks(1) {
-                if fixture.discovery.has_closed(fixture.watch_connection) {
+                if fixture.registry.has_closed(fixture.watch_connection) {
                     break;
                 }
-                fixture.discovery.send_chunk(
+                fixture.registry.send_chunk(
                     fixture.watch_connection,
                     std::str::from_utf8(byte).expect("text"),
                 );
@@ -56,13 +56,13 @@
                 assert!(started_at.elapsed() < TOLD, "the watch still stands");
             }
         } else {
-            fixture.discovery.send_chunk(fixture.watch_connection, half);
+            fixture.registry.send_chunk(fixture.watch_connection, half);
         }
-        let watch = fixture.discovery.accept_watch(1);
+        let watch = fixture.registry.accept_watch(1);
         assert!(started_at.elapsed() < TOLD, "{:?}", started_at.elapsed());
         // The rest of that line is no line.
         fixture
-            .discovery
+            .registry
             .send_chunk(watch, &list_change(2, &[host_entry(1, 4, "Terminating")]));
         fixture.relay.accept_calls_until(&host_removal(4));
         assert_eq!(fixture.relay.unclaimed_line_count(&host_removal(3)), 0);
@@ -78,14 +78,14 @@
         .as_bytes()
         .chunks(8)
     {
-        fixture.discovery.send_chunk(
+        fixture.registry.send_chunk(
             fixture.watch_connection,
             std::str::from_utf8(piece).expect("text"),
         );
         std::thread::sleep(Duration::from_millis(50));
     }
     fixture.relay.accept_calls_until(&host_removal(3));
-    assert!(!fixture.discovery.has_closed(fixture.watch_connection));
+    assert!(!fixture.registry.has_closed(fixture.watch_connection));
     fixture.controller.terminate();
 }
 
@@ -95,11 +95,11 @@
     let mut fixture = ControllerFixture::start(4);
     for _ in 0..5 {
         std::thread::sleep(Duration::from_millis(1_000));
-        fixture.discovery.send_chunk(fixture.watch_connection, "\n");
+        fixture.registry.send_chunk(fixture.watch_connection, "\n");
     }
     fixture.drain_host(2, 3);
     fixture.relay.accept_calls_until(&host_removal(3));
-    assert_eq!(fixture.discovery.connection_count(), 1);
+    assert_eq!(fixture.registry.connection_count(), 1);
     fixture.controller.terminate();
 }
 
@@ -109,15 +109,15 @@
     let mut fixture = ControllerFixture::start(4);
     fixture.drain_host(9, 2);
     fixture.relay.accept_calls_until(&host_removal(2));
-    fixture.discovery.send_chunk(
+    fixture.registry.send_chunk(
         fixture.watch_connection,
         &format!("{}\n", endpoint_list(4, &drained(3))),
     );
     fixture.relay.accept_calls_until(&host_removal(3));
     fixture.drain_host(5, 4);
     fixture.relay.accept_calls_until(&host_removal(4));
-    fixture.discovery.close(fixture.watch_connection);
-    fixture.discovery.accept_watch(5);
+    fixture.registry.close(fixture.watch_connection);
+    fixture.registry.accept_watch(5);
     fixture.controller.terminate();
 }
 
@@ -129,11 +129,11 @@
     fixture.drain_host(9, 2);
     fixture.relay.accept_calls_until(&host_removal(2));
     fixture.drain_host(3, 3);
-    fixture.discovery.send_list(3, &drained(3));
+    fixture.registry.send_list(3, &drained(3));
     fixture.relay.accept_calls_until(&host_removal(3));
-    let watch = fixture.discovery.accept_watch(3);
+    let watch = fixture.registry.accept_watch(3);
     fixture
-        .discovery
+        .registry
         .send_chunk(watch, &list_change(4, &[host_entry(1, 4, "Terminating")]));
     fixture.relay.accept_calls_until(&host_removal(4));
     fixture.controller.terminate();
@@ -147,20 +147,20 @@
         fixture.drain_host(2, 3);
         if reset {
             // A reset may take what was not read yet: the next watch tells it, from whichever version that asks.
-            fixture.discovery.reset(fixture.watch_connection);
-            let (watch, asked) = fixture.discovery.wait_for_line("follow=1&since=");
-            fixture.discovery.send(
+            fixture.registry.reset(fixture.watch_connection);
+            let (watch, asked) = fixture.registry.wait_for_line("follow=1&since=");
+            fixture.registry.send(
                 watch,
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n",
             );
             if asked.contains("since=1 ") {
                 fixture
-                    .discovery
+                    .registry
                     .send_chunk(watch, &list_change(2, &[host_entry(1, 3, "Terminating")]));
             }
         } else {
-            fixture.discovery.close(fixture.watch_connection);
-            fixture.discovery.accept_watch(2);
+            fixture.registry.close(fixture.watch_connection);
+            fixture.registry.accept_watch(2);
         }
         fixture.relay.accept_calls_until(&host_removal(3));
         fixture.controller.terminate();
@@ -171,14 +171,14 @@
 /// made before it are put right.
 #[test]
 fn a_stale_list_at_the_start_is_put_right() {
-    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
-    let controller = ControllerProcess::start(discovery.address, relay.address);
+    let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
+    let controller = ControllerProcess::start(registry.address, relay.address);
     let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
     relay.send(news, PING);
-    // All are bound by the stale list; only then discovery speaks.
+    // All are bound by the stale list; only then registry speaks.
     relay.accept_calls_until("\"bind\",\"id\":3");
-    let watch = discovery.accept_watch(1);
-    discovery.send_chunk(watch, &list_change(7, &[host_entry(1, 3, "Terminating")]));
+    let watch = registry.accept_watch(1);
+    registry.send_chunk(watch, &list_change(7, &[host_entry(1, 3, "Terminating")]));
     relay.accept_calls_until(&host_removal(3));
     controller.terminate();
 }
@@ -192,12 +192,12 @@
         &[host_entry(1, 3, "Terminating"), host_entry(1, 4, "Asleep")],
     );
     fixture
-        .discovery
+        .registry
         .send_chunk(fixture.watch_connection, &wrong);
-    fixture.discovery.wait_for_close(fixture.watch_connection);
-    let watch = fixture.discovery.accept_watch(1);
+    fixture.registry.wait_for_close(fixture.watch_connection);
+    let watch = fixture.registry.accept_watch(1);
     fixture
-        .discovery
+        .registry
         .send_chunk(watch, &list_change(2, &[host_entry(1, 5, "Terminating")]));
     fixture.relay.accept_calls_until(&host_removal(5));
     assert_eq!(fixture.relay.unclaimed_line_count(&host_removal(3)), 0);
--- a/crates/cli/tests/platform/fake_registry.rs
+++ b/crates/cli/tests/platform/fake_registry.rs
@@ -1,4 +1,4 @@
-//! A registry on loopback: the complete list to whoever asks, and each change to all that watch.
+//! A registry on loopback: sends the complete endpoint list on request and each change to all watches.
 
 use crate::scripted_peers::{bind_listener, write_chunked_line};
 use serde_json::{Value, json};
@@ -9,27 +9,27 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time between two signs of life on a watch.
+/// Time between two keep-alive lines on a watch.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// A host as it is listed.
+/// The state of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListedHost {
     pub lifecycle: &'static str,
-    /// Unix time in milliseconds; 0: long ago.
+    /// Unix time in milliseconds; 0 if the host started long ago.
     pub started_ms: u64,
 }
 
-impl Listed {
-    pub(crate) const READY: Listed = Listed {
+impl ListedHost {
+    pub(crate) const READY: ListedHost = ListedHost {
         lifecycle: "Ready",
         started_ms: 0,
     };
 
-    /// Ready, and started just now.
-    pub(crate) fn just_started() -> Listed {
+    /// Ready, and started at this moment.
+    pub(crate) fn just_started() -> ListedHost {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        Listed {
+        ListedHost {
             lifecycle: "Ready",
             started_ms: now.expect("after 1970").as_millis() as u64,
         }
@@ -39,10 +39,11 @@
 #[derive(Default)]
 struct State {
     generation: u64,
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, ListedHost>,
     watchers: Vec<TcpStream>,
 }
 
+/// A registry whose endpoint list the test changes.
 pub(crate) struct FakeRegistry {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -51,22 +52,22 @@
 impl FakeRegistry {
     pub(crate) fn start(hosts: &[String]) -> FakeRegistry {
         let (listener, address) = bind_listener();
-        let listed = hosts.iter().map(|host| (host.clone(), Listed::READY));
+        let listed = hosts.iter().map(|host| (host.clone(), ListedHost::READY));
         let state = Arc::new(Mutex::new(State {
             generation: 1,
             listed: listed.collect(),
             ..State::default()
         }));
-        let serving = state.clone();
-        thread::spawn(move || serve(&listener, &serving));
+        let shared = state.clone();
+        thread::spawn(move || serve(&listener, &shared));
         FakeRegistry { address, state }
     }
 
-    /// Another address of the same registry.
+    /// Listens on another address as well, and returns it.
     pub(crate) fn listen_elsewhere(&self) -> SocketAddr {
         let (listener, address) = bind_listener();
-        let serving = self.state.clone();
-        thread::spawn(move || serve(&listener, &serving));
+        let shared = self.state.clone();
+        thread::spawn(move || serve(&listener, &shared));
         address
     }
 
@@ -74,8 +75,8 @@
         self.state.lock().expect("no panic")
     }
 
-    /// Lists hosts otherwise, in one change.
-    pub(crate) fn change(&self, changes: &[(String, Listed)]) {
+    /// Changes the entries of hosts, in one change of the list.
+    pub(crate) fn change(&self, changes: &[(String, ListedHost)]) {
         let mut state = self.state();
         state.generation += 1;
         for (host, listed) in changes {
@@ -93,15 +94,15 @@
             .retain_mut(|watcher| write_chunked_line(watcher, &line).is_some());
     }
 
-    /// Breaks all watches.
+    /// Closes the connections of all watches.
     pub(crate) fn break_watches(&self) {
         for watcher in self.state().watchers.drain(..) {
-            // It may be gone already.
+            // The connection may be closed already.
             watcher.shutdown(Shutdown::Both).ok();
         }
     }
 
-    /// The complete list, as a configuration's `known` has it.
+    /// The complete list, in the form of the configuration's `known`.
     pub(crate) fn complete_list(&self) -> Value {
         self.state().complete_list()
     }
@@ -115,7 +116,7 @@
     }
 }
 
-fn entry(host: &str, listed: Listed) -> Value {
+fn entry(host: &str, listed: ListedHost) -> Value {
     json!({"instanceId": host, "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "m", "cell": 1,
         "lifecycle": listed.lifecycle, "weight": 1.0, "startedAtMs": listed.started_ms})
 }
@@ -123,23 +124,23 @@
 fn serve(listener: &TcpListener, state: &Arc<Mutex<State>>) {
     for stream in listener.incoming().flatten() {
         let state = state.clone();
-        thread::spawn(move || answer(stream, &state));
+        thread::spawn(move || respond(stream, &state));
     }
 }
 
-fn answer(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
+fn respond(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
     let mut head = String::new();
-    let mut reading = BufReader::new(stream.try_clone().ok()?);
+    let mut reader = BufReader::new(stream.try_clone().ok()?);
     while !head.ends_with("\r\n\r\n") {
-        reading.read_line(&mut head).ok().filter(|read| *read > 0)?;
+        reader.read_line(&mut head).ok().filter(|read| *read > 0)?;
     }
     if !head.contains("follow=1") {
         let list = state.lock().expect("no panic").complete_list().to_string();
         let length = list.len();
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{list}");
-        return stream.write_all(answer.as_bytes()).ok();
+        let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{list}");
+        return stream.write_all(response.as_bytes()).ok();
     }
-    let mut kept_alive = stream.try_clone().ok()?;
+    let mut keep_alive_stream = stream.try_clone().ok()?;
     {
         let mut state = state.lock().expect("no panic");
         stream
@@ -150,7 +151,7 @@
     }
     loop {
         thread::sleep(KEEP_ALIVE);
-        let _ordered = state.lock().expect("no panic");
-        write_chunked_line(&mut kept_alive, "")?;
+        let _guard = state.lock().expect("no panic");
+        write_chunked_line(&mut keep_alive_stream, "")?;
     }
 }
--- a/crates/cli/tests/platform/lifecycle.rs
+++ b/crates/cli/tests/platform/lifecycle.rs
@@ -27,9 +27,9 @@
 
 #[test]
 fn it_serves_moves_and_ends() {
-    let (relay_at, calls) = start_relay(12);
-    let (discovery_at, asked) = start_registry(1);
-    let controller = ControllerProcess::start(discovery_at, relay_at);
+    let (relay_address, calls) = start_relay(12);
+    let (registry_address, asked) = start_registry(1);
+    let controller = ControllerProcess::start(registry_address, relay_address);
     wait_for(&calls, "relay.watch");
     wait_for(&calls, "\"verb\":\"bind\"");
     wait_for(&asked, "follow=1&since=1");
@@ -42,21 +42,21 @@
     controller.signal("-HUP");
     controller.signal("-HUP");
     thread::sleep(Duration::from_millis(300));
-    let (relay_next, calls_next) = start_relay(12);
-    let (discovery_next, asked_next) = start_registry(0);
+    let (next_relay, next_calls) = start_relay(12);
+    let (next_registry, next_requests) = start_registry(0);
     std::fs::write(
         &controller.config,
-        config(controller.listen, discovery_next, relay_next),
+        config(controller.listen, next_registry, next_relay),
     )
     .expect("written");
-    wait_for(&asked_next, "GET /registry/instances HTTP");
-    wait_for(&calls_next, "relay.watch");
+    wait_for(&next_requests, "GET /registry/instances HTTP");
+    wait_for(&next_calls, "relay.watch");
     // The new list has other hosts, under a lower version: they are dealt, by whichever address serves then.
     let until = Instant::now() + TIMEOUT;
     let (mut dealt, mut bound) = (false, false);
     while !dealt || !bound {
         dealt |= calls.try_iter().any(|line| line.contains("s-0-"));
-        for line in calls_next.try_iter() {
+        for line in next_calls.try_iter() {
             (dealt, bound) = (
                 dealt || line.contains("s-0-"),
                 bound || line.contains("\"verb\":\"bind\""),
@@ -79,20 +79,20 @@
 /// The relay moves while a call is under way there: that call ends where it began, and none is taken for lost.
 #[test]
 fn a_call_under_way_ends_where_it_began() {
-    let (relay_at, calls) = start_slow_relay(12, Duration::from_millis(200));
-    let (discovery_at, _asked) = start_registry(1);
-    let controller = ControllerProcess::start(discovery_at, relay_at);
+    let (relay_address, calls) = start_slow_relay(12, Duration::from_millis(200));
+    let (registry_address, _requests) = start_registry(1);
+    let controller = ControllerProcess::start(registry_address, relay_address);
     wait_for(&calls, "\"verb\":\"bind\"");
-    let (relay_next, calls_next) = start_relay(14);
+    let (next_relay, next_calls) = start_relay(14);
     std::fs::write(
         &controller.config,
-        config(controller.listen, discovery_at, relay_next),
+        config(controller.listen, registry_address, next_relay),
     )
     .expect("written");
     controller.signal("-HUP");
-    wait_for(&calls_next, "relay.watch");
+    wait_for(&next_calls, "relay.watch");
     // Whoever joined meanwhile is bound by the new relay alone.
-    wait_for(&calls_next, "\"bind\",\"id\":13");
+    wait_for(&next_calls, "\"bind\",\"id\":13");
     let log = controller.terminate();
     assert!(
         !log.contains("update call failed") && !log.contains("relay connection failed"),
@@ -103,8 +103,8 @@
 /// A host drains while the watch is silent: the next watch tells, well within the time after which it counts as told.
 #[test]
 fn a_silent_watch_hides_no_drain_for_long() {
-    let (relay_at, calls) = start_relay(4);
-    let (discovery_at, _asked) = start_registry_with_watch(
+    let (relay_address, calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry_with_watch(
         1,
         Some(|number, line| {
             if number > 0 {
@@ -117,7 +117,7 @@
             Some(())
         }),
     );
-    let controller = ControllerProcess::start(discovery_at, relay_at);
+    let controller = ControllerProcess::start(registry_address, relay_address);
     wait_for(&calls, "\"target\":\"s-1-3\"");
     let before = Instant::now();
     wait_for(&calls, "\"target\":\"s-1-3\",\"rps\":0.0}");
@@ -132,8 +132,8 @@
 /// Hosts under new ids fifty times a second, and strangers all the while: memory and descriptors stay as they were.
 #[test]
 fn many_releases_and_strangers_leave_nothing_behind() {
-    let (relay_at, calls) = start_relay(4);
-    let (discovery_at, _asked) = start_registry_with_watch(
+    let (relay_address, calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry_with_watch(
         1,
         Some(|_, line| {
             for version in 2..1_000 {
@@ -143,7 +143,7 @@
             Some(())
         }),
     );
-    let controller = ControllerProcess::start(discovery_at, relay_at);
+    let controller = ControllerProcess::start(registry_address, relay_address);
     wait_for(&calls, "\"verb\":\"bind\"");
     let strangers = |rounds: usize| {
         for _ in 0..rounds {
@@ -170,9 +170,9 @@
 
 #[test]
 fn strangers_are_refused_and_lock_nobody_out() {
-    let (relay_at, _calls) = start_relay(4);
-    let (discovery_at, _asked) = start_registry(1);
-    let controller = ControllerProcess::start(discovery_at, relay_at);
+    let (relay_address, _calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry(1);
+    let controller = ControllerProcess::start(registry_address, relay_address);
     let mut ping = controller.connect();
     ping.write_all(&resp_message("ping")).expect("written");
     let mut pong = [0; 14];
--- a/crates/cli/tests/platform/manual_peer.rs
+++ b/crates/cli/tests/platform/manual_peer.rs
@@ -259,7 +259,7 @@
 pub(crate) struct ControllerFixture {
     pub controller: ControllerProcess,
     pub relay: ManualPeer,
-    pub discovery: ManualPeer,
+    pub registry: ManualPeer,
     pub membership_connection: usize,
     pub update_connection: usize,
     pub watch_connection: usize,
@@ -267,10 +267,10 @@
 
 impl ControllerFixture {
     pub(crate) fn start(proxies: u16) -> ControllerFixture {
-        let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
-        let controller = ControllerProcess::start(discovery.address, relay.address);
-        let watch_connection = discovery.accept_watch(1);
-        discovery.send_chunk(watch_connection, "\n");
+        let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
+        let controller = ControllerProcess::start(registry.address, relay.address);
+        let watch_connection = registry.accept_watch(1);
+        registry.send_chunk(watch_connection, "\n");
         let membership_connection =
             relay.accept_membership_watch(&(0..proxies).collect::<Vec<_>>());
         relay.send(membership_connection, PING);
@@ -279,7 +279,7 @@
         ControllerFixture {
             controller,
             relay,
-            discovery,
+            registry,
             membership_connection,
             update_connection,
             watch_connection,
@@ -288,7 +288,7 @@
 
     /// The registry lists host `n` as draining.
     pub(crate) fn drain_host(&self, generation: u64, n: usize) {
-        self.discovery.send_chunk(
+        self.registry.send_chunk(
             self.watch_connection,
             &list_change(generation, &[host_entry(1, n, "Terminating")]),
         );
--- a/crates/cli/tests/platform/relay_connections.rs
+++ b/crates/cli/tests/platform/relay_connections.rs
@@ -89,8 +89,8 @@
 #[test]
 fn a_cut_before_the_last_byte_is_made_good() {
     let (relay, at) = small_buffer_listener();
-    let (discovery, _asked) = start_registry(1);
-    let controller = ControllerProcess::start(discovery, at);
+    let (registry, _requests) = start_registry(1);
+    let controller = ControllerProcess::start(registry, at);
     let mut caller = accept_pending_update_call(&relay);
     caller
         .read_exact(&mut [0; 16])
@@ -117,9 +117,9 @@
 /// News break between what stands and the first sign of life. Whom only the broken list named has left.
 #[test]
 fn news_cut_before_the_first_sign_of_life_leave_no_ghosts() {
-    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
-    let controller = ControllerProcess::start(discovery.address, relay.address);
-    discovery.accept_watch(1);
+    let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
+    let controller = ControllerProcess::start(registry.address, relay.address);
+    registry.accept_watch(1);
     let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
     relay.accept_calls_until("\"bind\",\"id\":3");
     relay.reset(news);
@@ -158,9 +158,9 @@
 /// BUSY for two seconds: asked again at a calm pace on one connection, and served at once when it is over.
 #[test]
 fn a_busy_relay_is_asked_at_a_calm_pace() {
-    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
-    let controller = ControllerProcess::start(discovery.address, relay.address);
-    discovery.accept_watch(1);
+    let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
+    let controller = ControllerProcess::start(registry.address, relay.address);
+    registry.accept_watch(1);
     let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
     relay.send(news, PING);
     let (until, mut asked) = (Instant::now() + Duration::from_secs(2), 0);
@@ -188,7 +188,7 @@
 #[test]
 fn a_relay_that_closes_at_once_is_dialled_calmly() {
     let (listener, at) = bind_listener();
-    let (discovery, _asked) = start_registry(1);
+    let (registry, _requests) = start_registry(1);
     let dialled = Arc::new(AtomicUsize::new(0));
     let counted = dialled.clone();
     thread::spawn(move || {
@@ -196,7 +196,7 @@
             counted.fetch_add(1, Relaxed);
         }
     });
-    let controller = ControllerProcess::start(discovery, at);
+    let controller = ControllerProcess::start(registry, at);
     controller.wait_for_log("relay connection failed", 1);
     thread::sleep(Duration::from_secs(1));
     // Two connections, each ten times a second at most.
--- a/crates/cli/tests/platform/reload.rs
+++ b/crates/cli/tests/platform/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the parties move, and something happens meanwhile.
+//! Reload on SIGHUP: the registry and the relay move to other addresses while something else happens.
 
 use crate::controller_process::*;
 use crate::manual_peer::{
@@ -6,25 +6,25 @@
 };
 use crate::scripted_peers::*;
 
-/// Told twice before the new parties serve: the connections that still serve went with the first of the two that
-/// do not, and nothing served until one of these did.
+/// Two reloads before the new registry and relay answer. A controller that drops its working connections at the second
+/// reload is left without any until a new one answers.
 #[test]
-fn what_serves_stays_until_something_else_does() {
+fn working_connections_are_kept_until_new_ones_are_ready() {
     let mut fixture = ControllerFixture::start(4);
-    let (mut relay_2, mut discovery_2) = (ManualPeer::start(), ManualPeer::start());
+    let (mut relay_2, mut registry_2) = (ManualPeer::start(), ManualPeer::start());
     fixture
         .controller
-        .change_upstreams(discovery_2.address, relay_2.address);
-    // They accept and say nothing.
+        .change_upstreams(registry_2.address, relay_2.address);
+    // They accept connections and send nothing.
     relay_2.wait_for_line("relay.watch");
-    discovery_2.wait_for_line("GET /registry/instances HTTP");
-    let (mut relay_3, mut discovery_3) = (ManualPeer::start(), ManualPeer::start());
+    registry_2.wait_for_line("GET /registry/instances HTTP");
+    let (mut relay_3, mut registry_3) = (ManualPeer::start(), ManualPeer::start());
     fixture
         .controller
-        .change_upstreams(discovery_3.address, relay_3.address);
+        .change_upstreams(registry_3.address, relay_3.address);
     relay_3.wait_for_line("relay.watch");
-    discovery_3.wait_for_line("GET /registry/instances HTTP");
-    // Lists, news and calls go on where they did.
+    registry_3.wait_for_line("GET /registry/instances HTTP");
+    // List changes, membership events and update calls continue on the old connections.
     fixture.drain_host(2, 3);
     assert_eq!(
         fixture.relay.accept_calls_until(&host_removal(3)),
@@ -37,25 +37,25 @@
         fixture.relay.accept_calls_until("\"bind\",\"id\":9"),
         fixture.update_connection
     );
-    // The third serves now, and the first is left.
-    let news = relay_3.accept_membership_watch(&[0, 1, 2, 3, 9]);
-    relay_3.send(news, PING);
+    // The third relay answers now, and the first one is dropped.
+    let membership = relay_3.accept_membership_watch(&[0, 1, 2, 3, 9]);
+    relay_3.send(membership, PING);
     relay_3.accept_calls_until("\"bind\",\"id\":9");
     fixture.relay.wait_for_close(fixture.membership_connection);
     fixture.relay.wait_for_close(fixture.update_connection);
     fixture.controller.terminate();
 }
 
-/// A relay that accepts a connection and says nothing is none that serves: calls went there, and each was lost.
+/// A relay that accepts a connection and sends nothing is not ready: update calls were sent to it, and each was lost.
 #[test]
-fn calls_go_on_where_they_are_taken() {
+fn update_calls_stay_on_the_old_relay_until_the_new_one_is_ready() {
     let mut fixture = ControllerFixture::start(4);
     let mut relay = ManualPeer::start();
     fixture
         .controller
-        .change_upstreams(fixture.discovery.address, relay.address);
+        .change_upstreams(fixture.registry.address, relay.address);
     relay.wait_for_line("relay.watch");
-    // The other connection is up as well.
+    // Both of its connections are established.
     for _ in 0..2 {
         relay.wait_for_connection();
     }
@@ -64,64 +64,64 @@
         fixture.relay.accept_calls_until(&host_removal(3)),
         fixture.update_connection
     );
-    // Once it lists who stands it serves.
-    let again = relay.unclaimed_line_count("relay.apply");
-    assert_eq!(again, 0, "a call went to the relay that says nothing");
+    // It is ready once it has listed the joined proxies.
+    let calls = relay.unclaimed_line_count("relay.apply");
+    assert_eq!(calls, 0, "a call was sent to the relay that is not ready");
     fixture.controller.terminate();
 }
 
-/// There and back before the other address serves, and once more after it does.
+/// To another address and back before that address answers, and to it once more when it does.
 #[test]
-fn there_and_back_leaves_one_that_serves() {
+fn moving_to_another_address_and_back_keeps_a_working_connection() {
     let mut fixture = ControllerFixture::start(4);
-    let (mut relay_2, mut discovery_2) = (ManualPeer::start(), ManualPeer::start());
+    let (mut relay_2, mut registry_2) = (ManualPeer::start(), ManualPeer::start());
     fixture
         .controller
-        .change_upstreams(discovery_2.address, relay_2.address);
+        .change_upstreams(registry_2.address, relay_2.address);
     relay_2.wait_for_line("relay.watch");
-    discovery_2.wait_for_line("GET /registry/instances HTTP");
+    registry_2.wait_for_line("GET /registry/instances HTTP");
     fixture
         .controller
-        .change_upstreams(fixture.discovery.address, fixture.relay.address);
-    fixture.discovery.send_list(1, &list_hosts());
-    let watch = fixture.discovery.accept_watch(1);
-    let news = fixture.relay.accept_membership_watch(&[0, 1, 2, 3]);
-    fixture.relay.send(news, PING);
+        .change_upstreams(fixture.registry.address, fixture.relay.address);
+    fixture.registry.send_list(1, &ready_hosts());
+    let watch = fixture.registry.accept_watch(1);
+    let membership = fixture.relay.accept_membership_watch(&[0, 1, 2, 3]);
+    fixture.relay.send(membership, PING);
     fixture.relay.accept_calls_until("\"bind\",\"id\":3");
     fixture.relay.wait_for_close(fixture.membership_connection);
     fixture
-        .discovery
+        .registry
         .send_chunk(watch, &list_change(2, &[host_entry(1, 5, "Terminating")]));
     fixture.relay.accept_calls_until(&host_removal(5));
 
     fixture
         .controller
-        .change_upstreams(discovery_2.address, relay_2.address);
-    discovery_2.send_list(7, &list_hosts());
-    let watch_2 = discovery_2.accept_watch(7);
-    let news_2 = relay_2.accept_membership_watch(&[0, 1, 2, 3]);
-    relay_2.send(news_2, PING);
+        .change_upstreams(registry_2.address, relay_2.address);
+    registry_2.send_list(7, &ready_hosts());
+    let watch_2 = registry_2.accept_watch(7);
+    let membership_2 = relay_2.accept_membership_watch(&[0, 1, 2, 3]);
+    relay_2.send(membership_2, PING);
     relay_2.accept_calls_until("\"bind\",\"id\":3");
-    discovery_2.send_chunk(watch_2, &list_change(8, &[host_entry(1, 6, "Terminating")]));
+    registry_2.send_chunk(watch_2, &list_change(8, &[host_entry(1, 6, "Terminating")]));
     relay_2.accept_calls_until(&host_removal(6));
     fixture.controller.terminate();
 }
 
-fn list_hosts() -> Vec<String> {
+fn ready_hosts() -> Vec<String> {
     (0..8).map(|n| host_entry(1, n, "Ready")).collect()
 }
 
-/// A wrong file changes nothing and is said once; it is read again until it is right.
+/// An invalid file changes nothing and is logged once; it is read again until it is valid.
 #[test]
-fn a_wrong_file_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let mut fixture = ControllerFixture::start(4);
-    let good = std::fs::read_to_string(&fixture.controller.config).expect("the file");
-    let wrong = good.replace(
+    let valid = std::fs::read_to_string(&fixture.controller.config).expect("the file");
+    let invalid = valid.replace(
         &format!("\"hub\":{{\"address\":\"{}\"}}", fixture.relay.address),
         "\"hub\":{\"address\":\"nowhere\"}",
     );
-    assert_ne!(good, wrong);
-    std::fs::write(&fixture.controller.config, wrong).expect("written");
+    assert_ne!(valid, invalid);
+    std::fs::write(&fixture.controller.config, invalid).expect("written");
     fixture.controller.signal("-HUP");
     fixture
         .controller
@@ -136,13 +136,13 @@
         &fixture.controller.config,
         config(
             fixture.controller.listen,
-            fixture.discovery.address,
+            fixture.registry.address,
             relay.address,
         ),
     )
     .expect("written");
-    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
-    relay.send(news, PING);
+    let membership = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    relay.send(membership, PING);
     relay.accept_calls_until("\"bind\",\"id\":3");
     let log = fixture.controller.terminate();
     assert_eq!(
@@ -152,27 +152,28 @@
     );
 }
 
-/// A drain that is told right after SIGHUP, on the old list while the new one does not answer, and one on the new list.
+/// A drain that is listed right after SIGHUP, by the old registry while the new one does not answer, and one by the new
+/// registry.
 #[test]
-fn drains_right_after_a_move_go_out() {
+fn drains_right_after_a_reload_are_sent() {
     let mut fixture = ControllerFixture::start(4);
-    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
+    let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
     fixture
         .controller
-        .change_upstreams(discovery.address, relay.address);
-    discovery.wait_for_line("GET /registry/instances HTTP");
+        .change_upstreams(registry.address, relay.address);
+    registry.wait_for_line("GET /registry/instances HTTP");
     relay.wait_for_line("relay.watch");
     fixture.drain_host(2, 3);
     assert_eq!(
         fixture.relay.accept_calls_until(&host_removal(3)),
         fixture.update_connection
     );
-    // The question for the whole list is asked anew after its limit.
-    let mut hosts = list_hosts();
+    // The request for the complete list is repeated after its time limit.
+    let mut hosts = ready_hosts();
     hosts[3] = host_entry(1, 3, "Terminating");
-    discovery.send_list(1, &hosts);
-    let watch = discovery.accept_watch(1);
-    discovery.send_chunk(watch, &list_change(2, &[host_entry(1, 4, "Terminating")]));
+    registry.send_list(1, &hosts);
+    let watch = registry.accept_watch(1);
+    registry.send_chunk(watch, &list_change(2, &[host_entry(1, 4, "Terminating")]));
     assert_eq!(
         fixture.relay.accept_calls_until(&host_removal(4)),
         fixture.update_connection
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -1,4 +1,4 @@
-//! Its ends: signals while a call, a start or a move is under way.
+//! Termination by a signal during an update call, at start-up and during a reload.
 
 use crate::controller_process::*;
 use crate::manual_peer::{
@@ -9,59 +9,62 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// A planned restart kills no sooner than 0.7 s after SIGTERM.
-const BEFORE_THE_KILL: Duration = Duration::from_millis(700);
+/// A planned restart sends SIGKILL no sooner than 0.7 s after SIGTERM.
+const TERM_TO_KILL: Duration = Duration::from_millis(700);
 
-fn ends_in_time(mut controller: ControllerProcess, signal: &str) {
+fn assert_exits_in_time(mut controller: ControllerProcess, signal: &str) {
     controller.signal(signal);
-    let ended = controller.exits_within(BEFORE_THE_KILL);
+    let status = controller.exits_within(TERM_TO_KILL);
     assert!(
-        ended.is_some_and(|ended| ended.success()),
-        "{ended:?}: {}",
+        status.is_some_and(|status| status.success()),
+        "{status:?}: {}",
         controller.log()
     );
 }
 
-/// The relay has all of a call and has not answered.
+/// The relay has received an entire update call and has not answered.
 #[test]
-fn a_call_without_its_answer_holds_no_end_up() {
+fn an_unanswered_update_call_does_not_delay_termination() {
     for signal in ["-TERM", "-INT"] {
         let mut fixture = ControllerFixture::start(4);
         fixture.drain_host(2, 3);
-        let (caller, _) = fixture.relay.wait_for_call(&host_removal(3));
-        ends_in_time(fixture.controller, signal);
-        fixture.relay.wait_for_close(caller);
+        let (update_connection, _) = fixture.relay.wait_for_call(&host_removal(3));
+        assert_exits_in_time(fixture.controller, signal);
+        fixture.relay.wait_for_close(update_connection);
     }
 }
 
-/// The relay has the first bytes of a call and reads no further; what it has by the end is no line.
+/// The relay has read the first bytes of an update call and reads no further, so that the rest cannot be sent.
 #[test]
-fn a_call_half_way_out_holds_no_end_up() {
-    let (relay, at) = small_buffer_listener();
-    let (discovery, _asked) = start_registry(1);
-    let controller = ControllerProcess::start(discovery, at);
-    let mut caller = accept_pending_update_call(&relay);
-    caller
+fn a_partly_sent_update_call_does_not_delay_termination() {
+    let (relay, relay_address) = small_buffer_listener();
+    let (registry, _requests) = start_registry(1);
+    let controller = ControllerProcess::start(registry, relay_address);
+    let mut update_connection = accept_pending_update_call(&relay);
+    update_connection
         .read_exact(&mut [0; 16])
         .expect("the call has started_at");
-    ends_in_time(controller, "-TERM");
+    assert_exits_in_time(controller, "-TERM");
 }
 
-/// It knows no host yet, and discovery says nothing.
+/// The configuration has no endpoint list, and the registry does not answer.
 #[test]
-fn before_the_first_list_it_ends_as_well() {
+fn the_controller_terminates_before_its_first_endpoint_list() {
     for signal in ["-TERM", "-INT"] {
-        let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
-        let controller =
-            ControllerProcess::start_with_command(discovery.address, relay.address, without_known);
-        discovery.wait_for_line("GET /registry/instances HTTP");
+        let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
+        let controller = ControllerProcess::start_with_command(
+            registry.address,
+            relay.address,
+            without_known_list,
+        );
+        registry.wait_for_line("GET /registry/instances HTTP");
         relay.accept_membership_watch(&[0, 1]);
-        ends_in_time(controller, signal);
+        assert_exits_in_time(controller, signal);
     }
 }
 
-/// The configuration without the list that it had.
-fn without_known(command: Command) -> Command {
+/// Removes the endpoint list from the configuration that the command names.
+fn without_known_list(command: Command) -> Command {
     let path = command
         .get_envs()
         .find(|(name, _)| *name == "RELAY_CONFIG")
@@ -76,69 +79,73 @@
     command
 }
 
-/// SIGHUP is being carried out: the file is half written, or the new parties accept and say nothing.
+/// A reload is under way: the file is half written, or the new registry and relay accept connections and send nothing.
 #[test]
-fn it_ends_while_it_moves() {
+fn the_controller_terminates_during_a_reload() {
     let fixture = ControllerFixture::start(4);
-    let good = std::fs::read_to_string(&fixture.controller.config).expect("the file");
-    std::fs::write(&fixture.controller.config, &good[..good.len() / 2]).expect("written");
+    let config_text = std::fs::read_to_string(&fixture.controller.config).expect("the file");
+    std::fs::write(
+        &fixture.controller.config,
+        &config_text[..config_text.len() / 2],
+    )
+    .expect("written");
     fixture.controller.signal("-HUP");
     fixture
         .controller
         .wait_for_log("configuration reload failed", 1);
-    ends_in_time(fixture.controller, "-TERM");
+    assert_exits_in_time(fixture.controller, "-TERM");
 
     let fixture = ControllerFixture::start(4);
-    let (mut relay, mut discovery) = (ManualPeer::start(), ManualPeer::start());
+    let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
     fixture
         .controller
-        .change_upstreams(discovery.address, relay.address);
-    discovery.wait_for_line("GET /registry/instances HTTP");
+        .change_upstreams(registry.address, relay.address);
+    registry.wait_for_line("GET /registry/instances HTTP");
     relay.wait_for_line("relay.watch");
-    ends_in_time(fixture.controller, "-TERM");
+    assert_exits_in_time(fixture.controller, "-TERM");
 }
 
-/// A signal that came while the configuration was being read, as at a start under load, killed the controller: it was
-/// followed only once the file was read.
+/// A signal that arrived while the configuration was being read, as at a start under load, killed the controller: the
+/// signal handlers were installed only after the file had been read.
 #[test]
-fn a_signal_at_the_start_waits_for_the_configuration() {
-    let (relay_at, calls) = start_relay(4);
-    let (discovery_at, _asked) = start_registry(1);
+fn a_signal_during_start_up_is_handled_after_the_configuration_is_read() {
+    let (relay_address, calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry(1);
     let mut text = String::new();
     let mut pipe = None;
     let controller =
-        ControllerProcess::start_with_command(discovery_at, relay_at, |mut command| {
+        ControllerProcess::start_with_command(registry_address, relay_address, |mut command| {
             let path = command
                 .get_envs()
                 .find(|(name, _)| *name == "RELAY_CONFIG")
                 .and_then(|(_, path)| path);
             let path = std::path::PathBuf::from(path.expect("a configuration"));
             text = std::fs::read_to_string(&path).expect("the file");
-            let at = path.with_extension("pipe");
+            let pipe_path = path.with_extension("pipe");
             assert!(
                 Command::new("mkfifo")
-                    .arg(&at)
+                    .arg(&pipe_path)
                     .status()
                     .expect("mkfifo")
                     .success()
             );
-            command.env("RELAY_CONFIG", &at);
-            pipe = Some((at, path));
+            command.env("RELAY_CONFIG", &pipe_path);
+            pipe = Some((pipe_path, path));
             command
         });
-    let (at, path) = pipe.expect("a pipe");
-    // This comes back once the controller has opened the other end.
-    let mut writing = std::fs::OpenOptions::new()
+    let (pipe_path, path) = pipe.expect("no pipe was created");
+    // Opening returns once the controller has opened the other end.
+    let mut writer = std::fs::OpenOptions::new()
         .write(true)
-        .open(&at)
+        .open(&pipe_path)
         .expect("opened");
     controller.signal("-HUP");
-    // What is read again is a file like any other.
-    std::fs::rename(&path, &at).expect("renamed");
-    writing
+    // The reload reads a regular file.
+    std::fs::rename(&path, &pipe_path).expect("renamed");
+    writer
         .write_all(text.as_bytes())
         .expect("the controller still reads");
-    drop(writing);
+    drop(writer);
     wait_for(&calls, "\"verb\":\"bind\"");
     let log = controller.terminate();
     assert_eq!(log.matches("configuration reloaded").count(), 1, "{log}");
--- a/crates/cli/tests/platform/startup.rs
+++ b/crates/cli/tests/platform/startup.rs
@@ -1,4 +1,4 @@
-//! Many that start at once, while hosts are cold.
+//! Many controllers that start at the same time, while hosts are warming up.
 
 use crate::controller_process::*;
 use crate::scripted_peers::*;
@@ -6,13 +6,13 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Two dozen controllers start at one time; most hosts of the list have just started as well, and all proxies join within
-/// the first second. Each controller is ready long before 10 s, and each proxy has a host.
+/// 24 controllers start at the same time; most hosts of the list have just started as well, and all proxies join within
+/// the first second. All controllers answer pings within 10 s, and each binds all of its proxies.
 #[test]
-fn two_dozen_start_at_once_with_cold_hosts() {
-    let (discovery_at, _asked) = start_registry_with_watch(
+fn two_dozen_controllers_start_at_once_with_warming_hosts() {
+    let (registry_address, _requests) = start_registry_with_watch(
         1,
-        Some(|_, line| {
+        Some(|_, send_line| {
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .expect("after 1970")
@@ -24,19 +24,22 @@
                     &format!("\"startedAtMs\":{}", started(n)),
                 )
             });
-            line(&endpoint_list(2, &hosts.collect::<Vec<_>>()))?;
+            send_line(&endpoint_list(2, &hosts.collect::<Vec<_>>()))?;
             thread::sleep(Duration::from_secs(60));
             Some(())
         }),
     );
     let started_at = Instant::now();
-    let started: Vec<_> = (0..24)
+    let controllers: Vec<_> = (0..24)
         .map(|_| {
-            let (relay_at, calls) = start_relay(20);
-            (ControllerProcess::start(discovery_at, relay_at), calls)
+            let (relay_address, calls) = start_relay(20);
+            (
+                ControllerProcess::start(registry_address, relay_address),
+                calls,
+            )
         })
         .collect();
-    for (controller, _) in &started {
+    for (controller, _) in &controllers {
         let mut ping = controller.connect();
         ping.write_all(&resp_message("ping")).expect("written");
         let mut pong = [0; 14];
@@ -48,24 +51,24 @@
         "{:?}",
         started_at.elapsed()
     );
-    for (controller, calls) in started {
+    for (controller, calls) in controllers {
         let mut bound = std::collections::BTreeSet::new();
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         while bound.len() < 20 {
-            assert!(Instant::now() < until, "{} of 20 are bound", bound.len());
+            assert!(Instant::now() < deadline, "{} of 20 are bound", bound.len());
             let Ok(line) = calls.recv_timeout(TIMEOUT) else {
                 panic!("{} of 20 are bound", bound.len())
             };
             let call: serde_json::Value = serde_json::from_str(&line).expect("an object");
-            let orders = call["params"]["changes"]
+            let changes = call["params"]["changes"]
                 .as_array()
                 .map(Vec::as_slice)
                 .unwrap_or_default();
             bound.extend(
-                orders
+                changes
                     .iter()
-                    .filter(|o| o["verb"] == "bind")
-                    .filter_map(|o| o["id"].as_u64()),
+                    .filter(|change| change["verb"] == "bind")
+                    .filter_map(|change| change["id"].as_u64()),
             );
         }
         controller.terminate();
--- a/crates/cli/tests/platform/warming_fleet.rs
+++ b/crates/cli/tests/platform/warming_fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::channel_relay::{ChannelRelay, MESSAGE_OVERHEAD};
 use crate::controller_process::ControllerProcess;
-use crate::fake_registry::{FakeRegistry, Listed};
+use crate::fake_registry::{FakeRegistry, ListedHost};
 use crate::scripted_peers::resp_message;
 use crate::warming_load::{WarmingLoad, WarmingRule, Worst};
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
 pub(crate) const HOSTS: usize = 30;
 /// Messages that a proxy may be sent in 10 s.
 pub(crate) const MESSAGE_CAP: usize = 12;
-/// ReceivedLines a second of the channel, and how many may wait in it.
+/// Lines a second of the channel, and how many may wait in it.
 pub(crate) const CHANNEL_RATE: f64 = 8_000.0;
 pub(crate) const LINE_LIMIT: f64 = 8_000.0;
 /// Requests a second that reach all proxies.
@@ -161,7 +161,7 @@
 
     /// Hosts start anew under their names, and the list says so in one change.
     pub(crate) fn restart_hosts(&self, hosts: &[usize]) {
-        let listed = Listed::just_started();
+        let listed = ListedHost::just_started();
         let changes: Vec<_> = hosts.iter().map(|&n| (host_name(n), listed)).collect();
         {
             let mut load = self.load();
@@ -171,7 +171,7 @@
     }
 
     pub(crate) fn drain_hosts(&self, hosts: &[usize]) {
-        let draining = Listed {
+        let draining = ListedHost {
             lifecycle: "Terminating",
             started_ms: 0,
         };
