--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -1,5 +1,6 @@
-//! The channel to the proxies is slower than the settings state, or stands still: no more lines may wait in it than the
-//! settings allow, drains still go out, and once it is sound again all that was held back goes out too.
+//! Tests with a channel to the proxies that is slower than the settings state, or that stops: no more lines may wait in
+//! it than the settings allow, drains are still sent, and once the channel has recovered the delayed updates are sent
+//! too.
 
 use crate::channel_relay::{CallFault, ChannelRelay, MESSAGE_OVERHEAD};
 use crate::controller_process::*;
@@ -13,11 +14,11 @@
 
 const PROXIES: u16 = 200;
 const HOSTS: usize = 160;
-/// Lines a second that the settings state.
+/// The channel's rate in lines per second, as the settings state it.
 const STATED_RATE: f64 = 2_000.0;
-/// Lines that may wait: twice what all proxies take at their start.
+/// Lines that may wait in the channel: twice those that all proxies need when they join.
 const LINE_LIMIT: f64 = 4_000.0;
-/// The host that drains at the end.
+/// The host that drains late in the run.
 const DRAINED: usize = 7;
 const DRAIN_AFTER: Duration = Duration::from_secs(14);
 
@@ -41,42 +42,42 @@
     (0..HOSTS).map(|n| host_entry(1, n, "Ready")).collect()
 }
 
-/// Lists all hosts, and one of them as draining some time after `started_at`.
+/// Starts a registry that lists all hosts as ready, and one of them as draining `DRAIN_AFTER` after `started_at`.
 fn registry_with_a_drain(started_at: Instant) -> (SocketAddr, ReceivedLines) {
-    start_scripted_registry(1, move |_, line| {
-        line(&endpoint_list(2, &ready_hosts()))?;
+    start_scripted_registry(1, move |_, send_line| {
+        send_line(&endpoint_list(2, &ready_hosts()))?;
         let drain_at = started_at + DRAIN_AFTER;
         loop {
-            let left = drain_at.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = drain_at.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            thread::sleep(left.min(Duration::from_secs(1)));
-            line("")?;
+            thread::sleep(remaining.min(Duration::from_secs(1)));
+            send_line("")?;
         }
-        let drained = endpoint_list(3, &[host_entry(1, DRAINED, "Terminating")]);
-        line(&drained.replace("\"reset\":true", "\"reset\":false"))?;
+        let change = endpoint_list(3, &[host_entry(1, DRAINED, "Terminating")]);
+        send_line(&change.replace("\"reset\":true", "\"reset\":false"))?;
         loop {
             thread::sleep(Duration::from_secs(1));
-            line("")?;
+            send_line("")?;
         }
     })
 }
 
-/// Tells of tries at all hosts that proxies hold, and of the proxies' requests, twice a second. A fifth of the hosts fails
-/// all its tries and an eighth of the proxies has most of the requests, others every two seconds, so that weights have to
-/// change all the time.
-fn collect_until(over: &AtomicBool, controller: &ControllerProcess, relay: &ChannelRelay) {
+/// Reports, twice a second, attempts at all hosts that are in proxies' tables, and the proxies' requests. A fifth of the
+/// hosts fails all attempts and an eighth of the proxies has most of the requests; which ones changes every two seconds,
+/// so that weights have to change all the time.
+fn report_until(stop: &AtomicBool, controller: &ControllerProcess, relay: &ChannelRelay) {
     let mut stream = controller.connect();
     stream
         .write_all(&resp_message("collector site a"))
         .expect("written");
     let mut round = 0;
-    while !over.load(Relaxed) {
+    while !stop.load(Relaxed) {
         for n in 0..HOSTS {
             let id = format!("s-1-{n}");
             let fails = (n + round / 4).is_multiple_of(5);
-            if relay.holders(&id) > 0 {
+            if relay.proxies_with(&id) > 0 {
                 let (fail, mean) = if fails {
                     (6, 0)
                 } else {
@@ -101,57 +102,58 @@
     }
 }
 
-/// What a controller made of a channel whose rate changed.
+/// The measurements of a run.
 struct Outcome {
     most_waiting: f64,
-    /// Tables that hold the drained host, 1.5 s after its drain was listed.
+    /// Tables that have a line for the drained host, 1.5 s after its drain was listed.
     tables_with_drained: usize,
     idle_for: Duration,
     log: String,
 }
 
-/// What happens, so many seconds after the start. The channel is as stated at first.
+/// A fault, or the end of one. At the start of a run the channel sends at the stated rate.
 #[derive(Clone, Copy)]
 enum Fault {
     Rate(f64),
-    LoseAnswers(bool),
-    BreakNews,
-    /// The controller stands still (SIGSTOP), or goes on (SIGCONT).
+    LoseResponses(bool),
+    BreakMembershipWatches,
+    /// Suspends the controller (SIGSTOP), or resumes it (SIGCONT).
     Stop,
     Continue,
 }
 
-fn strike(fault: Fault, controller: &ControllerProcess, relay: &ChannelRelay) {
+fn inject(fault: Fault, controller: &ControllerProcess, relay: &ChannelRelay) {
     match fault {
         Fault::Rate(rate) => relay.set_rate(rate),
-        Fault::LoseAnswers(true) => relay.set_fault(CallFault::AnswerLost),
-        Fault::LoseAnswers(false) => relay.set_fault(CallFault::None),
-        Fault::BreakNews => relay.break_news(),
+        Fault::LoseResponses(true) => relay.set_fault(CallFault::ResponseLost),
+        Fault::LoseResponses(false) => relay.set_fault(CallFault::None),
+        Fault::BreakMembershipWatches => relay.break_membership_watches(),
         Fault::Stop => controller.signal("-STOP"),
         Fault::Continue => controller.signal("-CONT"),
     }
 }
 
-fn play(faults: &[(u64, Fault)]) -> Outcome {
+/// Runs a controller, with faults at so many seconds after the start.
+fn run(faults: &[(u64, Fault)]) -> Outcome {
     let relay = ChannelRelay::start(STATED_RATE, PROXIES);
     let started_at = Instant::now();
     let (registry, _requests) = registry_with_a_drain(started_at);
     let controller =
         ControllerProcess::start_configured(|listen| config(listen, registry, relay.address));
     let wait_until = |at: Duration| thread::sleep(at.saturating_sub(started_at.elapsed()));
-    let over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        scope.spawn(|| collect_until(&over, &controller, &relay));
-        for (at, fault) in faults {
-            wait_until(Duration::from_secs(*at));
-            strike(*fault, &controller, &relay);
+        scope.spawn(|| report_until(&stop, &controller, &relay));
+        for (second, fault) in faults {
+            wait_until(Duration::from_secs(*second));
+            inject(*fault, &controller, &relay);
         }
         wait_until(DRAIN_AFTER + Duration::from_millis(1_500));
         let tables_with_drained = relay.tables_with(&format!("s-1-{DRAINED}"));
         wait_until(DRAIN_AFTER + Duration::from_secs(4));
-        over.store(true, Relaxed);
-        assert_eq!(relay.bound(), usize::from(PROXIES));
-        let idle_for = relay.idle_for().expect("calls came");
+        stop.store(true, Relaxed);
+        assert_eq!(relay.bound_count(), usize::from(PROXIES));
+        let idle_for = relay.idle_for().expect("no update call arrived");
         Outcome {
             most_waiting: relay.most_waiting(),
             tables_with_drained,
@@ -161,71 +163,75 @@
     })
 }
 
-fn assert_kept(outcome: &Outcome) {
+fn assert_limits_kept(outcome: &Outcome) {
     let Outcome {
         most_waiting,
         tables_with_drained,
         log,
         ..
     } = outcome;
-    let seen = log
+    let queue_log = log
         .lines()
         .filter(|line| line.contains(" update queue "))
         .collect::<Vec<_>>()
         .join("\n");
-    println!("{most_waiting:.0} of {LINE_LIMIT} lines waited at most\n{seen}");
+    println!("at most {most_waiting:.0} of {LINE_LIMIT} lines waited\n{queue_log}");
     assert!(
         *most_waiting <= LINE_LIMIT,
-        "{most_waiting:.0} lines waited, {LINE_LIMIT} may"
+        "{most_waiting:.0} lines waited, the limit is {LINE_LIMIT}"
+    );
+    assert_eq!(
+        *tables_with_drained, 0,
+        "a drain was delayed by the update queue"
     );
-    assert_eq!(*tables_with_drained, 0, "a drain waited behind the queue");
 }
 
 #[test]
-fn a_channel_as_stated_keeps_its_queue_short() {
-    assert_kept(&play(&[]));
+fn the_queue_stays_short_on_a_channel_with_the_stated_rate() {
+    assert_limits_kept(&run(&[]));
 }
 
-/// Issue 28: the queue was counted by the stated rate alone, and grew past its limit.
+/// Issue 28: the length of the queue was estimated by the stated rate alone, and grew past its limit on a slower channel.
 #[test]
-fn a_slow_channel_keeps_its_queue_short() {
-    let slow = [4.0, 8.0, 20.0]
-        .map(|times| thread::spawn(move || play(&[(3, Fault::Rate(STATED_RATE / times))])));
-    slow.into_iter()
-        .for_each(|played| assert_kept(&played.join().expect("no panic")));
+fn the_queue_stays_short_on_a_slow_channel() {
+    let runs = [4.0, 8.0, 20.0]
+        .map(|times| thread::spawn(move || run(&[(3, Fault::Rate(STATED_RATE / times))])));
+    runs.into_iter()
+        .for_each(|run| assert_limits_kept(&run.join().expect("no panic")));
 }
 
-/// The same, and updates go on once the channel does.
+/// The channel stops for 6 s; updates continue once it sends again.
 #[test]
-fn a_channel_that_stands_still_for_a_while_keeps_its_queue_short() {
-    let outcome = play(&[(3, Fault::Rate(0.0)), (9, Fault::Rate(STATED_RATE))]);
-    assert_kept(&outcome);
+fn the_queue_stays_short_on_a_channel_that_stops_for_a_while() {
+    let outcome = run(&[(3, Fault::Rate(0.0)), (9, Fault::Rate(STATED_RATE))]);
+    assert_limits_kept(&outcome);
     assert!(
         outcome.idle_for < Duration::from_secs(2),
-        "no call for {:?}",
+        "no update call for {:?}",
         outcome.idle_for
     );
 }
 
-/// On a slow channel, calls that were carried out are not answered, so that all is ordered again; and each break of the
-/// news has all proxies bound again.
+/// On a slow channel, update calls are carried out without a response, so that all their changes are sent again; and
+/// each break of the membership watch causes all proxies to be bound again.
 #[test]
-fn repeats_on_a_slow_channel_keep_its_queue_short() {
-    assert_kept(&play(&[
+fn the_queue_stays_short_when_updates_are_repeated_on_a_slow_channel() {
+    assert_limits_kept(&run(&[
         (3, Fault::Rate(STATED_RATE / 8.0)),
-        (4, Fault::LoseAnswers(true)),
-        (6, Fault::BreakNews),
-        (7, Fault::BreakNews),
-        (8, Fault::LoseAnswers(false)),
-        (9, Fault::BreakNews),
+        (4, Fault::LoseResponses(true)),
+        (6, Fault::BreakMembershipWatches),
+        (7, Fault::BreakMembershipWatches),
+        (8, Fault::LoseResponses(false)),
+        (9, Fault::BreakMembershipWatches),
         (10, Fault::Rate(STATED_RATE)),
     ]));
 }
 
-/// The controller stands still while its channel does; reports and answers of that time come all at once.
+/// The controller is suspended while its channel is slow and then stopped; the reports and responses of that time arrive
+/// all at once.
 #[test]
-fn a_controller_that_stood_still_keeps_the_queue_of_a_slow_channel_short() {
-    assert_kept(&play(&[
+fn the_queue_stays_short_when_the_controller_is_suspended_on_a_slow_channel() {
+    assert_limits_kept(&run(&[
         (3, Fault::Rate(STATED_RATE / 8.0)),
         (5, Fault::Stop),
         (8, Fault::Continue),
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -1,8 +1,9 @@
-//! A relay whose channel to the proxies sends at a limited rate: messages wait in it in order, and are counted as the
-//! platform counts them. It keeps what each proxy has applied, and answers marks.
+//! A relay whose channel to the proxies sends at a limited rate: messages wait in it in order and are counted as the
+//! platform counts them. It keeps the table that each proxy has applied, and sends the acknowledgements that updates
+//! ask for.
 
 use crate::channel_state::State;
-pub(crate) use crate::channel_state::{CallFault, HeldTable, MESSAGE_OVERHEAD};
+pub(crate) use crate::channel_state::{AppliedTable, CallFault, MESSAGE_OVERHEAD};
 use crate::scripted_peers::bind_listener;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,30 +13,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STEP: Duration = Duration::from_millis(5);
+/// Interval at which the channel sends.
+const SEND_INTERVAL: Duration = Duration::from_millis(5);
 
+/// A relay with a channel of a limited rate.
 pub(crate) struct ChannelRelay {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl ChannelRelay {
-    /// Lines a second; the proxies that are joined.
+    /// Starts a relay with a channel of `rate` lines a second and this number of joined proxies.
     pub(crate) fn start(rate: f64, proxies: u16) -> ChannelRelay {
         let (listener, address) = bind_listener();
         let state = Arc::new(Mutex::new(State::new(rate, proxies)));
         let channel_state = state.clone();
         thread::spawn(move || run_channel(&channel_state));
-        let serving = state.clone();
-        thread::spawn(move || serve(&listener, &serving));
+        let shared = state.clone();
+        thread::spawn(move || serve(&listener, &shared));
         ChannelRelay { address, state }
     }
 
-    /// Another address of the same relay.
+    /// Listens on another address as well, and returns it.
     pub(crate) fn listen_elsewhere(&self) -> SocketAddr {
         let (listener, address) = bind_listener();
-        let serving = self.state.clone();
-        thread::spawn(move || serve(&listener, &serving));
+        let shared = self.state.clone();
+        thread::spawn(move || serve(&listener, &shared));
         address
     }
 
@@ -47,20 +50,20 @@
         self.state().rate = rate;
     }
 
-    /// How calls are answered from now on.
+    /// Sets how update calls are answered from now on.
     pub(crate) fn set_fault(&self, fault: CallFault) {
         self.state().fault = fault;
     }
 
-    /// Breaks all connections that bring news.
-    pub(crate) fn break_news(&self) {
+    /// Closes all membership watches.
+    pub(crate) fn break_membership_watches(&self) {
         for watcher in self.state().watchers.drain(..) {
-            // It may be gone already.
+            // The connection may be closed already.
             watcher.shutdown(Shutdown::Both).ok();
         }
     }
 
-    /// The controller was killed: what it ordered and what is on its way is lost.
+    /// The controller was killed: its tables and all messages on their way to proxies are lost.
     pub(crate) fn forget_controller(&self) {
         self.state().forget_controller();
     }
@@ -73,50 +76,52 @@
         self.state().join(proxy);
     }
 
-    /// The most lines that waited at any time.
+    /// The largest number of lines that have waited in the channel.
     pub(crate) fn most_waiting(&self) -> f64 {
         self.state().most_waiting
     }
 
-    /// The most messages that were written to one proxy within the window that they are counted in.
+    /// The largest number of messages that were sent to one proxy within the window of the message cap.
     pub(crate) fn most_messages(&self) -> usize {
         self.state().most_messages
     }
 
-    /// What each joined proxy holds.
-    pub(crate) fn held_tables(&self) -> BTreeMap<u16, HeldTable> {
+    /// The table that each joined proxy has applied.
+    pub(crate) fn applied_tables(&self) -> BTreeMap<u16, AppliedTable> {
         let state = self.state();
         let joined = |proxy: &u16| state.joined.contains(proxy);
-        let held = state.held.iter().filter(|(proxy, _)| joined(proxy));
-        held.map(|(&proxy, table)| (proxy, table.clone())).collect()
+        let applied = state.applied.iter().filter(|(proxy, _)| joined(proxy));
+        applied
+            .map(|(&proxy, table)| (proxy, table.clone()))
+            .collect()
     }
 
-    /// Proxies that may still send to a host, by what they have applied.
-    pub(crate) fn holders(&self, host: &str) -> usize {
+    /// The number of proxies that have a line for a host in the table that they have applied.
+    pub(crate) fn proxies_with(&self, host: &str) -> usize {
         self.state()
-            .held
+            .applied
             .values()
-            .filter(|held| held.weights.contains_key(host))
+            .filter(|table| table.weights.contains_key(host))
             .count()
     }
 
-    /// Tables with proxies that hold a host, by what has been ordered.
+    /// The number of tables with bound proxies that have a line for a host, by the updates received.
     pub(crate) fn tables_with(&self, host: &str) -> usize {
         let state = self.state();
-        let used: BTreeSet<u16> = state.bound.values().copied().collect();
+        let bound_tables: BTreeSet<u16> = state.bound.values().copied().collect();
         state
             .tables
             .iter()
-            .filter(|(table, weights)| used.contains(table) && weights.contains_key(host))
+            .filter(|(table, weights)| bound_tables.contains(table) && weights.contains_key(host))
             .count()
     }
 
-    /// How long no call has come.
+    /// Time since the last update call.
     pub(crate) fn idle_for(&self) -> Option<Duration> {
         self.state().last_call.map(|at| at.elapsed())
     }
 
-    pub(crate) fn bound(&self) -> usize {
+    pub(crate) fn bound_count(&self) -> usize {
         self.state().bound.len()
     }
 }
@@ -124,7 +129,7 @@
 fn run_channel(state: &Mutex<State>) {
     let mut last = Instant::now();
     loop {
-        thread::sleep(STEP);
+        thread::sleep(SEND_INTERVAL);
         let now = Instant::now();
         state.lock().expect("no panic").advance(now, now - last);
         last = now;
@@ -134,19 +139,19 @@
 fn serve(listener: &TcpListener, state: &Arc<Mutex<State>>) {
     for stream in listener.incoming().flatten() {
         let state = state.clone();
-        thread::spawn(move || talk(stream, &state));
+        thread::spawn(move || serve_connection(stream, &state));
     }
 }
 
-fn talk(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
-    let reading = BufReader::new(stream.try_clone().ok()?);
-    for line in reading.lines() {
-        let call: Value = serde_json::from_str(&line.ok()?).expect("an object");
+fn serve_connection(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
+    let reader = BufReader::new(stream.try_clone().ok()?);
+    for line in reader.lines() {
+        let call: Value = serde_json::from_str(&line.ok()?).expect("the line is not JSON");
         if call["method"] == "relay.watch" {
             watch(&stream, state)?;
             continue;
         }
-        let orders = call["params"]["changes"]
+        let changes = call["params"]["changes"]
             .as_array()
             .map(Vec::as_slice)
             .unwrap_or_default();
@@ -154,29 +159,29 @@
         let outcome = {
             let mut state = state.lock().expect("no panic");
             match state.fault {
-                CallFault::None => format!("\"result\":{{\"ok_count\":{}}}", state.apply(orders)),
-                CallFault::AnswerLost => {
-                    state.apply(orders);
+                CallFault::None => format!("\"result\":{{\"ok_count\":{}}}", state.apply(changes)),
+                CallFault::ResponseLost => {
+                    state.apply(changes);
                     continue;
                 }
                 CallFault::Busy => "\"error\":{\"code\":1,\"message\":\"BUSY\"}".to_string(),
             }
         };
-        let answer = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},{outcome}}}\n");
-        stream.write_all(answer.as_bytes()).ok()?;
+        let response = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},{outcome}}}\n");
+        stream.write_all(response.as_bytes()).ok()?;
     }
     Some(())
 }
 
-/// Tells the connection who is joined, and all news from now on.
+/// Sends the joined proxies on a connection, and all membership events from now on.
 fn watch(stream: &TcpStream, state: &Mutex<State>) -> Option<()> {
     let mut watcher = stream.try_clone().ok()?;
-    let mut pinged = stream.try_clone().ok()?;
+    let mut ping_stream = stream.try_clone().ok()?;
     let mut state = state.lock().expect("no panic");
-    watcher.write_all(state.standing().as_bytes()).ok()?;
+    watcher.write_all(state.joined_events().as_bytes()).ok()?;
     state.watchers.push(watcher);
     thread::spawn(move || {
-        while pinged.write_all(b"{\"method\":\"ping\"}\n").is_ok() {
+        while ping_stream.write_all(b"{\"method\":\"ping\"}\n").is_ok() {
             thread::sleep(Duration::from_millis(500));
         }
     });
--- a/crates/cli/tests/platform/channel_state.rs
+++ b/crates/cli/tests/platform/channel_state.rs
@@ -1,4 +1,5 @@
-//! What a relay keeps: the tables that were ordered, the messages that wait in its channel, and what each proxy holds.
+//! The state of a relay: the tables by the updates received, the messages that wait in its channel, and the table that
+//! each proxy has applied.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -6,27 +7,27 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Lines that a message counts beyond its own.
+/// Lines that each message counts in addition to its own.
 pub(crate) const MESSAGE_OVERHEAD: f64 = 3.0;
-/// From leaving the channel to being applied by the proxy.
+/// Time from a message's leaving the channel to its being applied by the proxy.
 const TRANSIT: Duration = Duration::from_millis(200);
-/// Span over which the messages to a proxy are counted.
+/// Window in which the messages to a proxy are counted for the message cap.
 const MESSAGE_WINDOW: Duration = Duration::from_secs(10);
 
 /// The lines of a table: hosts and their weights.
 pub(crate) type Weights = BTreeMap<String, f64>;
 
-/// How calls are answered.
+/// How update calls are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFault {
     None,
-    /// Carried out, and not answered.
-    AnswerLost,
-    /// Not carried out, and answered with `BUSY`.
+    /// The call is carried out and gets no response.
+    ResponseLost,
+    /// The call is not carried out and gets the error `BUSY`.
     Busy,
 }
 
-/// What a message changes at its proxy.
+/// A change that a message makes at its proxy.
 enum Change {
     Table(Weights),
     Set(String, f64),
@@ -34,22 +35,24 @@
     Admission,
 }
 
+/// A message to a proxy that waits in the channel or is in transit.
 struct Message {
     proxy: u16,
     lines: f64,
     changes: Vec<Change>,
-    mark: Option<u64>,
-    sent_at: Instant,
+    ack_nonce: Option<u64>,
+    called_at: Instant,
 }
 
-/// What a proxy holds.
+/// The table that a proxy has applied.
 #[derive(Clone)]
-pub(crate) struct HeldTable {
+pub(crate) struct AppliedTable {
     pub weights: Weights,
-    /// When the last message that it has applied was ordered; none: before the present controller started.
-    pub ordered_at: Option<Instant>,
+    /// When the update call of the last applied message arrived; none if that was before the present controller started.
+    pub updated_at: Option<Instant>,
 }
 
+/// The state of a relay.
 pub(crate) struct State {
     pub(super) rate: f64,
     pub(super) fault: CallFault,
@@ -61,8 +64,8 @@
     in_transit: VecDeque<(Instant, Message)>,
     waiting: f64,
     pub(super) most_waiting: f64,
-    pub(super) held: BTreeMap<u16, HeldTable>,
-    written: BTreeMap<u16, VecDeque<Instant>>,
+    pub(super) applied: BTreeMap<u16, AppliedTable>,
+    message_times: BTreeMap<u16, VecDeque<Instant>>,
     pub(super) most_messages: usize,
     pub(super) watchers: Vec<TcpStream>,
     pub(super) last_call: Option<Instant>,
@@ -81,15 +84,16 @@
             in_transit: VecDeque::new(),
             waiting: 0.0,
             most_waiting: 0.0,
-            held: BTreeMap::new(),
-            written: BTreeMap::new(),
+            applied: BTreeMap::new(),
+            message_times: BTreeMap::new(),
             most_messages: 0,
             watchers: Vec::new(),
             last_call: None,
         }
     }
 
-    /// The controller is gone, and with it all that it ordered and that is on its way; proxies keep what they hold.
+    /// Drops the tables and all messages on their way to proxies, as after the controller's end; proxies keep the tables
+    /// that they have applied.
     pub(super) fn forget_controller(&mut self) {
         self.tables.clear();
         self.admissions.clear();
@@ -97,17 +101,17 @@
         self.queue.clear();
         self.in_transit.clear();
         self.waiting = 0.0;
-        self.written.clear();
+        self.message_times.clear();
         self.watchers.clear();
-        for held in self.held.values_mut() {
-            held.ordered_at = None;
+        for applied in self.applied.values_mut() {
+            applied.updated_at = None;
         }
     }
 
     pub(super) fn leave(&mut self, proxy: u16) {
         self.joined.remove(&proxy);
         self.bound.remove(&proxy);
-        self.written.remove(&proxy);
+        self.message_times.remove(&proxy);
         self.queue.retain(|message| message.proxy != proxy);
         self.in_transit
             .retain(|(_, message)| message.proxy != proxy);
@@ -117,40 +121,40 @@
         ));
     }
 
-    /// The proxy joins with what it holds.
+    /// The proxy joins with the table that it has applied.
     pub(super) fn join(&mut self, proxy: u16) {
         self.joined.insert(proxy);
         self.notify(&joined_event(proxy, false));
     }
 
-    /// What a watcher is told first: all proxies that are joined.
-    pub(super) fn standing(&self) -> String {
+    /// The first events of a membership watch: all proxies that are joined.
+    pub(super) fn joined_events(&self) -> String {
         let joined = self.joined.iter();
-        let events = joined.map(|&proxy| joined_event(proxy, !self.held.contains_key(&proxy)));
+        let events = joined.map(|&proxy| joined_event(proxy, !self.applied.contains_key(&proxy)));
         let first = "{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}\n".to_string();
         first + &events.collect::<String>()
     }
 
-    /// A watcher that is gone hears nothing.
+    /// Sends an event on all membership watches and drops those that are closed.
     fn notify(&mut self, event: &str) {
         self.watchers
             .retain_mut(|watcher| watcher.write_all(event.as_bytes()).is_ok());
     }
 
-    /// Puts the messages of one call into the queue; gives how many orders were taken.
-    pub(super) fn apply(&mut self, orders: &[Value]) -> usize {
+    /// Queues the messages of one update call; returns how many of its changes were accepted.
+    pub(super) fn apply(&mut self, call_changes: &[Value]) -> usize {
         let now = Instant::now();
         self.last_call = Some(now);
         let mut changes: BTreeMap<u16, Vec<Change>> = BTreeMap::new();
         let mut lines: BTreeMap<u16, f64> = BTreeMap::new();
-        let mut mark = None;
-        let mut taken = 0;
-        for order in orders {
-            let table = order["cluster"].as_u64().unwrap_or_default() as u16;
-            match order["verb"].as_str().expect("a verb") {
-                "mark" => mark = order["nonce_out"].as_u64(),
+        let mut ack_nonce = None;
+        let mut accepted = 0;
+        for call_change in call_changes {
+            let table = call_change["cluster"].as_u64().unwrap_or_default() as u16;
+            match call_change["verb"].as_str().expect("a verb") {
+                "mark" => ack_nonce = call_change["nonce_out"].as_u64(),
                 "bind" => {
-                    let proxy = order["id"].as_u64().expect("a proxy") as u16;
+                    let proxy = call_change["id"].as_u64().expect("a proxy") as u16;
                     if !self.joined.contains(&proxy) {
                         break;
                     }
@@ -164,51 +168,51 @@
                     self.bound.insert(proxy, table);
                 }
                 verb => {
-                    for proxy in self.users(table) {
+                    for proxy in self.bound_proxies(table) {
                         *lines.entry(proxy).or_default() += 1.0;
-                        let change = change_of(verb, order);
+                        let change = parse_change(verb, call_change);
                         changes.entry(proxy).or_default().push(change);
                     }
-                    self.change_table(verb, table, order);
+                    self.change_table(verb, table, call_change);
                 }
             }
-            taken += 1;
+            accepted += 1;
         }
         for (proxy, changes) in changes {
-            let lines = lines[&proxy] + MESSAGE_OVERHEAD + f64::from(u8::from(mark.is_some()));
+            let lines = lines[&proxy] + MESSAGE_OVERHEAD + f64::from(u8::from(ack_nonce.is_some()));
             self.send(Message {
                 proxy,
                 lines,
                 changes,
-                mark,
-                sent_at: now,
+                ack_nonce,
+                called_at: now,
             });
         }
-        taken
+        accepted
     }
 
-    fn users(&self, table: u16) -> Vec<u16> {
-        let users = self.bound.iter().filter(|(_, bound)| **bound == table);
-        users.map(|(proxy, _)| *proxy).collect()
+    fn bound_proxies(&self, table: u16) -> Vec<u16> {
+        let bound_proxies = self.bound.iter().filter(|(_, bound)| **bound == table);
+        bound_proxies.map(|(proxy, _)| *proxy).collect()
     }
 
     fn send(&mut self, message: Message) {
-        let written = self.written.entry(message.proxy).or_default();
-        written.push_back(message.sent_at);
-        while written
+        let message_times = self.message_times.entry(message.proxy).or_default();
+        message_times.push_back(message.called_at);
+        while message_times
             .front()
-            .is_some_and(|at| message.sent_at - *at >= MESSAGE_WINDOW)
+            .is_some_and(|at| message.called_at - *at >= MESSAGE_WINDOW)
         {
-            written.pop_front();
+            message_times.pop_front();
         }
-        self.most_messages = self.most_messages.max(written.len());
+        self.most_messages = self.most_messages.max(message_times.len());
         self.waiting += message.lines;
         self.most_waiting = self.most_waiting.max(self.waiting);
         self.queue.push_back(message);
     }
 
-    fn change_table(&mut self, verb: &str, table: u16, order: &Value) {
-        match change_of(verb, order) {
+    fn change_table(&mut self, verb: &str, table: u16, change: &Value) {
+        match parse_change(verb, change) {
             Change::Set(host, weight) => {
                 self.tables.entry(table).or_default().insert(host, weight);
             }
@@ -217,15 +221,15 @@
             }
             Change::Admission => {
                 let classes = self.admissions.entry(table).or_default();
-                classes.insert(order["routes"].to_string());
+                classes.insert(change["routes"].to_string());
             }
-            Change::Table(_) => unreachable!("no table is set as a whole"),
+            Change::Table(_) => unreachable!("changes of a table are made line by line"),
         }
     }
 
-    /// Lets the channel send for so long.
-    pub(super) fn advance(&mut self, now: Instant, passed: Duration) {
-        let mut budget = self.rate * passed.as_secs_f64();
+    /// Sends the lines that the channel's rate allows in the elapsed time, and delivers the messages whose transit is over.
+    pub(super) fn advance(&mut self, now: Instant, elapsed: Duration) {
+        let mut budget = self.rate * elapsed.as_secs_f64();
         while let Some(message) = self.queue.front_mut() {
             let sent = message.lines.min(budget);
             message.lines -= sent;
@@ -241,29 +245,29 @@
             );
         }
         while self.in_transit.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, message) = self.in_transit.pop_front().expect("it is there");
-            self.arrive(message);
+            let (_, message) = self.in_transit.pop_front().expect("the queue is not empty");
+            self.deliver(message);
         }
     }
 
-    fn arrive(&mut self, message: Message) {
-        let held = self.held.entry(message.proxy).or_insert(HeldTable {
+    fn deliver(&mut self, message: Message) {
+        let applied = self.applied.entry(message.proxy).or_insert(AppliedTable {
             weights: Weights::new(),
-            ordered_at: None,
+            updated_at: None,
         });
-        held.ordered_at = Some(message.sent_at);
+        applied.updated_at = Some(message.called_at);
         for change in message.changes {
             match change {
-                Change::Table(weights) => held.weights = weights,
-                Change::Set(host, weight) => drop(held.weights.insert(host, weight)),
-                Change::Remove(host) => drop(held.weights.remove(&host)),
+                Change::Table(weights) => applied.weights = weights,
+                Change::Set(host, weight) => drop(applied.weights.insert(host, weight)),
+                Change::Remove(host) => drop(applied.weights.remove(&host)),
                 Change::Admission => {}
             }
         }
-        if let Some(mark) = message.mark {
+        if let Some(nonce) = message.ack_nonce {
             let proxy = message.proxy;
             self.notify(&format!(
-                "{{\"method\":\"applied\",\"params\":{{\"id\":{proxy},\"seq\":{mark},\"ms\":1.0}}}}\n"
+                "{{\"method\":\"applied\",\"params\":{{\"id\":{proxy},\"seq\":{nonce},\"ms\":1.0}}}}\n"
             ));
         }
     }
@@ -275,14 +279,14 @@
     )
 }
 
-fn change_of(verb: &str, order: &Value) -> Change {
-    let host = || order["target"].as_str().expect("a host").to_string();
+fn parse_change(verb: &str, change: &Value) -> Change {
+    let host = || change["target"].as_str().expect("a host").to_string();
     match verb {
-        "share" => match order["rps"].as_f64().expect("a weight") {
+        "share" => match change["rps"].as_f64().expect("a weight") {
             0.0 => Change::Remove(host()),
             weight => Change::Set(host(), weight),
         },
         "admit" => Change::Admission,
-        other => panic!("'{other}' is no order that this relay knows"),
+        other => panic!("'{other}' is not a change that this relay knows"),
     }
 }
--- a/crates/cli/tests/platform/warming_fleet.rs
+++ b/crates/cli/tests/platform/warming_fleet.rs
@@ -245,7 +245,7 @@
         let mut text = Vec::new();
         let over = REPORT_INTERVAL.as_millis();
         let mut attempts: BTreeMap<String, f64> = BTreeMap::new();
-        for (proxy, held) in relay.held_tables() {
+        for (proxy, held) in relay.applied_tables() {
             let requests = behaviour.rate(proxy) * REPORT_INTERVAL.as_secs_f64();
             let count = self.whole(&format!("proxy {proxy}"), requests);
             text.extend(resp_message(&format!(
--- a/crates/cli/tests/platform/warming_load.rs
+++ b/crates/cli/tests/platform/warming_load.rs
@@ -1,7 +1,7 @@
 //! The rule on overload, checked by what proxies hold: a host that has just started is not brought more than a multiple of
 //! what it can do, over a span, by proxies that know of its start.
 
-use crate::channel_relay::{ChannelRelay, HeldTable};
+use crate::channel_relay::{AppliedTable, ChannelRelay};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -131,7 +131,7 @@
         let now = Instant::now();
         let passed = (now - self.sampled).as_secs_f64();
         self.sampled = now;
-        let tables = relay.held_tables();
+        let tables = relay.applied_tables();
         let rule = self.rule;
         let paused_until = self.paused_until;
         self.warming
@@ -167,7 +167,7 @@
 
 fn held_lines(
     host: &str,
-    tables: &BTreeMap<u16, HeldTable>,
+    tables: &BTreeMap<u16, AppliedTable>,
     rate: impl Fn(u16) -> f64,
     now: Instant,
 ) -> Vec<HeldLine> {
@@ -177,7 +177,7 @@
             rate: rate(proxy),
             weight: *held.weights.get(host)?,
             table_weight: held.weights.values().sum(),
-            ordered: held.ordered_at.map(|at| now - at),
+            ordered: held.updated_at.map(|at| now - at),
         })
     });
     held.collect()
@@ -188,7 +188,7 @@
         &self,
         host: &str,
         warming: Warming,
-        tables: &BTreeMap<u16, HeldTable>,
+        tables: &BTreeMap<u16, AppliedTable>,
         rate: impl Fn(u16) -> f64,
         now: Instant,
         passed: f64,
@@ -199,7 +199,7 @@
                 continue;
             };
             let sent = rate(proxy) * weight / held.weights.values().sum::<f64>() * passed;
-            let is_told = held.ordered_at.is_some_and(|at| at >= warming.told);
+            let is_told = held.updated_at.is_some_and(|at| at >= warming.told);
             load += sent;
             if is_told {
                 knowing += sent;
--- a/crates/cli/tests/platform/warming_soak.rs
+++ b/crates/cli/tests/platform/warming_soak.rs
@@ -136,12 +136,12 @@
             5..=7 => self.drain_a_host(at),
             8..=13 => self.churn(),
             14..=17 => self.shift_load(),
-            18 => self.fault_calls(CallFault::AnswerLost),
+            18 => self.fault_calls(CallFault::ResponseLost),
             19 => self.fault_calls(CallFault::Busy),
             20 => {
                 self.note("news broken");
                 self.fleet.pause_rules(NEWS_PAUSE);
-                self.fleet.relay.break_news();
+                self.fleet.relay.break_membership_watches();
             }
             21 => {
                 self.note("watch broken");
