--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -8,14 +8,14 @@
         .arg("rehearse")
         .args(args)
         .output()
-        .expect("the program starts");
+        .expect("cannot start the program");
     let (text, wrong) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
     assert!(output.status.success(), "{text}\n{wrong}");
     (
-        serde_json::from_str(&text).expect("JSON"),
+        serde_json::from_str(&text).expect("the output is not JSON"),
         text.into_owned(),
     )
 }
--- a/crates/cli/tests/daemon.rs
+++ b/crates/cli/tests/daemon.rs
@@ -14,7 +14,7 @@
     Command::new(env!("CARGO_BIN_EXE_pondarch"))
         .args(args)
         .output()
-        .expect("the program starts")
+        .expect("cannot start the program")
 }
 
 struct Daemon {
@@ -24,7 +24,7 @@
 
 impl Daemon {
     fn start() -> Daemon {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("no temporary directory");
         let site = "{
             name: 'test', zones: ['ede'],
             kinds: [{ name: 'proof', response_target: '1 s', client_timeout: '4 s', benefit: 1, repeats: 'replayable' }],
@@ -35,14 +35,16 @@
             records: { folder: 'records' },
             runtime_api: [{ listen: 'unix:admin.sock', level: 'admin' }, { listen: 'unix:user.sock', level: 'user' }],
         }";
-        std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
-        std::fs::write(folder.path().join("hosts.jsonnet"), HOSTS).expect("a list");
+        std::fs::write(folder.path().join("site.jsonnet"), site)
+            .expect("cannot read or write the settings");
+        std::fs::write(folder.path().join("hosts.jsonnet"), HOSTS)
+            .expect("cannot write the host list");
         let child = Command::new(env!("CARGO_BIN_EXE_pondarch"))
             .arg("run")
             .arg(folder.path().join("site.jsonnet"))
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("cannot start the program");
         let daemon = Daemon { folder, child };
         daemon.wait("HostsReady: 6");
         daemon
@@ -91,7 +93,7 @@
     };
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
-        .expect("a limit");
+        .expect("cannot set a time limit");
     // The steward may close before all is written.
     stream
         .write_all(bytes)
@@ -133,8 +135,8 @@
         "Permission denied\n\n"
     );
     // Half a line and then nothing: others are served meanwhile.
-    let mut half = UnixStream::connect(daemon.path("admin.sock")).expect("a connection");
-    half.write_all(b"show in").expect("written");
+    let mut half = UnixStream::connect(daemon.path("admin.sock")).expect("no connection");
+    half.write_all(b"show in").expect("cannot write");
     daemon.wait("HostsReady: 6");
     let prompted = daemon.send("admin.sock", b"prompt\nget weight hosts/host-1\nquit\n");
     assert!(prompted.contains("> 1 (initial 1)\n\n> "), "{prompted:?}");
@@ -185,7 +187,7 @@
 #[test]
 fn the_list_is_followed_and_a_broken_one_keeps_the_last() {
     let daemon = Daemon::start();
-    std::fs::write(daemon.path("hosts.jsonnet"), &HOSTS[..60]).expect("half a list");
+    std::fs::write(daemon.path("hosts.jsonnet"), &HOSTS[..60]).expect("cannot write the host list");
     daemon.wait("ListRefused: ");
     let deadline = Instant::now() + Duration::from_secs(10);
     while daemon
@@ -204,7 +206,8 @@
             .send("admin.sock", b"show errors\n")
             .contains("hosts.jsonnet:1")
     );
-    std::fs::write(daemon.path("hosts.jsonnet"), HOSTS.replace("1, 6", "1, 9")).expect("a list");
+    std::fs::write(daemon.path("hosts.jsonnet"), HOSTS.replace("1, 6", "1, 9"))
+        .expect("cannot write the host list");
     daemon.wait("HostsReady: 9");
     daemon.wait("ListRefused: -");
 }
@@ -217,12 +220,12 @@
         Command::new("kill")
             .args(["-TERM", &id])
             .status()
-            .expect("kill")
+            .expect("cannot run kill")
             .success()
     );
     let deadline = Instant::now() + Duration::from_secs(5);
     let status = loop {
-        match daemon.child.try_wait().expect("its state") {
+        match daemon.child.try_wait().expect("no process state") {
             Some(status) => break status,
             None => std::thread::sleep(Duration::from_millis(20)),
         }
@@ -249,9 +252,9 @@
     );
     let bad = daemon.path("bad.jsonnet");
     let text = std::fs::read_to_string(&site)
-        .expect("settings")
+        .expect("cannot read or write the settings")
         .replace("'18 s'", "'18'");
-    std::fs::write(&bad, text).expect("settings");
+    std::fs::write(&bad, text).expect("cannot read or write the settings");
     for what in ["check", "run"] {
         let output = pondarch(&[what, &bad.display().to_string()]);
         let wrong = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -22,8 +22,8 @@
 /// A port that both protocols have free.
 fn free() -> SocketAddr {
     loop {
-        let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let at = udp.local_addr().expect("an address");
+        let udp = UdpSocket::bind("127.0.0.1:0").expect("cannot bind a port");
+        let at = udp.local_addr().expect("no local address");
         if TcpListener::bind(at).is_ok() {
             return at;
         }
@@ -37,8 +37,8 @@
 
     /// With more settings for DNS.
     fn start_at(dns: SocketAddr, more: &str) -> Steward {
-        let folder = tempfile::tempdir().expect("a folder");
-        std::fs::write(folder.path().join("second.key"), SECRET).expect("a secret");
+        let folder = tempfile::tempdir().expect("no temporary directory");
+        std::fs::write(folder.path().join("second.key"), SECRET).expect("cannot write the secret");
         let site = format!(
             "{{ name: 'named', zones: ['ede'],
             kinds: [{{ name: 'proof', response_target: '1 s', client_timeout: '4 s', benefit: 1, repeats: 'replayable' }}],
@@ -49,7 +49,8 @@
             dns: {{ zone: 'pond.test', listen: '{dns}', grace: '4 s', answers_per_second: 1000{more} }},
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}"
         );
-        std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
+        std::fs::write(folder.path().join("site.jsonnet"), site)
+            .expect("cannot read or write the settings");
         let mut steward = Steward {
             folder,
             dns,
@@ -66,7 +67,7 @@
             .arg("run")
             .arg(self.path("site.jsonnet"))
             .stderr(Stdio::null());
-        self.child = Some(command.spawn().expect("the program starts"));
+        self.child = Some(command.spawn().expect("cannot start the program"));
         let deadline = Instant::now() + Duration::from_secs(10);
         while self.ask("pond.test", &["--type", "SOA"]).is_none() {
             assert!(Instant::now() < deadline, "it never answers");
@@ -88,8 +89,9 @@
         };
         let hosts: Vec<String> = (0..6).map(host).collect();
         let part = self.path("hosts.part");
-        std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", "))).expect("a list");
-        std::fs::rename(&part, self.path("hosts.jsonnet")).expect("a list");
+        std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", ")))
+            .expect("cannot write the host list");
+        std::fs::rename(&part, self.path("hosts.jsonnet")).expect("cannot write the host list");
     }
 
     /// What `pondarch resolve` prints; none if it did not go well.
@@ -100,7 +102,7 @@
             .args(["resolve", name, "--server", &server])
             .args(more)
             .output()
-            .expect("it starts");
+            .expect("cannot start the program");
         output
             .status
             .success()
@@ -110,7 +112,7 @@
     fn serial(&self) -> u64 {
         let soa = self
             .ask("pond.test", &["--type", "SOA"])
-            .expect("an answer");
+            .expect("no response");
         soa.split_whitespace()
             .nth(5)
             .and_then(|word| word.parse().ok())
@@ -122,7 +124,7 @@
         let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
             .args(["ctl", &socket, command])
             .output()
-            .expect("it starts");
+            .expect("cannot start the program");
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
@@ -167,12 +169,12 @@
             .ctl("show map proxies")
             .contains("plain joined table-")
     });
-    let text = steward.ask(name, &[]).expect("an answer");
+    let text = steward.ask(name, &[]).expect("no response");
     let srv = text.lines().filter(|line| line.contains(" SRV ")).count();
     assert_eq!(srv, 6, "{text}");
     // A grace of 4 s, half to learn, one for how caches count.
     assert!(text.lines().all(|line| line.contains(" 2 ")), "{text}");
-    let tcp = steward.ask(name, &["--tcp"]).expect("an answer");
+    let tcp = steward.ask(name, &["--tcp"]).expect("no response");
     assert_eq!(tcp.lines().filter(|line| line.contains(" SRV ")).count(), 6);
     // The source says who asks, where the name does not.
     steward.until("the other", || {
@@ -202,9 +204,9 @@
     assert!(told.elapsed() < Duration::from_secs(5));
     let serial = steward.serial();
     assert!(serial > before);
-    let mut child = steward.child.take().expect("a process");
-    child.kill().expect("killed");
-    child.wait().expect("gone");
+    let mut child = steward.child.take().expect("no process");
+    child.kill().expect("cannot kill the process");
+    child.wait().expect("cannot wait for the process");
     steward.run();
     steward.until("hosts again", || steward.ask(name, &[]).is_some());
     assert!(
@@ -217,15 +219,17 @@
 #[test]
 fn a_grace_that_leaves_no_lifetime_is_refused() {
     let steward = Steward::start();
-    let site = std::fs::read_to_string(steward.path("site.jsonnet")).expect("settings");
+    let site = std::fs::read_to_string(steward.path("site.jsonnet"))
+        .expect("cannot read or write the settings");
     let wrong = steward.path("wrong.jsonnet");
-    std::fs::write(&wrong, site.replace("grace: '4 s'", "grace: '2 s'")).expect("settings");
+    std::fs::write(&wrong, site.replace("grace: '4 s'", "grace: '2 s'"))
+        .expect("cannot read or write the settings");
     let check = |file: &Path| {
         let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
             .arg("check")
             .arg(file)
             .output();
-        let output = output.expect("it starts");
+        let output = output.expect("cannot start the program");
         (
             output.status.code(),
             String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -237,7 +241,8 @@
         text.contains("dns.grace") && text.contains("with 2500 ms it would"),
         "{text}"
     );
-    std::fs::write(&wrong, site.replace("dns:", "// dns:")).expect("settings");
+    std::fs::write(&wrong, site.replace("dns:", "// dns:"))
+        .expect("cannot read or write the settings");
     let (code, text) = check(&wrong);
     assert!(
         code == Some(2) && text.contains("is absent, and there is no dns"),
@@ -250,16 +255,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_secondary_follows_is_cut_off_and_catches_up() {
     let dns = free();
-    let key = TsigKey::new("second.pond.test", vec![7; 32]).expect("a key");
+    let key = TsigKey::new("second.pond.test", vec![7; 32]).expect("invalid key");
     let second = Secondary::start("pond.test", dns, key.clone())
         .await
-        .expect("a socket");
+        .expect("no socket");
     let stranger = Secondary::start(
         "pond.test",
         dns,
-        TsigKey::new("second.pond.test", vec![8; 32]).expect("a key"),
+        TsigKey::new("second.pond.test", vec![8; 32]).expect("invalid key"),
     );
-    let stranger = stranger.await.expect("a socket");
+    let stranger = stranger.await.expect("no socket");
     let of = format!(
         "{{ address: '{}', key: 'second.pond.test', secret_file: 'second.key' }}",
         second.addr
@@ -315,9 +320,9 @@
         !steward.ctl("show map lingering").contains("host-3")
     });
     let before = second.copy().serial;
-    let mut child = steward.child.take().expect("a process");
-    child.kill().expect("killed");
-    child.wait().expect("gone");
+    let mut child = steward.child.take().expect("no process");
+    child.kill().expect("cannot kill the process");
+    child.wait().expect("cannot wait for the process");
     steward.run();
     steward.until("the new steward's copy", || second.copy().serial > before);
     steward.until("its hosts", || hosts().len() == 5);
--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -26,7 +26,7 @@
     json!({
         "name": "n0", "listen": listen, "discovery": registry, "seed": "1f",
         "limits": {"sockets": 128}, "hub": {"address": relay},
-        "known": serde_json::from_str::<Value>(&endpoint_list(1, &ready_hosts())).expect("a list"),
+        "known": serde_json::from_str::<Value>(&endpoint_list(1, &ready_hosts())).expect("the list is not JSON"),
         "settings": {
             "classes": [{"name": "proof", "aim": 1_500_000, "worth": 1.0}], "localities": ["a"],
             "familyInfo": {"proxies": PROXIES, "channelRate": STATED_RATE, "mostWaiting": LINE_LIMIT,
@@ -71,7 +71,7 @@
     let mut stream = controller.connect();
     stream
         .write_all(&resp_message("collector site a"))
-        .expect("written");
+        .expect("cannot write");
     let mut round = 0;
     while !stop.load(Relaxed) {
         for n in 0..HOSTS {
@@ -85,7 +85,9 @@
                 };
                 let report =
                     format!("heard site a target {id} count 6 fail {fail} mean {mean} over 500");
-                stream.write_all(&resp_message(&report)).expect("written");
+                stream
+                    .write_all(&resp_message(&report))
+                    .expect("cannot write");
             }
         }
         for n in 0..usize::from(PROXIES) {
@@ -95,7 +97,9 @@
                 1
             };
             let usage = format!("usage id {n} lane proof count {count} fail 0 over 500");
-            stream.write_all(&resp_message(&usage)).expect("written");
+            stream
+                .write_all(&resp_message(&usage))
+                .expect("cannot write");
         }
         round += 1;
         thread::sleep(Duration::from_millis(500));
@@ -197,7 +201,7 @@
     let runs = [4.0, 8.0, 20.0]
         .map(|times| thread::spawn(move || run(&[(3, Fault::Rate(STATED_RATE / times))])));
     runs.into_iter()
-        .for_each(|run| assert_limits_kept(&run.join().expect("no panic")));
+        .for_each(|run| assert_limits_kept(&run.join().expect("a thread panicked")));
 }
 
 /// The channel stops for 6 s; updates continue once it sends again.
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -43,7 +43,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("a thread panicked")
     }
 
     pub(crate) fn set_rate(&self, rate: f64) {
@@ -131,7 +131,10 @@
     loop {
         thread::sleep(SEND_INTERVAL);
         let now = Instant::now();
-        state.lock().expect("no panic").advance(now, now - last);
+        state
+            .lock()
+            .expect("a thread panicked")
+            .advance(now, now - last);
         last = now;
     }
 }
@@ -157,7 +160,7 @@
             .unwrap_or_default();
         let id = &call["id"];
         let outcome = {
-            let mut state = state.lock().expect("no panic");
+            let mut state = state.lock().expect("a thread panicked");
             match state.fault {
                 CallFault::None => format!("\"result\":{{\"ok_count\":{}}}", state.apply(changes)),
                 CallFault::ResponseLost => {
@@ -177,7 +180,7 @@
 fn watch(stream: &TcpStream, state: &Mutex<State>) -> Option<()> {
     let mut watcher = stream.try_clone().ok()?;
     let mut ping_stream = stream.try_clone().ok()?;
-    let mut state = state.lock().expect("no panic");
+    let mut state = state.lock().expect("a thread panicked");
     watcher.write_all(state.joined_events().as_bytes()).ok()?;
     state.watchers.push(watcher);
     thread::spawn(move || {
--- a/crates/cli/tests/platform/channel_state.rs
+++ b/crates/cli/tests/platform/channel_state.rs
@@ -151,10 +151,10 @@
         let mut accepted = 0;
         for call_change in call_changes {
             let table = call_change["cluster"].as_u64().unwrap_or_default() as u16;
-            match call_change["verb"].as_str().expect("a verb") {
+            match call_change["verb"].as_str().expect("no verb") {
                 "mark" => ack_nonce = call_change["nonce_out"].as_u64(),
                 "bind" => {
-                    let proxy = call_change["id"].as_u64().expect("a proxy") as u16;
+                    let proxy = call_change["id"].as_u64().expect("no proxy") as u16;
                     if !self.joined.contains(&proxy) {
                         break;
                     }
@@ -280,9 +280,9 @@
 }
 
 fn parse_change(verb: &str, change: &Value) -> Change {
-    let host = || change["target"].as_str().expect("a host").to_string();
+    let host = || change["target"].as_str().expect("no host").to_string();
     match verb {
-        "share" => match change["rps"].as_f64().expect("a weight") {
+        "share" => match change["rps"].as_f64().expect("no weight") {
             0.0 => Change::Remove(host()),
             weight => Change::Set(host(), weight),
         },
--- a/crates/cli/tests/platform/clients.rs
+++ b/crates/cli/tests/platform/clients.rs
@@ -1,4 +1,4 @@
-//! Who connects to the controller's address: cut off, slow, too many, too fast, deaf.
+//! Clients of the controller's own address: connections that are reset, slow, too many or too fast, or that do not read.
 
 use crate::controller_process::*;
 use crate::manual_peer::ControllerFixture;
@@ -14,35 +14,40 @@
 
 const PONG: &[u8] = b"*1\r\n$4\r\npong\r\n";
 
-/// How long a sign of life takes, asked for on a connection of its own.
-fn pong(controller: &ControllerProcess) -> Duration {
+/// The time until a ping on a new connection is answered.
+fn ping_time(controller: &ControllerProcess) -> Duration {
     let started_at = Instant::now();
     let mut stream = controller.connect();
-    stream.write_all(&resp_message("ping")).expect("written");
-    let mut said = [0; 14];
-    stream.read_exact(&mut said).expect("an answer");
-    assert_eq!(said, PONG);
+    stream
+        .write_all(&resp_message("ping"))
+        .expect("cannot write");
+    let mut response = [0; 14];
+    stream.read_exact(&mut response).expect("no response");
+    assert_eq!(response, PONG);
     started_at.elapsed()
 }
 
+/// Closes a connection with RST.
 fn reset(stream: TcpStream) {
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("set");
+        .expect("cannot set the socket option");
 }
 
-/// A message goes out a byte at a time.
-fn slowly(stream: &mut TcpStream, text: &str, pause: Duration) {
+/// Sends a message a byte at a time.
+fn write_slowly(stream: &mut TcpStream, text: &str, pause: Duration) {
     for byte in resp_message(text) {
-        stream.write_all(&[byte]).expect("the connection stands");
+        stream
+            .write_all(&[byte])
+            .expect("the connection was closed");
         thread::sleep(pause);
     }
 }
 
-/// Connections that are reset as soon as they are taken, with and without part of a message, while the controller is held
-/// still, so that it finds them all dead; then one that is no such.
+/// Connections that are reset right after they are established, with and without part of a message, while the controller
+/// is suspended, so that all of them are dead when it accepts them; then a connection that works.
 #[test]
-fn connections_killed_right_after_accept_leave_nothing() {
+fn connections_reset_before_they_are_accepted_leak_no_descriptors() {
     let fixture = ControllerFixture::start(4);
     let before = fixture.controller.open_descriptors();
     for _ in 0..3 {
@@ -51,45 +56,46 @@
             let mut stream = fixture.controller.connect();
             stream
                 .write_all(&resp_message("collector site a")[..n % 20])
-                .expect("written");
+                .expect("cannot write");
             reset(stream);
         }
         fixture.controller.signal("-CONT");
-        assert!(pong(&fixture.controller) < Duration::from_secs(1));
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
     }
-    // The last of them may still be on their way out.
+    // The last connections may not be closed yet.
     thread::sleep(Duration::from_millis(200));
     let after = fixture.controller.open_descriptors();
     assert!(after <= before + 2, "{after} descriptors, {before} before");
     fixture.controller.terminate();
 }
 
-/// A collector whose bytes come one at a time names itself after 1.5 s: it was refused, each time it came. Half a
-/// message that goes no further is closed within what all are owed.
+/// A collector whose bytes arrive one at a time has identified itself after 1.5 s: such a collector was rejected at each
+/// attempt. A connection that stops after part of a message is closed within the time limit of all clients.
 #[test]
-fn a_slow_collector_is_let_in() {
+fn a_slow_collector_is_accepted() {
     let fixture = ControllerFixture::start(4);
     let mut collector = fixture.controller.connect();
     let bytes = resp_message("collector site a").len() as u32;
-    slowly(
+    write_slowly(
         &mut collector,
         "collector site a",
         Duration::from_millis(1_500) / bytes,
     );
-    slowly(
+    write_slowly(
         &mut collector,
         "usage id 3 lane proof count 4 fail 0 over 1000",
         Duration::from_millis(5),
     );
     fixture.controller.wait_for_log("collector joined zone=", 1);
     let started_at = Instant::now();
-    let mut half = fixture.controller.connect();
-    half.write_all(&resp_message("collector site a")[..20])
-        .expect("written");
-    let answer = read_until_closed(half);
+    let mut partial = fixture.controller.connect();
+    partial
+        .write_all(&resp_message("collector site a")[..20])
+        .expect("cannot write");
+    let response = read_until_closed(partial);
     assert!(
-        answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
-        "{answer}"
+        response.is_empty() || response == "*1\r\n$7\r\nrefused\r\n",
+        "{response}"
     );
     assert!(
         started_at.elapsed() < Duration::from_secs(3),
@@ -105,16 +111,16 @@
     );
 }
 
-/// A thousand strangers who say nothing are there before a collector that returns, and stay.
+/// A thousand unidentified clients that send nothing connect before a collector that reconnects, and stay connected.
 #[test]
-fn a_collector_returns_among_a_thousand_strangers() {
+fn a_collector_reconnects_among_a_thousand_unidentified_clients() {
     let fixture = ControllerFixture::start(4);
-    let strangers: Vec<TcpStream> = (0..1_000).map(|_| fixture.controller.connect()).collect();
+    let unidentified: Vec<TcpStream> = (0..1_000).map(|_| fixture.controller.connect()).collect();
     let started_at = Instant::now();
     let mut collector = fixture.controller.connect();
     collector
         .write_all(&resp_message("collector site a"))
-        .expect("written");
+        .expect("cannot write");
     fixture.controller.wait_for_log("collector joined zone=", 1);
     assert!(
         started_at.elapsed() < Duration::from_secs(4),
@@ -122,17 +128,17 @@
         started_at.elapsed()
     );
     assert!(fixture.controller.open_descriptors() <= 128);
-    drop(strangers);
-    assert!(pong(&fixture.controller) < Duration::from_secs(2));
+    drop(unidentified);
+    assert!(ping_time(&fixture.controller) < Duration::from_secs(2));
     fixture.controller.terminate();
 }
 
-/// Three collectors bring reports as fast as they are read, all the while. A sign of life, a new configuration and a
-/// drain are not behind them: the loop took reports first, and whoever asked waited until the flood was over.
+/// Three collectors send reports without pause, as fast as they are read. A ping, a reload and a drain are not delayed:
+/// the event loop handled reports first, and all others waited until the reports ended.
 #[test]
-fn a_flood_of_reports_starves_nobody() {
+fn a_flood_of_reports_delays_no_other_events() {
     let mut fixture = ControllerFixture::start(4);
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let flood: Vec<u8> = (0..500)
         .flat_map(|n| {
             resp_message(&format!(
@@ -141,24 +147,24 @@
             ))
         })
         .collect();
-    // Three of each zone's collectors stay, and all are of one zone.
+    // At most three collectors of a zone stay connected, and all of these are of one zone.
     let floods: Vec<thread::JoinHandle<()>> = (0..3)
         .map(|_| {
-            let (mut stream, flood, over) =
-                (fixture.controller.connect(), flood.clone(), over.clone());
+            let (mut stream, flood, stop) =
+                (fixture.controller.connect(), flood.clone(), stop.clone());
             thread::spawn(move || {
                 stream
                     .write_all(&resp_message("collector site a"))
-                    .expect("written");
-                while !over.load(Relaxed) && stream.write_all(&flood).is_ok() {}
+                    .expect("cannot write");
+                while !stop.load(Relaxed) && stream.write_all(&flood).is_ok() {}
             })
         })
         .collect();
     fixture.controller.wait_for_log("collector joined zone=", 3);
     for _ in 0..20 {
-        // On a busy machine this takes longer than a watch may be silent; one that was renewed would not hear the drain.
+        // On a busy machine this loop takes longer than a watch may be silent, and a new watch would not get the drain.
         fixture.registry.send_chunk(fixture.watch_connection, "\n");
-        assert!(pong(&fixture.controller) < Duration::from_secs(1));
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
     }
     fixture.drain_host(2, 3);
     fixture
@@ -169,20 +175,20 @@
         .controller
         .change_upstreams(fixture.registry.address, relay.address);
     fixture.controller.wait_for_log("configuration reloaded", 1);
-    over.store(true, Relaxed);
+    stop.store(true, Relaxed);
     floods
         .into_iter()
-        .for_each(|flood| flood.join().expect("no panic"));
+        .for_each(|flood| flood.join().expect("a thread panicked"));
     fixture.controller.terminate();
 }
 
-/// Strangers take all descriptors but what they leave in a moment: connections that stand go on, and once they have
-/// gone so does all else.
+/// Unidentified clients use all file descriptors for as long as each is allowed to stay: established connections keep
+/// working, and once these clients are gone new connections are accepted again.
 #[test]
-fn out_of_descriptors_it_keeps_what_it_has() {
+fn established_connections_survive_a_lack_of_file_descriptors() {
     let (relay_address, calls) = start_relay(4);
     let (registry_address, _requests) = start_registry(1);
-    // More may connect by the configuration than the system lets it hold.
+    // The configuration allows more connections than the process may have open files.
     let controller =
         ControllerProcess::start_with_command(registry_address, relay_address, |command| {
             let mut limited = Command::new("sh");
@@ -198,19 +204,19 @@
             limited
         });
     wait_for(&calls, "\"verb\":\"bind\"");
-    let strangers: Vec<TcpStream> = (0..100).map(|_| controller.connect()).collect();
-    let until = Instant::now() + TIMEOUT;
+    let unidentified: Vec<TcpStream> = (0..100).map(|_| controller.connect()).collect();
+    let deadline = Instant::now() + TIMEOUT;
     while controller.open_descriptors() < 40 {
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "{} descriptors",
             controller.open_descriptors()
         );
     }
-    // Each stranger goes within 1 s of being taken; the last are taken when the first have gone.
-    drop(strangers);
+    // Each of these clients is closed within 1 s of being accepted; the last are accepted when the first are closed.
+    drop(unidentified);
     let started_at = Instant::now();
-    pong(&controller);
+    ping_time(&controller);
     assert!(
         started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -220,29 +226,30 @@
     assert!(!log.contains("panicked"), "{log}");
 }
 
-/// One asks for signs of life without end, and reads them or not: it was served for as long as it asked. It is closed
-/// within what all are owed, and all others are served.
+/// A client sends pings without end and either reads the responses or not: it was served for as long as it sent. It is
+/// closed within the time limit of all clients, and other clients are served.
 #[test]
-fn who_asks_without_end_is_closed() {
+fn a_client_that_pings_without_end_is_closed() {
     let fixture = ControllerFixture::start(4);
-    for reads in [false, true] {
-        let mut asker = fixture.controller.connect();
-        asker.set_write_timeout(Some(TIMEOUT)).expect("a limit");
-        let asks: Vec<u8> = (0..1_000).flat_map(|_| resp_message("ping")).collect();
+    for reads_responses in [false, true] {
+        let mut client = fixture.controller.connect();
+        client
+            .set_write_timeout(Some(TIMEOUT))
+            .expect("cannot set a time limit");
+        let pings: Vec<u8> = (0..1_000).flat_map(|_| resp_message("ping")).collect();
         let started_at = Instant::now();
-        let mut answers = asker.try_clone().expect("a second handle");
-        let reader =
-            thread::spawn(
-                move || while reads && answers.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {},
-            );
-        while asker.write_all(&asks).is_ok() {
+        let mut responses = client.try_clone().expect("cannot clone the stream");
+        let reader = thread::spawn(move || {
+            while reads_responses && responses.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {}
+        });
+        while client.write_all(&pings).is_ok() {
             assert!(
                 started_at.elapsed() < Duration::from_secs(3),
-                "it is still read from"
+                "the client's pings are still being read"
             );
         }
-        assert!(pong(&fixture.controller) < Duration::from_secs(1));
-        reader.join().expect("no panic");
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
+        reader.join().expect("a thread panicked");
     }
     fixture.controller.terminate();
 }
--- a/crates/cli/tests/platform/controller_process.rs
+++ b/crates/cli/tests/platform/controller_process.rs
@@ -74,11 +74,14 @@
             ],
             7070,
         ));
-        std::fs::write(&path, config(listen)).expect("written");
+        std::fs::write(&path, config(listen)).expect("cannot write");
         let mut command = adapt(platform_command(Some(&path)));
         let log =
             std::fs::File::create(directory.path().join("log")).expect("cannot create the log");
-        let child = command.stderr(log).spawn().expect("the program");
+        let child = command
+            .stderr(log)
+            .spawn()
+            .expect("cannot start the program");
         ControllerProcess {
             child,
             config: path,
@@ -88,25 +91,25 @@
     }
 
     pub(crate) fn kill(&mut self) {
-        self.child.kill().expect("killed");
+        self.child.kill().expect("cannot kill the process");
         self.child.wait().expect("cannot wait for the process");
     }
 
     /// Starts it again after it has exited, on the same address with another configuration.
     pub(crate) fn restart(&mut self, config: &str) {
-        std::fs::write(&self.config, config).expect("written");
+        std::fs::write(&self.config, config).expect("cannot write");
         let log = std::fs::File::options()
             .append(true)
             .open(self.directory.path().join("log"));
         self.child = platform_command(Some(&self.config))
             .stderr(log.expect("cannot read the log"))
             .spawn()
-            .expect("the program");
+            .expect("cannot start the program");
     }
 
     /// Writes another configuration and has the process reload it.
     pub(crate) fn reconfigure(&self, config: &str) {
-        std::fs::write(&self.config, config).expect("written");
+        std::fs::write(&self.config, config).expect("cannot write");
         self.signal("-HUP");
     }
 
@@ -149,7 +152,7 @@
             .arg(name)
             .arg(self.child.id().to_string())
             .status();
-        assert!(sent.expect("kill").success());
+        assert!(sent.expect("cannot run kill").success());
     }
 
     /// Connects to the controller, with retries while it starts.
--- a/crates/cli/tests/platform/endpoint_watch.rs
+++ b/crates/cli/tests/platform/endpoint_watch.rs
@@ -1,22 +1,23 @@
-//! The watch on the list: silent, in pieces, numbered otherwise, closed.
+//! Faults of the registry watch: silence, lines in pieces, unexpected generations, closed connections.
 
 use crate::controller_process::*;
 use crate::manual_peer::{ControllerFixture, ManualPeer, PING, host_removal, list_change};
 use crate::scripted_peers::*;
 use std::time::{Duration, Instant};
 
-/// What is told counts as told 6 s later, whether it arrived or not.
-const TOLD: Duration = Duration::from_secs(6);
+/// The controller is expected to know a change of the list 6 s after it was listed, whether it arrived or not.
+const NOTICE_LIMIT: Duration = Duration::from_secs(6);
 
-fn drained(n: usize) -> Vec<String> {
+/// The entries of a list in which host `n` drains.
+fn hosts_with_drained(n: usize) -> Vec<String> {
     (0..8)
         .map(|m| host_entry(1, m, if m == n { "Terminating" } else { "Ready" }))
         .collect()
 }
 
-/// Silent from its first byte, twice over; and not even the head of an answer.
+/// Two watches in a row are silent, one after the response head and one without even that.
 #[test]
-fn a_watch_that_says_nothing_is_renewed() {
+fn a_silent_watch_is_renewed() {
     let mut fixture = ControllerFixture::start(4);
     let started_at = Instant::now();
     fixture.registry.accept_watch(1);
@@ -27,40 +28,49 @@
         .send_chunk(watch, &list_change(2, &[host_entry(1, 3, "Terminating")]));
     fixture.relay.accept_calls_until(&host_removal(3));
     assert!(
-        started_at.elapsed() < 2 * TOLD,
+        started_at.elapsed() < 2 * NOTICE_LIMIT,
         "{:?}",
         started_at.elapsed()
     );
     fixture.controller.terminate();
 }
 
-/// Half a line, and then nothing; or byte after byte of a line that does not end. Nothing of it is kept.
+/// Half a line, and then nothing; or single bytes of a line that does not end in time. Nothing of the line is kept.
 #[test]
-fn half_a_line_is_given_up_in_time() {
-    for drips in [false, true] {
+fn an_incomplete_line_is_abandoned_in_time() {
+    for by_bytes in [false, true] {
         let mut fixture = ControllerFixture::start(4);
         let line = list_change(2, &[host_entry(1, 3, "Terminating")]);
-        let half = &line[..line.len() / 2];
+        let incomplete = &line[..line.len() / 2];
         let started_at = Instant::now();
-        if drips {
-            // Each piece is a sign of life; the line would take a minute.
-            for byte in half.as_bytes().chunks(1) {
+        if by_bytes {
+            // Each byte ends the silence; the whole line would take a minute.
+            for byte in incomplete.as_bytes().chunks(1) {
                 if fixture.registry.has_closed(fixture.watch_connection) {
                     break;
                 }
                 fixture.registry.send_chunk(
                     fixture.watch_connection,
-                    std::str::from_utf8(byte).expect("text"),
+                    std::str::from_utf8(byte).expect("not UTF-8"),
                 );
                 std::thread::sleep(Duration::from_millis(500));
-                assert!(started_at.elapsed() < TOLD, "the watch still stands");
+                assert!(
+                    started_at.elapsed() < NOTICE_LIMIT,
+                    "the watch is still open"
+                );
             }
         } else {
-            fixture.registry.send_chunk(fixture.watch_connection, half);
+            fixture
+                .registry
+                .send_chunk(fixture.watch_connection, incomplete);
         }
         let watch = fixture.registry.accept_watch(1);
-        assert!(started_at.elapsed() < TOLD, "{:?}", started_at.elapsed());
-        // The rest of that line is no line.
+        assert!(
+            started_at.elapsed() < NOTICE_LIMIT,
+            "{:?}",
+            started_at.elapsed()
+        );
+        // Nothing of the incomplete line is used by the new watch.
         fixture
             .registry
             .send_chunk(watch, &list_change(2, &[host_entry(1, 4, "Terminating")]));
@@ -70,9 +80,9 @@
     }
 }
 
-/// Signs of life and a line come a byte at a time, the line over 1.5 s: it is no silence.
+/// A line arrives in pieces over 1.5 s: that does not count as silence.
 #[test]
-fn a_line_in_pieces_counts_once_it_is_whole() {
+fn a_line_in_pieces_is_applied_once_it_is_complete() {
     let mut fixture = ControllerFixture::start(4);
     for piece in list_change(2, &[host_entry(1, 3, "Terminating")])
         .as_bytes()
@@ -80,7 +90,7 @@
     {
         fixture.registry.send_chunk(
             fixture.watch_connection,
-            std::str::from_utf8(piece).expect("text"),
+            std::str::from_utf8(piece).expect("not UTF-8"),
         );
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -89,9 +99,9 @@
     fixture.controller.terminate();
 }
 
-/// Quiet but for signs of life, for longer than any limit, and then a drain on the same watch.
+/// Only keep-alive lines for longer than any time limit, and then a drain on the same watch.
 #[test]
-fn a_drain_late_in_the_day_goes_out() {
+fn a_drain_after_a_long_quiet_time_is_sent() {
     let mut fixture = ControllerFixture::start(4);
     for _ in 0..5 {
         std::thread::sleep(Duration::from_millis(1_000));
@@ -103,15 +113,15 @@
     fixture.controller.terminate();
 }
 
-/// A whole list in place of a change, under a lower version: what it says holds, and changes go on from there.
+/// A complete list of a lower generation in place of a change: it is applied, and changes continue from its generation.
 #[test]
-fn a_whole_list_of_a_lower_version_holds() {
+fn a_complete_list_of_a_lower_generation_is_applied() {
     let mut fixture = ControllerFixture::start(4);
     fixture.drain_host(9, 2);
     fixture.relay.accept_calls_until(&host_removal(2));
     fixture.registry.send_chunk(
         fixture.watch_connection,
-        &format!("{}\n", endpoint_list(4, &drained(3))),
+        &format!("{}\n", endpoint_list(4, &hosts_with_drained(3))),
     );
     fixture.relay.accept_calls_until(&host_removal(3));
     fixture.drain_host(5, 4);
@@ -121,15 +131,15 @@
     fixture.controller.terminate();
 }
 
-/// Changes numbered lower than the list, as after a restart of the agent: they were dropped without a word, and asked
-/// for no more. The whole list is asked for instead.
+/// Changes of a lower generation than the list, as after a restart of the registry's agent: they were dropped without a
+/// log line and never requested again. The controller requests the complete list instead.
 #[test]
-fn changes_numbered_lower_bring_the_whole_list() {
+fn changes_of_a_lower_generation_cause_a_request_for_the_complete_list() {
     let mut fixture = ControllerFixture::start(4);
     fixture.drain_host(9, 2);
     fixture.relay.accept_calls_until(&host_removal(2));
     fixture.drain_host(3, 3);
-    fixture.registry.send_list(3, &drained(3));
+    fixture.registry.send_list(3, &hosts_with_drained(3));
     fixture.relay.accept_calls_until(&host_removal(3));
     let watch = fixture.registry.accept_watch(3);
     fixture
@@ -139,21 +149,22 @@
     fixture.controller.terminate();
 }
 
-/// The last thing that a connection brings is a change: it counts, and the next watch goes on behind it.
+/// The last line before a connection ends is a change: it is applied, and the next watch continues after it.
 #[test]
-fn a_change_right_before_the_end_counts() {
+fn a_change_right_before_the_close_is_applied() {
     for reset in [false, true] {
         let mut fixture = ControllerFixture::start(4);
         fixture.drain_host(2, 3);
         if reset {
-            // A reset may take what was not read yet: the next watch tells it, from whichever version that asks.
+            // A reset may discard what was not read yet: then the next watch asks from the old generation and gets the change
+            // again.
             fixture.registry.reset(fixture.watch_connection);
-            let (watch, asked) = fixture.registry.wait_for_line("follow=1&since=");
+            let (watch, request) = fixture.registry.wait_for_line("follow=1&since=");
             fixture.registry.send(
                 watch,
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n",
             );
-            if asked.contains("since=1 ") {
+            if request.contains("since=1 ") {
                 fixture
                     .registry
                     .send_chunk(watch, &list_change(2, &[host_entry(1, 3, "Terminating")]));
@@ -167,15 +178,15 @@
     }
 }
 
-/// It starts with a list that is out of date: a drain told meanwhile is the first thing it hears. Calls that were
-/// made before it are put right.
+/// The controller starts with an outdated list, and the first line of its watch is a drain that happened meanwhile. Updates
+/// that were sent before it are corrected.
 #[test]
-fn a_stale_list_at_the_start_is_put_right() {
+fn an_outdated_list_at_the_start_is_corrected() {
     let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
     let controller = ControllerProcess::start(registry.address, relay.address);
-    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
-    relay.send(news, PING);
-    // All are bound by the stale list; only then registry speaks.
+    let membership = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    relay.send(membership, PING);
+    // All proxies are bound by the outdated list; only then the registry answers.
     relay.accept_calls_until("\"bind\",\"id\":3");
     let watch = registry.accept_watch(1);
     registry.send_chunk(watch, &list_change(7, &[host_entry(1, 3, "Terminating")]));
@@ -183,17 +194,17 @@
     controller.terminate();
 }
 
-/// A line that cannot be read: the watch is given up, nothing of the line is kept, and what was known stays.
+/// A line that cannot be parsed: the watch is closed, nothing of the line is applied, and the known list stays.
 #[test]
-fn an_unreadable_line_ends_the_watch_alone() {
+fn an_unreadable_line_only_ends_the_watch() {
     let mut fixture = ControllerFixture::start(4);
-    let wrong = list_change(
+    let invalid = list_change(
         2,
         &[host_entry(1, 3, "Terminating"), host_entry(1, 4, "Asleep")],
     );
     fixture
         .registry
-        .send_chunk(fixture.watch_connection, &wrong);
+        .send_chunk(fixture.watch_connection, &invalid);
     fixture.registry.wait_for_close(fixture.watch_connection);
     let watch = fixture.registry.accept_watch(1);
     fixture
--- a/crates/cli/tests/platform/fake_registry.rs
+++ b/crates/cli/tests/platform/fake_registry.rs
@@ -31,7 +31,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         ListedHost {
             lifecycle: "Ready",
-            started_ms: now.expect("after 1970").as_millis() as u64,
+            started_ms: now.expect("the clock is before 1970").as_millis() as u64,
         }
     }
 }
@@ -72,7 +72,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("a thread panicked")
     }
 
     /// Changes the entries of hosts, in one change of the list.
@@ -135,14 +135,18 @@
         reader.read_line(&mut head).ok().filter(|read| *read > 0)?;
     }
     if !head.contains("follow=1") {
-        let list = state.lock().expect("no panic").complete_list().to_string();
+        let list = state
+            .lock()
+            .expect("a thread panicked")
+            .complete_list()
+            .to_string();
         let length = list.len();
         let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{list}");
         return stream.write_all(response.as_bytes()).ok();
     }
     let mut keep_alive_stream = stream.try_clone().ok()?;
     {
-        let mut state = state.lock().expect("no panic");
+        let mut state = state.lock().expect("a thread panicked");
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             .ok()?;
@@ -151,7 +155,7 @@
     }
     loop {
         thread::sleep(KEEP_ALIVE);
-        let _guard = state.lock().expect("no panic");
+        let _guard = state.lock().expect("a thread panicked");
         write_chunked_line(&mut keep_alive_stream, "")?;
     }
 }
--- a/crates/cli/tests/platform/manual_peer.rs
+++ b/crates/cli/tests/platform/manual_peer.rs
@@ -39,8 +39,11 @@
         let accepted = Arc::clone(&streams);
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
-                let reader = BufReader::new(stream.try_clone().expect("a second handle"));
-                accepted.lock().expect("no panic").push(Some(stream));
+                let reader = BufReader::new(stream.try_clone().expect("cannot clone the stream"));
+                accepted
+                    .lock()
+                    .expect("a thread panicked")
+                    .push(Some(stream));
                 // The test may have ended.
                 sender.send(Event::Connected(connection)).ok();
                 let sender = sender.clone();
@@ -133,29 +136,29 @@
 
     /// The number of connections accepted so far.
     pub(crate) fn connection_count(&self) -> usize {
-        self.streams.lock().expect("no panic").len()
+        self.streams.lock().expect("a thread panicked").len()
     }
 
     /// Sends a text; it is lost if the other end has gone.
     pub(crate) fn send(&self, connection: usize, text: &str) {
-        if let Some(stream) = self.streams.lock().expect("no panic")[connection].as_mut() {
+        if let Some(stream) = self.streams.lock().expect("a thread panicked")[connection].as_mut() {
             stream.write_all(text.as_bytes()).ok();
         }
     }
 
     /// Closes a connection with FIN.
     pub(crate) fn close(&self, connection: usize) {
-        if let Some(stream) = self.streams.lock().expect("no panic")[connection].take() {
+        if let Some(stream) = self.streams.lock().expect("a thread panicked")[connection].take() {
             stream.shutdown(Shutdown::Both).ok();
         }
     }
 
     /// Closes a connection with RST.
     pub(crate) fn reset(&self, connection: usize) {
-        if let Some(stream) = self.streams.lock().expect("no panic")[connection].take() {
+        if let Some(stream) = self.streams.lock().expect("a thread panicked")[connection].take() {
             SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
-                .expect("set");
+                .expect("cannot set the socket option");
             // Ends the reader thread, whose handle would keep the connection open.
             stream.shutdown(Shutdown::Read).ok();
         }
@@ -190,7 +193,10 @@
 
     /// Answers that all changes of a call were accepted.
     pub(crate) fn accept_call(&self, connection: usize, call: &Value) {
-        let changes = call["params"]["changes"].as_array().expect("changes").len();
+        let changes = call["params"]["changes"]
+            .as_array()
+            .expect("no changes")
+            .len();
         self.send(
             connection,
             &response(call, &format!("\"result\":{{\"ok_count\":{changes}}}")),
@@ -297,9 +303,11 @@
 
 /// A listener whose connections have a small receive buffer, and its address.
 pub(crate) fn small_buffer_listener() -> (TcpListener, SocketAddr) {
-    let socket =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(2_048).expect("set");
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("no socket");
+    socket
+        .set_recv_buffer_size(2_048)
+        .expect("cannot set the socket option");
     socket
         .bind(
             &"127.0.0.1:0"
@@ -307,8 +315,8 @@
                 .expect("no local address")
                 .into(),
         )
-        .expect("bound");
-    socket.listen(8).expect("listens");
+        .expect("cannot bind");
+    socket.listen(8).expect("cannot listen");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("no local address");
     (listener, address)
@@ -317,7 +325,7 @@
 /// Accepts the controller's connections as a relay and lets twenty proxies join at once: their bindings and lines exceed
 /// the small receive buffer. Returns the connection of that update call, with nothing of it read yet.
 pub(crate) fn accept_pending_update_call(relay: &TcpListener) -> TcpStream {
-    let accept = || relay.accept().expect("a connection").0;
+    let accept = || relay.accept().expect("no connection").0;
     let (mut updates, mut membership) = (accept(), accept());
     // Before any proxy has joined, only the membership connection has received anything.
     updates
@@ -328,7 +336,9 @@
     }
     let mut events = "{\"jsonrpc\":\"2.0\",\"id\":0,\"result\":true}\n".to_string();
     (0..20).for_each(|proxy| events += &joined_event(proxy));
-    membership.write_all(events.as_bytes()).expect("written");
+    membership
+        .write_all(events.as_bytes())
+        .expect("cannot write");
     // Keeps the membership watch open, without events, until the test process ends.
     std::mem::forget(membership);
     updates
--- a/crates/cli/tests/platform/relay_connections.rs
+++ b/crates/cli/tests/platform/relay_connections.rs
@@ -1,4 +1,5 @@
-//! Calls and news: answers too late or of another call, cuts in the worst moment, a relay that closes at once.
+//! The connections to the relay: late responses, responses to another call, breaks at bad moments, and a relay that closes
+//! connections at once.
 
 use crate::controller_process::*;
 use crate::manual_peer::{
@@ -13,34 +14,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The answer comes after the limit for it: what was ordered may stand or not, and is ordered again on a new connection.
-/// The late answer says nothing of the second call.
+/// The response to an update call arrives after its time limit: the changes may have been carried out or not, and are
+/// sent again on a new connection. The late response does not count for the second call.
 #[test]
-fn an_answer_after_its_limit_counts_for_nothing() {
+fn a_late_response_is_ignored() {
     let mut fixture = ControllerFixture::start(4);
     fixture.drain_host(2, 3);
     let (first, call) = fixture.relay.wait_for_call(&host_removal(3));
-    let (second, again) = fixture.relay.wait_for_call(&host_removal(3));
-    assert_ne!(first, second, "the connection that owes an answer is left");
+    let (second, repeated_call) = fixture.relay.wait_for_call(&host_removal(3));
+    assert_ne!(
+        first, second,
+        "the connection with the unanswered call was used again"
+    );
     fixture.relay.accept_call(first, &call);
-    fixture.relay.accept_call(second, &again);
+    fixture.relay.accept_call(second, &repeated_call);
     fixture.drain_host(3, 4);
     assert_eq!(fixture.relay.accept_calls_until(&host_removal(4)), second);
     let log = fixture.controller.terminate();
     assert_eq!(log.matches("update call failed").count(), 1, "{log}");
 }
 
-/// An answer to some other call, and one that cannot be read: neither is taken for the answer.
+/// A response to another call, and one that cannot be parsed: neither is accepted as the response.
 #[test]
-fn an_answer_to_another_call_is_none() {
-    for wrong in [
+fn a_response_to_another_call_is_not_accepted() {
+    for unexpected in [
         "{\"jsonrpc\":\"2.0\",\"id\":999,\"result\":{\"ok_count\":1}}\n",
         "{\"jsonrpc\":\n",
     ] {
         let mut fixture = ControllerFixture::start(4);
         fixture.drain_host(2, 3);
         let (first, _) = fixture.relay.wait_for_call(&host_removal(3));
-        fixture.relay.send(first, wrong);
+        fixture.relay.send(first, unexpected);
         let second = fixture.relay.accept_calls_until(&host_removal(3));
         assert_ne!(first, second);
         fixture.relay.wait_for_close(first);
@@ -48,10 +52,10 @@
     }
 }
 
-/// The relay closes the idle connection in the moment in which a drain is told: both are there when the controller, held
-/// still meanwhile, goes on.
+/// The relay closes the idle connection at the moment when a drain is listed: both events are waiting when the controller,
+/// suspended meanwhile, resumes.
 #[test]
-fn an_idle_close_as_a_call_is_due_loses_no_call() {
+fn closing_an_idle_connection_loses_no_update_call() {
     for reset in [false, true] {
         let mut fixture = ControllerFixture::start(4);
         fixture.controller.signal("-STOP");
@@ -62,49 +66,50 @@
         }
         fixture.drain_host(2, 3);
         fixture.controller.signal("-CONT");
-        let caller = fixture.relay.accept_calls_until(&host_removal(3));
-        assert_ne!(caller, fixture.update_connection);
+        let update_connection = fixture.relay.accept_calls_until(&host_removal(3));
+        assert_ne!(update_connection, fixture.update_connection);
         fixture.controller.terminate();
     }
 }
 
-/// The connection breaks once the call's last byte is there: whether it was carried out or not, it is ordered again.
+/// The connection breaks after the last byte of an update call: whether it was carried out or not, it is sent again.
 #[test]
-fn a_cut_after_the_last_byte_is_made_good() {
+fn an_update_call_is_repeated_if_the_connection_breaks_after_its_last_byte() {
     for reset in [false, true] {
         let mut fixture = ControllerFixture::start(4);
         fixture.drain_host(2, 3);
-        let (caller, _) = fixture.relay.wait_for_call(&host_removal(3));
+        let (update_connection, _) = fixture.relay.wait_for_call(&host_removal(3));
         if reset {
-            fixture.relay.reset(caller);
+            fixture.relay.reset(update_connection);
         } else {
-            fixture.relay.close(caller);
+            fixture.relay.close(update_connection);
         }
         fixture.relay.accept_calls_until(&host_removal(3));
         fixture.controller.terminate();
     }
 }
 
-/// The connection breaks with part of a call on it: what was in it is ordered again on the next one.
+/// The connection breaks with part of an update call sent: its changes are sent again on the next connection.
 #[test]
-fn a_cut_before_the_last_byte_is_made_good() {
-    let (relay, at) = small_buffer_listener();
+fn an_update_call_is_repeated_if_the_connection_breaks_before_its_last_byte() {
+    let (relay, relay_address) = small_buffer_listener();
     let (registry, _requests) = start_registry(1);
-    let controller = ControllerProcess::start(registry, at);
-    let mut caller = accept_pending_update_call(&relay);
-    caller
+    let controller = ControllerProcess::start(registry, relay_address);
+    let mut update_connection = accept_pending_update_call(&relay);
+    update_connection
         .read_exact(&mut [0; 16])
-        .expect("the call has started_at");
-    SockRef::from(&caller)
+        .expect("no byte of the call arrived");
+    SockRef::from(&update_connection)
         .set_linger(Some(Duration::ZERO))
-        .expect("set");
-    drop(caller);
+        .expect("cannot set the socket option");
+    drop(update_connection);
     loop {
-        let (next, _) = relay.accept().expect("the next connection");
-        next.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+        let (next, _) = relay.accept().expect("no next connection");
+        next.set_read_timeout(Some(TIMEOUT))
+            .expect("cannot set a time limit");
         let mut line = String::new();
-        // News may be asked for anew in between.
-        BufReader::new(next).read_line(&mut line).expect("a line");
+        // This may be a new membership watch.
+        BufReader::new(next).read_line(&mut line).expect("no line");
         if line.contains("relay.apply") {
             let binds = line.matches("\"verb\":\"bind\"").count();
             assert_eq!(binds, 20, "{line}");
@@ -114,93 +119,100 @@
     controller.terminate();
 }
 
-/// News break between what stands and the first sign of life. Whom only the broken list named has left.
+/// A membership watch breaks after its list of joined proxies and before the first ping. Proxies that only this list
+/// named have left.
 #[test]
-fn news_cut_before_the_first_sign_of_life_leave_no_ghosts() {
+fn a_membership_watch_that_breaks_before_its_first_ping_leaves_no_absent_proxies() {
     let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
     let controller = ControllerProcess::start(registry.address, relay.address);
     registry.accept_watch(1);
-    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    let membership = relay.accept_membership_watch(&[0, 1, 2, 3]);
     relay.accept_calls_until("\"bind\",\"id\":3");
-    relay.reset(news);
-    let news = relay.accept_membership_watch(&[0, 1]);
-    relay.send(news, PING);
+    relay.reset(membership);
+    let membership = relay.accept_membership_watch(&[0, 1]);
+    relay.send(membership, PING);
     relay.accept_calls_until("\"bind\",\"id\":1");
-    // Who joins after that is bound, and who was named by the broken list alone is not.
-    relay.send(news, &joined_event(7));
+    // A proxy that joins after that is bound, and proxies that only the broken watch named are not.
+    relay.send(membership, &joined_event(7));
     relay.accept_calls_until("\"bind\",\"id\":7");
     controller.wait_for_log("counters", 1);
     let log = controller.terminate();
-    let members = log
+    let counters = log
         .lines()
         .rfind(|line| line.contains("counters"))
-        .expect("counts");
-    assert!(members.contains("joined_proxies=3 "), "{members}");
+        .expect("no counters line");
+    assert!(counters.contains("joined_proxies=3 "), "{counters}");
 }
 
-/// A proxy left and joined while no news came: it holds nothing of ours, and is bound again to the table it had.
+/// A proxy left and joined while there was no membership watch: it has lost its table and is bound to it again.
 #[test]
-fn left_and_joined_across_a_reconnect_is_bound_again() {
+fn a_proxy_that_left_and_joined_during_a_reconnect_is_bound_again() {
     let mut fixture = ControllerFixture::start(4);
     fixture.relay.reset(fixture.membership_connection);
-    let news = fixture.relay.accept_membership_watch(&[0, 1, 2, 3]);
+    let membership = fixture.relay.accept_membership_watch(&[0, 1, 2, 3]);
     fixture.relay.accept_calls_until("\"bind\",\"id\":2");
-    fixture.relay.send(news, PING);
-    // And in the other order, on one connection.
+    fixture.relay.send(membership, PING);
+    // The same with both events on one connection.
     fixture
         .relay
-        .send(news, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
-    fixture.relay.send(news, &joined_event(2));
+        .send(membership, "{\"method\":\"left\",\"params\":{\"id\":2}}\n");
+    fixture.relay.send(membership, &joined_event(2));
     fixture.relay.accept_calls_until("\"bind\",\"id\":2");
     fixture.controller.terminate();
 }
 
-/// BUSY for two seconds: asked again at a calm pace on one connection, and served at once when it is over.
+/// The relay answers BUSY for two seconds: update calls are retried with a delay on one connection, and are accepted as
+/// soon as the relay recovers.
 #[test]
-fn a_busy_relay_is_asked_at_a_calm_pace() {
+fn update_calls_to_a_busy_relay_are_retried_with_a_delay() {
     let (mut relay, mut registry) = (ManualPeer::start(), ManualPeer::start());
     let controller = ControllerProcess::start(registry.address, relay.address);
     registry.accept_watch(1);
-    let news = relay.accept_membership_watch(&[0, 1, 2, 3]);
-    relay.send(news, PING);
-    let (until, mut asked) = (Instant::now() + Duration::from_secs(2), 0);
-    let mut on = Vec::new();
-    while Instant::now() < until {
-        let (who, call) = relay.wait_for_call("\"bind\"");
+    let membership = relay.accept_membership_watch(&[0, 1, 2, 3]);
+    relay.send(membership, PING);
+    let (deadline, mut calls) = (Instant::now() + Duration::from_secs(2), 0);
+    let mut connections = Vec::new();
+    while Instant::now() < deadline {
+        let (connection, call) = relay.wait_for_call("\"bind\"");
         relay.send(
-            who,
+            connection,
             &response(&call, "\"error\":{\"code\":-32000,\"message\":\"BUSY\"}"),
         );
-        asked += 1;
-        on.push(who);
+        calls += 1;
+        connections.push(connection);
     }
-    assert!((2..=20).contains(&asked), "asked {asked} times");
+    assert!((2..=20).contains(&calls), "called {calls} times");
     assert!(
-        on.iter().all(|who| *who == on[0]),
-        "on one connection: {on:?}"
+        connections
+            .iter()
+            .all(|connection| *connection == connections[0]),
+        "not on one connection: {connections:?}"
     );
     relay.accept_calls_until("\"bind\",\"id\":3");
     controller.terminate();
 }
 
-/// A relay that takes each connection and closes it at once, as one that holds as many as it may does, was dialled
-/// again without end.
+/// A relay that accepts each connection and closes it at once, as one does that has as many connections as it allows, was
+/// reconnected to without a delay.
 #[test]
-fn a_relay_that_closes_at_once_is_dialled_calmly() {
-    let (listener, at) = bind_listener();
+fn reconnects_to_a_relay_that_closes_at_once_are_delayed() {
+    let (listener, relay_address) = bind_listener();
     let (registry, _requests) = start_registry(1);
-    let dialled = Arc::new(AtomicUsize::new(0));
-    let counted = dialled.clone();
+    let connections = Arc::new(AtomicUsize::new(0));
+    let counted = connections.clone();
     thread::spawn(move || {
         for _ in listener.incoming() {
             counted.fetch_add(1, Relaxed);
         }
     });
-    let controller = ControllerProcess::start(registry, at);
+    let controller = ControllerProcess::start(registry, relay_address);
     controller.wait_for_log("relay connection failed", 1);
     thread::sleep(Duration::from_secs(1));
-    // Two connections, each ten times a second at most.
-    let dialled = dialled.load(Relaxed);
-    assert!((2..=40).contains(&dialled), "dialled {dialled} times");
+    // Two connections, each established at most ten times per second.
+    let connections = connections.load(Relaxed);
+    assert!(
+        (2..=40).contains(&connections),
+        "connected {connections} times"
+    );
     controller.terminate();
 }
--- a/crates/cli/tests/platform/reload.rs
+++ b/crates/cli/tests/platform/reload.rs
@@ -115,13 +115,13 @@
 #[test]
 fn an_invalid_file_changes_nothing() {
     let mut fixture = ControllerFixture::start(4);
-    let valid = std::fs::read_to_string(&fixture.controller.config).expect("the file");
+    let valid = std::fs::read_to_string(&fixture.controller.config).expect("cannot read the file");
     let invalid = valid.replace(
         &format!("\"hub\":{{\"address\":\"{}\"}}", fixture.relay.address),
         "\"hub\":{\"address\":\"nowhere\"}",
     );
     assert_ne!(valid, invalid);
-    std::fs::write(&fixture.controller.config, invalid).expect("written");
+    std::fs::write(&fixture.controller.config, invalid).expect("cannot write");
     fixture.controller.signal("-HUP");
     fixture
         .controller
@@ -140,7 +140,7 @@
             relay.address,
         ),
     )
-    .expect("written");
+    .expect("cannot write");
     let membership = relay.accept_membership_watch(&[0, 1, 2, 3]);
     relay.send(membership, PING);
     relay.accept_calls_until("\"bind\",\"id\":3");
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -43,7 +43,7 @@
     let mut update_connection = accept_pending_update_call(&relay);
     update_connection
         .read_exact(&mut [0; 16])
-        .expect("the call has started_at");
+        .expect("no byte of the call arrived");
     assert_exits_in_time(controller, "-TERM");
 }
 
@@ -69,13 +69,13 @@
         .get_envs()
         .find(|(name, _)| *name == "RELAY_CONFIG")
         .and_then(|(_, path)| path);
-    let path = path.expect("a configuration").to_owned();
-    let text = std::fs::read_to_string(&path).expect("the file");
+    let path = path.expect("no configuration path").to_owned();
+    let text = std::fs::read_to_string(&path).expect("cannot read the file");
     std::fs::write(
         path,
         text.replace(&format!("\"known\":{}", ready_list(1)), "\"known\":null"),
     )
-    .expect("written");
+    .expect("cannot write");
     command
 }
 
@@ -83,12 +83,13 @@
 #[test]
 fn the_controller_terminates_during_a_reload() {
     let fixture = ControllerFixture::start(4);
-    let config_text = std::fs::read_to_string(&fixture.controller.config).expect("the file");
+    let config_text =
+        std::fs::read_to_string(&fixture.controller.config).expect("cannot read the file");
     std::fs::write(
         &fixture.controller.config,
         &config_text[..config_text.len() / 2],
     )
-    .expect("written");
+    .expect("cannot write");
     fixture.controller.signal("-HUP");
     fixture
         .controller
@@ -119,14 +120,14 @@
                 .get_envs()
                 .find(|(name, _)| *name == "RELAY_CONFIG")
                 .and_then(|(_, path)| path);
-            let path = std::path::PathBuf::from(path.expect("a configuration"));
-            text = std::fs::read_to_string(&path).expect("the file");
+            let path = std::path::PathBuf::from(path.expect("no configuration path"));
+            text = std::fs::read_to_string(&path).expect("cannot read the file");
             let pipe_path = path.with_extension("pipe");
             assert!(
                 Command::new("mkfifo")
                     .arg(&pipe_path)
                     .status()
-                    .expect("mkfifo")
+                    .expect("cannot run mkfifo")
                     .success()
             );
             command.env("RELAY_CONFIG", &pipe_path);
@@ -138,10 +139,10 @@
     let mut writer = std::fs::OpenOptions::new()
         .write(true)
         .open(&pipe_path)
-        .expect("opened");
+        .expect("cannot open the pipe");
     controller.signal("-HUP");
     // The reload reads a regular file.
-    std::fs::rename(&path, &pipe_path).expect("renamed");
+    std::fs::rename(&path, &pipe_path).expect("cannot rename");
     writer
         .write_all(text.as_bytes())
         .expect("the controller still reads");
--- a/crates/cli/tests/platform/startup.rs
+++ b/crates/cli/tests/platform/startup.rs
@@ -15,7 +15,7 @@
         Some(|_, send_line| {
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
-                .expect("after 1970")
+                .expect("the clock is before 1970")
                 .as_millis();
             let started = |n: usize| if n < 5 { now } else { 0 };
             let hosts = (0..8).map(|n| {
@@ -41,9 +41,9 @@
         .collect();
     for (controller, _) in &controllers {
         let mut ping = controller.connect();
-        ping.write_all(&resp_message("ping")).expect("written");
+        ping.write_all(&resp_message("ping")).expect("cannot write");
         let mut pong = [0; 14];
-        ping.read_exact(&mut pong).expect("an answer");
+        ping.read_exact(&mut pong).expect("no response");
         assert_eq!(&pong, b"*1\r\n$4\r\npong\r\n");
     }
     assert!(
@@ -59,7 +59,8 @@
             let Ok(line) = calls.recv_timeout(TIMEOUT) else {
                 panic!("{} of 20 are bound", bound.len())
             };
-            let call: serde_json::Value = serde_json::from_str(&line).expect("an object");
+            let call: serde_json::Value =
+                serde_json::from_str(&line).expect("the line is not JSON");
             let changes = call["params"]["changes"]
                 .as_array()
                 .map(Vec::as_slice)
--- a/crates/cli/tests/platform/warming.rs
+++ b/crates/cli/tests/platform/warming.rs
@@ -2,7 +2,7 @@
 //! same time.
 
 use crate::warming_fleet::{MESSAGE_CAP, WarmingFleet};
-use crate::warming_load::FALL_MULTIPLE;
+use crate::warming_load::OVERLOAD_MULTIPLE;
 
 fn assert_no_host_overloaded(fleet: &WarmingFleet) {
     let worst = fleet.worst();
@@ -14,7 +14,7 @@
     let messages = fleet.relay.most_messages();
     assert!(messages <= MESSAGE_CAP, "{messages} messages to one proxy");
     assert!(
-        worst.multiple <= FALL_MULTIPLE,
+        worst.multiple <= OVERLOAD_MULTIPLE,
         "{} was overloaded {:?} after its start: it was sent {:.2} times what it could handle",
         worst.host,
         worst.age,
--- a/crates/cli/tests/platform/warming_fleet.rs
+++ b/crates/cli/tests/platform/warming_fleet.rs
@@ -1,11 +1,11 @@
-//! A controller as a process, with a relay, a registry and a collector that tells of what proxies send by the tables that
-//! they hold.
+//! A controller as a process, with a relay, a registry and a collector that reports the requests that proxies send by the
+//! tables that they have applied.
 
 use crate::channel_relay::{ChannelRelay, MESSAGE_OVERHEAD};
 use crate::controller_process::ControllerProcess;
 use crate::fake_registry::{FakeRegistry, ListedHost};
 use crate::scripted_peers::resp_message;
-use crate::warming_load::{WarmingLoad, WarmingRule, Worst};
+use crate::warming_load::{WarmingLoad, WarmingRule, WorstLoad};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -15,14 +15,15 @@
 use std::time::{Duration, Instant};
 
 pub(crate) const HOSTS: usize = 30;
-/// Messages that a proxy may be sent in 10 s.
+/// The message cap: messages that a proxy may be sent in 10 s.
 pub(crate) const MESSAGE_CAP: usize = 12;
-/// Lines a second of the channel, and how many may wait in it.
+/// The channel's rate in lines per second.
 pub(crate) const CHANNEL_RATE: f64 = 8_000.0;
+/// Lines that may wait in the channel.
 pub(crate) const LINE_LIMIT: f64 = 8_000.0;
-/// Requests a second that reach all proxies.
+/// Requests per second to all proxies together.
 const REQUEST_RATE: f64 = 120.0;
-/// Part of what the fleet can do that is asked of it.
+/// Share of the fleet's capacity that the requests use.
 const UTILIZATION: f64 = 0.7;
 const RULE: WarmingRule = WarmingRule {
     window: Duration::from_secs(18),
@@ -30,26 +31,26 @@
     grace: Duration::from_secs(2),
     capacity: REQUEST_RATE / UTILIZATION / HOSTS as f64,
 };
-/// A controller's duties begin so long after its start.
+/// Time from a controller's start until the rules apply to it.
 const START_GRACE: Duration = Duration::from_secs(1);
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What clients and hosts do now.
+/// The present behaviour of clients and hosts.
 #[derive(Clone, Default)]
 pub(crate) struct Behaviour {
-    /// Proxies of the deployment.
+    /// The number of proxies of the deployment.
     proxies: u16,
     /// Hosts that fail all attempts.
     pub failing: BTreeSet<usize>,
-    /// Proxies that most requests reach.
+    /// Proxies that get `BUSY_FACTOR` times the requests of the others.
     pub busy: BTreeSet<u16>,
 }
 
 impl Behaviour {
-    /// Requests a second that reach a proxy.
+    /// Requests per second to a proxy.
     fn rate(&self, proxy: u16) -> f64 {
-        /// What a busy proxy gets for each request of another one.
+        /// Requests to a busy proxy for each request to another one.
         const BUSY_FACTOR: f64 = 6.0;
         let busy = self.busy.len() as f64;
         let shares = f64::from(self.proxies) - busy + busy * BUSY_FACTOR;
@@ -66,20 +67,21 @@
     format!("host-{n}")
 }
 
+/// A controller with its relay, registry and collector.
 pub(crate) struct WarmingFleet {
     pub relay: Arc<ChannelRelay>,
     pub registry: FakeRegistry,
     pub controller: ControllerProcess,
     pub started_at: Instant,
-    /// When the controller was started last.
-    started: Instant,
+    /// The last start of the controller.
+    controller_started_at: Instant,
     proxies: u16,
     upstreams: Upstreams,
     behaviour: Arc<Mutex<Behaviour>>,
     load: Arc<Mutex<WarmingLoad>>,
 }
 
-/// Where the controller finds its registry and its relay.
+/// The addresses of the controller's registry and relay.
 #[derive(Clone, Copy)]
 struct Upstreams {
     registry: SocketAddr,
@@ -104,7 +106,7 @@
 }
 
 impl WarmingFleet {
-    /// A fleet with so many proxies.
+    /// Starts a fleet with this number of proxies.
     pub(crate) fn start(proxies: u16) -> WarmingFleet {
         let relay = Arc::new(ChannelRelay::start(CHANNEL_RATE, proxies));
         let registry = FakeRegistry::start(&(0..HOSTS).map(host_name).collect::<Vec<_>>());
@@ -125,7 +127,7 @@
             registry,
             controller,
             started_at: Instant::now(),
-            started: Instant::now(),
+            controller_started_at: Instant::now(),
             proxies,
             upstreams,
             behaviour: Arc::new(Mutex::new(behaviour)),
@@ -137,21 +139,21 @@
     }
 
     pub(crate) fn behaviour(&self) -> MutexGuard<'_, Behaviour> {
-        self.behaviour.lock().expect("no panic")
+        self.behaviour.lock().expect("a thread panicked")
     }
 
     fn load(&self) -> MutexGuard<'_, WarmingLoad> {
-        self.load.lock().expect("no panic")
+        self.load.lock().expect("a thread panicked")
     }
 
-    /// The largest load that a warming host was brought so far.
-    pub(crate) fn worst(&self) -> Worst {
+    /// The largest load of a warming host so far.
+    pub(crate) fn worst(&self) -> WorstLoad {
         self.load().worst.clone()
     }
 
-    /// The time limit of the rule on overload waits for so long.
-    pub(crate) fn pause_rules(&self, pause: Duration) {
-        self.load().pause(pause);
+    /// Postpones the start of the rule's grace periods until this time from now at least.
+    pub(crate) fn postpone_grace(&self, delay: Duration) {
+        self.load().postpone_grace(delay);
     }
 
     pub(crate) fn wait_until(&self, seconds: f64) {
@@ -159,7 +161,7 @@
         thread::sleep(at.saturating_sub(self.started_at.elapsed()));
     }
 
-    /// Hosts start anew under their names, and the list says so in one change.
+    /// Hosts restart under their names, and one change of the list says so.
     pub(crate) fn restart_hosts(&self, hosts: &[usize]) {
         let listed = ListedHost::just_started();
         let changes: Vec<_> = hosts.iter().map(|&n| (host_name(n), listed)).collect();
@@ -179,21 +181,21 @@
         self.registry.change(&changes);
     }
 
-    /// Kills the controller and starts it again with the list as it was `known`.
+    /// Kills the controller and starts it again with `known` as the endpoint list of its configuration.
     pub(crate) fn restart_controller(&mut self, known: &Value) {
-        self.load().told_again(START_GRACE);
+        self.load().informed_again(START_GRACE);
         let config = config(self.controller.listen, self.proxies, known, self.upstreams);
         self.controller.kill();
         self.relay.forget_controller();
         self.controller.restart(&config);
-        self.started = Instant::now();
-        self.load().told_again(START_GRACE);
+        self.controller_started_at = Instant::now();
+        self.load().informed_again(START_GRACE);
     }
 
-    /// FakeRegistry and relay move to other addresses.
+    /// Moves the registry and the relay to other addresses and has the controller reload.
     pub(crate) fn move_upstreams(&mut self) {
-        // The platform sends no SIGHUP before.
-        thread::sleep(START_GRACE.saturating_sub(self.started.elapsed()));
+        // The platform sends no SIGHUP earlier than this after a start.
+        thread::sleep(START_GRACE.saturating_sub(self.controller_started_at.elapsed()));
         self.upstreams = Upstreams {
             registry: self.registry.listen_elsewhere(),
             relay: self.relay.listen_elsewhere(),
@@ -208,9 +210,9 @@
         let behaviour = self.behaviour.clone();
         thread::spawn(move || {
             while let Some(load) = load.upgrade() {
-                let now = behaviour.lock().expect("no panic").clone();
+                let now = behaviour.lock().expect("a thread panicked").clone();
                 load.lock()
-                    .expect("no panic")
+                    .expect("a thread panicked")
                     .sample(&relay, |proxy| now.rate(proxy));
                 drop(load);
                 thread::sleep(SAMPLE_INTERVAL);
@@ -219,12 +221,12 @@
     }
 
     fn spawn_collector(&self) {
-        let (alive, relay) = (Arc::downgrade(&self.load), self.relay.clone());
+        let (load, relay) = (Arc::downgrade(&self.load), self.relay.clone());
         let (behaviour, listen) = (self.behaviour.clone(), self.controller.listen);
         thread::spawn(move || {
             let mut collector = Collector::default();
-            while alive.upgrade().is_some() {
-                let now = behaviour.lock().expect("no panic").clone();
+            while load.upgrade().is_some() {
+                let now = behaviour.lock().expect("a thread panicked").clone();
                 collector.report(listen, &relay, &now);
                 thread::sleep(REPORT_INTERVAL);
             }
@@ -232,28 +234,28 @@
     }
 }
 
-/// Tells the controller of what proxies send.
+/// Reports to the controller the requests that proxies send.
 #[derive(Default)]
 struct Collector {
     stream: Option<TcpStream>,
-    /// Requests that are not whole yet, by what they are counted for.
-    rest: BTreeMap<String, f64>,
+    /// Fractions of requests that are not reported yet, by proxy and host.
+    fractions: BTreeMap<String, f64>,
 }
 
 impl Collector {
     fn report(&mut self, listen: SocketAddr, relay: &ChannelRelay, behaviour: &Behaviour) {
-        let mut text = Vec::new();
-        let over = REPORT_INTERVAL.as_millis();
+        let mut messages = Vec::new();
+        let interval_ms = REPORT_INTERVAL.as_millis();
         let mut attempts: BTreeMap<String, f64> = BTreeMap::new();
-        for (proxy, held) in relay.applied_tables() {
+        for (proxy, table) in relay.applied_tables() {
             let requests = behaviour.rate(proxy) * REPORT_INTERVAL.as_secs_f64();
             let count = self.whole(&format!("proxy {proxy}"), requests);
-            text.extend(resp_message(&format!(
-                "usage id {proxy} lane proof count {count} fail 0 over {over}"
+            messages.extend(resp_message(&format!(
+                "usage id {proxy} lane proof count {count} fail 0 over {interval_ms}"
             )));
-            let all: f64 = held.weights.values().sum();
-            for (host, weight) in held.weights {
-                *attempts.entry(host).or_default() += requests * weight / all;
+            let total: f64 = table.weights.values().sum();
+            for (host, weight) in table.weights {
+                *attempts.entry(host).or_default() += requests * weight / total;
             }
         }
         for (host, attempts) in attempts {
@@ -261,25 +263,25 @@
             let is_failing = behaviour.failing.iter().any(|&n| host_name(n) == host);
             let (fail, mean) = if is_failing { (count, 0) } else { (0, 200) };
             if count > 0 {
-                text.extend(resp_message(&format!(
-                    "heard site a target {host} count {count} fail {fail} mean {mean} over {over}"
+                messages.extend(resp_message(&format!(
+                    "heard site a target {host} count {count} fail {fail} mean {mean} over {interval_ms}"
                 )));
             }
         }
-        self.send(listen, &text);
+        self.send(listen, &messages);
     }
 
-    /// The whole requests of so many; the rest counts next time.
-    fn whole(&mut self, what: &str, requests: f64) -> u64 {
-        let rest = self.rest.entry(what.to_string()).or_default();
-        *rest += requests;
-        let whole = rest.floor();
-        *rest -= whole;
+    /// The whole number of requests to report; the fraction is carried over to the next report.
+    fn whole(&mut self, key: &str, requests: f64) -> u64 {
+        let fraction = self.fractions.entry(key.to_string()).or_default();
+        *fraction += requests;
+        let whole = fraction.floor();
+        *fraction -= whole;
         whole as u64
     }
 
-    /// The controller may be gone: then the next report dials anew.
-    fn send(&mut self, listen: SocketAddr, text: &[u8]) {
+    /// Sends a report; if the controller is gone, the next report connects again.
+    fn send(&mut self, listen: SocketAddr, messages: &[u8]) {
         if self.stream.is_none() {
             self.stream = TcpStream::connect(listen).ok();
             if let Some(stream) = &mut self.stream {
@@ -287,7 +289,7 @@
             }
         }
         if let Some(stream) = &mut self.stream
-            && stream.write_all(text).is_err()
+            && stream.write_all(messages).is_err()
         {
             self.stream = None;
         }
--- a/crates/cli/tests/platform/warming_load.rs
+++ b/crates/cli/tests/platform/warming_load.rs
@@ -1,81 +1,85 @@
-//! The rule on overload, checked by what proxies hold: a host that has just started is not brought more than a multiple of
-//! what it can do, over a span, by proxies that know of its start.
+//! The rule on overload, checked by the tables that proxies have applied: over a time span, proxies that know of a host's
+//! start do not send it more than a multiple of its present capacity.
 
 use crate::channel_relay::{AppliedTable, ChannelRelay};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Multiple of its present capacity that a warming host falls over at.
-pub(crate) const FALL_MULTIPLE: f64 = 2.5;
-/// Span over which load and capacity are added up.
-const FALL_SPAN: Duration = Duration::from_secs(2);
-/// Part of the load that has to come from proxies that know of the start.
-const KNOWING_PART: f64 = 2.0 / 3.0;
+/// Multiple of its present capacity at which a warming host is overloaded.
+pub(crate) const OVERLOAD_MULTIPLE: f64 = 2.5;
+/// Time span over which load and capacity are added up.
+const OVERLOAD_SPAN: Duration = Duration::from_secs(2);
+/// Share of the load that has to come from proxies that know of the start; with less, the rule does not apply.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// What is asked of warming hosts.
+/// The parameters of the rule.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmingRule {
+    /// Time from its start until a host has its full capacity.
     pub window: Duration,
+    /// Share of its capacity that a host has at its start.
     pub initial_capacity: f64,
-    /// Time within which proxies have to act on what their controller was told.
+    /// Time within which proxies have to act on a change of the list.
     pub grace: Duration,
-    /// Requests a second that a warm host can do.
+    /// Requests per second that a fully warm host can handle.
     pub capacity: f64,
 }
 
-/// A host that has started lately.
+/// A host that is warming up.
 #[derive(Clone, Copy)]
 struct Warming {
     started: Instant,
-    told: Instant,
+    /// When the controller was informed of the start.
+    informed: Instant,
 }
 
-/// One sample of a host's load, in requests.
+/// The load of a host between two samples, in requests.
 struct Sample {
     at: Instant,
     load: f64,
-    knowing: f64,
+    /// The part of the load that came from proxies that know of the start.
+    informed_load: f64,
     capacity: f64,
 }
 
-/// The largest load that a warming host was brought.
+/// The largest load of a warming host.
 #[derive(Clone, Default)]
-pub(crate) struct Worst {
+pub(crate) struct WorstLoad {
     pub host: String,
-    /// Multiple of its capacity over the span.
+    /// Load over the span, as a multiple of the host's capacity.
     pub multiple: f64,
-    /// How long after its start.
+    /// Time since the host's start.
     pub age: Duration,
-    /// The lines that proxies held of it then.
-    pub lines: Vec<HeldLine>,
+    /// The lines for it in the proxies' tables at that time.
+    pub lines: Vec<TableLine>,
 }
 
-/// What one proxy sends to a warming host.
+/// The line for a warming host in one proxy's table.
 #[derive(Clone)]
-pub(crate) struct HeldLine {
+pub(crate) struct TableLine {
     proxy: u16,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     weight: f64,
-    /// The sum of all weights in its table.
+    /// The sum of all weights in the table.
     table_weight: f64,
-    /// How long ago its last message was ordered.
-    ordered: Option<Duration>,
+    /// Time since the update call of the last message that the proxy has applied.
+    updated: Option<Duration>,
 }
 
-impl fmt::Display for HeldLine {
+impl fmt::Display for TableLine {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let HeldLine {
+        let TableLine {
             proxy,
             rate,
             weight,
             table_weight,
-            ordered,
+            updated,
         } = self;
         write!(
             formatter,
-            "proxy {proxy}: {rate:.2} a second, weight {weight} of {table_weight:.3}, ordered {ordered:?} ago"
+            "proxy {proxy}: {rate:.2} requests/s, weight {weight} of {table_weight:.3}, updated {updated:?} ago"
         )
     }
 }
@@ -86,8 +90,8 @@
     samples: BTreeMap<String, VecDeque<Sample>>,
     sampled: Instant,
     /// Until then the rule's time limit waits.
-    paused_until: Instant,
-    pub worst: Worst,
+    grace_from: Instant,
+    pub worst: WorstLoad,
 }
 
 impl WarmingLoad {
@@ -97,90 +101,90 @@
             warming: BTreeMap::new(),
             samples: BTreeMap::new(),
             sampled: Instant::now(),
-            paused_until: Instant::now(),
-            worst: Worst::default(),
+            grace_from: Instant::now(),
+            worst: WorstLoad::default(),
         }
     }
 
-    /// A host has just started, and its controller is told so.
+    /// A host has just started, and the controller is informed of it.
     pub(crate) fn started(&mut self, host: &str) {
         let now = Instant::now();
         let warming = Warming {
             started: now,
-            told: now,
+            informed: now,
         };
         self.warming.insert(host.to_string(), warming);
         self.samples.remove(host);
     }
 
-    /// The controller begins to know anew, this long from now on at the earliest.
-    pub(crate) fn told_again(&mut self, after: Duration) {
+    /// The controller has restarted and is informed of all starts again, after this time at the earliest.
+    pub(crate) fn informed_again(&mut self, after: Duration) {
         for warming in self.warming.values_mut() {
-            warming.told = Instant::now() + after;
+            warming.informed = Instant::now() + after;
         }
         self.samples.clear();
     }
 
-    /// The rule's time limit waits for so long.
-    pub(crate) fn pause(&mut self, pause: Duration) {
-        self.paused_until = self.paused_until.max(Instant::now() + pause);
+    /// Postpones the start of all grace periods until this time from now at least.
+    pub(crate) fn postpone_grace(&mut self, delay: Duration) {
+        self.grace_from = self.grace_from.max(Instant::now() + delay);
     }
 
-    /// Adds what has been sent since the last sample: each proxy sends `rate` requests a second, by its weights.
+    /// Adds the load since the last sample: each proxy sends `rate` requests per second, distributed by its weights.
     pub(crate) fn sample(&mut self, relay: &ChannelRelay, rate: impl Fn(u16) -> f64) {
         let now = Instant::now();
-        let passed = (now - self.sampled).as_secs_f64();
+        let elapsed = (now - self.sampled).as_secs_f64();
         self.sampled = now;
         let tables = relay.applied_tables();
         let rule = self.rule;
-        let paused_until = self.paused_until;
+        let grace_from = self.grace_from;
         self.warming
             .retain(|_, warming| now - warming.started < rule.window);
         for (host, warming) in &self.warming {
-            let due = warming.told.max(paused_until) + rule.grace;
-            let mut sample = rule.sample(host, *warming, &tables, &rate, now, passed);
-            if now >= due {
-                sample.knowing = sample.load;
+            let applies_from = warming.informed.max(grace_from) + rule.grace;
+            let mut sample = rule.sample(host, *warming, &tables, &rate, now, elapsed);
+            if now >= applies_from {
+                sample.informed_load = sample.load;
             }
             let samples = self.samples.entry(host.clone()).or_default();
             samples.push_back(sample);
-            while now - samples[0].at > FALL_SPAN {
+            while now - samples[0].at > OVERLOAD_SPAN {
                 samples.pop_front();
             }
             let sum = |of: fn(&Sample) -> f64| samples.iter().map(of).sum::<f64>();
             let load = sum(|sample| sample.load);
             let multiple = load / sum(|sample| sample.capacity).max(1e-9);
-            let is_knowing = sum(|sample| sample.knowing) >= load * KNOWING_PART;
-            // The budget is for a whole span: what a shorter one holds is none yet.
-            let is_whole = now - samples[0].at > FALL_SPAN.mul_f64(0.9);
-            if is_knowing && is_whole && multiple > self.worst.multiple {
-                self.worst = Worst {
+            let is_informed = sum(|sample| sample.informed_load) >= load * INFORMED_SHARE;
+            // The rule is on whole spans: a shorter one does not count yet.
+            let is_whole = now - samples[0].at > OVERLOAD_SPAN.mul_f64(0.9);
+            if is_informed && is_whole && multiple > self.worst.multiple {
+                self.worst = WorstLoad {
                     host: host.clone(),
                     multiple,
                     age: now - warming.started,
-                    lines: held_lines(host, &tables, &rate, now),
+                    lines: table_lines(host, &tables, &rate, now),
                 };
             }
         }
     }
 }
 
-fn held_lines(
+fn table_lines(
     host: &str,
     tables: &BTreeMap<u16, AppliedTable>,
     rate: impl Fn(u16) -> f64,
     now: Instant,
-) -> Vec<HeldLine> {
-    let held = tables.iter().filter_map(|(&proxy, held)| {
-        Some(HeldLine {
+) -> Vec<TableLine> {
+    let lines = tables.iter().filter_map(|(&proxy, applied)| {
+        Some(TableLine {
             proxy,
             rate: rate(proxy),
-            weight: *held.weights.get(host)?,
-            table_weight: held.weights.values().sum(),
-            ordered: held.updated_at.map(|at| now - at),
+            weight: *applied.weights.get(host)?,
+            table_weight: applied.weights.values().sum(),
+            updated: applied.updated_at.map(|at| now - at),
         })
     });
-    held.collect()
+    lines.collect()
 }
 
 impl WarmingRule {
@@ -191,27 +195,27 @@
         tables: &BTreeMap<u16, AppliedTable>,
         rate: impl Fn(u16) -> f64,
         now: Instant,
-        passed: f64,
+        elapsed: f64,
     ) -> Sample {
-        let (mut load, mut knowing) = (0.0, 0.0);
-        for (&proxy, held) in tables {
-            let Some(weight) = held.weights.get(host) else {
+        let (mut load, mut informed_load) = (0.0, 0.0);
+        for (&proxy, applied) in tables {
+            let Some(weight) = applied.weights.get(host) else {
                 continue;
             };
-            let sent = rate(proxy) * weight / held.weights.values().sum::<f64>() * passed;
-            let is_told = held.updated_at.is_some_and(|at| at >= warming.told);
+            let sent = rate(proxy) * weight / applied.weights.values().sum::<f64>() * elapsed;
+            let is_informed = applied.updated_at.is_some_and(|at| at >= warming.informed);
             load += sent;
-            if is_told {
-                knowing += sent;
+            if is_informed {
+                informed_load += sent;
             }
         }
         let age = (now - warming.started).as_secs_f64() / self.window.as_secs_f64();
-        let part = self.initial_capacity + (1.0 - self.initial_capacity) * age.min(1.0);
+        let capacity_share = self.initial_capacity + (1.0 - self.initial_capacity) * age.min(1.0);
         Sample {
             at: now,
             load,
-            knowing,
-            capacity: self.capacity * part * passed,
+            informed_load,
+            capacity: self.capacity * capacity_share * elapsed,
         }
     }
 }
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -20,7 +20,7 @@
 
 impl Site {
     fn new(records: &str) -> Site {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("no temporary directory");
         let proxy = |n: usize| {
             format!("{{ name: 'front-{n}', zone: 'ede', runtime: 'unix:front-{n}.sock' }}")
         };
@@ -35,7 +35,8 @@
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}",
             proxies.join(", ")
         );
-        std::fs::write(folder.path().join("site.jsonnet"), site).expect("settings");
+        std::fs::write(folder.path().join("site.jsonnet"), site)
+            .expect("cannot read or write the settings");
         let mut of = Site {
             folder,
             child: None,
@@ -59,8 +60,9 @@
         };
         let hosts: Vec<String> = (without..HOSTS).map(host).collect();
         let part = self.path("hosts.part");
-        std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", "))).expect("a list");
-        std::fs::rename(&part, self.path("hosts.jsonnet")).expect("a list");
+        std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", ")))
+            .expect("cannot write the host list");
+        std::fs::rename(&part, self.path("hosts.jsonnet")).expect("cannot write the host list");
     }
 
     fn run(&mut self) {
@@ -69,18 +71,18 @@
             .create(true)
             .append(true)
             .open(self.path("log"))
-            .expect("a log");
+            .expect("cannot open the log");
         command
             .arg("run")
             .arg(self.path("site.jsonnet"))
             .stderr(log);
-        self.child = Some(command.spawn().expect("the program starts"));
+        self.child = Some(command.spawn().expect("cannot start the program"));
     }
 
     fn kill(&mut self) {
-        let mut child = self.child.take().expect("a process");
-        child.kill().expect("killed");
-        child.wait().expect("gone");
+        let mut child = self.child.take().expect("no process");
+        child.kill().expect("cannot kill the process");
+        child.wait().expect("cannot wait for the process");
     }
 
     fn ctl(&self, command: &str) -> String {
@@ -122,7 +124,7 @@
     Command::new(env!("CARGO_BIN_EXE_pondarch"))
         .args(args)
         .output()
-        .expect("it starts")
+        .expect("cannot start the program")
 }
 
 fn text(output: &Output) -> String {
@@ -151,7 +153,7 @@
             n as u64,
             Facts::default(),
         );
-        fronts.push(front.await.expect("a proxy"));
+        fronts.push(front.await.expect("no proxy"));
     }
     fronts
 }
@@ -206,7 +208,7 @@
             .split(':')
             .nth(1)
             .and_then(|epoch| epoch.parse().ok())
-            .expect("an epoch");
+            .expect("no epoch");
         assert!(epoch > before, "{epoch} after {before}");
         before = epoch;
         assert_eq!(
@@ -245,7 +247,11 @@
     assert!(text(&verified).contains("segments"), "{}", text(&verified));
     let file = site.path("all.arrow").display().to_string();
     assert!(text(&pondarch(&["records", "export", &folder, &file])).contains("rows"));
-    assert!(std::fs::read(&file).expect("a file").starts_with(b"ARROW1"));
+    assert!(
+        std::fs::read(&file)
+            .expect("no file")
+            .starts_with(b"ARROW1")
+    );
     let scene = site.path("scene.json").display().to_string();
     assert!(text(&pondarch(&["records", "scene", &folder, &scene])).contains("moments"));
     let played = text(&pondarch(&["replay", &scene, "--seeds", "2"]));
@@ -276,7 +282,7 @@
         String::from_utf8_lossy(&output.stderr).into_owned(),
     );
     assert!(output.status.success(), "{text}\n{wrong}");
-    let report: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let report: serde_json::Value = serde_json::from_str(&text).expect("the output is not JSON");
     assert_eq!(report["held"].as_array().map(Vec::len), Some(5), "{text}");
 }
 
@@ -291,8 +297,8 @@
             site.ctl("show info").contains("Records: written")
         });
         site.kill();
-        std::fs::remove_dir_all(site.path("there")).expect("removed");
-        std::fs::write(site.path("there"), "a file").expect("a file");
+        std::fs::remove_dir_all(site.path("there")).expect("cannot remove");
+        std::fs::write(site.path("there"), "a file").expect("no file");
         site.run();
         site
     };
@@ -305,7 +311,7 @@
     site.until("the drain", || {
         fronts.iter().all(|front| !serves(front, "host-3"))
     });
-    std::fs::remove_file(site.path("there")).expect("removed");
+    std::fs::remove_file(site.path("there")).expect("cannot remove");
     site.until("written", || {
         site.ctl("show info").contains("Records: written")
     });
--- a/crates/cli/tests/reports.rs
+++ b/crates/cli/tests/reports.rs
@@ -17,14 +17,14 @@
         ])
         .args(["--times", "1,10", "--each", "14", "--lines", "40", "--json"])
         .output()
-        .expect("the program starts");
+        .expect("cannot start the program");
     let (text, wrong) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
     assert!(output.status.success(), "{text}\n{wrong}");
-    let report: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    let rates = report["rates"].as_array().expect("rates");
+    let report: serde_json::Value = serde_json::from_str(&text).expect("the output is not JSON");
+    let rates = report["rates"].as_array().expect("no rates");
     assert_eq!(rates.len(), 2);
     for rate in rates {
         let figure = |name: &str| rate[name].as_f64().unwrap_or(f64::NAN);
@@ -32,7 +32,7 @@
             figure("reports") > 500.0 && figure("age_most") < 6_000.0,
             "{rate}"
         );
-        let memory = rate["memory"].as_array().expect("lines");
+        let memory = rate["memory"].as_array().expect("no lines");
         assert!(
             memory.len() == 5
                 && memory
--- a/crates/cli/tests/wire_texts.rs
+++ b/crates/cli/tests/wire_texts.rs
@@ -89,9 +89,9 @@
             .args(command.split_whitespace())
             .arg("--help")
             .output()
-            .expect("it starts");
+            .expect("cannot start the program");
         assert!(output.status.success(), "{command} --help");
-        let text = String::from_utf8(output.stdout).expect("text");
+        let text = String::from_utf8(output.stdout).expect("not UTF-8");
         for name in *names {
             // A command stands at the start of its line; a flag or value anywhere.
             let is_command =
