--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -1,6 +1,6 @@
-//! `pondarch ctl`: runtime commands to any socket that speaks the API, a steward's or a proxy's.
+//! `pondarch ctl`: sends commands to the runtime API of a daemon or a proxy.
 
-use crate::failed;
+use crate::report_error;
 use futures_util::{SinkExt, StreamExt};
 use pondarch_config::Endpoint;
 use pondarch_runtime_api::command::{PromptMode, parse_line};
@@ -13,82 +13,86 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// How long an answer is awaited.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for each response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// Sends one command, or the lines of standard input, and prints the responses.
 pub(crate) async fn ctl(socket: &Endpoint, command: &[String]) -> ExitCode {
     let stream = match Stream::connect(socket).await {
         Ok(stream) => stream,
-        Err(wrong) => return failed(&format!("cannot reach {socket}: {wrong}")),
+        Err(error) => return report_error(&format!("cannot reach {socket}: {error}")),
     };
-    let mut wire = Framed::new(stream, ClientCodec::default());
-    if let Err(wrong) = ask(
-        &mut wire,
+    let mut framed = Framed::new(stream, ClientCodec::default());
+    if let Err(error) = send_line(
+        &mut framed,
         &Command::Prompt(PromptMode::Interactive).to_string(),
     )
     .await
     {
-        return failed(&format!("{socket}: {wrong}"));
+        return report_error(&format!("{socket}: {error}"));
     }
-    let mut refused = false;
+    let mut rejected = false;
     if !command.is_empty() {
-        return match ask(&mut wire, &command.join(" ")).await {
-            Ok(answers) => ended(!print(&answers)),
-            Err(wrong) => failed(&format!("{socket}: {wrong}")),
+        return match send_line(&mut framed, &command.join(" ")).await {
+            Ok(responses) => exit_code(!print_responses(&responses)),
+            Err(error) => report_error(&format!("{socket}: {error}")),
         };
     }
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
-    let person = std::io::IsTerminal::is_terminal(&std::io::stdin());
+    let is_terminal = std::io::IsTerminal::is_terminal(&std::io::stdin());
     loop {
-        if person {
+        if is_terminal {
             print!("> ");
             std::io::stdout().flush().ok();
         }
         let line = match lines.next_line().await {
             Ok(Some(line)) => line,
-            Ok(None) => return ended(refused),
-            Err(wrong) => return failed(&format!("standard input: {wrong}")),
+            Ok(None) => return exit_code(rejected),
+            Err(error) => return report_error(&format!("standard input: {error}")),
         };
         if line.trim() == "quit" {
-            return ended(refused);
+            return exit_code(rejected);
         }
-        match ask(&mut wire, &line).await {
-            Ok(answers) => refused |= !print(&answers),
-            Err(wrong) => return failed(&format!("{socket}: {wrong}")),
+        match send_line(&mut framed, &line).await {
+            Ok(responses) => rejected |= !print_responses(&responses),
+            Err(error) => return report_error(&format!("{socket}: {error}")),
         }
     }
 }
 
-fn ended(refused: bool) -> ExitCode {
-    if refused {
+fn exit_code(rejected: bool) -> ExitCode {
+    if rejected {
         ExitCode::from(1)
     } else {
         ExitCode::SUCCESS
     }
 }
 
-/// Sends a line; gives an answer for each command in it.
-async fn ask(
-    wire: &mut Framed<Stream, ClientCodec>,
+/// Sends a line; returns a response for each command in it.
+async fn send_line(
+    framed: &mut Framed<Stream, ClientCodec>,
     line: &str,
 ) -> Result<Vec<String>, CodecError> {
-    let due = parse_line(line).len().max(1);
-    wire.send(line.to_string()).await?;
-    let mut answers = Vec::new();
-    for _ in 0..due {
-        let late = |_| CodecError::Io(std::io::ErrorKind::TimedOut.into());
-        match timeout(ANSWER_LIMIT, wire.next()).await.map_err(late)? {
-            Some(answer) => answers.push(answer?),
+    let expected = parse_line(line).len().max(1);
+    framed.send(line.to_string()).await?;
+    let mut responses = Vec::new();
+    for _ in 0..expected {
+        let timed_out = |_| CodecError::Io(std::io::ErrorKind::TimedOut.into());
+        match timeout(RESPONSE_TIMEOUT, framed.next())
+            .await
+            .map_err(timed_out)?
+        {
+            Some(response) => responses.push(response?),
             None => return Err(CodecError::Io(std::io::ErrorKind::UnexpectedEof.into())),
         }
     }
-    Ok(answers)
+    Ok(responses)
 }
 
-/// Prints the answers; gives whether none of them is a refusal. The protocol has no codes: what is known as one
-/// by its words.
-fn print(answers: &[String]) -> bool {
-    const REFUSALS: [&str; 12] = [
+/// Prints the responses; returns whether none of them rejects its command. The protocol has no status codes, so that a
+/// rejection is recognized by the start of its text.
+fn print_responses(responses: &[String]) -> bool {
+    const REJECTIONS: [&str; 12] = [
         "Unknown ",
         "Permission denied",
         "No such",
@@ -102,10 +106,10 @@
         "Tables are",
         "'",
     ];
-    for answer in answers.iter().filter(|answer| !answer.is_empty()) {
-        println!("{answer}");
+    for response in responses.iter().filter(|response| !response.is_empty()) {
+        println!("{response}");
     }
-    !answers
+    !responses
         .iter()
-        .any(|answer| REFUSALS.iter().any(|start| answer.starts_with(start)))
+        .any(|response| REJECTIONS.iter().any(|start| response.starts_with(start)))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,10 @@
-//! The program pondarch.
+//! The command line program `pondarch`: its arguments and its subcommands.
 //!
-//! Exit codes: 0 done; 1 a command was refused, or a rehearsal broke a rule; 2 bad settings, bad usage, or
-//! something could not be had.
+//! Exit codes:
+//! - 0: success.
+//! - 1: a runtime command or a DNS query was rejected, a rehearsal broke a rule, a replay differed, or an event log has
+//!   faults.
+//! - 2: invalid settings or arguments, or an I/O error.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
@@ -25,17 +28,17 @@
 )]
 struct Args {
     /// How logs are written, to standard error.
-    #[arg(long, value_enum, default_value_t = LogAs::Text, global = true)]
-    log: LogAs,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
+    log: LogFormat,
     /// Least level of logs.
     #[arg(long, value_enum, default_value_t = LogLevel::Info, global = true)]
     log_level: LogLevel,
     #[command(subcommand)]
-    what: What,
+    command: Subcommands,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogAs {
+enum LogFormat {
     Text,
     Json,
 }
@@ -49,7 +52,7 @@
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Subcommands {
     /// Runs a steward until SIGTERM or SIGINT.
     Run {
         settings: PathBuf,
@@ -93,15 +96,15 @@
         #[arg(long)]
         server: std::net::SocketAddr,
         /// Type of record.
-        #[arg(long = "type", default_value = "SRV")]
-        of: String,
+        #[arg(long = "type", value_name = "OF", default_value = "SRV")]
+        record_type: String,
         #[arg(long)]
         tcp: bool,
     },
     /// What a steward recorded: shown, checked, exported, trimmed, or made a scene.
     Records {
         #[command(subcommand)]
-        what: records::What,
+        command: records::RecordsCommand,
     },
     /// Plays what was recorded once more through this build: 'same', or the first decision that differs. With
     /// `--against`, or a scene, plays its troubles by these settings and by others, and shows figures of both.
@@ -123,48 +126,48 @@
     /// Plays troubles on loopback and checks the rules.
     Rehearse {
         #[command(subcommand)]
-        scene: rehearse::Scene,
+        scene: rehearse::Rehearsal,
     },
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    start_logs(args.log, args.log_level);
-    let mut runtime = match args.what {
-        // It has part of one core.
-        What::Platform => tokio::runtime::Builder::new_current_thread(),
+    init_logging(args.log, args.log_level);
+    let mut runtime = match args.command {
+        // One thread: on the platform the controller gets only part of a core.
+        Subcommands::Platform => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
     };
     let runtime = match runtime.enable_all().build() {
         Ok(runtime) => runtime,
-        Err(wrong) => return failed(&format!("cannot start: {wrong}")),
+        Err(error) => return report_error(&format!("cannot start the async runtime: {error}")),
     };
     runtime.block_on(async {
-        match args.what {
-            What::Run { settings, seed } => run(settings, seed).await,
-            What::Platform => match pondarch_platform::run().await {
+        match args.command {
+            Subcommands::Run { settings, seed } => run(settings, seed).await,
+            Subcommands::Platform => match pondarch_platform::run().await {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(wrong) => failed(&wrong.to_string()),
+                Err(error) => report_error(&error.to_string()),
             },
-            What::Proxy { settings } => match pondarch_proxy::run(&settings).await {
+            Subcommands::Proxy { settings } => match pondarch_proxy::run(&settings).await {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(wrong) => failed(&wrong.to_string()),
+                Err(error) => report_error(&error.to_string()),
             },
-            What::Check { settings, proxy } => check(settings, proxy),
-            What::Plan {
+            Subcommands::Check { settings, proxy } => check(settings, proxy),
+            Subcommands::Plan {
                 settings,
                 simplex,
                 json,
             } => plan::plan(&settings, simplex, json),
-            What::Ctl { socket, command } => ctl::ctl(&socket, &command).await,
-            What::Resolve {
+            Subcommands::Ctl { socket, command } => ctl::ctl(&socket, &command).await,
+            Subcommands::Resolve {
                 name,
                 server,
-                of,
+                record_type,
                 tcp,
-            } => resolve::resolve(server, &name, &of, tcp).await,
-            What::Records { what } => records::records(what),
-            What::Replay {
+            } => resolve::resolve(server, &name, &record_type, tcp).await,
+            Subcommands::Records { command } => records::records(command),
+            Subcommands::Replay {
                 from,
                 first,
                 last,
@@ -175,15 +178,15 @@
                     from: first,
                     to: last,
                 };
-                records::again(&from, span, against.as_deref(), seeds.clamp(1, 1_000))
+                records::replay_path(&from, span, against.as_deref(), seeds.clamp(1, 1_000))
             }
-            What::Rehearse { scene } => rehearse::rehearse(scene).await,
+            Subcommands::Rehearse { scene } => rehearse::rehearse(scene).await,
         }
     })
 }
 
-/// One plain message, and the exit code for it.
-fn failed(message: &str) -> ExitCode {
+/// Prints an error message to standard error and returns the exit code for it.
+fn report_error(message: &str) -> ExitCode {
     eprintln!("pondarch: {message}");
     ExitCode::from(2)
 }
@@ -191,11 +194,11 @@
 async fn run(settings: PathBuf, seed: Option<u64>) -> ExitCode {
     let (site, text) = match read_site_text(&settings) {
         Ok(read) => read,
-        Err(wrong) => return failed(&wrong.to_string()),
+        Err(error) => return report_error(&error.to_string()),
     };
     match pondarch_daemon::run(site, text, pondarch_daemon::Options { seed }).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => failed(&wrong.to_string()),
+        Err(error) => report_error(&error.to_string()),
     }
 }
 
@@ -223,25 +226,25 @@
             println!("{}: {found}: in order", settings.display());
             ExitCode::SUCCESS
         }
-        Err(wrong) => failed(&wrong.to_string()),
+        Err(error) => report_error(&error.to_string()),
     }
 }
 
-fn start_logs(log: LogAs, level: LogLevel) {
+fn init_logging(log: LogFormat, level: LogLevel) {
     let level = match level {
         LogLevel::Error => tracing_subscriber::filter::LevelFilter::ERROR,
         LogLevel::Warn => tracing_subscriber::filter::LevelFilter::WARN,
         LogLevel::Info => tracing_subscriber::filter::LevelFilter::INFO,
         LogLevel::Debug => tracing_subscriber::filter::LevelFilter::DEBUG,
     };
-    let logs = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .with_target(false);
     match log {
-        LogAs::Text => logs
+        LogFormat::Text => subscriber
             .with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()))
             .init(),
-        LogAs::Json => logs.json().init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,6 +1,6 @@
-//! `pondarch plan`: weights for a described fleet, and what bounds it.
+//! `pondarch plan`: solves the weights for a described fleet and prints them with the limits of the fleet.
 
-use crate::failed;
+use crate::report_error;
 use pondarch_config::{PlanSite, read_plan};
 use pondarch_controller::DurationExt;
 use pondarch_weight_solver::guard::{Bears, guarded};
@@ -12,64 +12,72 @@
 use std::process::ExitCode;
 
 #[derive(Serialize)]
-struct Printed<'a> {
-    hosts: Vec<PrintedHost<'a>>,
-    kinds: Vec<PrintedKind<'a>>,
-    served: Option<f64>,
-    crossing: f64,
-    little_room: &'a [String],
-    /// Benefit a second that one more host of the first kind of host would bring, by zone.
-    one_more: Vec<(&'a str, f64)>,
+struct PlanOutput<'a> {
+    hosts: Vec<HostOutput<'a>>,
+    #[serde(rename = "kinds")]
+    classes: Vec<ClassOutput<'a>>,
+    #[serde(rename = "served")]
+    benefit: Option<f64>,
+    #[serde(rename = "crossing")]
+    cross_zone_work: f64,
+    #[serde(rename = "little_room")]
+    low_headroom_hosts: &'a [String],
+    /// The additional benefit per second of one more host like the first one, by zone.
+    #[serde(rename = "one_more")]
+    added_host_gains: Vec<(&'a str, f64)>,
 }
 
 #[derive(Serialize)]
-struct PrintedHost<'a> {
+struct HostOutput<'a> {
     name: &'a str,
     weight: f64,
     utilisation: f64,
 }
 
 #[derive(Serialize)]
-struct PrintedKind<'a> {
+struct ClassOutput<'a> {
     name: &'a str,
-    let_in: f64,
+    #[serde(rename = "let_in")]
+    admitted: f64,
     in_time: f64,
 }
 
+/// Solves the fleet that the settings describe and prints the plan.
 pub(crate) fn plan(settings: &Path, simplex: bool, json: bool) -> ExitCode {
     let site = match read_plan(settings) {
         Ok(site) => site,
-        Err(wrong) => return failed(&wrong.to_string()),
+        Err(error) => return report_error(&error.to_string()),
     };
-    let fleet = fleet(&site);
+    let fleet = build_fleet(&site);
     let solver = if simplex {
         Solver::Simplex
     } else {
         Solver::Interior
     };
-    match solved(&fleet, solver) {
-        Ok((plan, gains)) => print(&fleet, &plan, &gains, json),
-        Err(wrong) => failed(&format!("{}: {wrong}", settings.display())),
+    match solve_fleet(&fleet, solver) {
+        Ok((plan, gains)) => print_plan(&fleet, &plan, &gains, json),
+        Err(error) => report_error(&format!("{}: {error}", settings.display())),
     }
 }
 
-fn solved(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
+/// The plan with its weights limited to what hosts can handle, and the gain of one more host in each zone.
+fn solve_fleet(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
     let mut plan = solve(fleet, solver)?;
-    let bears = |host: &Host| Bears {
+    let host_limits = |host: &Host| Bears {
         capacity: host.capacity(),
         warm: host.warm >= 1.0,
     };
     plan.weights = guarded(
-        &fleet.hosts.iter().map(bears).collect::<Vec<_>>(),
+        &fleet.hosts.iter().map(host_limits).collect::<Vec<_>>(),
         &plan.weights,
     );
     let gains = match fleet.hosts.first() {
-        Some(make) => one_more(
+        Some(model) => one_more(
             fleet,
             &Host {
                 warm: 1.0,
                 taken: 0.0,
-                ..make.clone()
+                ..model.clone()
             },
             solver,
         )?,
@@ -78,22 +86,22 @@
     Ok((plan, gains))
 }
 
-fn fleet(site: &PlanSite) -> Fleet {
+fn build_fleet(site: &PlanSite) -> Fleet {
     let zone = |name: &String| site.zones.iter().position(|zone| zone == name).unwrap_or(0);
-    let hosts = site.hosts.iter().flat_map(|of| {
-        (0..of.count).map(move |n| Host {
-            name: if of.count == 1 {
-                of.name.clone()
+    let hosts = site.hosts.iter().flat_map(|group| {
+        (0..group.count).map(move |n| Host {
+            name: if group.count == 1 {
+                group.name.clone()
             } else {
-                format!("{}-{n}", of.name)
+                format!("{}-{n}", group.name)
             },
-            zone: zone(&of.zone),
-            cores: of.cores,
-            speed: of.speed,
-            connections: of.connections,
-            warm: of.warm,
-            taken: of.taken,
-            taken_age_s: of.taken_age.0.seconds(),
+            zone: zone(&group.zone),
+            cores: group.cores,
+            speed: group.speed,
+            connections: group.connections,
+            warm: group.warm,
+            taken: group.taken,
+            taken_age_s: group.taken_age.0.seconds(),
         })
     });
     let kind = |kind: &pondarch_config::plan::PlanKind| Kind {
@@ -106,25 +114,29 @@
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
         let rate = |zone: &String, kind: &Kind| demand.get(zone)?.get(&kind.name).copied();
-        let of_zone = |zone| {
+        let zone_rates = |zone| {
             kinds
                 .iter()
                 .map(|kind| rate(zone, kind).unwrap_or(0.0))
                 .collect()
         };
-        site.zones.iter().map(of_zone).collect::<Vec<Vec<f64>>>()
+        site.zones.iter().map(zone_rates).collect::<Vec<Vec<f64>>>()
     };
-    // The hosts of a table by the names in the settings, which may stand for several alike.
-    let named = |name: &String, host: &Host| {
-        host.name == *name || host.name.rsplit_once('-').is_some_and(|(of, _)| of == name)
+    // A table lists hosts by their names in the settings; such a name may stand for several identical hosts.
+    let has_name = |name: &String, host: &Host| {
+        host.name == *name
+            || host
+                .name
+                .rsplit_once('-')
+                .is_some_and(|(base, _)| base == name)
     };
-    let places = |names: &Vec<String>| {
-        let of = |host: &Host| names.iter().any(|name| named(name, host));
+    let host_indices = |names: &Vec<String>| {
+        let is_listed = |host: &Host| names.iter().any(|name| has_name(name, host));
         hosts
             .iter()
             .enumerate()
-            .filter(|(_, host)| of(host))
-            .map(|(place, _)| place)
+            .filter(|(_, host)| is_listed(host))
+            .map(|(index, _)| index)
             .collect::<Vec<_>>()
     };
     let mut tables: Vec<Table> = site
@@ -132,7 +144,7 @@
         .iter()
         .map(|(name, table)| Table {
             name: name.clone(),
-            hosts: Some(places(&table.hosts)),
+            hosts: Some(host_indices(&table.hosts)),
             rates: rates(&table.demand),
         })
         .collect();
@@ -148,35 +160,35 @@
     }
 }
 
-fn print(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
+fn print_plan(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
     let figures = plan.weights.iter().zip(&plan.utilisation);
     let host = |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| {
         (host.name.clone(), *weight, *utilisation)
     };
     let hosts: Vec<(String, f64, f64)> = fleet.hosts.iter().zip(figures).map(host).collect();
-    let printed = Printed {
+    let output = PlanOutput {
         hosts: hosts
             .iter()
-            .map(|(name, weight, utilisation)| PrintedHost {
+            .map(|(name, weight, utilisation)| HostOutput {
                 name,
                 weight: *weight,
                 utilisation: *utilisation,
             })
             .collect(),
-        kinds: fleet
+        classes: fleet
             .kinds
             .iter()
             .zip(plan.let_in.iter().zip(&plan.in_time))
-            .map(|(k, (let_in, in_time))| PrintedKind {
-                name: &k.name,
-                let_in: *let_in,
+            .map(|(kind, (admitted, in_time))| ClassOutput {
+                name: &kind.name,
+                admitted: *admitted,
                 in_time: *in_time,
             })
             .collect(),
-        served: plan.served,
-        crossing: plan.crossing,
-        little_room: &plan.little_room,
-        one_more: fleet
+        benefit: plan.served,
+        cross_zone_work: plan.crossing,
+        low_headroom_hosts: &plan.little_room,
+        added_host_gains: fleet
             .zones
             .iter()
             .map(String::as_str)
@@ -184,42 +196,42 @@
             .collect(),
     };
     if json {
-        return match serde_json::to_string_pretty(&printed) {
+        return match serde_json::to_string_pretty(&output) {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(wrong) => failed(&wrong.to_string()),
+            Err(error) => report_error(&error.to_string()),
         };
     }
     println!("{:<24}{:>9}{:>13}", "host", "weight", "utilisation");
-    for host in &printed.hosts {
+    for host in &output.hosts {
         println!(
             "{:<24}{:>9.3}{:>13.3}",
             host.name, host.weight, host.utilisation
         );
     }
-    for kind in &printed.kinds {
+    for class in &output.classes {
         println!(
             "let in, {:<16}{:>9.3}  of which in time {:.3}",
-            kind.name, kind.let_in, kind.in_time
+            class.name, class.admitted, class.in_time
         );
     }
-    match printed.served {
-        Some(served) => println!("benefit let in{:>19.3}", served),
+    match output.benefit {
+        Some(benefit) => println!("benefit let in{:>19.3}", benefit),
         None => println!("nothing is asked for: weights by capacity"),
     }
-    println!("work that crosses zones{:>10.3}", printed.crossing);
+    println!("work that crosses zones{:>10.3}", output.cross_zone_work);
     println!(
         "hosts with little room: {} of {}",
-        printed.little_room.len(),
-        printed.hosts.len()
+        output.low_headroom_hosts.len(),
+        output.hosts.len()
     );
-    printed
-        .little_room
+    output
+        .low_headroom_hosts
         .iter()
         .for_each(|host| println!("  {host}"));
-    for (zone, gain) in &printed.one_more {
+    for (zone, gain) in &output.added_host_gains {
         println!("one more host in {zone:<14} {gain:>8.3} benefit a second");
     }
     ExitCode::SUCCESS
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -1,6 +1,6 @@
-//! `pondarch records` and `pondarch replay`: what a steward recorded, looked at, checked, exported, trimmed, played again.
+//! `pondarch records` and `pondarch replay`: shows, verifies, exports, trims and replays event logs.
 
-use crate::failed;
+use crate::report_error;
 use clap::Subcommand;
 use pondarch_config::read_site;
 use pondarch_event_log::{
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub(crate) enum What {
+pub(crate) enum RecordsCommand {
     /// One line for each input and each thing decided; `-v` adds all that is recorded of it.
     Show {
         folder: PathBuf,
@@ -58,18 +58,19 @@
     },
 }
 
-pub(crate) fn records(what: What) -> ExitCode {
-    match done(what) {
+/// Runs a subcommand of `pondarch records`.
+pub(crate) fn records(command: RecordsCommand) -> ExitCode {
+    match run_command(command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(wrong) => failed(&wrong),
+        Err(error) => report_error(&error),
     }
 }
 
-/// Gives whether all was in order.
-fn done(what: What) -> Result<bool, String> {
-    match what {
-        What::Show {
+/// Returns whether the event log has no faults.
+fn run_command(command: RecordsCommand) -> Result<bool, String> {
+    match command {
+        RecordsCommand::Show {
             folder,
             proxy,
             host,
@@ -78,41 +79,45 @@
             to,
             verbose,
         } => {
-            let fits =
-                |own: &Option<String>, wanted: &Option<String>| wanted.is_none() || own == wanted;
+            let matches_filter = |value: &Option<String>, filter: &Option<String>| {
+                filter.is_none() || value == filter
+            };
             let mut out = std::io::stdout().lock();
-            let flaws = export::rows(&Folder::read_only(&folder), |row| {
-                let named = what
+            let faults = export::rows(&Folder::read_only(&folder), |row| {
+                let has_name = what
                     .as_ref()
                     .is_none_or(|what| row.name.eq_ignore_ascii_case(what));
-                if fits(&row.proxy, &proxy)
-                    && fits(&row.host, &host)
-                    && named
+                if matches_filter(&row.proxy, &proxy)
+                    && matches_filter(&row.host, &host)
+                    && has_name
                     && (from..=to).contains(&row.number)
                 {
-                    let of = row.proxy.as_deref().or(row.host.as_deref()).unwrap_or("");
+                    let subject = row.proxy.as_deref().or(row.host.as_deref()).unwrap_or("");
                     let at = row.at_us as f64 / 1e6;
-                    let more = if verbose { row.fields.as_str() } else { "" };
+                    let fields = if verbose { row.fields.as_str() } else { "" };
                     writeln!(
                         out,
-                        "{at:.6} #{} {} {} {of} {more}",
+                        "{at:.6} #{} {} {} {subject} {fields}",
                         row.number, row.category, row.name
                     )?;
                 }
                 Ok(())
             });
-            say(&folder, &flaws.map_err(|wrong| of_folder(&folder, wrong))?);
+            print_faults(
+                &folder,
+                &faults.map_err(|error| with_folder(&folder, error))?,
+            );
             Ok(true)
         }
-        What::Verify { folder } => {
+        RecordsCommand::Verify { folder } => {
             let disk = Folder::read_only(&folder);
             let segments = list(&disk)
-                .map_err(|wrong| of_folder(&folder, wrong))?
+                .map_err(|error| with_folder(&folder, error))?
                 .segments;
             let mut rows = 0u64;
             let mut numbers = InputSequence::default();
             let mut missing = Vec::new();
-            let flaws = export::rows(&disk, |row| {
+            let faults = export::rows(&disk, |row| {
                 rows += 1;
                 if row.category == export::RowCategory::Input
                     && let Some(InputNumbers { first, last }) =
@@ -134,47 +139,48 @@
                 }
                 Ok(())
             });
-            let flaws = flaws.map_err(|wrong| of_folder(&folder, wrong))?;
+            let faults = faults.map_err(|error| with_folder(&folder, error))?;
             let bytes: u64 = segments.iter().map(|segment| segment.bytes).sum();
             println!(
                 "{}: {} segments, {bytes} bytes, {rows} rows",
                 folder.display(),
                 segments.len()
             );
-            say(&folder, &flaws);
+            print_faults(&folder, &faults);
             missing
                 .iter()
                 .for_each(|what| eprintln!("pondarch: {}: {what}", folder.display()));
-            Ok(flaws.is_empty() && missing.is_empty())
+            Ok(faults.is_empty() && missing.is_empty())
         }
-        What::Export { folder, file } => {
+        RecordsCommand::Export { folder, file } => {
             let export::Export {
                 rows: count,
-                faults: flaws,
+                faults,
             } = export::export(&Folder::read_only(&folder), &file)
-                .map_err(|wrong| of_folder(&folder, wrong))?;
-            say(&folder, &flaws);
+                .map_err(|error| with_folder(&folder, error))?;
+            print_faults(&folder, &faults);
             println!("{}: {count} rows", file.display());
             Ok(true)
         }
-        What::Trim { folder, bytes } => {
-            let mut disk = Folder::lock(&folder).map_err(|wrong| wrong.to_string())?;
-            let io = |wrong: std::io::Error| format!("{}: {wrong}", folder.display());
+        RecordsCommand::Trim { folder, bytes } => {
+            let mut disk = Folder::lock(&folder).map_err(|error| error.to_string())?;
+            let io = |error: std::io::Error| format!("{}: {error}", folder.display());
             let retention = RetentionConfig {
                 segment_bytes: bytes,
                 total_bytes: bytes,
                 max_age: UNLIMITED,
                 sync_within: UNLIMITED,
             };
-            let held = list_segments(&disk).map_err(io)?;
+            let segments = list_segments(&disk).map_err(io)?;
             let newest = list_file_names(&disk)
                 .map_err(io)?
                 .snapshots
                 .pop()
                 .and_then(|name| LogFile::parse(&name));
-            // What the newest snapshot needs begins with the segment that was open when it was taken.
+            // The newest snapshot needs the segments from the one that was open when it was taken.
             let needed = newest.map_or(0, |snapshot| {
-                held.iter()
+                segments
+                    .iter()
                     .map(|segment| segment.number)
                     .filter(|n| *n < snapshot.number())
                     .max()
@@ -186,86 +192,86 @@
             println!(
                 "{}: {dropped} of {} segments dropped",
                 folder.display(),
-                held.len()
+                segments.len()
             );
             Ok(true)
         }
-        What::Scene {
+        RecordsCommand::Scene {
             folder,
             file,
             epoch,
         } => {
-            let ExtractedScenario {
-                scenario: scene,
-                faults: flaws,
-            } = extract_scenario(&Folder::read_only(&folder), epoch)
-                .map_err(|wrong| of_folder(&folder, wrong))?;
-            say(&folder, &flaws);
-            let text = serde_json::to_string(&scene).map_err(|wrong| wrong.to_string())?;
-            std::fs::write(&file, text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
-            println!("{}: {} moments", file.display(), scene.events.len());
+            let ExtractedScenario { scenario, faults } =
+                extract_scenario(&Folder::read_only(&folder), epoch)
+                    .map_err(|error| with_folder(&folder, error))?;
+            print_faults(&folder, &faults);
+            let text = serde_json::to_string(&scenario).map_err(|error| error.to_string())?;
+            std::fs::write(&file, text).map_err(|error| format!("{}: {error}", file.display()))?;
+            println!("{}: {} moments", file.display(), scenario.events.len());
             Ok(true)
         }
     }
 }
 
-fn of_folder(folder: &Path, wrong: ReplayError) -> String {
-    format!("{}: {wrong}", folder.display())
+fn with_folder(folder: &Path, error: ReplayError) -> String {
+    format!("{}: {error}", folder.display())
 }
 
-fn say(folder: &Path, flaws: &[ReplayFault]) {
-    for flaw in flaws {
+fn print_faults(folder: &Path, faults: &[ReplayFault]) {
+    for fault in faults {
         eprintln!(
             "pondarch: {}: {}",
-            folder.join(&flaw.file).display(),
-            flaw.cause
+            folder.join(&fault.file).display(),
+            fault.cause
         );
     }
 }
 
-/// Plays a folder's runs again, or a scene, by its own settings and by others.
-pub(crate) fn again(
+/// Replays the runs of an event log, or a scenario by its own settings and by others.
+pub(crate) fn replay_path(
     from: &Path,
     span: ComparedInputs,
     against: Option<&Path>,
     seeds: u64,
 ) -> ExitCode {
-    let done = match (against, from.is_file()) {
-        (None, false) => replayed(from, span),
-        (against, _) => compared(from, against, seeds),
+    let result = match (against, from.is_file()) {
+        (None, false) => replay_log(from, span),
+        (against, _) => compare_settings(from, against, seeds),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(wrong) => failed(&wrong),
+        Err(error) => report_error(&error),
     }
 }
 
-fn replayed(folder: &Path, span: ComparedInputs) -> Result<bool, String> {
-    let FolderReplay {
-        runs,
-        faults: flaws,
-    } = replay(&Folder::read_only(folder), span).map_err(|wrong| of_folder(folder, wrong))?;
-    say(folder, &flaws);
-    let mut same = true;
+/// Replays all runs of an event log; returns whether all decisions are the same.
+fn replay_log(folder: &Path, span: ComparedInputs) -> Result<bool, String> {
+    let FolderReplay { runs, faults } =
+        replay(&Folder::read_only(folder), span).map_err(|error| with_folder(folder, error))?;
+    print_faults(folder, &faults);
+    let mut all_same = true;
     for run in runs {
         let RunReplay {
-            incarnation: epoch,
+            incarnation,
             program,
             inputs,
             decisions,
-            recorded_duration: spans,
-            replay_duration: took,
-            difference: differs,
+            recorded_duration,
+            replay_duration,
+            difference,
             stopped,
         } = run;
-        let (spans, took) = (spans.as_secs_f64(), took.as_secs_f64());
+        let (recorded_s, replay_s) = (
+            recorded_duration.as_secs_f64(),
+            replay_duration.as_secs_f64(),
+        );
         print!(
-            "run {epoch} of {program}: {inputs} inputs over {spans:.1} s, {decisions} decisions, in {took:.2} s: "
+            "run {incarnation} of {program}: {inputs} inputs over {recorded_s:.1} s, {decisions} decisions, in {replay_s:.2} s: "
         );
-        match (differs, stopped) {
+        match (difference, stopped) {
             (Some(difference), _) => {
-                same = false;
+                all_same = false;
                 println!(
                     "differs at #{} by {:?}",
                     difference.number, difference.input
@@ -279,47 +285,53 @@
             (None, None) => println!("same"),
         }
     }
-    Ok(same)
+    Ok(all_same)
 }
 
-fn compared(from: &Path, against: Option<&Path>, seeds: u64) -> Result<bool, String> {
-    let scene: Scenario = if from.is_file() {
+/// Replays a scenario by its own settings and by others, and prints figures of both; returns whether they are the same.
+fn compare_settings(from: &Path, against: Option<&Path>, seeds: u64) -> Result<bool, String> {
+    let scenario: Scenario = if from.is_file() {
         let text = std::fs::read_to_string(from)
-            .map_err(|wrong| format!("{}: {wrong}", from.display()))?;
-        serde_json::from_str(&text).map_err(|wrong| format!("{}: {wrong}", from.display()))?
+            .map_err(|error| format!("{}: {error}", from.display()))?;
+        serde_json::from_str(&text).map_err(|error| format!("{}: {error}", from.display()))?
     } else {
         extract_scenario(&Folder::read_only(from), None)
-            .map_err(|wrong| of_folder(from, wrong))?
+            .map_err(|error| with_folder(from, error))?
             .scenario
     };
     let other = against
         .map(read_site)
         .transpose()
-        .map_err(|wrong| wrong.to_string())?;
+        .map_err(|error| error.to_string())?;
     let mut rows: Vec<(WhatIfResult, Option<WhatIfResult>)> = Vec::new();
     for seed in 1..=seeds {
-        let played = |site: Option<&pondarch_config::Site>| {
-            replay_scenario(&scene, site, seed)
-                .map_err(|wrong| format!("{}: {wrong}", from.display()))
+        let replay_with = |site: Option<&pondarch_config::Site>| {
+            replay_scenario(&scenario, site, seed)
+                .map_err(|error| format!("{}: {error}", from.display()))
         };
-        let own = played(None)?;
+        let own = replay_with(None)?;
         rows.push((
             own,
-            other.as_ref().map(|site| played(Some(site))).transpose()?,
+            other
+                .as_ref()
+                .map(|site| replay_with(Some(site)))
+                .transpose()?,
         ));
     }
     type Figure = (&'static str, fn(&WhatIfResult) -> u64);
     let figures: [Figure; 10] = [
-        ("table changes", |p| p.table_changes),
-        ("lines changed", |p| p.lines_changed),
-        ("binds", |p| p.binds),
-        ("level changes", |p| p.admission_changes),
-        ("messages", |p| p.messages),
-        ("commands", |p| p.commands),
-        ("messages to one proxy, most", |p| p.max_messages),
-        ("cold hosts held back", |p| p.hosts_held_back),
-        ("nothing to pick, longest ms", |p| p.max_without_host_ms),
-        ("drain, longest ms", |p| p.max_drain_ms),
+        ("table changes", |result| result.table_changes),
+        ("lines changed", |result| result.lines_changed),
+        ("binds", |result| result.binds),
+        ("level changes", |result| result.admission_changes),
+        ("messages", |result| result.messages),
+        ("commands", |result| result.commands),
+        ("messages to one proxy, most", |result| result.max_messages),
+        ("cold hosts held back", |result| result.hosts_held_back),
+        ("nothing to pick, longest ms", |result| {
+            result.max_without_host_ms
+        }),
+        ("drain, longest ms", |result| result.max_drain_ms),
     ];
     println!(
         "{:<30}{:>16}{:>16}",
@@ -327,27 +339,27 @@
         "own settings",
         if against.is_some() { "others" } else { "" }
     );
-    for (name, of) in figures {
-        let span = |all: Vec<u64>| {
-            let (least, most) = (
-                all.iter().min().copied().unwrap_or(0),
-                all.iter().max().copied().unwrap_or(0),
+    for (name, figure) in figures {
+        let range = |values: Vec<u64>| {
+            let (min, max) = (
+                values.iter().min().copied().unwrap_or(0),
+                values.iter().max().copied().unwrap_or(0),
             );
-            if least == most {
-                format!("{least}")
+            if min == max {
+                format!("{min}")
             } else {
-                format!("{least} to {most}")
+                format!("{min} to {max}")
             }
         };
-        let own = span(rows.iter().map(|(own, _)| of(own)).collect());
+        let own = range(rows.iter().map(|(own, _)| figure(own)).collect());
         let others: Vec<u64> = rows
             .iter()
-            .filter_map(|(_, other)| other.as_ref().map(of))
+            .filter_map(|(_, other)| other.as_ref().map(figure))
             .collect();
         let others = if others.is_empty() {
             String::new()
         } else {
-            span(others)
+            range(others)
         };
         println!("{name:<30}{own:>16}{others:>16}");
     }
@@ -355,15 +367,15 @@
         let tables: std::collections::BTreeSet<_> =
             own.tables.keys().chain(other.tables.keys()).collect();
         for table in tables {
-            let names = |played: &WhatIfResult| {
-                let lines = played.tables.get(table).cloned().unwrap_or_default();
+            let table_lines = |result: &WhatIfResult| {
+                let lines = result.tables.get(table).cloned().unwrap_or_default();
                 lines
                     .iter()
                     .map(|(host, weight)| format!("{host} {weight:.2}"))
                     .collect::<Vec<_>>()
                     .join(", ")
             };
-            let (own, other) = (names(own), names(other));
+            let (own, other) = (table_lines(own), table_lines(other));
             if own != other {
                 println!("table {table}: {own}\n     others: {other}");
             }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,6 +1,6 @@
-//! `pondarch rehearse`: plays troubles on loopback, with this same program as the stewards.
+//! `pondarch rehearse`: runs rehearsals on loopback, with this program as the daemons.
 
-use crate::failed;
+use crate::report_error;
 use clap::{Args, Subcommand, ValueEnum};
 use pondarch_rehearsal::bad_day::RehearsalError;
 use pondarch_rehearsal::{bad_day, flood, kills, storm, trial, weighing};
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub(crate) enum Scene {
+pub(crate) enum Rehearsal {
     /// One day with every known trouble, under 90 s.
     BadDay {
         #[arg(long, default_value_t = 1)]
@@ -24,7 +24,7 @@
         #[arg(long)]
         records: bool,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
     /// A steward killed again and again, in the middle of drains and under load; about 1.5 s a kill.
     Kills {
@@ -33,7 +33,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
     /// The own proxy under a recorded stream: parts by weight, versions, speed beside a direct connection.
     Proxy {
@@ -42,7 +42,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
     /// Solved weights beside listed and equal ones on hosts of known capacity: about a minute a site.
     Weights {
@@ -54,7 +54,7 @@
         #[arg(long, value_delimiter = ',')]
         loads: Option<Vec<f64>>,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
     /// Reports pushed at the expected rate and at many times it, with hosts that hang in the middle.
     Reports {
@@ -72,7 +72,7 @@
         #[arg(long)]
         lines: Option<f64>,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
     /// Many proxies and hosts, no traffic: joins, drains, and what they cost.
     Storm {
@@ -81,7 +81,7 @@
         #[arg(long, default_value_t = 700)]
         hosts: usize,
         #[command(flatten)]
-        show: Show,
+        output: OutputArgs,
     },
 }
 
@@ -94,7 +94,7 @@
 }
 
 #[derive(Args)]
-pub(crate) struct Show {
+pub(crate) struct OutputArgs {
     /// Prints the figures as JSON.
     #[arg(long)]
     json: bool,
@@ -103,13 +103,13 @@
     folder: Option<PathBuf>,
 }
 
-impl Show {
+impl OutputArgs {
     fn folder(&self) -> Result<PathBuf, String> {
-        let new =
+        let new_folder =
             || std::env::temp_dir().join(format!("pondarch-rehearsal-{}", std::process::id()));
-        let folder = self.folder.clone().unwrap_or_else(new);
+        let folder = self.folder.clone().unwrap_or_else(new_folder);
         std::fs::create_dir_all(&folder)
-            .map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+            .map_err(|error| format!("{}: {error}", folder.display()))?;
         Ok(folder)
     }
 
@@ -119,57 +119,62 @@
         text: Result<String, RehearsalError>,
     ) -> Result<(), String> {
         let text = if self.json {
-            serde_json::to_string_pretty(report).map_err(|wrong| wrong.to_string())?
+            serde_json::to_string_pretty(report).map_err(|error| error.to_string())?
         } else {
-            text.map_err(|wrong| wrong.to_string())?
+            text.map_err(|error| error.to_string())?
         };
         println!("{text}");
         Ok(())
     }
 
-    /// Left-over files of a rehearsal that went well help nobody.
-    fn tidy(&self, folder: &Path) {
+    /// Removes the temporary folder of a successful rehearsal, unless the user named it.
+    fn remove_folder(&self, folder: &Path) {
         if self.folder.is_none() {
             std::fs::remove_dir_all(folder).ok();
         }
     }
 }
 
-pub(crate) async fn rehearse(scene: Scene) -> ExitCode {
-    match played(scene).await {
+/// Runs a rehearsal and prints its report.
+pub(crate) async fn rehearse(rehearsal: Rehearsal) -> ExitCode {
+    match run(rehearsal).await {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(wrong) => failed(&wrong),
+        Err(error) => report_error(&error),
     }
 }
 
-/// Plays a scene; gives whether the rules held.
-async fn played(scene: Scene) -> Result<bool, String> {
+/// Runs a rehearsal; returns whether the rules held.
+async fn run(rehearsal: Rehearsal) -> Result<bool, String> {
     let program =
-        std::env::current_exe().map_err(|wrong| format!("cannot find this program: {wrong}"))?;
-    match scene {
-        Scene::Kills { times, seed, show } => {
+        std::env::current_exe().map_err(|error| format!("cannot find this program: {error}"))?;
+    match rehearsal {
+        Rehearsal::Kills {
+            times,
+            seed,
+            output,
+        } => {
             if !(1..=1_000).contains(&times) {
-                return Err("1 to 1000 kills".into());
+                return Err("the number of kills must be from 1 to 1000".into());
             }
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let report = kills::play(times, seed, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
             if report.holds() {
-                show.tidy(&folder);
+                output.remove_folder(&folder);
             }
             Ok(report.holds())
         }
-        Scene::BadDay {
+        Rehearsal::BadDay {
             seed,
             short,
             fronts,
             records,
-            show,
+            output,
         } => {
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let plan = if short {
                 bad_day::Plan::short(seed)
             } else {
@@ -183,71 +188,74 @@
             let plan = bad_day::Plan { records, ..plan };
             let report = bad_day::play(plan, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
             if report.rules_held() {
-                show.tidy(&folder);
+                output.remove_folder(&folder);
             } else {
                 eprintln!("pondarch: the stewards' logs are in {}", folder.display());
             }
             Ok(report.rules_held())
         }
-        Scene::Proxy { reqs, seed, show } => {
+        Rehearsal::Proxy { reqs, seed, output } => {
             if !(1_000..=2_000_000).contains(&reqs) {
-                return Err("a trial has 1000 to 2000000 reqs".into());
+                return Err("the number of requests must be from 1000 to 2000000".into());
             }
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let plan = trial::Plan::of(reqs, seed);
             let report = trial::play(&plan, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
             if report.holds() {
-                show.tidy(&folder);
+                output.remove_folder(&folder);
             }
             Ok(report.holds())
         }
-        Scene::Weights {
+        Rehearsal::Weights {
             sites,
             stewards,
             loads,
-            show,
+            output,
         } => {
             let mut plan = weighing::Plan::full(sites, stewards);
             plan.loads = loads.unwrap_or(plan.loads);
-            let sound = plan.loads.iter().all(|load| (0.05..=2.0).contains(load));
-            if !(1..=20).contains(&sites) || !(1..=plan.proxies).contains(&stewards) || !sound {
-                return Err("1 to 20 sites, 1 to 12 stewards, loads from 0.05 to 2".into());
+            let is_valid = plan.loads.iter().all(|load| (0.05..=2.0).contains(load));
+            if !(1..=20).contains(&sites) || !(1..=plan.proxies).contains(&stewards) || !is_valid {
+                return Err(
+                    "sites must be from 1 to 20, stewards from 1 to 12 and loads from 0.05 to 2"
+                        .into(),
+                );
             }
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let report = weighing::play(&plan, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
             if report.holds() {
-                show.tidy(&folder);
+                output.remove_folder(&folder);
             }
             Ok(report.holds())
         }
-        Scene::Reports {
+        Rehearsal::Reports {
             proxies,
             hosts,
             times,
             each,
             lines,
-            show,
+            output,
         } => {
-            let sound = times.iter().all(|times| (1..=100).contains(times)) && !times.is_empty();
+            let is_valid = times.iter().all(|times| (1..=100).contains(times)) && !times.is_empty();
             if !(1..=1_000).contains(&proxies)
                 || !(8..=5_000).contains(&hosts)
                 || !(2..=7_200).contains(&each)
-                || !sound
+                || !is_valid
             {
                 return Err(
-                    "1 to 1000 proxies, 8 to 5000 hosts, 1 to 100 times, 2 to 7200 s".into(),
+                    "proxies must be from 1 to 1000, hosts from 8 to 5000, times from 1 to 100 and each from 2 to 7200 seconds".into(),
                 );
             }
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let each = std::time::Duration::from_secs(each);
             let plan = flood::Plan {
                 proxies,
@@ -258,20 +266,20 @@
             };
             let report = flood::play(&plan, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
-            show.tidy(&folder);
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
+            output.remove_folder(&folder);
             Ok(true)
         }
-        Scene::Storm {
+        Rehearsal::Storm {
             proxies,
             hosts,
-            show,
+            output,
         } => {
             if !(1..=1_000).contains(&proxies) || !(8..=5_000).contains(&hosts) {
-                return Err("a storm has 1 to 1000 proxies and 8 to 5000 hosts".into());
+                return Err("proxies must be from 1 to 1000 and hosts from 8 to 5000".into());
             }
-            let folder = show.folder()?;
+            let folder = output.folder()?;
             let plan = storm::Plan {
                 proxies,
                 hosts,
@@ -279,9 +287,9 @@
             };
             let report = storm::play(&plan, &program, &folder)
                 .await
-                .map_err(|wrong| wrong.to_string())?;
-            show.print(&report, report.text())?;
-            show.tidy(&folder);
+                .map_err(|error| error.to_string())?;
+            output.print(&report, report.text())?;
+            output.remove_folder(&folder);
             Ok(true)
         }
     }
--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -1,6 +1,6 @@
-//! `pondarch resolve`: asks a DNS front like a client, over UDP first.
+//! `pondarch resolve`: queries a DNS server over UDP, and over TCP if the response was truncated.
 
-use crate::failed;
+use crate::report_error;
 use futures_util::{SinkExt, StreamExt};
 use pondarch_dns_server::client::{self, Answer};
 use std::net::SocketAddr;
@@ -10,14 +10,19 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// How long an answer may take.
-const LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for each response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub(crate) async fn resolve(server: SocketAddr, name: &str, of: &str, tcp: bool) -> ExitCode {
-    let asked = asked(server, name, of, tcp).await;
-    let answer = match asked {
+/// Runs the query and prints its records.
+pub(crate) async fn resolve(
+    server: SocketAddr,
+    name: &str,
+    record_type: &str,
+    tcp: bool,
+) -> ExitCode {
+    let answer = match query(server, name, record_type, tcp).await {
         Ok(answer) => answer,
-        Err(wrong) => return failed(&wrong),
+        Err(error) => return report_error(&error),
     };
     for line in &answer.answers {
         println!("{line}");
@@ -32,54 +37,64 @@
     ExitCode::from(1)
 }
 
-async fn asked(server: SocketAddr, name: &str, of: &str, tcp: bool) -> Result<Answer, String> {
+async fn query(
+    server: SocketAddr,
+    name: &str,
+    record_type: &str,
+    tcp: bool,
+) -> Result<Answer, String> {
     let id = std::process::id() as u16;
-    let packet = client::encode_query(id, name, of).map_err(|wrong| wrong.to_string())?;
-    let no_answer = |_| format!("{server} did not answer within {} s", LIMIT.as_secs());
+    let packet = client::encode_query(id, name, record_type).map_err(|error| error.to_string())?;
+    let timed_out = |_| {
+        format!(
+            "{server} did not answer within {} s",
+            RESPONSE_TIMEOUT.as_secs()
+        )
+    };
     if !tcp {
-        let bytes = timeout(LIMIT, by_udp(server, &packet))
+        let bytes = timeout(RESPONSE_TIMEOUT, query_udp(server, &packet))
             .await
-            .map_err(no_answer)??;
-        let answer = client::decode_answer(id, &bytes).map_err(|wrong| wrong.to_string())?;
+            .map_err(timed_out)??;
+        let answer = client::decode_answer(id, &bytes).map_err(|error| error.to_string())?;
         if !answer.truncated {
             return Ok(answer);
         }
     }
-    let bytes = timeout(LIMIT, by_tcp(server, &packet))
+    let bytes = timeout(RESPONSE_TIMEOUT, query_tcp(server, &packet))
         .await
-        .map_err(no_answer)??;
-    client::decode_answer(id, &bytes).map_err(|wrong| wrong.to_string())
+        .map_err(timed_out)??;
+    client::decode_answer(id, &bytes).map_err(|error| error.to_string())
 }
 
-async fn by_udp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
-    let failed = |wrong: std::io::Error| format!("{server}: {wrong}");
-    let own = if server.is_ipv4() {
+async fn query_udp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
+    let io_error = |error: std::io::Error| format!("{server}: {error}");
+    let local_address = if server.is_ipv4() {
         "0.0.0.0:0"
     } else {
         "[::]:0"
     };
-    let socket = UdpSocket::bind(own).await.map_err(failed)?;
-    socket.connect(server).await.map_err(failed)?;
-    socket.send(packet).await.map_err(failed)?;
+    let socket = UdpSocket::bind(local_address).await.map_err(io_error)?;
+    socket.connect(server).await.map_err(io_error)?;
+    socket.send(packet).await.map_err(io_error)?;
     let mut bytes = vec![0; 4_096];
-    let len = socket.recv(&mut bytes).await.map_err(failed)?;
+    let len = socket.recv(&mut bytes).await.map_err(io_error)?;
     bytes.truncate(len);
     Ok(bytes)
 }
 
-async fn by_tcp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
-    let failed = |wrong: std::io::Error| format!("{server}: {wrong}");
-    let stream = TcpStream::connect(server).await.map_err(failed)?;
+async fn query_tcp(server: SocketAddr, packet: &[u8]) -> Result<Vec<u8>, String> {
+    let io_error = |error: std::io::Error| format!("{server}: {error}");
+    let stream = TcpStream::connect(server).await.map_err(io_error)?;
     let codec = LengthDelimitedCodec::builder()
         .length_field_type::<u16>()
         .new_codec();
-    let mut wire = Framed::new(stream, codec);
-    SinkExt::<&[u8]>::send(&mut wire, packet)
+    let mut framed = Framed::new(stream, codec);
+    SinkExt::<&[u8]>::send(&mut framed, packet)
         .await
-        .map_err(failed)?;
-    match wire.next().await {
+        .map_err(io_error)?;
+    match framed.next().await {
         Some(Ok(bytes)) => Ok(bytes.to_vec()),
-        Some(Err(wrong)) => Err(failed(wrong)),
-        None => Err(format!("{server} closed without an answer")),
+        Some(Err(error)) => Err(io_error(error)),
+        None => Err(format!("{server} closed the connection without a response")),
     }
 }
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -1,19 +1,19 @@
-//! The bad day, short and seeded: all five rules hold from what crossed the sockets.
+//! Short seeded rehearsals: the five rules of the rehearsal `bad-day` hold, judged by the traffic on the sockets.
 
 use std::process::Command;
 
-/// A rehearsal that ends well: its report, and how it was printed.
-fn rehearsed(args: &[&str]) -> (serde_json::Value, String) {
+/// Runs a rehearsal that has to succeed; returns its report and the printed text.
+fn run_rehearsal(args: &[&str]) -> (serde_json::Value, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
         .arg("rehearse")
         .args(args)
         .output()
         .expect("cannot start the program");
-    let (text, wrong) = (
+    let (text, errors) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
-    assert!(output.status.success(), "{text}\n{wrong}");
+    assert!(output.status.success(), "{text}\n{errors}");
     (
         serde_json::from_str(&text).expect("the output is not JSON"),
         text.into_owned(),
@@ -22,24 +22,25 @@
 
 #[test]
 fn a_short_bad_day_keeps_the_rules() {
-    let (report, text) = rehearsed(&["bad-day", "--short", "--seed", "3", "--json"]);
+    let (report, text) = run_rehearsal(&["bad-day", "--short", "--seed", "3", "--json"]);
     assert_eq!(report["held"].as_array().map(Vec::len), Some(5), "{text}");
     assert_eq!(
         report["moments"].as_array().map(Vec::len),
         Some(8),
         "{text}"
     );
-    // Far under what is measured: this test is of the rules, and machines differ.
+    // The limit is far below the measured values: this test checks the rules, and machines differ in speed.
     assert!(
         report["service"].as_f64().is_some_and(|share| share > 0.7),
         "{text}"
     );
 }
 
-/// Half of the proxies are plain ones that ask by name, with caches; hosts die, hang, drain and start anew all the same.
+/// Half of the proxies use DNS, with caches, in place of the runtime API; hosts crash, stop responding, drain and restart
+/// as in the other test.
 #[test]
-fn a_short_bad_day_over_both_fronts_keeps_the_rules() {
-    let (report, text) = rehearsed(&[
+fn a_short_bad_day_with_runtime_api_and_dns_proxies_keeps_the_rules() {
+    let (report, text) = run_rehearsal(&[
         "bad-day", "--short", "--seed", "4", "--fronts", "both", "--json",
     ]);
     assert_eq!(report["held"].as_array().map(Vec::len), Some(5), "{text}");
@@ -49,10 +50,11 @@
     );
 }
 
-/// A tenth of the full trial: parts by weight, late and doubled versions, every req answered.
+/// A tenth of the full rehearsal `proxy`: shares by weight, late and duplicate table versions, and a response to every
+/// request.
 #[test]
-fn the_own_proxy_sends_what_was_published() {
-    let (report, text) = rehearsed(&["proxy", "--reqs", "20000", "--seed", "2", "--json"]);
+fn the_proxy_sends_by_the_published_tables() {
+    let (report, text) = run_rehearsal(&["proxy", "--reqs", "20000", "--seed", "2", "--json"]);
     assert_eq!(report["older_refused"], 5, "{text}");
     assert_eq!(report["went_back"], 0, "{text}");
 }
--- a/crates/cli/tests/daemon.rs
+++ b/crates/cli/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: its sockets, its files, its end.
+//! Tests of the daemon as a process: its sockets, its files and its termination.
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
@@ -17,6 +17,7 @@
         .expect("cannot start the program")
 }
 
+/// A running daemon with its settings in a temporary directory.
 struct Daemon {
     folder: tempfile::TempDir,
     child: Child,
@@ -46,7 +47,7 @@
             .spawn()
             .expect("cannot start the program");
         let daemon = Daemon { folder, child };
-        daemon.wait("HostsReady: 6");
+        daemon.wait_for_info("HostsReady: 6");
         daemon
     }
 
@@ -54,18 +55,18 @@
         self.folder.path().join(name)
     }
 
-    /// Sends bytes and gives all that comes back until the steward closes.
+    /// Sends bytes and returns all that is received until the daemon closes the connection.
     fn send(&self, socket: &str, bytes: &[u8]) -> String {
-        talk(&self.path(socket), bytes)
+        send_to(&self.path(socket), bytes)
     }
 
-    /// Until `show info` has this line.
-    fn wait(&self, line: &str) {
+    /// Waits until the output of `show info` contains `line`.
+    fn wait_for_info(&self, line: &str) {
         let deadline = Instant::now() + Duration::from_secs(10);
         while !self.path("admin.sock").exists()
             || !self.send("admin.sock", b"show info\n").contains(line)
         {
-            assert!(Instant::now() < deadline, "never: {line}");
+            assert!(Instant::now() < deadline, "'{line}' did not appear in time");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
@@ -87,14 +88,15 @@
     }
 }
 
-fn talk(socket: &Path, bytes: &[u8]) -> String {
+/// Sends bytes to a socket and returns all that is received until it is closed.
+fn send_to(socket: &Path, bytes: &[u8]) -> String {
     let Ok(mut stream) = UnixStream::connect(socket) else {
         return String::new();
     };
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("cannot set a time limit");
-    // The steward may close before all is written.
+    // The daemon may close the connection before all is written.
     stream
         .write_all(bytes)
         .and_then(|()| stream.shutdown(Shutdown::Write))
@@ -105,13 +107,13 @@
 }
 
 #[test]
-fn odd_input_is_answered_or_cut_off_and_harms_nobody() {
+fn invalid_input_is_answered_or_disconnected_and_affects_no_other_connection() {
     let daemon = Daemon::start();
-    let long = vec![b'a'; 100_000];
-    let answer = daemon.send("admin.sock", &long);
+    let long_line = vec![b'a'; 100_000];
+    let response = daemon.send("admin.sock", &long_line);
     assert!(
-        answer.is_empty() || answer.contains("longer than"),
-        "{answer}"
+        response.is_empty() || response.contains("longer than"),
+        "{response}"
     );
     assert!(
         daemon
@@ -127,17 +129,17 @@
         daemon
             .send("admin.sock", b"show info")
             .contains("Name: pondarch"),
-        "a last line without an end"
+        "a last line without a newline is answered"
     );
     assert_eq!(daemon.send("admin.sock", b""), "");
     assert_eq!(
         daemon.send("user.sock", b"set server hosts/host-1 state drain\n"),
         "Permission denied\n\n"
     );
-    // Half a line and then nothing: others are served meanwhile.
-    let mut half = UnixStream::connect(daemon.path("admin.sock")).expect("no connection");
-    half.write_all(b"show in").expect("cannot write");
-    daemon.wait("HostsReady: 6");
+    // A connection that stops after half a line does not block the others.
+    let mut partial = UnixStream::connect(daemon.path("admin.sock")).expect("no connection");
+    partial.write_all(b"show in").expect("cannot write");
+    daemon.wait_for_info("HostsReady: 6");
     let prompted = daemon.send("admin.sock", b"prompt\nget weight hosts/host-1\nquit\n");
     assert!(prompted.contains("> 1 (initial 1)\n\n> "), "{prompted:?}");
     let interactive = daemon.send(
@@ -151,12 +153,12 @@
     );
     assert_eq!(
         closing, "1 (initial 1)\n\n",
-        "without a prompt, one line a connection"
+        "without a prompt, only one line per connection is answered"
     );
 }
 
 #[test]
-fn ctl_prints_answers_and_tells_refusals_by_its_exit_code() {
+fn ctl_prints_responses_and_exits_with_1_on_a_rejection() {
     let daemon = Daemon::start();
     assert_eq!(
         daemon.ctl("admin.sock", "get weight hosts/host-1"),
@@ -168,7 +170,7 @@
             .0,
         Some(0)
     );
-    daemon.wait("HostsDraining: 1");
+    daemon.wait_for_info("HostsDraining: 1");
     assert_eq!(
         daemon
             .ctl("admin.sock", "set server hosts/none state drain")
@@ -185,16 +187,19 @@
 }
 
 #[test]
-fn the_list_is_followed_and_a_broken_one_keeps_the_last() {
+fn list_changes_are_applied_and_an_invalid_list_keeps_the_last_one() {
     let daemon = Daemon::start();
     std::fs::write(daemon.path("hosts.jsonnet"), &HOSTS[..60]).expect("cannot write the host list");
-    daemon.wait("ListRefused: ");
+    daemon.wait_for_info("ListRefused: ");
     let deadline = Instant::now() + Duration::from_secs(10);
     while daemon
         .send("admin.sock", b"show info\n")
         .contains("ListRefused: -")
     {
-        assert!(Instant::now() < deadline, "the broken list was not told of");
+        assert!(
+            Instant::now() < deadline,
+            "the invalid list was not reported"
+        );
     }
     assert!(
         daemon
@@ -208,12 +213,12 @@
     );
     std::fs::write(daemon.path("hosts.jsonnet"), HOSTS.replace("1, 6", "1, 9"))
         .expect("cannot write the host list");
-    daemon.wait("HostsReady: 9");
-    daemon.wait("ListRefused: -");
+    daemon.wait_for_info("HostsReady: 9");
+    daemon.wait_for_info("ListRefused: -");
 }
 
 #[test]
-fn it_ends_on_a_signal_and_leaves_no_socket() {
+fn the_daemon_terminates_on_sigterm_and_removes_its_socket() {
     let mut daemon = Daemon::start();
     let id = daemon.child.id().to_string();
     assert!(
@@ -229,7 +234,7 @@
             Some(status) => break status,
             None => std::thread::sleep(Duration::from_millis(20)),
         }
-        assert!(Instant::now() < deadline, "it does not end");
+        assert!(Instant::now() < deadline, "the daemon does not exit");
     };
     assert!(status.success());
     assert!(!daemon.path("admin.sock").exists());
@@ -242,7 +247,7 @@
 }
 
 #[test]
-fn check_and_run_refuse_bad_settings_with_one_line() {
+fn check_and_run_reject_invalid_settings_with_one_line() {
     let daemon = Daemon::start();
     let site = daemon.path("site.jsonnet");
     let good = pondarch(&["check", &site.display().to_string()]);
@@ -255,21 +260,21 @@
         .expect("cannot read or write the settings")
         .replace("'18 s'", "'18'");
     std::fs::write(&bad, text).expect("cannot read or write the settings");
-    for what in ["check", "run"] {
-        let output = pondarch(&[what, &bad.display().to_string()]);
-        let wrong = String::from_utf8_lossy(&output.stderr).into_owned();
+    for command in ["check", "run"] {
+        let output = pondarch(&[command, &bad.display().to_string()]);
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2));
-        assert_eq!(wrong.lines().count(), 1, "{wrong}");
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            wrong.contains("bad.jsonnet: cold.warm_within: '18' has no unit"),
-            "{wrong}"
+            error.contains("bad.jsonnet: cold.warm_within: '18' has no unit"),
+            "{error}"
         );
     }
-    // A second daemon does not take the first one's sockets.
+    // A second daemon does not take over the event log and the sockets of the first one.
     let output = pondarch(&["run", &site.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("another program writes records there")
     );
-    daemon.wait("HostsReady: 6");
+    daemon.wait_for_info("HostsReady: 6");
 }
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -1,4 +1,4 @@
-//! The DNS front of a real steward, asked like any client does.
+//! Tests of the DNS server of a real daemon, queried as by any client.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
@@ -10,17 +10,18 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-struct Steward {
+/// A daemon with a DNS server, with its settings in a temporary directory.
+struct Daemon {
     folder: tempfile::TempDir,
     dns: SocketAddr,
     child: Option<Child>,
 }
 
-/// 32 bytes of 7.
+/// 32 bytes of value 7, in base64.
 const SECRET: &str = "BwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwc=\n";
 
-/// A port that both protocols have free.
-fn free() -> SocketAddr {
+/// An address that is free for both UDP and TCP.
+fn free_address() -> SocketAddr {
     loop {
         let udp = UdpSocket::bind("127.0.0.1:0").expect("cannot bind a port");
         let at = udp.local_addr().expect("no local address");
@@ -30,35 +31,35 @@
     }
 }
 
-impl Steward {
-    fn start() -> Steward {
-        Steward::start_at(free(), "")
+impl Daemon {
+    fn start() -> Daemon {
+        Daemon::start_at(free_address(), "")
     }
 
-    /// With more settings for DNS.
-    fn start_at(dns: SocketAddr, more: &str) -> Steward {
+    /// Starts it with additional settings for DNS.
+    fn start_at(dns: SocketAddr, dns_settings: &str) -> Daemon {
         let folder = tempfile::tempdir().expect("no temporary directory");
         std::fs::write(folder.path().join("second.key"), SECRET).expect("cannot write the secret");
-        let site = format!(
+        let settings = format!(
             "{{ name: 'named', zones: ['ede'],
             kinds: [{{ name: 'proof', response_target: '1 s', client_timeout: '4 s', benefit: 1, repeats: 'replayable' }}],
             proxies: [{{ name: 'plain', zone: 'ede', usual_rate: 5 }}, {{ name: 'other', zone: 'ede', sources: ['127.0.0.0/8'] }}],
             hosts_file: 'hosts.jsonnet',
             channel: {{ lines_per_second: 4000, most_waiting: 4000, message_cap: 12, message_window: '10 s' }},
             cold: {{ start_share: 0.17, warm_within: '18 s' }},
-            dns: {{ zone: 'pond.test', listen: '{dns}', grace: '4 s', answers_per_second: 1000{more} }},
+            dns: {{ zone: 'pond.test', listen: '{dns}', grace: '4 s', answers_per_second: 1000{dns_settings} }},
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}"
         );
-        std::fs::write(folder.path().join("site.jsonnet"), site)
+        std::fs::write(folder.path().join("site.jsonnet"), settings)
             .expect("cannot read or write the settings");
-        let mut steward = Steward {
+        let mut daemon = Daemon {
             folder,
             dns,
             child: None,
         };
-        steward.list(None);
-        steward.run();
-        steward
+        daemon.write_list(None);
+        daemon.run();
+        daemon
     }
 
     fn run(&mut self) {
@@ -69,8 +70,11 @@
             .stderr(Stdio::null());
         self.child = Some(command.spawn().expect("cannot start the program"));
         let deadline = Instant::now() + Duration::from_secs(10);
-        while self.ask("pond.test", &["--type", "SOA"]).is_none() {
-            assert!(Instant::now() < deadline, "it never answers");
+        while self.query("pond.test", &["--type", "SOA"]).is_none() {
+            assert!(
+                Instant::now() < deadline,
+                "no response to DNS queries in time"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -79,7 +83,8 @@
         self.folder.path().join(name)
     }
 
-    fn list(&self, drained: Option<usize>) {
+    /// Writes a host list in which one host may drain.
+    fn write_list(&self, drained: Option<usize>) {
         let host = |n: usize| {
             let state = if drained == Some(n) { "drain" } else { "ready" };
             format!(
@@ -94,13 +99,13 @@
         std::fs::rename(&part, self.path("hosts.jsonnet")).expect("cannot write the host list");
     }
 
-    /// What `pondarch resolve` prints; none if it did not go well.
-    fn ask(&self, name: &str, more: &[&str]) -> Option<String> {
+    /// The output of `pondarch resolve`; none if it failed.
+    fn query(&self, name: &str, arguments: &[&str]) -> Option<String> {
         let server = self.dns.to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
         let output = command
             .args(["resolve", name, "--server", &server])
-            .args(more)
+            .args(arguments)
             .output()
             .expect("cannot start the program");
         output
@@ -111,7 +116,7 @@
 
     fn serial(&self) -> u64 {
         let soa = self
-            .ask("pond.test", &["--type", "SOA"])
+            .query("pond.test", &["--type", "SOA"])
             .expect("no response");
         soa.split_whitespace()
             .nth(5)
@@ -128,7 +133,8 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    fn figure(&self, name: &str) -> String {
+    /// A value of `show info`.
+    fn info_value(&self, name: &str) -> String {
         let text = self.ctl("show info");
         let line = text
             .lines()
@@ -136,16 +142,17 @@
         line.unwrap_or_default().to_string()
     }
 
-    fn until(&self, what: &str, holds: impl Fn() -> bool) {
+    /// Waits until a condition holds.
+    fn wait_until(&self, description: &str, holds: impl Fn() -> bool) {
         let deadline = Instant::now() + Duration::from_secs(10);
         while !holds() {
-            assert!(Instant::now() < deadline, "never: {what}");
+            assert!(Instant::now() < deadline, "not in time: {description}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
 }
 
-impl Drop for Steward {
+impl Drop for Daemon {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().ok();
@@ -155,74 +162,77 @@
 }
 
 #[test]
-fn a_steward_answers_joins_who_asks_heeds_drains_and_never_goes_back() {
-    let mut steward = Steward::start();
+fn dns_answers_join_proxies_follow_drains_and_keep_the_serial_across_a_kill() {
+    let mut daemon = Daemon::start();
     let name = "_proof._tcp.plain.pond.test";
-    steward.until("hosts", || {
-        steward
-            .ask(name, &[])
+    daemon.wait_until("SRV records are served", || {
+        daemon
+            .query(name, &[])
             .is_some_and(|text| text.contains("SRV"))
     });
-    steward.until("joined by asking", || {
-        steward.ask(name, &[]);
-        steward
+    daemon.wait_until("a query by name joins the proxy", || {
+        daemon.query(name, &[]);
+        daemon
             .ctl("show map proxies")
             .contains("plain joined table-")
     });
-    let text = steward.ask(name, &[]).expect("no response");
+    let text = daemon.query(name, &[]).expect("no response");
     let srv = text.lines().filter(|line| line.contains(" SRV ")).count();
     assert_eq!(srv, 6, "{text}");
-    // A grace of 4 s, half to learn, one for how caches count.
+    // The TTL is 2 s: the grace of 4 s, less 0.5 s for learning of a change and 1 s for the rounding in caches, in whole
+    // seconds.
     assert!(text.lines().all(|line| line.contains(" 2 ")), "{text}");
-    let tcp = steward.ask(name, &["--tcp"]).expect("no response");
+    let tcp = daemon.query(name, &["--tcp"]).expect("no response");
     assert_eq!(tcp.lines().filter(|line| line.contains(" SRV ")).count(), 6);
-    // The source says who asks, where the name does not.
-    steward.until("the other", || {
-        steward.ask("proof.pond.test", &["--type", "A"]);
-        steward
+    // Where the name does not identify the proxy, the source address does.
+    daemon.wait_until("a query by source address joins the other proxy", || {
+        daemon.query("proof.pond.test", &["--type", "A"]);
+        daemon
             .ctl("show map proxies")
             .contains("other joined table-")
     });
-    assert!(steward.ask("nobody.pond.test", &["--type", "A"]).is_none());
-    let before = steward.serial();
-    steward.list(Some(2));
-    let told = Instant::now();
-    steward.until("the drain", || {
-        steward
-            .ask(name, &[])
+    assert!(daemon.query("nobody.pond.test", &["--type", "A"]).is_none());
+    let before = daemon.serial();
+    daemon.write_list(Some(2));
+    let drained_at = Instant::now();
+    daemon.wait_until("the drained host is not in answers", || {
+        daemon
+            .query(name, &[])
             .is_some_and(|text| !text.contains("host-2"))
     });
     assert!(
-        told.elapsed() < Duration::from_millis(1_500),
+        drained_at.elapsed() < Duration::from_millis(1_500),
         "{:?}",
-        told.elapsed()
+        drained_at.elapsed()
     );
-    assert!(steward.ctl("show map lingering").contains("host-2"));
-    steward.until("caches ran out", || {
-        !steward.ctl("show map lingering").contains("host-2")
+    assert!(daemon.ctl("show map lingering").contains("host-2"));
+    daemon.wait_until("cached answers have expired", || {
+        !daemon.ctl("show map lingering").contains("host-2")
     });
-    assert!(told.elapsed() < Duration::from_secs(5));
-    let serial = steward.serial();
+    assert!(drained_at.elapsed() < Duration::from_secs(5));
+    let serial = daemon.serial();
     assert!(serial > before);
-    let mut child = steward.child.take().expect("no process");
+    let mut child = daemon.child.take().expect("no process");
     child.kill().expect("cannot kill the process");
     child.wait().expect("cannot wait for the process");
-    steward.run();
-    steward.until("hosts again", || steward.ask(name, &[]).is_some());
+    daemon.run();
+    daemon.wait_until("records are served after the restart", || {
+        daemon.query(name, &[]).is_some()
+    });
     assert!(
-        steward.serial() >= serial,
+        daemon.serial() >= serial,
         "{} after {serial}",
-        steward.serial()
+        daemon.serial()
     );
 }
 
 #[test]
-fn a_grace_that_leaves_no_lifetime_is_refused() {
-    let steward = Steward::start();
-    let site = std::fs::read_to_string(steward.path("site.jsonnet"))
+fn a_grace_too_short_for_any_ttl_is_rejected() {
+    let daemon = Daemon::start();
+    let site = std::fs::read_to_string(daemon.path("site.jsonnet"))
         .expect("cannot read or write the settings");
-    let wrong = steward.path("wrong.jsonnet");
-    std::fs::write(&wrong, site.replace("grace: '4 s'", "grace: '2 s'"))
+    let invalid_file = daemon.path("wrong.jsonnet");
+    std::fs::write(&invalid_file, site.replace("grace: '4 s'", "grace: '2 s'"))
         .expect("cannot read or write the settings");
     let check = |file: &Path| {
         let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
@@ -235,100 +245,114 @@
             String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let (code, text) = check(&wrong);
+    let (code, text) = check(&invalid_file);
     assert_eq!(code, Some(2));
     assert!(
         text.contains("dns.grace") && text.contains("with 2500 ms it would"),
         "{text}"
     );
-    std::fs::write(&wrong, site.replace("dns:", "// dns:"))
+    std::fs::write(&invalid_file, site.replace("dns:", "// dns:"))
         .expect("cannot read or write the settings");
-    let (code, text) = check(&wrong);
+    let (code, text) = check(&invalid_file);
     assert!(
         code == Some(2) && text.contains("is absent, and there is no dns"),
         "{text}"
     );
 }
 
-/// Copies follow by signed differences; one that is cut off is said to be behind and catches up; a steward that starts anew
-/// serves it the whole zone again, with a serial that goes on.
+/// A secondary follows by signed incremental transfers; one that is disconnected is reported as behind and catches up; a
+/// restarted daemon transfers the whole zone to it again, with a higher serial.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_secondary_follows_is_cut_off_and_catches_up() {
-    let dns = free();
+async fn a_secondary_follows_changes_and_catches_up_after_a_disconnection() {
+    let dns = free_address();
     let key = TsigKey::new("second.pond.test", vec![7; 32]).expect("invalid key");
-    let second = Secondary::start("pond.test", dns, key.clone())
+    let secondary = Secondary::start("pond.test", dns, key.clone())
         .await
         .expect("no socket");
-    let stranger = Secondary::start(
+    let unauthorized = Secondary::start(
         "pond.test",
         dns,
         TsigKey::new("second.pond.test", vec![8; 32]).expect("invalid key"),
     );
-    let stranger = stranger.await.expect("no socket");
-    let of = format!(
+    let unauthorized = unauthorized.await.expect("no socket");
+    let secondary_settings = format!(
         "{{ address: '{}', key: 'second.pond.test', secret_file: 'second.key' }}",
-        second.addr
+        secondary.addr
+    );
+    let dns_settings = format!(
+        ", lifetime: 1, behind: '400 ms', expires: '30 s', secondaries: [{secondary_settings}]"
     );
-    let more = format!(", lifetime: 1, behind: '400 ms', expires: '30 s', secondaries: [{of}]");
-    let mut steward = Steward::start_at(dns, &more);
+    let mut daemon = Daemon::start_at(dns, &dns_settings);
     let name = "_proof._tcp.plain.pond.test";
     let hosts = || {
-        let lines = second.copy().services(name);
+        let lines = secondary.copy().services(name);
         lines
             .into_iter()
             .map(|(_, target)| target.split('.').next().unwrap_or("").to_string())
             .collect::<Vec<_>>()
     };
-    steward.until("a copy", || hosts().len() == 6);
-    assert!(second.counts().1 >= 1, "it was told");
-    let told = Instant::now();
-    steward.list(Some(2));
-    steward.until("the drain in the copy", || {
+    daemon.wait_until("the secondary has all hosts", || hosts().len() == 6);
+    assert!(
+        secondary.counts().1 >= 1,
+        "the secondary got no notification"
+    );
+    let drained_at = Instant::now();
+    daemon.write_list(Some(2));
+    daemon.wait_until("the secondary has dropped the drained host", || {
         !hosts().contains(&"host-2".to_string())
     });
     assert!(
-        told.elapsed() < Duration::from_millis(1_500),
+        drained_at.elapsed() < Duration::from_millis(1_500),
         "{:?}",
-        told.elapsed()
+        drained_at.elapsed()
     );
     assert_eq!(hosts().len(), 5);
-    steward.until("known", || {
-        steward
+    daemon.wait_until("the daemon knows the serial of the secondary", || {
+        daemon
             .ctl("show map secondaries")
             .contains("second.pond.test holds")
     });
-    steward.until("not behind", || {
-        !steward.ctl("show map secondaries").contains("behind")
+    daemon.wait_until("the secondary is not behind", || {
+        !daemon.ctl("show map secondaries").contains("behind")
     });
-    second.cut.store(true, std::sync::atomic::Ordering::Relaxed);
-    steward.list(Some(3));
-    steward.until("behind", || {
-        steward.ctl("show map secondaries").contains("behind")
+    secondary
+        .cut
+        .store(true, std::sync::atomic::Ordering::Relaxed);
+    daemon.write_list(Some(3));
+    daemon.wait_until("the secondary is behind", || {
+        daemon.ctl("show map secondaries").contains("behind")
     });
-    steward.until("said", || {
-        steward.ctl("show events").contains("SecondaryLate")
+    daemon.wait_until("the delay is reported as an event", || {
+        daemon.ctl("show events").contains("SecondaryLate")
     });
     assert!(
         hosts().contains(&"host-3".to_string())
-            && steward.ctl("show map lingering").contains("host-3")
+            && daemon.ctl("show map lingering").contains("host-3")
     );
-    second
+    secondary
         .cut
         .store(false, std::sync::atomic::Ordering::Relaxed);
-    steward.until("caught up", || !hosts().contains(&"host-3".to_string()));
-    steward.until("ran out", || {
-        !steward.ctl("show map lingering").contains("host-3")
+    daemon.wait_until("the secondary has caught up", || {
+        !hosts().contains(&"host-3".to_string())
+    });
+    daemon.wait_until("cached answers have expired", || {
+        !daemon.ctl("show map lingering").contains("host-3")
     });
-    let before = second.copy().serial;
-    let mut child = steward.child.take().expect("no process");
+    let before = secondary.copy().serial;
+    let mut child = daemon.child.take().expect("no process");
     child.kill().expect("cannot kill the process");
     child.wait().expect("cannot wait for the process");
-    steward.run();
-    steward.until("the new steward's copy", || second.copy().serial > before);
-    steward.until("its hosts", || hosts().len() == 5);
-    let serial = steward.figure("NamesSerial");
-    steward.until("the same", || {
-        second
+    daemon.run();
+    daemon.wait_until("the restarted daemon has transferred the zone", || {
+        secondary.copy().serial > before
+    });
+    daemon.wait_until(
+        "the secondary has the hosts of the restarted daemon",
+        || hosts().len() == 5,
+    );
+    let serial = daemon.info_value("NamesSerial");
+    daemon.wait_until("the serials are equal", || {
+        secondary
             .copy()
             .serial
             .map(|serial| serial.to_string())
@@ -336,8 +360,8 @@
             == Some(&serial)
     });
     assert_eq!(
-        stranger.copy().serial,
+        unauthorized.copy().serial,
         None,
-        "without the secret there is no copy"
+        "a secondary without the secret got a copy"
     );
 }
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! A real steward killed again and again: what it was told holds, what proxies serve follows, and its records replay.
+//! Tests with a real daemon that is killed repeatedly: operators' commands survive, proxies follow, and the event log can
+//! be replayed.
 
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
@@ -13,6 +14,7 @@
 const PROXIES: usize = 3;
 const HOSTS: usize = 8;
 
+/// A daemon, with its settings, host list and event log in a temporary directory.
 struct Site {
     folder: tempfile::TempDir,
     child: Option<Child>,
@@ -25,7 +27,7 @@
             format!("{{ name: 'front-{n}', zone: 'ede', runtime: 'unix:front-{n}.sock' }}")
         };
         let proxies: Vec<String> = (0..PROXIES).map(proxy).collect();
-        let site = format!(
+        let settings = format!(
             "{{ name: 'killed', zones: ['ede'],
             kinds: [{{ name: 'proof', response_target: '1 s', client_timeout: '4 s', benefit: 1, repeats: 'replayable' }}],
             proxies: [{}], hosts_file: 'hosts.jsonnet',
@@ -35,36 +37,37 @@
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}",
             proxies.join(", ")
         );
-        std::fs::write(folder.path().join("site.jsonnet"), site)
+        std::fs::write(folder.path().join("site.jsonnet"), settings)
             .expect("cannot read or write the settings");
-        let mut of = Site {
+        let mut site = Site {
             folder,
             child: None,
         };
-        of.list(0);
-        of.run();
-        of
+        site.write_list(0);
+        site.run();
+        site
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The first `without` hosts are listed no more.
-    fn list(&self, without: usize) {
+    /// Writes a host list without the first `omitted` hosts.
+    fn write_list(&self, omitted: usize) {
         let host = |n: usize| {
             format!(
                 "{{ name: 'host-{n}', address: '127.0.0.1:{}', zone: 'ede' }}",
                 9_000 + n
             )
         };
-        let hosts: Vec<String> = (without..HOSTS).map(host).collect();
+        let hosts: Vec<String> = (omitted..HOSTS).map(host).collect();
         let part = self.path("hosts.part");
         std::fs::write(&part, format!("{{ hosts: [{}] }}", hosts.join(", ")))
             .expect("cannot write the host list");
         std::fs::rename(&part, self.path("hosts.jsonnet")).expect("cannot write the host list");
     }
 
+    /// Starts the daemon.
     fn run(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pondarch"));
         let log = std::fs::File::options()
@@ -90,12 +93,13 @@
         text(&pondarch(&["ctl", &socket, command]))
     }
 
-    fn until(&self, what: &str, holds: impl Fn() -> bool) {
+    /// Waits until a condition holds.
+    fn wait_until(&self, description: &str, holds: impl Fn() -> bool) {
         let deadline = Instant::now() + Duration::from_secs(30);
         while !holds() {
             assert!(
                 Instant::now() < deadline,
-                "never: {what}\n{}\nits log:\n{}",
+                "not in time: {description}\n{}\nlog:\n{}",
                 self.ctl("show info; show map owed; show errors"),
                 std::fs::read_to_string(self.path("log")).unwrap_or_default()
             );
@@ -103,8 +107,9 @@
         }
     }
 
-    fn joined(&self) {
-        self.until("joined", || {
+    /// Waits until all proxies have joined.
+    fn wait_for_proxies(&self) {
+        self.wait_until("all proxies have joined", || {
             self.ctl("show info")
                 .contains(&format!("ProxiesJoined: {PROXIES}\n"))
         });
@@ -131,7 +136,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-async fn fronts(folder: &Path) -> Vec<Front> {
+async fn start_proxies(folder: &Path) -> Vec<Front> {
     let kind = Kind {
         name: "proof",
         share: 1.0,
@@ -141,10 +146,10 @@
         benefit: 1.0,
         replayable: true,
     };
-    let mut fronts = Vec::new();
+    let mut proxies = Vec::new();
     for n in 0..PROXIES {
         let (list, name) = (folder.join("hosts.jsonnet"), format!("front-{n}"));
-        let front = Front::start(
+        let proxy = Front::start(
             &name,
             "ede",
             &["ede"],
@@ -153,25 +158,25 @@
             n as u64,
             Facts::default(),
         );
-        fronts.push(front.await.expect("no proxy"));
+        proxies.push(proxy.await.expect("no proxy"));
     }
-    fronts
+    proxies
 }
 
-fn serves(front: &Front, host: &str) -> bool {
-    front.mirror().backends["proof"]
+fn serves(proxy: &Front, host: &str) -> bool {
+    proxy.mirror().backends["proof"]
         .servers
         .get(host)
         .is_some_and(|server| server.is_serving())
 }
 
-/// Ten kills, each a moment after a drain was told; at some the list changes while nobody looks.
+/// Ten kills, each right after a drain command; after one of them the host list changes while no daemon runs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_was_told_a_moment_before_a_kill_holds_after_it() {
+async fn a_drain_command_right_before_a_kill_survives_it() {
     let mut site = Site::new("records");
-    let fronts = fronts(site.folder.path()).await;
-    site.joined();
-    let mut before = 0;
+    let proxies = start_proxies(site.folder.path()).await;
+    site.wait_for_proxies();
+    let mut last_incarnation = 0;
     for round in 0..10 {
         let host = format!("host-{}", 1 + round % (HOSTS - 1));
         assert_eq!(
@@ -181,15 +186,15 @@
         );
         site.kill();
         if round == 4 {
-            site.list(1);
+            site.write_list(1);
         }
         site.run();
-        site.joined();
-        site.until("the drain", || {
-            fronts.iter().all(|front| !serves(front, &host))
+        site.wait_for_proxies();
+        site.wait_until("no proxy serves the drained host", || {
+            proxies.iter().all(|proxy| !serves(proxy, &host))
         });
-        assert!(fronts.iter().all(|front| {
-            front.mirror().backends["proof"]
+        assert!(proxies.iter().all(|proxy| {
+            proxy.mirror().backends["proof"]
                 .servers
                 .values()
                 .any(|s| s.is_serving())
@@ -199,29 +204,32 @@
             .lines()
             .any(|line| line.starts_with(&format!("hosts,{host},")) && line.contains(",DRAIN,"));
         assert!(drained, "round {round}: {stat}");
-        let mark = fronts[0]
+        let state = proxies[0]
             .mirror()
             .map_entry("pond_state", "steward")
             .unwrap_or_default()
             .to_string();
-        let epoch: u64 = mark
+        let incarnation: u64 = state
             .split(':')
             .nth(1)
-            .and_then(|epoch| epoch.parse().ok())
-            .expect("no epoch");
-        assert!(epoch > before, "{epoch} after {before}");
-        before = epoch;
+            .and_then(|word| word.parse().ok())
+            .expect("no incarnation");
+        assert!(
+            incarnation > last_incarnation,
+            "{incarnation} after {last_incarnation}"
+        );
+        last_incarnation = incarnation;
         assert_eq!(
             site.ctl(&format!("set server hosts/{host} state ready"))
                 .trim(),
             ""
         );
     }
-    site.until("gone from the list", || {
-        fronts.iter().all(|front| !serves(front, "host-0"))
+    site.wait_until("no proxy serves the removed host", || {
+        proxies.iter().all(|proxy| !serves(proxy, "host-0"))
     });
     let folder = site.path("records").display().to_string();
-    // Another one does not write there.
+    // A second daemon does not write to the same event log.
     let output = pondarch(&["run", &site.path("site.jsonnet").display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
@@ -252,18 +260,19 @@
             .expect("no file")
             .starts_with(b"ARROW1")
     );
-    let scene = site.path("scene.json").display().to_string();
-    assert!(text(&pondarch(&["records", "scene", &folder, &scene])).contains("moments"));
-    let played = text(&pondarch(&["replay", &scene, "--seeds", "2"]));
+    let scenario = site.path("scene.json").display().to_string();
+    assert!(text(&pondarch(&["records", "scene", &folder, &scenario])).contains("moments"));
+    let replayed = text(&pondarch(&["replay", &scenario, "--seeds", "2"]));
     assert!(
-        played.contains("table changes") && played.contains("drain, longest ms"),
-        "{played}"
+        replayed.contains("table changes") && replayed.contains("drain, longest ms"),
+        "{replayed}"
     );
     let trimmed = text(&pondarch(&["records", "trim", &folder, "--bytes", "70000"]));
     assert!(trimmed.contains("segments dropped"), "{trimmed}");
 }
 
-/// Under load, with drains by the list, and all stewards at once in the end: by what crossed the sockets.
+/// Kills under load, with drains by the host list, and of all daemons at once in the end; the rules are judged by the
+/// traffic on the sockets.
 #[test]
 fn kills_under_load_keep_the_rules() {
     let output = pondarch(&[
@@ -277,23 +286,24 @@
         "2",
         "--json",
     ]);
-    let (text, wrong) = (
+    let (text, errors) = (
         text(&output),
         String::from_utf8_lossy(&output.stderr).into_owned(),
     );
-    assert!(output.status.success(), "{text}\n{wrong}");
+    assert!(output.status.success(), "{text}\n{errors}");
     let report: serde_json::Value = serde_json::from_str(&text).expect("the output is not JSON");
     assert_eq!(report["held"].as_array().map(Vec::len), Some(5), "{text}");
 }
 
-/// A folder that cannot be written: deciding goes on, the state is shown, and writing resumes by itself.
+/// A folder that cannot be written: the daemon keeps deciding, shows that the event log is stopped, and resumes writing by
+/// itself.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_a_disk_it_decides_and_says_so_and_writes_once_there_is_one() {
-    // A file stands where the folder should be: nobody, however privileged, can write in it.
+async fn without_a_writable_folder_the_daemon_keeps_deciding_and_resumes_writing() {
+    // There is a file in place of the folder: no process can write in it, whatever its privileges.
     let site = {
         let folder = "there/records";
         let mut site = Site::new(folder);
-        site.until("written", || {
+        site.wait_until("the event log is written", || {
             site.ctl("show info").contains("Records: written")
         });
         site.kill();
@@ -302,17 +312,17 @@
         site.run();
         site
     };
-    let fronts = fronts(site.folder.path()).await;
-    site.joined();
-    site.until("said", || {
+    let proxies = start_proxies(site.folder.path()).await;
+    site.wait_for_proxies();
+    site.wait_until("the event log is reported as stopped", || {
         site.ctl("show info").contains("Records: stopped")
     });
     assert_eq!(site.ctl("set server hosts/host-3 state drain").trim(), "");
-    site.until("the drain", || {
-        fronts.iter().all(|front| !serves(front, "host-3"))
+    site.wait_until("no proxy serves the drained host", || {
+        proxies.iter().all(|proxy| !serves(proxy, "host-3"))
     });
     std::fs::remove_file(site.path("there")).expect("cannot remove");
-    site.until("written", || {
+    site.wait_until("the event log is written", || {
         site.ctl("show info").contains("Records: written")
     });
     let snapshot = |entry: std::io::Result<std::fs::DirEntry>| {
@@ -323,17 +333,17 @@
             .into_iter()
             .flatten()
     };
-    site.until("a snapshot", || files().any(snapshot));
+    site.wait_until("a snapshot is written", || files().any(snapshot));
     let mut site = site;
     site.kill();
     site.run();
-    site.joined();
+    site.wait_for_proxies();
     let stat = site.ctl("show stat");
     let drained = stat
         .lines()
         .any(|line| line.starts_with("hosts,host-3,") && line.contains(",DRAIN,"));
     assert!(
         drained,
-        "what was told meanwhile is in the first snapshot after: {stat}"
+        "a command from the time without event log is not in the first snapshot: {stat}"
     );
 }
--- a/crates/cli/tests/reports.rs
+++ b/crates/cli/tests/reports.rs
@@ -1,9 +1,9 @@
-//! Reports pushed at ten times the expected rate, with hosts that hang in the middle, to a real steward.
+//! Load reports sent to a real daemon at ten times the expected rate, while some hosts stop responding halfway through.
 
 use std::process::Command;
 
 #[test]
-fn at_ten_times_the_rate_no_stale_figure_is_decided_on_and_memory_stays_within_its_caps() {
+fn at_ten_times_the_report_rate_figures_stay_recent_and_memory_stays_within_its_limits() {
     let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
         .args([
             "--log-level",
@@ -18,11 +18,11 @@
         .args(["--times", "1,10", "--each", "14", "--lines", "40", "--json"])
         .output()
         .expect("cannot start the program");
-    let (text, wrong) = (
+    let (text, errors) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
-    assert!(output.status.success(), "{text}\n{wrong}");
+    assert!(output.status.success(), "{text}\n{errors}");
     let report: serde_json::Value = serde_json::from_str(&text).expect("the output is not JSON");
     let rates = report["rates"].as_array().expect("no rates");
     assert_eq!(rates.len(), 2);
@@ -41,7 +41,7 @@
             "{rate}"
         );
     }
-    // Ten times the reports, and no more memory.
+    // Ten times the rate brings more than five times the reports, with less than twice the memory.
     let figure = |n: usize, name: &str| rates[n][name].as_f64().unwrap_or(f64::NAN);
     assert!(figure(1, "reports") > 5.0 * figure(0, "reports"), "{text}");
     assert!(figure(1, "rss_kib") < 2.0 * figure(0, "rss_kib"), "{text}");
--- a/crates/cli/tests/wire_texts.rs
+++ b/crates/cli/tests/wire_texts.rs
@@ -1,7 +1,8 @@
-//! Names of the program's commands and flags, as its help shows them; not the prose beside them.
+//! The names of commands, flags and values in the output of `--help`; its descriptions are not checked.
 
 use std::process::Command;
 
+/// Subcommands, and the names that their help contains.
 const HELP: &[(&str, &[&str])] = &[
     (
         "",
@@ -82,7 +83,7 @@
 ];
 
 #[test]
-fn help_names_commands_and_flags() {
+fn help_contains_all_commands_and_flags() {
     for (command, names) in HELP {
         let mut program = Command::new(env!("CARGO_BIN_EXE_pondarch"));
         let output = program
@@ -93,16 +94,19 @@
         assert!(output.status.success(), "{command} --help");
         let text = String::from_utf8(output.stdout).expect("not UTF-8");
         for name in *names {
-            // A command stands at the start of its line; a flag or value anywhere.
+            // A command is the first word of a line; a flag or value may be anywhere.
             let is_command =
                 name.chars().all(|c| c.is_ascii_lowercase() || c == '-') && !name.starts_with('-');
-            let there = match is_command {
+            let is_listed = match is_command {
                 true => text
                     .lines()
                     .any(|line| line.split_whitespace().next() == Some(name)),
                 false => text.contains(name),
             };
-            assert!(there, "'{name}' in the help of '{command}':\n{text}");
+            assert!(
+                is_listed,
+                "'{name}' is not in the help of '{command}':\n{text}"
+            );
         }
     }
 }
