--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -3,9 +3,9 @@
 use crate::report_error;
 use pondarch_config::{PlanSite, read_plan};
 use pondarch_controller::DurationExt;
-use pondarch_weight_solver::guard::{Bears, guarded};
-use pondarch_weight_solver::solve::one_more;
-use pondarch_weight_solver::{Fleet, Host, Kind, Plan, SolveError, Solver, Table, solve};
+use pondarch_weight_solver::guard::{HostCapacity, limit_warming_up};
+use pondarch_weight_solver::solve::added_host_gains;
+use pondarch_weight_solver::{Fleet, Host, Plan, RequestClass, SolveError, Solver, Table, solve};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -17,11 +17,11 @@
     #[serde(rename = "kinds")]
     classes: Vec<ClassOutput<'a>>,
     #[serde(rename = "served")]
-    benefit: Option<f64>,
+    admitted_benefit: Option<f64>,
     #[serde(rename = "crossing")]
-    cross_zone_work: f64,
+    cross_zone_share: f64,
     #[serde(rename = "little_room")]
-    low_headroom_hosts: &'a [String],
+    nearly_full: &'a [String],
     /// The additional benefit per second of one more host like the first one, by zone.
     #[serde(rename = "one_more")]
     added_host_gains: Vec<(&'a str, f64)>,
@@ -31,7 +31,8 @@
 struct HostOutput<'a> {
     name: &'a str,
     weight: f64,
-    utilisation: f64,
+    #[serde(rename = "utilisation")]
+    utilization: f64,
 }
 
 #[derive(Serialize)]
@@ -39,7 +40,8 @@
     name: &'a str,
     #[serde(rename = "let_in")]
     admitted: f64,
-    in_time: f64,
+    #[serde(rename = "in_time")]
+    on_time: f64,
 }
 
 /// Solves the fleet that the settings describe and prints the plan.
@@ -52,7 +54,7 @@
     let solver = if simplex {
         Solver::Simplex
     } else {
-        Solver::Interior
+        Solver::InteriorPoint
     };
     match solve_fleet(&fleet, solver) {
         Ok((plan, gains)) => print_plan(&fleet, &plan, &gains, json),
@@ -63,20 +65,20 @@
 /// The plan with its weights limited to what hosts can handle, and the gain of one more host in each zone.
 fn solve_fleet(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
     let mut plan = solve(fleet, solver)?;
-    let host_limits = |host: &Host| Bears {
+    let host_limits = |host: &Host| HostCapacity {
         capacity: host.capacity(),
-        warm: host.warm >= 1.0,
+        warm: host.warm_fraction >= 1.0,
     };
-    plan.weights = guarded(
+    plan.weights = limit_warming_up(
         &fleet.hosts.iter().map(host_limits).collect::<Vec<_>>(),
         &plan.weights,
     );
     let gains = match fleet.hosts.first() {
-        Some(model) => one_more(
+        Some(model) => added_host_gains(
             fleet,
             &Host {
-                warm: 1.0,
-                taken: 0.0,
+                warm_fraction: 1.0,
+                other_work: 0.0,
                 ..model.clone()
             },
             solver,
@@ -98,26 +100,27 @@
             zone: zone(&group.zone),
             cores: group.cores,
             speed: group.speed,
-            connections: group.connections,
-            warm: group.warm,
-            taken: group.taken,
-            taken_age_s: group.taken_age.0.seconds(),
+            max_concurrent_requests: group.connections,
+            warm_fraction: group.warm,
+            other_work: group.taken,
+            other_work_age_s: group.taken_age.0.seconds(),
         })
     });
-    let kind = |kind: &pondarch_config::plan::PlanKind| Kind {
+    let class = |kind: &pondarch_config::plan::PlanKind| RequestClass {
         name: kind.name.clone(),
         work_s: kind.work.0.seconds(),
-        response_target_s: kind.response_target.0.seconds(),
+        latency_objective_s: kind.response_target.0.seconds(),
         benefit: kind.benefit,
     };
-    let kinds: Vec<Kind> = site.kinds.iter().map(kind).collect();
+    let classes: Vec<RequestClass> = site.kinds.iter().map(class).collect();
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
-        let rate = |zone: &String, kind: &Kind| demand.get(zone)?.get(&kind.name).copied();
+        let rate =
+            |zone: &String, class: &RequestClass| demand.get(zone)?.get(&class.name).copied();
         let zone_rates = |zone| {
-            kinds
+            classes
                 .iter()
-                .map(|kind| rate(zone, kind).unwrap_or(0.0))
+                .map(|class| rate(zone, class).unwrap_or(0.0))
                 .collect()
         };
         site.zones.iter().map(zone_rates).collect::<Vec<Vec<f64>>>()
@@ -149,45 +152,45 @@
         })
         .collect();
     if !site.demand.is_empty() || tables.is_empty() {
-        tables.push(Table::of_all(rates(&site.demand)));
+        tables.push(Table::of_all_hosts(rates(&site.demand)));
     }
     Fleet {
         tables,
         zones: site.zones.clone(),
         hosts,
-        kinds,
-        crossing: site.crossing_price,
+        classes,
+        crossing_price: site.crossing_price,
     }
 }
 
 fn print_plan(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
-    let figures = plan.weights.iter().zip(&plan.utilisation);
-    let host = |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| {
-        (host.name.clone(), *weight, *utilisation)
+    let figures = plan.weights.iter().zip(&plan.utilization);
+    let host = |(host, (weight, utilization)): (&'_ Host, (&f64, &f64))| {
+        (host.name.clone(), *weight, *utilization)
     };
     let hosts: Vec<(String, f64, f64)> = fleet.hosts.iter().zip(figures).map(host).collect();
     let output = PlanOutput {
         hosts: hosts
             .iter()
-            .map(|(name, weight, utilisation)| HostOutput {
+            .map(|(name, weight, utilization)| HostOutput {
                 name,
                 weight: *weight,
-                utilisation: *utilisation,
+                utilization: *utilization,
             })
             .collect(),
         classes: fleet
-            .kinds
+            .classes
             .iter()
-            .zip(plan.let_in.iter().zip(&plan.in_time))
-            .map(|(kind, (admitted, in_time))| ClassOutput {
-                name: &kind.name,
+            .zip(plan.admitted.iter().zip(&plan.on_time))
+            .map(|(class, (admitted, on_time))| ClassOutput {
+                name: &class.name,
                 admitted: *admitted,
-                in_time: *in_time,
+                on_time: *on_time,
             })
             .collect(),
-        benefit: plan.served,
-        cross_zone_work: plan.crossing,
-        low_headroom_hosts: &plan.little_room,
+        admitted_benefit: plan.admitted_benefit,
+        cross_zone_share: plan.cross_zone_share,
+        nearly_full: &plan.nearly_full,
         added_host_gains: fleet
             .zones
             .iter()
@@ -208,27 +211,27 @@
     for host in &output.hosts {
         println!(
             "{:<24}{:>9.3}{:>13.3}",
-            host.name, host.weight, host.utilisation
+            host.name, host.weight, host.utilization
         );
     }
     for class in &output.classes {
         println!(
             "let in, {:<16}{:>9.3}  of which in time {:.3}",
-            class.name, class.admitted, class.in_time
+            class.name, class.admitted, class.on_time
         );
     }
-    match output.benefit {
+    match output.admitted_benefit {
         Some(benefit) => println!("benefit let in{:>19.3}", benefit),
         None => println!("nothing is asked for: weights by capacity"),
     }
-    println!("work that crosses zones{:>10.3}", output.cross_zone_work);
+    println!("work that crosses zones{:>10.3}", output.cross_zone_share);
     println!(
         "hosts with little room: {} of {}",
-        output.low_headroom_hosts.len(),
+        output.nearly_full.len(),
         output.hosts.len()
     );
     output
-        .low_headroom_hosts
+        .nearly_full
         .iter()
         .for_each(|host| println!("  {host}"));
     for (zone, gain) in &output.added_host_gains {
--- a/crates/daemon-core/src/outcome_aggregator.rs
+++ b/crates/daemon-core/src/outcome_aggregator.rs
@@ -3,7 +3,7 @@
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId, Time};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -73,12 +73,12 @@
 
     /// Adds the counters of one proxy as of `at`, scaled by `fraction`. Those of several proxies are summed; their
     /// periods are the same.
-    pub(crate) fn record(&mut self, proxy: u16, counters: &Look, fraction: f64, at: Time) {
+    pub(crate) fn record(&mut self, proxy: u16, counters: &CounterDelta, fraction: f64, at: Time) {
         self.awaited.remove(&proxy);
         if fraction <= 0.0 {
             return;
         }
-        for (host, outcomes) in &counters.met {
+        for (host, outcomes) in &counters.outcomes {
             let outcomes = AttemptOutcomes {
                 attempts: outcomes.attempts * fraction,
                 failures: outcomes.failures * fraction,
--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -5,7 +5,7 @@
 use crate::state::{DaemonState, MAX_LOAD_REPORT_PERIODS};
 use pondarch_controller::DurationExt;
 use pondarch_controller::{AttemptOutcomes, HostId};
-use pondarch_load_ingestion::{Candidate, Purpose, age};
+use pondarch_load_ingestion::{Candidate, Purpose, decay};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
         let interval = self.report_interval;
         let stale = aggregated
             .iter()
-            .filter(|(_, outcomes)| now - outcomes.oldest_at >= age::STALE)
+            .filter(|(_, outcomes)| now - outcomes.oldest_at >= decay::MAX_AGE)
             .count();
         let mut aggregated: Vec<(HostId, AggregatedOutcomes)> = aggregated
             .into_iter()
-            .filter(|(_, outcomes)| now - outcomes.oldest_at < age::STALE)
+            .filter(|(_, outcomes)| now - outcomes.oldest_at < decay::MAX_AGE)
             .collect();
         let deferred = self.defer_beyond_budget(&mut aggregated);
         let max_age = aggregated
@@ -78,7 +78,7 @@
             .iter()
             .map(|(host, outcomes)| self.candidate(host, outcomes))
             .collect();
-        let chosen = self.selection.among(now, interval, &candidates, budget);
+        let chosen = self.selection.select(now, interval, &candidates, budget);
         let mut visited = 0;
         let not_chosen = |_: &mut (HostId, AggregatedOutcomes)| {
             visited += 1;
@@ -86,7 +86,7 @@
         };
         let deferred_outcomes: Vec<_> = aggregated.extract_if(.., not_chosen).collect();
         let deferred = deferred_outcomes.len();
-        let decay = age::faded(interval);
+        let decay = decay::remaining_weight(interval);
         for (host, aggregated) in deferred_outcomes {
             let outcomes = AttemptOutcomes {
                 attempts: aggregated.outcomes.attempts * decay,
@@ -129,39 +129,39 @@
     fn enforce_memory_limits(&mut self) {
         let report_bytes =
             self.outcomes.bytes() + self.pushed_reports.bytes() + self.loads.len() as u64 * 150;
-        if !self.memory.takes(Purpose::Reports, report_bytes) {
+        if !self.memory.set_bytes(Purpose::Reports, report_bytes) {
             let dropped = self
                 .pushed_reports
-                .drop_histories(report_bytes - Purpose::Reports.cap());
-            self.memory.capped(Purpose::Reports, dropped);
+                .drop_histories(report_bytes - Purpose::Reports.limit());
+            self.memory.add_rejections(Purpose::Reports, dropped);
         }
         let table_bytes = self.tables.bytes()
             + self
                 .peers
                 .iter()
-                .map(|peer| peer.session.bytes())
+                .map(|peer| peer.session.estimated_bytes())
                 .sum::<u64>();
-        if !self.memory.takes(Purpose::Tables, table_bytes) {
+        if !self.memory.set_bytes(Purpose::Tables, table_bytes) {
             let used = self
                 .peers
                 .iter()
                 .flat_map(|peer| peer.bindings.values().copied())
                 .collect();
             let dropped = self.tables.drop_unused(&used);
-            self.memory.capped(Purpose::Tables, dropped);
+            self.memory.add_rejections(Purpose::Tables, dropped);
         }
     }
 
     fn candidate(&self, host: &HostId, aggregated: &AggregatedOutcomes) -> Candidate {
         Candidate {
             host: host.clone(),
-            told: self
+            last_applied: self
                 .outcomes_applied_at
                 .get(host)
                 .copied()
                 .unwrap_or_default(),
-            tries: aggregated.outcomes.attempts,
-            errored: aggregated.outcomes.failures,
+            attempts: aggregated.outcomes.attempts,
+            failures: aggregated.outcomes.failures,
             changing: self.endpoints.is_warming_up(host, self.now)
                 || self.endpoints.must_drain(host),
         }
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -3,8 +3,8 @@
 //! proxy stops pushing, its counters are read again.
 
 use pondarch_controller::{DurationExt, Time};
-use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
-use pondarch_load_report_protocol::{Body, Counted, Report, SenderIs};
+use pondarch_load_ingestion::{Arrival, ClockOffset, ReportSequence, ReporterLiveness, decay};
+use pondarch_load_report_protocol::{ProxyCounters, Report, ReportBody, SenderRole};
 use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,15 +22,15 @@
 #[derive(Debug)]
 pub(crate) struct Sender {
     pub(crate) name: String,
-    pub(crate) role: SenderIs,
+    pub(crate) role: SenderRole,
     pub(crate) incarnation: u64,
 }
 
 /// What is known of a sender across its connections.
 #[derive(Debug, Default)]
 pub(crate) struct SenderHistory {
-    pub(crate) order: Order,
-    pub(crate) clocks: Clocks,
+    pub(crate) sequence: ReportSequence,
+    pub(crate) clock_offset: ClockOffset,
     /// The latest connection under this name.
     pub(crate) connection: u64,
     /// Requests, and attempts that ended, by backend and server, as of the latest accepted report.
@@ -82,7 +82,7 @@
     pub(crate) senders: BTreeMap<u64, Sender>,
     /// By name of the sender. Bounded, as only names of the settings and of the endpoint list are accepted.
     pub(crate) histories: BTreeMap<String, SenderHistory>,
-    pub(crate) silence: Silence,
+    pub(crate) liveness: ReporterLiveness,
     pub(crate) counters: ReportCounters,
 }
 
@@ -110,32 +110,32 @@
         let history = self.histories.entry(name.to_string()).or_default();
         let counters = &mut self.counters;
         counters.received += 1;
-        match history.order.came(incarnation, report.number) {
-            Verdict::Newest { missing } => counters.missing += missing,
-            Verdict::Restarted => {
+        match history.sequence.on_report(incarnation, report.number) {
+            Arrival::Newest { missing } => counters.missing += missing,
+            Arrival::Restarted => {
                 counters.restarted += 1;
                 history.last_counts.clear();
             }
-            Verdict::Late => {
+            Arrival::Late => {
                 counters.late += 1;
                 return None;
             }
-            Verdict::Doubled => {
+            Arrival::Duplicate => {
                 counters.duplicate += 1;
                 return None;
             }
         }
-        let echo = (report.word_us > 0).then(|| {
+        let echo = (report.echo_us > 0).then(|| {
             (
-                Time::from_micros(report.word_us),
-                Duration::from_micros(report.had_us.min(86_400_000_000)),
+                Time::from_micros(report.echo_us),
+                Duration::from_micros(report.echo_delay_us.min(86_400_000_000)),
             )
         });
-        let mapped_time = history.clocks.came(now, report.sent_us, echo);
-        if mapped_time.jumped {
+        let send_time = history.clock_offset.on_report(now, report.sent_us, echo);
+        if send_time.clock_jumped {
             counters.clock_jumps += 1;
         }
-        let sent_at = mapped_time.sent();
+        let sent_at = send_time.sent_at();
         let elapsed = sent_at
             .map_or(Duration::ZERO, |sent| sent - history.last_at)
             .max(Duration::from_millis(100));
@@ -146,7 +146,7 @@
         }
         history.last_at = sent_at.unwrap_or(history.last_at);
         // A report whose time of sending is not known counts as stale: it only updates the counters.
-        let fresh = sent_at.is_some_and(|sent| now - sent < age::STALE);
+        let fresh = sent_at.is_some_and(|sent| now - sent < decay::MAX_AGE);
         if !fresh {
             counters.stale += 1;
         }
@@ -183,11 +183,11 @@
 }
 
 /// The row of `show stat` that has these counters.
-pub(crate) fn stat_row(counted: Counted) -> StatRow {
+pub(crate) fn stat_row(counted: ProxyCounters) -> StatRow {
     let sums = Sums {
-        done: counted.done,
-        errored: counted.errored,
-        done_time: Duration::from_micros(counted.done_us),
+        done: counted.succeeded,
+        errored: counted.failed,
+        done_time: Duration::from_micros(counted.success_time_us),
     };
     StatRow {
         of: if counted.server.is_some() {
@@ -197,29 +197,33 @@
         },
         backend: counted.backend,
         server: counted.server.unwrap_or_else(|| "BACKEND".into()),
-        total: counted.done.saturating_add(counted.errored),
-        reqs: counted.reqs,
+        total: counted.succeeded.saturating_add(counted.failed),
+        reqs: counted.requests,
         sums: Some(sums),
-        busy: counted.busy,
-        waiting: counted.waiting,
+        busy: counted.utilization,
+        waiting: counted.queue_length,
         ..StatRow::default()
     }
 }
 
 /// The first implausible figure of a report, if there is one: a report is accepted whole or not at all. `elapsed_s` is
 /// the time since the previous report.
-fn implausible_figure(body: &Body, history: &mut SenderHistory, elapsed_s: f64) -> Option<String> {
+fn implausible_figure(
+    body: &ReportBody,
+    history: &mut SenderHistory,
+    elapsed_s: f64,
+) -> Option<String> {
     let check = |name: &str, figure: Option<f64>, max: f64| {
         let implausible = figure.filter(|figure| !(0.0..=max).contains(figure))?;
         Some(format!("{name} of {implausible}"))
     };
-    if let Some(own) = &body.own {
+    if let Some(own) = &body.host_metrics {
         let figures = [
-            ("busy", own.busy, MAX_UTILIZATION),
-            ("waiting", own.waiting, MAX_QUEUE_LENGTH),
-            ("service_ms", own.service_ms, 3.6e6),
-            ("rate", own.rate, MAX_COUNT_RATE),
-            ("errored_rate", own.errored_rate, MAX_COUNT_RATE),
+            ("busy", own.utilization, MAX_UTILIZATION),
+            ("waiting", own.queue_length, MAX_QUEUE_LENGTH),
+            ("service_ms", own.service_time_ms, 3.6e6),
+            ("rate", own.request_rate, MAX_COUNT_RATE),
+            ("errored_rate", own.failure_rate, MAX_COUNT_RATE),
         ];
         if let Some(implausible) = figures
             .into_iter()
@@ -229,15 +233,18 @@
         }
     }
     let mut counts = BTreeMap::new();
-    for counted in &body.counted {
-        let load = check("busy", counted.busy, MAX_UTILIZATION)
-            .or_else(|| check("waiting", counted.waiting, MAX_QUEUE_LENGTH));
+    for counted in &body.counters {
+        let load = check("busy", counted.utilization, MAX_UTILIZATION)
+            .or_else(|| check("waiting", counted.queue_length, MAX_QUEUE_LENGTH));
         let place = counted.server.as_deref().unwrap_or("the backend");
         if let Some(implausible) = load {
             return Some(format!("{}/{place}: {implausible}", counted.backend));
         }
         let key = (counted.backend.clone(), counted.server.clone());
-        let current = (counted.reqs, counted.done.saturating_add(counted.errored));
+        let current = (
+            counted.requests,
+            counted.succeeded.saturating_add(counted.failed),
+        );
         if let Some(previous) = history.last_counts.get(&key) {
             let increase = current
                 .0
--- a/crates/daemon-core/src/recovery.rs
+++ b/crates/daemon-core/src/recovery.rs
@@ -60,7 +60,7 @@
             let mut holding_proxies = Vec::new();
             let mut unknown_proxies = 0;
             for peer in self.peers.iter().filter(|peer| peer.has_runtime()) {
-                match peer.session.holds(id) {
+                match peer.session.may_select(id) {
                     Some(true) => holding_proxies.push(peer.name.as_str()),
                     Some(false) => {}
                     None => unknown_proxies += 1,
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -7,9 +7,9 @@
 use crate::state::DaemonState;
 use crate::time::unix_micros;
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
-use pondarch_load_ingestion::age;
-use pondarch_load_report_protocol::{Counted, Report, SenderIs};
-use pondarch_proxy_session::sums::Look;
+use pondarch_load_ingestion::decay;
+use pondarch_load_report_protocol::{ProxyCounters, Report, SenderRole};
+use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
         &mut self,
         connection: u64,
         name: String,
-        role: SenderIs,
+        role: SenderRole,
         incarnation: u64,
     ) {
         if let Some(reason) = self.sender_rejection(&name, role) {
@@ -58,9 +58,9 @@
     }
 
     /// Why a sender of this name is rejected; none: it is accepted.
-    fn sender_rejection(&self, name: &str, role: SenderIs) -> Option<&'static str> {
+    fn sender_rejection(&self, name: &str, role: SenderRole) -> Option<&'static str> {
         match role {
-            SenderIs::Proxy
+            SenderRole::Proxy
                 if !self
                     .peers
                     .iter()
@@ -68,7 +68,7 @@
             {
                 Some("no proxy of this steward has that name")
             }
-            SenderIs::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
+            SenderRole::Host if !self.endpoints.hosts.contains_key(&HostId(name.into())) => {
                 Some("no host of the list has that name")
             }
             _ => None,
@@ -104,20 +104,21 @@
             return;
         };
         match role {
-            SenderIs::Host => {
-                if let (Some(own), Some(sent_at), true) = (report.body.own, sent_at, fresh) {
+            SenderRole::Host => {
+                if let (Some(own), Some(sent_at), true) = (report.body.host_metrics, sent_at, fresh)
+                {
                     let load = ReportedLoad {
-                        utilization: own.busy,
-                        queue_length: own.waiting,
-                        service_time_ms: own.service_ms,
-                        request_rate: own.rate,
-                        failure_rate: own.errored_rate,
+                        utilization: own.utilization,
+                        queue_length: own.queue_length,
+                        service_time_ms: own.service_time_ms,
+                        request_rate: own.request_rate,
+                        failure_rate: own.failure_rate,
                     };
                     self.loads
                         .insert(HostId(name.as_str().into()), (sent_at, load));
                 }
             }
-            SenderIs::Proxy => self.on_proxy_report(&name, sent_at, fresh, report.body.counted),
+            SenderRole::Proxy => self.on_proxy_report(&name, sent_at, fresh, report.body.counters),
         }
     }
 
@@ -125,15 +126,15 @@
         // Rows of hosts that are not listed are of no use, and storing them would let a sender grow the state without
         // limit.
         let hosts = &self.endpoints.hosts;
-        let is_listed = |counted: &Counted| {
+        let is_listed = |counted: &ProxyCounters| {
             counted
                 .server
                 .as_ref()
                 .is_none_or(|host| hosts.contains_key(&HostId(host.as_str().into())))
         };
-        let before = report.body.counted.len();
-        report.body.counted.retain(is_listed);
-        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counted.len()) as u64;
+        let before = report.body.counters.len();
+        report.body.counters.retain(is_listed);
+        self.pushed_reports.counters.unlisted_hosts += (before - report.body.counters.len()) as u64;
     }
 
     fn on_proxy_report(
@@ -141,7 +142,7 @@
         name: &str,
         sent_at: Option<Time>,
         fresh: bool,
-        counted: Vec<Counted>,
+        counted: Vec<ProxyCounters>,
     ) {
         let now = self.now;
         let Some(peer) = self
@@ -154,28 +155,32 @@
         let id = peer.id;
         let at = sent_at.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(stat_row).collect();
-        let Some(counters) = peer.session.counted(at, &rows) else {
+        let Some(counters) = peer.session.record_pushed_counters(at, &rows) else {
             return;
         };
-        self.pushed_reports.silence.heard(now, id);
+        self.pushed_reports.liveness.on_report(now, id);
         if fresh {
             self.record_counters(id, counters, at);
         }
     }
 
     /// Records the counters of a proxy as of `at`, pushed or read.
-    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
+    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: CounterDelta, at: Time) {
         let now = self.now;
-        for &(class, requests) in &counters.reqs {
+        for &(class, requests) in &counters.requests {
             self.controller
-                .record_arrivals(now, id, class, requests, counters.over);
-            self.record_requests(id.0, class, requests, counters.over);
+                .record_arrivals(now, id, class, requests, counters.period);
+            self.record_requests(id.0, class, requests, counters.period);
         }
         if let Some(planner) = &mut self.weight_planner {
             planner.record(&counters);
         }
-        self.outcomes
-            .record(id.0, &counters, age::counts(now - at, counters.over), at);
+        self.outcomes.record(
+            id.0,
+            &counters,
+            decay::relative_weight(now - at, counters.period),
+            at,
+        );
         self.loads.extend(
             counters
                 .loads
@@ -189,8 +194,8 @@
         self.pushed_reports.enabled
             && self
                 .pushed_reports
-                .silence
-                .speaks(self.now, self.report_interval, id)
+                .liveness
+                .is_reporting(self.now, self.report_interval, id)
     }
 
     /// Hosts that cannot be observed because the proxies that use them are silent, each with empty outcomes.
@@ -198,7 +203,7 @@
         if !self.pushed_reports.enabled
             || self
                 .pushed_reports
-                .silence
+                .liveness
                 .silent(self.now, self.report_interval)
                 .is_empty()
         {
@@ -221,10 +226,11 @@
                 )
             });
         let hosts_by_proxy = hosts_by_proxy.collect();
-        let excused =
-            self.pushed_reports
-                .silence
-                .excused(self.now, self.report_interval, &hosts_by_proxy);
+        let excused = self.pushed_reports.liveness.unobservable_hosts(
+            self.now,
+            self.report_interval,
+            &hosts_by_proxy,
+        );
         let no_attempts = AttemptOutcomes {
             period: self.report_interval,
             ..AttemptOutcomes::default()
--- a/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/rejected.rs
@@ -12,19 +12,19 @@
     fleet.run(1_000);
     for (n, busy) in [-1.0, f64::NAN, 1e300, 40.0].into_iter().enumerate() {
         let mut body = report_body(&fleet.proxies[0].state);
-        body.counted
+        body.counters
             .iter_mut()
             .take(1)
-            .for_each(|counted| counted.busy = Some(busy));
+            .for_each(|counted| counted.utilization = Some(busy));
         let report = sender.report(&fleet, body);
         sender.send(&mut fleet, report);
         assert_eq!(fleet.info("ReportsRefused"), n as u64 + 1);
     }
     let mut implausible = report_body(&fleet.proxies[0].state);
     implausible
-        .counted
+        .counters
         .iter_mut()
-        .for_each(|counted| counted.done = u64::MAX);
+        .for_each(|counted| counted.succeeded = u64::MAX);
     let report = sender.report(&fleet, implausible);
     sender.send(&mut fleet, report);
     assert_eq!(fleet.info("ReportsRefused"), 5);
@@ -37,19 +37,19 @@
     );
     let mut host = ReportSender {
         name: "host-3".into(),
-        role: SenderIs::Host,
+        role: SenderRole::Host,
         ..ReportSender::proxy(50, 0)
     };
     host.connect(&mut fleet);
-    let own = Own {
-        rate: Some(1e9),
-        ..Own::default()
+    let own = HostMetrics {
+        request_rate: Some(1e9),
+        ..HostMetrics::default()
     };
     let report = host.report(
         &fleet,
-        Body {
-            own: Some(own),
-            counted: Vec::new(),
+        ReportBody {
+            host_metrics: Some(own),
+            counters: Vec::new(),
         },
     );
     host.send(&mut fleet, report);
@@ -62,9 +62,9 @@
     let before = fleet.command(1, "show memory");
     for n in 0..100_000u64 {
         let role = if n % 2 == 0 {
-            SenderIs::Proxy
+            SenderRole::Proxy
         } else {
-            SenderIs::Host
+            SenderRole::Host
         };
         fleet.apply(Input::SenderConnected {
             connection: 1_000 + n,
@@ -103,11 +103,11 @@
     for batch in 0..20 {
         fleet.run(1_000);
         let mut body = report_body(&fleet.proxies[0].state);
-        body.counted.extend((0..5_000).map(|n| Counted {
+        body.counters.extend((0..5_000).map(|n| ProxyCounters {
             backend: "proof".into(),
             server: Some(format!("made-up-{batch}-{n}")),
-            done: 3,
-            ..Counted::default()
+            succeeded: 3,
+            ..ProxyCounters::default()
         }));
         let report = sender.report(&fleet, body);
         sender.send(&mut fleet, report);
