--- a/crates/cli/tests/daemon.rs
+++ b/crates/cli/tests/daemon.rs
@@ -37,7 +37,7 @@
             runtime_api: [{ listen: 'unix:admin.sock', level: 'admin' }, { listen: 'unix:user.sock', level: 'user' }],
         }";
         std::fs::write(folder.path().join("site.jsonnet"), site)
-            .expect("cannot read or write the settings");
+            .expect("cannot write the settings");
         std::fs::write(folder.path().join("hosts.jsonnet"), HOSTS)
             .expect("cannot write the host list");
         let child = Command::new(env!("CARGO_BIN_EXE_pondarch"))
@@ -257,9 +257,9 @@
     );
     let bad = daemon.path("bad.jsonnet");
     let text = std::fs::read_to_string(&site)
-        .expect("cannot read or write the settings")
+        .expect("cannot read the settings")
         .replace("'18 s'", "'18'");
-    std::fs::write(&bad, text).expect("cannot read or write the settings");
+    std::fs::write(&bad, text).expect("cannot write the settings");
     for command in ["check", "run"] {
         let output = pondarch(&[command, &bad.display().to_string()]);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/dns.rs
@@ -51,7 +51,7 @@
             runtime_api: [{{ listen: 'unix:admin.sock', level: 'admin' }}] }}"
         );
         std::fs::write(folder.path().join("site.jsonnet"), settings)
-            .expect("cannot read or write the settings");
+            .expect("cannot write the settings");
         let mut daemon = Daemon {
             folder,
             dns,
@@ -229,11 +229,14 @@
 #[test]
 fn a_grace_too_short_for_any_ttl_is_rejected() {
     let daemon = Daemon::start();
-    let site = std::fs::read_to_string(daemon.path("site.jsonnet"))
-        .expect("cannot read or write the settings");
-    let invalid_file = daemon.path("wrong.jsonnet");
-    std::fs::write(&invalid_file, site.replace("grace: '4 s'", "grace: '2 s'"))
-        .expect("cannot read or write the settings");
+    let site =
+        std::fs::read_to_string(daemon.path("site.jsonnet")).expect("cannot read the settings");
+    let invalid_settings = daemon.path("wrong.jsonnet");
+    std::fs::write(
+        &invalid_settings,
+        site.replace("grace: '4 s'", "grace: '2 s'"),
+    )
+    .expect("cannot write the settings");
     let check = |file: &Path| {
         let output = Command::new(env!("CARGO_BIN_EXE_pondarch"))
             .arg("check")
@@ -245,15 +248,15 @@
             String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let (code, text) = check(&invalid_file);
+    let (code, text) = check(&invalid_settings);
     assert_eq!(code, Some(2));
     assert!(
         text.contains("dns.grace") && text.contains("with 2500 ms it would"),
         "{text}"
     );
-    std::fs::write(&invalid_file, site.replace("dns:", "// dns:"))
-        .expect("cannot read or write the settings");
-    let (code, text) = check(&invalid_file);
+    std::fs::write(&invalid_settings, site.replace("dns:", "// dns:"))
+        .expect("cannot write the settings");
+    let (code, text) = check(&invalid_settings);
     assert!(
         code == Some(2) && text.contains("is absent, and there is no dns"),
         "{text}"
--- a/crates/cli/tests/platform/channel.rs
+++ b/crates/cli/tests/platform/channel.rs
@@ -64,7 +64,7 @@
     })
 }
 
-/// Reports, twice a second, attempts at all hosts that are in proxies' tables, and the proxies' requests. A fifth of the
+/// Reports, every 0.5 s, attempts at all hosts that are in proxies' tables, and the proxies' requests. A fifth of the
 /// hosts fails all attempts and an eighth of the proxies has most of the requests; which ones changes every two seconds,
 /// so that weights have to change all the time.
 fn report_until(stop: &AtomicBool, controller: &ControllerProcess, relay: &ChannelRelay) {
--- a/crates/cli/tests/platform/channel_relay.rs
+++ b/crates/cli/tests/platform/channel_relay.rs
@@ -23,7 +23,7 @@
 }
 
 impl ChannelRelay {
-    /// Starts a relay with a channel of `rate` lines a second and this number of joined proxies.
+    /// Starts a relay with a channel of `rate` lines per second and this number of joined proxies.
     pub(crate) fn start(rate: f64, proxies: u16) -> ChannelRelay {
         let (listener, address) = bind_listener();
         let state = Arc::new(Mutex::new(State::new(rate, proxies)));
@@ -151,7 +151,7 @@
     for line in reader.lines() {
         let call: Value = serde_json::from_str(&line.ok()?).expect("the line is not JSON");
         if call["method"] == "relay.watch" {
-            watch(&stream, state)?;
+            serve_membership_watch(&stream, state)?;
             continue;
         }
         let changes = call["params"]["changes"]
@@ -177,7 +177,7 @@
 }
 
 /// Sends the joined proxies on a connection, and all membership events from now on.
-fn watch(stream: &TcpStream, state: &Mutex<State>) -> Option<()> {
+fn serve_membership_watch(stream: &TcpStream, state: &Mutex<State>) -> Option<()> {
     let mut watcher = stream.try_clone().ok()?;
     let mut ping_stream = stream.try_clone().ok()?;
     let mut state = state.lock().expect("a thread panicked");
--- a/crates/cli/tests/platform/reload.rs
+++ b/crates/cli/tests/platform/reload.rs
@@ -6,8 +6,8 @@
 };
 use crate::scripted_peers::*;
 
-/// Two reloads before the new registry and relay answer. A controller that drops its working connections at the second
-/// reload is left without any until a new one answers.
+/// Two reloads before a new registry and relay answer: the second reload dropped the working connections together with the
+/// first pair of new ones, and there was no working connection until a new one answered.
 #[test]
 fn working_connections_are_kept_until_new_ones_are_ready() {
     let mut fixture = ControllerFixture::start(4);
@@ -64,7 +64,7 @@
         fixture.relay.accept_calls_until(&host_removal(3)),
         fixture.update_connection
     );
-    // It is ready once it has listed the joined proxies.
+    // The new relay becomes ready only when it has listed the joined proxies.
     let calls = relay.unclaimed_line_count("relay.apply");
     assert_eq!(calls, 0, "a call was sent to the relay that is not ready");
     fixture.controller.terminate();
--- a/crates/cli/tests/platform/scripted_peers.rs
+++ b/crates/cli/tests/platform/scripted_peers.rs
@@ -1,4 +1,4 @@
-//! Relays and registries on loopback that follow a fixed script, and helpers for reader and writing their messages.
+//! Relays and registries on loopback that follow a fixed script, and helpers for reading and writing their messages.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -145,7 +145,7 @@
     std::fs::rename(&path, &pipe_path).expect("cannot rename");
     writer
         .write_all(text.as_bytes())
-        .expect("the controller still reads");
+        .expect("the controller no longer reads the pipe");
     drop(writer);
     wait_for(&calls, "\"verb\":\"bind\"");
     let log = controller.terminate();
--- a/crates/cli/tests/platform/warming_load.rs
+++ b/crates/cli/tests/platform/warming_load.rs
@@ -84,12 +84,13 @@
     }
 }
 
+/// Measures the load of warming hosts against the rule.
 pub(crate) struct WarmingLoad {
     rule: WarmingRule,
     warming: BTreeMap<String, Warming>,
     samples: BTreeMap<String, VecDeque<Sample>>,
-    sampled: Instant,
-    /// Until then the rule's time limit waits.
+    last_sample: Instant,
+    /// Grace periods start at this time at the earliest.
     grace_from: Instant,
     pub worst: WorstLoad,
 }
@@ -100,7 +101,7 @@
             rule,
             warming: BTreeMap::new(),
             samples: BTreeMap::new(),
-            sampled: Instant::now(),
+            last_sample: Instant::now(),
             grace_from: Instant::now(),
             worst: WorstLoad::default(),
         }
@@ -133,8 +134,8 @@
     /// Adds the load since the last sample: each proxy sends `rate` requests per second, distributed by its weights.
     pub(crate) fn sample(&mut self, relay: &ChannelRelay, rate: impl Fn(u16) -> f64) {
         let now = Instant::now();
-        let elapsed = (now - self.sampled).as_secs_f64();
-        self.sampled = now;
+        let elapsed = (now - self.last_sample).as_secs_f64();
+        self.last_sample = now;
         let tables = relay.applied_tables();
         let rule = self.rule;
         let grace_from = self.grace_from;
@@ -151,13 +152,13 @@
             while now - samples[0].at > OVERLOAD_SPAN {
                 samples.pop_front();
             }
-            let sum = |of: fn(&Sample) -> f64| samples.iter().map(of).sum::<f64>();
+            let sum = |value: fn(&Sample) -> f64| samples.iter().map(value).sum::<f64>();
             let load = sum(|sample| sample.load);
             let multiple = load / sum(|sample| sample.capacity).max(1e-9);
             let is_informed = sum(|sample| sample.informed_load) >= load * INFORMED_SHARE;
             // The rule is on whole spans: a shorter one does not count yet.
-            let is_whole = now - samples[0].at > OVERLOAD_SPAN.mul_f64(0.9);
-            if is_informed && is_whole && multiple > self.worst.multiple {
+            let is_full_span = now - samples[0].at > OVERLOAD_SPAN.mul_f64(0.9);
+            if is_informed && is_full_span && multiple > self.worst.multiple {
                 self.worst = WorstLoad {
                     host: host.clone(),
                     multiple,
--- a/crates/cli/tests/platform/warming_soak.rs
+++ b/crates/cli/tests/platform/warming_soak.rs
@@ -72,7 +72,7 @@
     random: Rng,
     proxies: u16,
     /// Hosts that have not restarted yet.
-    untouched: Vec<usize>,
+    not_restarted: Vec<usize>,
     /// Hosts that drain, with the time at which they return.
     draining: Vec<(f64, usize)>,
     /// Proxies that have left.
@@ -84,13 +84,13 @@
     fn new(seed: u64) -> Soak {
         let mut random = Rng::with_seed(seed);
         let proxies = [8, 30, 60][random.usize(0..3)];
-        let mut untouched: Vec<usize> = (0..HOSTS).collect();
-        random.shuffle(&mut untouched);
+        let mut not_restarted: Vec<usize> = (0..HOSTS).collect();
+        random.shuffle(&mut not_restarted);
         Soak {
             fleet: WarmingFleet::start(proxies),
             random,
             proxies,
-            untouched,
+            not_restarted,
             draining: Vec::new(),
             away: Vec::new(),
             faults: Vec::new(),
@@ -179,9 +179,9 @@
     }
 
     fn restart_hosts(&mut self, count: usize) {
-        let restarted = HOSTS - self.untouched.len();
+        let restarted = HOSTS - self.not_restarted.len();
         let count = count.min(MAX_RESTARTS.saturating_sub(restarted));
-        let hosts: Vec<usize> = self.untouched.drain(..count).collect();
+        let hosts: Vec<usize> = self.not_restarted.drain(..count).collect();
         if !hosts.is_empty() {
             self.note(&format!("restart of {hosts:?}"));
             self.fleet.restart_hosts(&hosts);
@@ -189,8 +189,8 @@
     }
 
     fn drain_a_host(&mut self, at: f64) {
-        if HOSTS - self.untouched.len() < MAX_RESTARTS {
-            let host = self.untouched.remove(0);
+        if HOSTS - self.not_restarted.len() < MAX_RESTARTS {
+            let host = self.not_restarted.remove(0);
             self.note(&format!("drain of {host}"));
             self.fleet.drain_hosts(&[host]);
             let away = 1.0 + 3.0 * self.random.f64();
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -38,7 +38,7 @@
             proxies.join(", ")
         );
         std::fs::write(folder.path().join("site.jsonnet"), settings)
-            .expect("cannot read or write the settings");
+            .expect("cannot write the settings");
         let mut site = Site {
             folder,
             child: None,
