--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,6 +1,6 @@
-//! `pondarch plan`: weights for a described fleet, and what bounds it.
+//! `pondarch plan`: solves the weights for a described fleet and prints them with the limits of the fleet.
 
-use crate::failed;
+use crate::report_error;
 use pondarch_config::{PlanSite, read_plan};
 use pondarch_controller::DurationExt;
 use pondarch_weight_solver::guard::{HostCapacity, limit_warming_up};
@@ -12,64 +12,74 @@
 use std::process::ExitCode;
 
 #[derive(Serialize)]
-struct Printed<'a> {
-    hosts: Vec<PrintedHost<'a>>,
-    kinds: Vec<PrintedKind<'a>>,
-    served: Option<f64>,
-    crossing: f64,
-    little_room: &'a [String],
-    /// Benefit a second that one more host of the first kind of host would bring, by zone.
-    one_more: Vec<(&'a str, f64)>,
+struct PlanOutput<'a> {
+    hosts: Vec<HostOutput<'a>>,
+    #[serde(rename = "kinds")]
+    classes: Vec<ClassOutput<'a>>,
+    #[serde(rename = "served")]
+    admitted_benefit: Option<f64>,
+    #[serde(rename = "crossing")]
+    cross_zone_share: f64,
+    #[serde(rename = "little_room")]
+    nearly_full: &'a [String],
+    /// The additional benefit per second of one more host like the first one, by zone.
+    #[serde(rename = "one_more")]
+    added_host_gains: Vec<(&'a str, f64)>,
 }
 
 #[derive(Serialize)]
-struct PrintedHost<'a> {
+struct HostOutput<'a> {
     name: &'a str,
     weight: f64,
-    utilisation: f64,
+    #[serde(rename = "utilisation")]
+    utilization: f64,
 }
 
 #[derive(Serialize)]
-struct PrintedKind<'a> {
+struct ClassOutput<'a> {
     name: &'a str,
-    let_in: f64,
-    in_time: f64,
+    #[serde(rename = "let_in")]
+    admitted: f64,
+    #[serde(rename = "in_time")]
+    on_time: f64,
 }
 
+/// Solves the fleet that the settings describe and prints the plan.
 pub(crate) fn plan(settings: &Path, simplex: bool, json: bool) -> ExitCode {
     let site = match read_plan(settings) {
         Ok(site) => site,
-        Err(wrong) => return failed(&wrong.to_string()),
+        Err(error) => return report_error(&error.to_string()),
     };
-    let fleet = fleet(&site);
+    let fleet = build_fleet(&site);
     let solver = if simplex {
         Solver::Simplex
     } else {
         Solver::InteriorPoint
     };
-    match solved(&fleet, solver) {
-        Ok((plan, gains)) => print(&fleet, &plan, &gains, json),
-        Err(wrong) => failed(&format!("{}: {wrong}", settings.display())),
+    match solve_fleet(&fleet, solver) {
+        Ok((plan, gains)) => print_plan(&fleet, &plan, &gains, json),
+        Err(error) => report_error(&format!("{}: {error}", settings.display())),
     }
 }
 
-fn solved(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
+/// The plan with its weights limited to what hosts can handle, and the gain of one more host in each zone.
+fn solve_fleet(fleet: &Fleet, solver: Solver) -> Result<(Plan, Vec<f64>), SolveError> {
     let mut plan = solve(fleet, solver)?;
-    let bears = |host: &Host| HostCapacity {
+    let host_limits = |host: &Host| HostCapacity {
         capacity: host.capacity(),
         warm: host.warm_fraction >= 1.0,
     };
     plan.weights = limit_warming_up(
-        &fleet.hosts.iter().map(bears).collect::<Vec<_>>(),
+        &fleet.hosts.iter().map(host_limits).collect::<Vec<_>>(),
         &plan.weights,
     );
     let gains = match fleet.hosts.first() {
-        Some(make) => added_host_gains(
+        Some(model) => added_host_gains(
             fleet,
             &Host {
                 warm_fraction: 1.0,
                 other_work: 0.0,
-                ..make.clone()
+                ..model.clone()
             },
             solver,
         )?,
@@ -78,53 +88,58 @@
     Ok((plan, gains))
 }
 
-fn fleet(site: &PlanSite) -> Fleet {
+fn build_fleet(site: &PlanSite) -> Fleet {
     let zone = |name: &String| site.zones.iter().position(|zone| zone == name).unwrap_or(0);
-    let hosts = site.hosts.iter().flat_map(|of| {
-        (0..of.count).map(move |n| Host {
-            name: if of.count == 1 {
-                of.name.clone()
+    let hosts = site.hosts.iter().flat_map(|group| {
+        (0..group.count).map(move |n| Host {
+            name: if group.count == 1 {
+                group.name.clone()
             } else {
-                format!("{}-{n}", of.name)
+                format!("{}-{n}", group.name)
             },
-            zone: zone(&of.zone),
-            cores: of.cores,
-            speed: of.speed,
-            max_concurrent_requests: of.connections,
-            warm_fraction: of.warm,
-            other_work: of.taken,
-            other_work_age_s: of.taken_age.0.seconds(),
+            zone: zone(&group.zone),
+            cores: group.cores,
+            speed: group.speed,
+            max_concurrent_requests: group.connections,
+            warm_fraction: group.warm,
+            other_work: group.taken,
+            other_work_age_s: group.taken_age.0.seconds(),
         })
     });
-    let kind = |kind: &pondarch_config::plan::PlanKind| RequestClass {
+    let class = |kind: &pondarch_config::plan::PlanKind| RequestClass {
         name: kind.name.clone(),
         work_s: kind.work.0.seconds(),
         latency_objective_s: kind.response_target.0.seconds(),
         benefit: kind.benefit,
     };
-    let kinds: Vec<RequestClass> = site.kinds.iter().map(kind).collect();
+    let classes: Vec<RequestClass> = site.kinds.iter().map(class).collect();
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
-        let rate = |zone: &String, kind: &RequestClass| demand.get(zone)?.get(&kind.name).copied();
-        let of_zone = |zone| {
-            kinds
+        let rate =
+            |zone: &String, class: &RequestClass| demand.get(zone)?.get(&class.name).copied();
+        let zone_rates = |zone| {
+            classes
                 .iter()
-                .map(|kind| rate(zone, kind).unwrap_or(0.0))
+                .map(|class| rate(zone, class).unwrap_or(0.0))
                 .collect()
         };
-        site.zones.iter().map(of_zone).collect::<Vec<Vec<f64>>>()
+        site.zones.iter().map(zone_rates).collect::<Vec<Vec<f64>>>()
     };
-    // The hosts of a table by the names in the settings, which may stand for several alike.
-    let named = |name: &String, host: &Host| {
-        host.name == *name || host.name.rsplit_once('-').is_some_and(|(of, _)| of == name)
+    // A table lists hosts by their names in the settings; such a name may stand for several identical hosts.
+    let has_name = |name: &String, host: &Host| {
+        host.name == *name
+            || host
+                .name
+                .rsplit_once('-')
+                .is_some_and(|(base, _)| base == name)
     };
-    let places = |names: &Vec<String>| {
-        let of = |host: &Host| names.iter().any(|name| named(name, host));
+    let host_indices = |names: &Vec<String>| {
+        let is_listed = |host: &Host| names.iter().any(|name| has_name(name, host));
         hosts
             .iter()
             .enumerate()
-            .filter(|(_, host)| of(host))
-            .map(|(place, _)| place)
+            .filter(|(_, host)| is_listed(host))
+            .map(|(index, _)| index)
             .collect::<Vec<_>>()
     };
     let mut tables: Vec<Table> = site
@@ -132,7 +147,7 @@
         .iter()
         .map(|(name, table)| Table {
             name: name.clone(),
-            hosts: Some(places(&table.hosts)),
+            hosts: Some(host_indices(&table.hosts)),
             rates: rates(&table.demand),
         })
         .collect();
@@ -143,40 +158,40 @@
         tables,
         zones: site.zones.clone(),
         hosts,
-        classes: kinds,
+        classes,
         crossing_price: site.crossing_price,
     }
 }
 
-fn print(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
+fn print_plan(fleet: &Fleet, plan: &Plan, gains: &[f64], json: bool) -> ExitCode {
     let figures = plan.weights.iter().zip(&plan.utilization);
-    let host = |(host, (weight, utilisation)): (&'_ Host, (&f64, &f64))| {
-        (host.name.clone(), *weight, *utilisation)
+    let host = |(host, (weight, utilization)): (&'_ Host, (&f64, &f64))| {
+        (host.name.clone(), *weight, *utilization)
     };
     let hosts: Vec<(String, f64, f64)> = fleet.hosts.iter().zip(figures).map(host).collect();
-    let printed = Printed {
+    let output = PlanOutput {
         hosts: hosts
             .iter()
-            .map(|(name, weight, utilisation)| PrintedHost {
+            .map(|(name, weight, utilization)| HostOutput {
                 name,
                 weight: *weight,
-                utilisation: *utilisation,
+                utilization: *utilization,
             })
             .collect(),
-        kinds: fleet
+        classes: fleet
             .classes
             .iter()
             .zip(plan.admitted.iter().zip(&plan.on_time))
-            .map(|(k, (let_in, in_time))| PrintedKind {
-                name: &k.name,
-                let_in: *let_in,
-                in_time: *in_time,
+            .map(|(class, (admitted, on_time))| ClassOutput {
+                name: &class.name,
+                admitted: *admitted,
+                on_time: *on_time,
             })
             .collect(),
-        served: plan.admitted_benefit,
-        crossing: plan.cross_zone_share,
-        little_room: &plan.nearly_full,
-        one_more: fleet
+        admitted_benefit: plan.admitted_benefit,
+        cross_zone_share: plan.cross_zone_share,
+        nearly_full: &plan.nearly_full,
+        added_host_gains: fleet
             .zones
             .iter()
             .map(String::as_str)
@@ -184,42 +199,42 @@
             .collect(),
     };
     if json {
-        return match serde_json::to_string_pretty(&printed) {
+        return match serde_json::to_string_pretty(&output) {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(wrong) => failed(&wrong.to_string()),
+            Err(error) => report_error(&error.to_string()),
         };
     }
     println!("{:<24}{:>9}{:>13}", "host", "weight", "utilisation");
-    for host in &printed.hosts {
+    for host in &output.hosts {
         println!(
             "{:<24}{:>9.3}{:>13.3}",
-            host.name, host.weight, host.utilisation
+            host.name, host.weight, host.utilization
         );
     }
-    for kind in &printed.kinds {
+    for class in &output.classes {
         println!(
             "let in, {:<16}{:>9.3}  of which in time {:.3}",
-            kind.name, kind.let_in, kind.in_time
+            class.name, class.admitted, class.on_time
         );
     }
-    match printed.served {
-        Some(served) => println!("benefit let in{:>19.3}", served),
+    match output.admitted_benefit {
+        Some(benefit) => println!("benefit let in{:>19.3}", benefit),
         None => println!("nothing is asked for: weights by capacity"),
     }
-    println!("work that crosses zones{:>10.3}", printed.crossing);
+    println!("work that crosses zones{:>10.3}", output.cross_zone_share);
     println!(
         "hosts with little room: {} of {}",
-        printed.little_room.len(),
-        printed.hosts.len()
+        output.nearly_full.len(),
+        output.hosts.len()
     );
-    printed
-        .little_room
+    output
+        .nearly_full
         .iter()
         .for_each(|host| println!("  {host}"));
-    for (zone, gain) in &printed.one_more {
+    for (zone, gain) in &output.added_host_gains {
         println!("one more host in {zone:<14} {gain:>8.3} benefit a second");
     }
     ExitCode::SUCCESS
--- a/crates/cli/tests/platform/clients.rs
+++ b/crates/cli/tests/platform/clients.rs
@@ -1,8 +1,8 @@
-//! Who connects to the controller's address: cut off, slow, too many, too fast, deaf.
+//! Clients of the controller's own address: connections that are reset, slow, too many or too fast, or that do not read.
 
 use crate::controller_process::*;
-use crate::party::Served;
-use crate::stage::*;
+use crate::manual_peer::ControllerFixture;
+use crate::scripted_peers::*;
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -14,89 +14,95 @@
 
 const PONG: &[u8] = b"*1\r\n$4\r\npong\r\n";
 
-/// How long a sign of life takes, asked for on a connection of its own.
-fn pong(controller: &ControllerProcess) -> Duration {
-    let begun = Instant::now();
-    let mut stream = controller.dial();
-    stream.write_all(&message("ping")).expect("written");
-    let mut said = [0; 14];
-    stream.read_exact(&mut said).expect("an answer");
-    assert_eq!(said, PONG);
-    begun.elapsed()
+/// The time until a ping on a new connection is answered.
+fn ping_time(controller: &ControllerProcess) -> Duration {
+    let started_at = Instant::now();
+    let mut stream = controller.connect();
+    stream
+        .write_all(&resp_message("ping"))
+        .expect("cannot write");
+    let mut response = [0; 14];
+    stream.read_exact(&mut response).expect("no response");
+    assert_eq!(response, PONG);
+    started_at.elapsed()
 }
 
+/// Closes a connection with RST.
 fn reset(stream: TcpStream) {
     SockRef::from(&stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("set");
+        .expect("cannot set the socket option");
 }
 
-/// A message goes out a byte at a time.
-fn slowly(stream: &mut TcpStream, text: &str, pause: Duration) {
-    for byte in message(text) {
-        stream.write_all(&[byte]).expect("the connection stands");
+/// Sends a message a byte at a time.
+fn write_slowly(stream: &mut TcpStream, text: &str, pause: Duration) {
+    for byte in resp_message(text) {
+        stream
+            .write_all(&[byte])
+            .expect("the connection was closed");
         thread::sleep(pause);
     }
 }
 
-/// Connections that are reset as soon as they are taken, with and without part of a message, while the controller is held
-/// still, so that it finds them all dead; then one that is no such.
+/// Connections that are reset right after they are established, with and without part of a message, while the controller
+/// is suspended, so that all of them are dead when it accepts them; then a connection that works.
 #[test]
-fn connections_killed_right_after_accept_leave_nothing() {
-    let site = Served::with(4);
-    let before = site.controller.descriptors();
+fn connections_reset_before_they_are_accepted_leak_no_descriptors() {
+    let fixture = ControllerFixture::start(4);
+    let before = fixture.controller.open_descriptors();
     for _ in 0..3 {
-        site.controller.signal("-STOP");
+        fixture.controller.signal("-STOP");
         for n in 0..200 {
-            let mut stream = site.controller.dial();
+            let mut stream = fixture.controller.connect();
             stream
-                .write_all(&message("collector site a")[..n % 20])
-                .expect("written");
+                .write_all(&resp_message("collector site a")[..n % 20])
+                .expect("cannot write");
             reset(stream);
         }
-        site.controller.signal("-CONT");
-        assert!(pong(&site.controller) < Duration::from_secs(1));
+        fixture.controller.signal("-CONT");
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
     }
-    // The last of them may still be on their way out.
+    // The last connections may not be closed yet.
     thread::sleep(Duration::from_millis(200));
-    let after = site.controller.descriptors();
+    let after = fixture.controller.open_descriptors();
     assert!(after <= before + 2, "{after} descriptors, {before} before");
-    site.controller.ends();
+    fixture.controller.terminate();
 }
 
-/// A collector whose bytes come one at a time names itself after 1.5 s: it was refused, each time it came. Half a
-/// message that goes no further is closed within what all are owed.
+/// A collector whose bytes arrive one at a time has identified itself after 1.5 s: such a collector was rejected at each
+/// attempt. A connection that stops after part of a message is closed within the time limit of all clients.
 #[test]
-fn a_slow_collector_is_let_in() {
-    let site = Served::with(4);
-    let mut collector = site.controller.dial();
-    let bytes = message("collector site a").len() as u32;
-    slowly(
+fn a_slow_collector_is_accepted() {
+    let fixture = ControllerFixture::start(4);
+    let mut collector = fixture.controller.connect();
+    let bytes = resp_message("collector site a").len() as u32;
+    write_slowly(
         &mut collector,
         "collector site a",
         Duration::from_millis(1_500) / bytes,
     );
-    slowly(
+    write_slowly(
         &mut collector,
         "usage id 3 lane proof count 4 fail 0 over 1000",
         Duration::from_millis(5),
     );
-    site.controller.logs("collector joined zone=", 1);
-    let begun = Instant::now();
-    let mut half = site.controller.dial();
-    half.write_all(&message("collector site a")[..20])
-        .expect("written");
-    let answer = said(half);
+    fixture.controller.wait_for_log("collector joined zone=", 1);
+    let started_at = Instant::now();
+    let mut partial = fixture.controller.connect();
+    partial
+        .write_all(&resp_message("collector site a")[..20])
+        .expect("cannot write");
+    let response = read_until_closed(partial);
     assert!(
-        answer.is_empty() || answer == "*1\r\n$7\r\nrefused\r\n",
-        "{answer}"
+        response.is_empty() || response == "*1\r\n$7\r\nrefused\r\n",
+        "{response}"
     );
     assert!(
-        begun.elapsed() < Duration::from_secs(3),
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    let log = site.controller.ends();
+    let log = fixture.controller.terminate();
     assert!(
         log.lines()
             .rfind(|line| line.contains("counters"))
@@ -105,138 +111,145 @@
     );
 }
 
-/// A thousand strangers who say nothing are there before a collector that returns, and stay.
+/// A thousand unidentified clients that send nothing connect before a collector that reconnects, and stay connected.
 #[test]
-fn a_collector_returns_among_a_thousand_strangers() {
-    let site = Served::with(4);
-    let strangers: Vec<TcpStream> = (0..1_000).map(|_| site.controller.dial()).collect();
-    let begun = Instant::now();
-    let mut collector = site.controller.dial();
+fn a_collector_reconnects_among_a_thousand_unidentified_clients() {
+    let fixture = ControllerFixture::start(4);
+    let unidentified: Vec<TcpStream> = (0..1_000).map(|_| fixture.controller.connect()).collect();
+    let started_at = Instant::now();
+    let mut collector = fixture.controller.connect();
     collector
-        .write_all(&message("collector site a"))
-        .expect("written");
-    site.controller.logs("collector joined zone=", 1);
+        .write_all(&resp_message("collector site a"))
+        .expect("cannot write");
+    fixture.controller.wait_for_log("collector joined zone=", 1);
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    assert!(site.controller.descriptors() <= 128);
-    drop(strangers);
-    assert!(pong(&site.controller) < Duration::from_secs(2));
-    site.controller.ends();
+    assert!(fixture.controller.open_descriptors() <= 128);
+    drop(unidentified);
+    assert!(ping_time(&fixture.controller) < Duration::from_secs(2));
+    fixture.controller.terminate();
 }
 
-/// Three collectors bring reports as fast as they are read, all the while. A sign of life, a new configuration and a
-/// drain are not behind them: the loop took reports first, and whoever asked waited until the flood was over.
+/// Three collectors send reports without pause, as fast as they are read. A ping, a reload and a drain are not delayed:
+/// the event loop handled reports first, and all others waited until the reports ended.
 #[test]
-fn a_flood_of_reports_starves_nobody() {
-    let mut site = Served::with(4);
-    let over = Arc::new(AtomicBool::new(false));
+fn a_flood_of_reports_delays_no_other_events() {
+    let mut fixture = ControllerFixture::start(4);
+    let stop = Arc::new(AtomicBool::new(false));
     let flood: Vec<u8> = (0..500)
         .flat_map(|n| {
-            message(&format!(
+            resp_message(&format!(
                 "heard site a target s-1-{} count 5 fail 0 mean 40 over 1000",
                 n % 8
             ))
         })
         .collect();
-    // Three of each zone's collectors stay, and all are of one zone.
+    // At most three collectors of a zone stay connected, and all of these are of one zone.
     let floods: Vec<thread::JoinHandle<()>> = (0..3)
         .map(|_| {
-            let (mut stream, flood, over) = (site.controller.dial(), flood.clone(), over.clone());
+            let (mut stream, flood, stop) =
+                (fixture.controller.connect(), flood.clone(), stop.clone());
             thread::spawn(move || {
                 stream
-                    .write_all(&message("collector site a"))
-                    .expect("written");
-                while !over.load(Relaxed) && stream.write_all(&flood).is_ok() {}
+                    .write_all(&resp_message("collector site a"))
+                    .expect("cannot write");
+                while !stop.load(Relaxed) && stream.write_all(&flood).is_ok() {}
             })
         })
         .collect();
-    site.controller.logs("collector joined zone=", 3);
+    fixture.controller.wait_for_log("collector joined zone=", 3);
     for _ in 0..20 {
-        // On a busy machine this takes longer than a watch may be silent; one that was renewed would not hear the drain.
-        site.discovery.piece(site.watch, "\n");
-        assert!(pong(&site.controller) < Duration::from_secs(1));
+        // On a busy machine this loop takes longer than a watch may be silent, and a new watch would not get the drain.
+        fixture.registry.send_chunk(fixture.watch_connection, "\n");
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
     }
-    site.drains(2, 3);
-    site.relay.takes(&crate::party::off(3));
-    let relay = crate::party::Party::open();
-    site.controller.moves(site.discovery.at, relay.at);
-    site.controller.logs("configuration reloaded", 1);
-    over.store(true, Relaxed);
+    fixture.drain_host(2, 3);
+    fixture
+        .relay
+        .accept_calls_until(&crate::manual_peer::host_removal(3));
+    let relay = crate::manual_peer::ManualPeer::start();
+    fixture
+        .controller
+        .change_upstreams(fixture.registry.address, relay.address);
+    fixture.controller.wait_for_log("configuration reloaded", 1);
+    stop.store(true, Relaxed);
     floods
         .into_iter()
-        .for_each(|flood| flood.join().expect("no panic"));
-    site.controller.ends();
+        .for_each(|flood| flood.join().expect("a thread panicked"));
+    fixture.controller.terminate();
 }
 
-/// Strangers take all descriptors but what they leave in a moment: connections that stand go on, and once they have
-/// gone so does all else.
+/// Unidentified clients use all file descriptors for as long as each is allowed to stay: established connections keep
+/// working, and once these clients are gone new connections are accepted again.
 #[test]
-fn out_of_descriptors_it_keeps_what_it_has() {
-    let (relay_at, calls) = relay(4);
-    let (discovery_at, _asked) = discovery(1);
-    // More may connect by the configuration than the system lets it hold.
-    let controller = ControllerProcess::start_with(discovery_at, relay_at, |command| {
-        let mut limited = Command::new("sh");
-        limited
-            .arg("-c")
-            .arg("ulimit -n 40; exec \"$0\" platform")
-            .arg(command.get_program());
-        command.get_envs().for_each(|(name, value)| match value {
-            Some(value) => drop(limited.env(name, value)),
-            None => drop(limited.env_remove(name)),
+fn established_connections_survive_a_lack_of_file_descriptors() {
+    let (relay_address, calls) = start_relay(4);
+    let (registry_address, _requests) = start_registry(1);
+    // The configuration allows more connections than the process may have open files.
+    let controller =
+        ControllerProcess::start_with_command(registry_address, relay_address, |command| {
+            let mut limited = Command::new("sh");
+            limited
+                .arg("-c")
+                .arg("ulimit -n 40; exec \"$0\" platform")
+                .arg(command.get_program());
+            command.get_envs().for_each(|(name, value)| match value {
+                Some(value) => drop(limited.env(name, value)),
+                None => drop(limited.env_remove(name)),
+            });
+            limited.stdout(std::process::Stdio::null());
+            limited
         });
-        limited.stdout(std::process::Stdio::null());
-        limited
-    });
     wait_for(&calls, "\"verb\":\"bind\"");
-    let strangers: Vec<TcpStream> = (0..100).map(|_| controller.dial()).collect();
-    let until = Instant::now() + SOON;
-    while controller.descriptors() < 40 {
+    let unidentified: Vec<TcpStream> = (0..100).map(|_| controller.connect()).collect();
+    let deadline = Instant::now() + TIMEOUT;
+    while controller.open_descriptors() < 40 {
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "{} descriptors",
-            controller.descriptors()
+            controller.open_descriptors()
         );
     }
-    // Each stranger goes within 1 s of being taken; the last are taken when the first have gone.
-    drop(strangers);
-    let begun = Instant::now();
-    pong(&controller);
+    // Each of these clients is closed within 1 s of being accepted; the last are accepted when the first are closed.
+    drop(unidentified);
+    let started_at = Instant::now();
+    ping_time(&controller);
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    let log = controller.ends();
+    let log = controller.terminate();
     assert!(!log.contains("panicked"), "{log}");
 }
 
-/// One asks for signs of life without end, and reads them or not: it was served for as long as it asked. It is closed
-/// within what all are owed, and all others are served.
+/// A client sends pings without end and either reads the responses or not: it was served for as long as it sent. It is
+/// closed within the time limit of all clients, and other clients are served.
 #[test]
-fn who_asks_without_end_is_closed() {
-    let site = Served::with(4);
-    for reads in [false, true] {
-        let mut asker = site.controller.dial();
-        asker.set_write_timeout(Some(SOON)).expect("a limit");
-        let asks: Vec<u8> = (0..1_000).flat_map(|_| message("ping")).collect();
-        let begun = Instant::now();
-        let mut answers = asker.try_clone().expect("a second handle");
-        let reader =
-            thread::spawn(
-                move || while reads && answers.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {},
-            );
-        while asker.write_all(&asks).is_ok() {
+fn a_client_that_pings_without_end_is_closed() {
+    let fixture = ControllerFixture::start(4);
+    for reads_responses in [false, true] {
+        let mut client = fixture.controller.connect();
+        client
+            .set_write_timeout(Some(TIMEOUT))
+            .expect("cannot set a time limit");
+        let pings: Vec<u8> = (0..1_000).flat_map(|_| resp_message("ping")).collect();
+        let started_at = Instant::now();
+        let mut responses = client.try_clone().expect("cannot clone the stream");
+        let reader = thread::spawn(move || {
+            while reads_responses && responses.read(&mut [0; 4_096]).is_ok_and(|n| n > 0) {}
+        });
+        while client.write_all(&pings).is_ok() {
             assert!(
-                begun.elapsed() < Duration::from_secs(3),
-                "it is still read from"
+                started_at.elapsed() < Duration::from_secs(3),
+                "the client's pings are still being read"
             );
         }
-        assert!(pong(&site.controller) < Duration::from_secs(1));
-        reader.join().expect("no panic");
+        assert!(ping_time(&fixture.controller) < Duration::from_secs(1));
+        reader.join().expect("a thread panicked");
     }
-    site.controller.ends();
+    fixture.controller.terminate();
 }
