--- a/crates/io-util/src/clock.rs
+++ b/crates/io-util/src/clock.rs
@@ -1,9 +1,9 @@
-//! Time that never goes back: the wall clock at the start, and from there on the machine's monotonic clock.
+//! A monotonic clock: the wall-clock time at program start plus the elapsed time of the system's monotonic clock.
 
 use pondarch_controller::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The monotonic clock of a program. All copies give the same time.
+/// The monotonic clock of a program. All copies return the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_us: u64,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// A clock that agrees with the wall clock at this moment.
+    /// Starts a clock at the current wall-clock time.
     #[must_use]
     pub fn start() -> Clock {
         Clock {
@@ -20,19 +20,19 @@
         }
     }
 
-    /// The time now, in microseconds since 1970.
+    /// The current monotonic time, in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::from_micros(self.start_us + self.start.elapsed().as_micros() as u64)
     }
 
-    /// What the wall clock shows now, in microseconds since 1970. It may be stepped.
+    /// The current wall-clock time, in microseconds since the Unix epoch. The wall clock may be stepped.
     #[must_use]
     pub fn wall(&self) -> Time {
         Time::from_micros(wall_us())
     }
 
-    /// The same point in time on the monotonic clock of the machine.
+    /// Converts a time of this clock to an [`Instant`].
     #[must_use]
     pub fn instant(&self, at: Time) -> Instant {
         let since_start = at - Time::from_micros(self.start_us);
--- a/crates/io-util/src/http_get.rs
+++ b/crates/io-util/src/http_get.rs
@@ -1,4 +1,4 @@
-//! GET requests over HTTP/1.1, each on a connection of its own.
+//! HTTP/1.1 GET requests, each on its own connection.
 
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -10,27 +10,27 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Why there is no successful response.
+/// Why a request did not get a successful response.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum GetError {
-    /// The path or the address make no valid request.
+    /// The path or the address does not form a valid request.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// The connection failed, or what came is no HTTP.
+    /// The connection failed, or the response is not valid HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The response has a status that is no success.
+    /// The response has a status code other than 2xx.
     #[error("status {0}")]
     Status(u16),
 }
 
-/// What the request says of its connection (RFC 9110, section 7.6.1).
+/// The `Connection` header of the request (RFC 9110, section 7.6.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOption {
-    /// The host closes it after the response.
+    /// The server closes the connection after the response.
     Close,
-    /// It stays open.
+    /// The connection stays open.
     KeepAlive,
 }
 
@@ -46,24 +46,24 @@
 /// A successful response.
 #[derive(Debug)]
 pub struct GetResponse {
-    /// Its headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The complete response body.
     pub body: Bytes,
 }
 
-/// A successful response whose body is still to be read.
+/// A successful response whose body has not been read yet.
 #[derive(Debug)]
 pub struct StreamedResponse {
-    /// The response.
+    /// The response head and the unread body.
     pub response: Response<Incoming>,
-    /// The task that drives the connection: dropping it closes the connection.
+    /// The task that drives the connection. Dropping it closes the connection.
     pub connection: AbortOnDropHandle<()>,
 }
 
-/// Requests a path; none unless the response is successful and its body has at most `max_body_bytes`. Why there is none
-/// is dropped on purpose: callers only count whether a host answered. The caller sets the time limit: dropping the
-/// future closes the connection.
+/// Requests a path; returns `None` unless the response is successful and its body has at most `max_body_bytes` bytes.
+/// The error is not returned because callers only check whether a host answered. The caller applies a timeout by
+/// dropping the future, which closes the connection.
 pub async fn get(addr: SocketAddr, path: &str, max_body_bytes: usize) -> Option<GetResponse> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let streamed = start_get(stream, addr, path, ConnectionOption::Close)
@@ -77,11 +77,11 @@
     })
 }
 
-/// Requests a path on this connection, and gives the response once its head has arrived.
+/// Requests a path on the given connection and returns once the response head has arrived.
 ///
 /// # Errors
 ///
-/// The connection fails, what comes is no HTTP, or the status is no success.
+/// The connection fails, the response is not valid HTTP, or its status code is not 2xx.
 pub async fn start_get(
     stream: TcpStream,
     addr: SocketAddr,
@@ -90,7 +90,8 @@
 ) -> Result<StreamedResponse, GetError> {
     let (mut sender, connection) =
         http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await?;
-    // How the connection ends shows in the response. One that ends as soon as the response is there has not failed.
+    // The connection's result is ignored: a failure also shows in the response, and a connection that closes right after
+    // the response has not failed.
     let connection = AbortOnDropHandle::new(tokio::spawn(async move { drop(connection.await) }));
     let request = Request::get(path)
         .header("host", addr.to_string())
--- a/crates/io-util/src/lib.rs
+++ b/crates/io-util/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the programs around a core have in common.
+//! I/O utilities shared by the programs.
 //!
-//! - [`clock`]: time that never goes back.
-//! - [`http_get`]: an HTTP GET request, with a bound on the response.
+//! - [`clock`]: a monotonic clock.
+//! - [`http_get`]: HTTP GET requests with a limit on the size of the response body.
 
 pub mod clock;
 pub mod http_get;
--- a/crates/io-util/tests/http_get.rs
+++ b/crates/io-util/tests/http_get.rs
@@ -1,26 +1,29 @@
-//! GET requests to a host on a loopback socket.
+//! HTTP GET requests to a server on a loopback socket.
 
 use pondarch_io_util::get;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Such a health check once failed each time, and an ejected host came back by the passing of time alone.
+/// Guards against treating a response with `connection: close` as a failure. Health checks of such hosts always failed,
+/// so an ejected host returned only when its ejection time ran out.
 #[tokio::test]
-async fn a_response_that_closes_the_connection_counts() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
-    let host = tokio::spawn(async move {
+async fn response_that_closes_the_connection_is_successful() {
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("bind to a loopback port");
+    let addr = listener.local_addr().expect("listener address");
+    let server = tokio::spawn(async move {
         for close in ["connection: close\r\n", "", ""] {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let mut request = [0; 1024];
-            let length = stream.read(&mut request).await.expect("a request");
+            let length = stream.read(&mut request).await.expect("read the request");
             assert!(request[..length].starts_with(b"GET /health"));
             let response =
                 format!("HTTP/1.1 200 OK\r\n{close}content-length: 4\r\nload: 5\r\n\r\nTEXT");
             stream
                 .write_all(response.as_bytes())
                 .await
-                .expect("written");
+                .expect("write the response");
         }
     });
     for _ in 0..2 {
@@ -30,11 +33,11 @@
     }
     assert!(
         get(addr, "/health", 3).await.is_none(),
-        "longer than it may be"
+        "a body above the size limit is refused"
     );
-    host.await.expect("all answered");
+    server.await.expect("the server answered every request");
     assert!(
         get(addr, "/health", 1_000).await.is_none(),
-        "nobody listens any more"
+        "the listener is closed"
     );
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,7 @@
-//! Unix and TCP streams, and the server end of the runtime API on them, where a [`CommandHandler`] answers.
+//! Unix and TCP streams, and a runtime API server over them that passes command lines to a [`CommandHandler`].
 //!
-//! - [`socket`]: a stream or a listener that is a Unix or a TCP one.
-//! - [`server`]: accepts connections, reads lines, keeps to the prompt mode of each connection.
+//! - [`socket`]: streams and listeners over Unix sockets or TCP.
+//! - [`server`]: accepts connections, reads command lines and tracks each connection's prompt mode.
 
 pub mod server;
 pub mod socket;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! The server end of the runtime API: accepts connections, reads lines, keeps to the prompt mode of each connection.
+//! Server side of the runtime API: accepts connections, reads command lines and tracks each connection's prompt mode.
 
 use crate::socket::{Listener, Stream};
 use futures_util::{SinkExt, StreamExt};
@@ -13,25 +13,26 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Operators' connections at one time; the next one waits until one ends (the guide's `stats maxconn`, 10 there).
+/// Maximum number of concurrent connections; further ones wait until one closes. The HAProxy management guide's
+/// equivalent is `stats maxconn`, with a default of 10.
 const MAX_CONNECTIONS: usize = 64;
-/// A connection that sends nothing, or half a line and then nothing, is closed after this (the guide's `stats
-/// timeout` is 10 s; a person at a prompt needs longer).
+/// A connection that completes no line for this long is closed. The guide's `stats timeout` is 10 s, which is too short
+/// for a person typing at a prompt.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Writing an answer must not take longer than this: the connection of a peer that does not read is closed.
+/// Time limit for writing an answer; the connection of a peer that does not read is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Wait after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers the lines of these connections. Each connection has a number of its own, rising as they open.
+/// Answers the command lines of the accepted connections, which it identifies by number.
 pub trait CommandHandler: Clone + Send + Sync + 'static {
-    /// A connection has opened; gives its number.
+    /// Called when a connection opens; returns its number.
     fn opened(&self) -> u64;
 
-    /// The connection of this number has ended.
+    /// Called when the connection with this number has closed.
     fn closed(&self, connection: u64);
 
-    /// The answers to one line, as they are to be written; none: the connection ends.
+    /// Returns the framed answers to one line, or `None` to close the connection.
     fn answer(
         &self,
         connection: u64,
@@ -40,7 +41,7 @@
     ) -> impl Future<Output = Option<String>> + Send;
 }
 
-/// Accepts connections until the future is dropped, which ends them all.
+/// Accepts and serves connections. Dropping the future closes them all.
 pub async fn serve(listener: Listener, level: Level, handler: impl CommandHandler) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut connections = JoinSet::new();
@@ -53,7 +54,7 @@
             Some(_) = connections.join_next() => continue,
         };
         let Ok(stream) = stream else {
-            // Out of file descriptors, say: waiting avoids a busy loop.
+            // The delay avoids a busy loop, for example while no file descriptors are free.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -64,13 +65,13 @@
                 number: handler.opened(),
                 handler,
             };
-            // The error is dropped on purpose: a connection that fails ends, and its peer is not there to read why.
+            // The error is ignored because the peer of a failed connection can no longer be told about it.
             connection.serve(stream, level).await.ok();
         });
     }
 }
 
-/// An open connection; its handler is notified of its end, however it ends.
+/// An open connection. Dropping it notifies the handler, whichever way the connection ended.
 struct OpenConnection<H: CommandHandler> {
     number: u64,
     handler: H,
@@ -82,16 +83,16 @@
     }
 }
 
-/// What a line asks of the connection itself.
+/// Connection state that commands such as `prompt` and `quit` change.
 struct ConnectionMode {
     prompt: PromptMode,
-    /// Whether it has asked for the end of the connection.
+    /// Whether the peer sent `quit`.
     quit: bool,
 }
 
 impl ConnectionMode {
-    /// Follows the commands of a line that concern the connection itself. A command that cannot be parsed is answered
-    /// by the handler.
+    /// Applies the commands of a line that change the connection's state. The handler answers commands that cannot be
+    /// parsed.
     fn apply_line(&mut self, line: &str) {
         for command in command::parse_line(line).into_iter().flatten() {
             match command {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The answer to a frame; none: the connection ends.
+    /// Returns the answer to a frame, or `None` to close the connection.
     async fn answer_frame(
         &self,
         frame: ServerFrame,
@@ -148,7 +149,8 @@
     }
 }
 
-/// The guide's rules: bare `prompt` goes between prompting and closing, the words name a mode.
+/// The prompt mode after a `prompt` command, by the guide's rules: without an argument it toggles between prompting and
+/// closing, and an argument names the mode.
 fn prompt_mode(current: PromptMode, requested: PromptMode) -> PromptMode {
     match (requested, current) {
         (PromptMode::Toggle, PromptMode::Prompting) => PromptMode::Closing,
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -1,4 +1,4 @@
-//! A stream or a listener that is a Unix or a TCP one.
+//! Streams and listeners over Unix sockets or TCP.
 
 use pondarch_config::Endpoint;
 use std::io;
@@ -13,7 +13,7 @@
 pub enum Stream {
     /// Over a Unix socket.
     Unix(UnixStream),
-    /// Over TCP, without Nagle's algorithm.
+    /// Over TCP, with Nagle's algorithm disabled.
     Tcp(TcpStream),
 }
 
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// Nobody listens there, or the socket cannot be set up.
+    /// The endpoint refuses the connection, or the socket options cannot be set.
     pub async fn connect(endpoint: &Endpoint) -> io::Result<Stream> {
         match endpoint {
             Endpoint::Unix(path) => UnixStream::connect(path).await.map(Stream::Unix),
@@ -35,21 +35,21 @@
     }
 }
 
-/// A listener; a Unix one removes its file when it ends.
+/// A listening socket. A Unix listener removes its socket file when it is dropped.
 #[derive(Debug)]
 pub enum Listener {
-    /// At a socket file, with its path.
+    /// Over a Unix socket, with the path of its socket file.
     Unix(UnixListener, PathBuf),
-    /// At a TCP port.
+    /// Over TCP.
     Tcp(TcpListener),
 }
 
 impl Listener {
-    /// Listens at an endpoint. A socket file that nobody listens at is left over from a killed process and is replaced.
+    /// Listens on an endpoint. A stale socket file, left behind by a killed process, is replaced.
     ///
     /// # Errors
     ///
-    /// The address is in use, or cannot be bound.
+    /// The address is in use or cannot be bound.
     pub async fn bind(endpoint: &Endpoint) -> io::Result<Listener> {
         match endpoint {
             Endpoint::Tcp(addr) => TcpListener::bind(addr).await.map(Listener::Tcp),
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The system cannot accept one, such as without free file descriptors.
+    /// The system cannot accept a connection, for example because no file descriptors are free.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Unix(listener, _) => listener
@@ -85,13 +85,13 @@
 impl Drop for Listener {
     fn drop(&mut self) {
         if let Listener::Unix(_, path) = self {
-            // The error is dropped on purpose: a file that was removed already needs no removal.
+            // The error is ignored because the file may already have been removed.
             std::fs::remove_file(path).ok();
         }
     }
 }
 
-/// Whether a socket file exists that nobody listens at.
+/// Whether the socket file exists without a process that listens on it.
 async fn is_stale(path: &Path) -> bool {
     path.exists() && UnixStream::connect(path).await.is_err()
 }
