--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -1,4 +1,4 @@
-//! A core with proxies in memory that answer at once; time is its own.
+//! A core with simulated in-memory proxies that answer at once, in simulated time.
 
 use pondarch_config::{HostEntry, Site};
 use pondarch_controller::Time;
@@ -8,14 +8,14 @@
 use std::collections::VecDeque;
 use std::path::Path;
 
-/// Proxies of the fleet.
+/// Number of proxies in the fleet.
 pub(crate) const PROXIES: usize = 100;
-/// Hosts of the fleet.
+/// Number of hosts in the fleet.
 pub(crate) const HOSTS: usize = 300;
-/// Inputs between two endpoint lists.
+/// Number of inputs between two endpoint lists.
 const LIST_INTERVAL: u64 = 20_000;
 
-/// Settings that record in this folder.
+/// Settings with the event log in this folder.
 pub(crate) fn settings(folder: &Path) -> String {
     let proxy = |n: usize| {
         format!(
@@ -54,16 +54,16 @@
     (0..HOSTS).map(host).collect()
 }
 
-/// A core with proxies that answer at once; time is its own.
+/// A core with simulated proxies that answer at once, in simulated time.
 pub(crate) struct SimulatedFleet {
     pub(crate) core: Core,
     proxies: Vec<ProxyState>,
-    waiting: VecDeque<Input>,
+    pending_inputs: VecDeque<Input>,
     pub(crate) now_us: u64,
 }
 
 impl SimulatedFleet {
-    /// A fleet that starts at this time.
+    /// Creates a fleet whose simulated time starts at `at_us`.
     pub(crate) fn new(site: &Site, at_us: u64) -> SimulatedFleet {
         let proxy = |n: usize| {
             ProxyState::new(
@@ -76,13 +76,14 @@
         SimulatedFleet {
             core,
             proxies: (0..PROXIES).map(proxy).collect(),
-            waiting: VecDeque::new(),
+            pending_inputs: VecDeque::new(),
             now_us: at_us,
         }
     }
 
-    /// The next thing that happens: an answer that waits, or the time that the core asked for.
-    pub(crate) fn next(&mut self, number: u64) -> (Time, Input) {
+    /// The next input: an endpoint list at fixed intervals, otherwise a pending input from the proxies, otherwise the timer
+    /// that the core set.
+    pub(crate) fn next_input(&mut self, number: u64) -> (Time, Input) {
         if number == 1 || number.is_multiple_of(LIST_INTERVAL) {
             let weight = 1.0 + (number / LIST_INTERVAL % 3) as f64;
             return (
@@ -93,24 +94,24 @@
                 },
             );
         }
-        match self.waiting.pop_front() {
+        match self.pending_inputs.pop_front() {
             Some(input) => {
                 self.now_us += 5;
                 (Time::from_micros(self.now_us), input)
             }
             None => {
-                let wake = unix_micros(self.core.wake_at()).max(self.now_us + 1);
-                self.now_us = wake;
-                (Time::from_micros(wake), Input::TimerExpired)
+                let wake_us = unix_micros(self.core.wake_at()).max(self.now_us + 1);
+                self.now_us = wake_us;
+                (Time::from_micros(wake_us), Input::TimerExpired)
             }
         }
     }
 
-    /// Carries out what the core gives.
+    /// Carries out an output of the core.
     pub(crate) fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial { proxy, connection } => self
-                .waiting
+                .pending_inputs
                 .push_back(Input::Connected { proxy, connection }),
             Output::Write {
                 proxy,
@@ -125,12 +126,12 @@
                         server.results.done += 1;
                     }
                 }
-                let texts = lines
+                let answers = lines
                     .iter()
                     .flat_map(|line| proxy_state.execute_line(line))
                     .collect::<Vec<_>>();
-                self.waiting
-                    .extend(texts.into_iter().map(|text| Input::Answer {
+                self.pending_inputs
+                    .extend(answers.into_iter().map(|text| Input::Answer {
                         proxy,
                         connection,
                         text,
@@ -141,8 +142,8 @@
     }
 }
 
-/// The first record of a run.
-pub(crate) fn start(text: &str, at: Time) -> RunStart {
+/// The start record of a run.
+pub(crate) fn run_start(text: &str, at: Time) -> RunStart {
     RunStart {
         program: "bench".into(),
         settings: text.into(),
--- a/crates/daemon/benches/recording/latency.rs
+++ b/crates/daemon/benches/recording/latency.rs
@@ -1,6 +1,6 @@
-//! The time of one input, with the event log as the daemon writes it.
+//! Latency of handling one input while the event log is written as in the daemon.
 
-use crate::fleet::{SimulatedFleet, settings, start};
+use crate::fleet::{SimulatedFleet, run_start, settings};
 use hdrhistogram::Histogram;
 use pondarch_config::site_from_text;
 use pondarch_controller::Time;
@@ -18,7 +18,7 @@
 pub(crate) enum Recording {
     Off,
     On,
-    /// On a disk whose every sync takes so long.
+    /// On, with a disk whose every sync takes this long.
     SlowDisk(Duration),
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A fleet whose inputs are recorded as the daemon does it.
+/// A fleet whose inputs are recorded as in the daemon.
 struct RecordedFleet {
     fleet: SimulatedFleet,
     recorder: Option<Recorder>,
@@ -50,10 +50,10 @@
     fn start(
         folder: &Path,
         recording: Recording,
-        to_core: tokio::sync::mpsc::Sender<Input>,
+        core_inputs: tokio::sync::mpsc::Sender<Input>,
     ) -> RecordedFleet {
         let text = settings(folder);
-        let site = site_from_text(&text).expect("settings");
+        let site = site_from_text(&text).expect("valid settings");
         let clock = Clock::start();
         let path = folder.to_path_buf();
         let records = site
@@ -66,7 +66,13 @@
                 disk.sync_delay = recording.sync_delay();
                 Ok(disk)
             };
-            Recorder::start(open, &records, start(&text, clock.now()), clock, to_core)
+            Recorder::start(
+                open,
+                &records,
+                run_start(&text, clock.now()),
+                clock,
+                core_inputs,
+            )
         });
         let fleet = SimulatedFleet::new(&site, unix_micros(clock.now()));
         RecordedFleet {
@@ -76,78 +82,78 @@
         }
     }
 
-    /// Applies and records one input; gives what the core decided, and the time it took.
+    /// Handles and records one input; returns the core's outputs and the time it took.
     fn handle(&mut self, at: Time, input: Input) -> (Vec<Output>, Duration) {
-        let begun = Instant::now();
-        // As the daemon's loop has it.
+        let started_at = Instant::now();
+        // The same steps as in the daemon's main loop.
         let recorded = self
             .recorder
             .as_mut()
-            .map(|recorder| recorder.input(at, &input))
+            .map(|recorder| recorder.record_input(at, &input))
             .is_some();
         let core = &mut self.fleet.core;
         core.handle(at, input);
         let mut outputs = Vec::new();
-        let mut decisions = Vec::new();
+        let mut recorded_outputs = Vec::new();
         while let Some(output) = core.next_output() {
             if recorded {
-                decisions.push(output.clone());
+                recorded_outputs.push(output.clone());
             }
             outputs.push(output);
         }
         if let Some(recorder) = &mut self.recorder {
-            recorder.decided(decisions);
-            if recorder.wants_snapshot(self.clock.now()) {
-                recorder.snapshot(self.clock.now(), core.state_to_recover());
+            recorder.record_outputs(recorded_outputs);
+            if recorder.is_snapshot_due(self.clock.now()) {
+                recorder.record_snapshot(self.clock.now(), core.state_to_recover());
             }
         }
-        (outputs, begun.elapsed())
+        (outputs, started_at.elapsed())
     }
 
-    fn end(self) {
+    fn shut_down(self) {
         if let Some(recorder) = self.recorder {
             let runtime = tokio::runtime::Handle::current();
             let state = self.fleet.core.state_to_recover();
-            runtime.block_on(recorder.end(self.clock.now(), state));
+            runtime.block_on(recorder.shut_down(self.clock.now(), state));
         }
     }
 }
 
-/// One run of so many inputs at a constant rate; prints the times of one input, and what was lost.
-pub(crate) fn latency(recording: Recording, inputs: u64) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (to_core, mut notifications) = tokio::sync::mpsc::channel(64);
-    let mut recorded = RecordedFleet::start(folder.path(), recording, to_core);
-    let mut times = Histogram::<u64>::new(3).expect("three digits");
-    let begun = Instant::now();
+/// Runs this many inputs at a constant rate; prints the latency of an input and the state of the event log.
+pub(crate) fn measure_latency(recording: Recording, inputs: u64) {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    let (core_inputs, mut notifications) = tokio::sync::mpsc::channel(64);
+    let mut recorded = RecordedFleet::start(folder.path(), recording, core_inputs);
+    let mut latencies = Histogram::<u64>::new(3).expect("valid histogram precision");
+    let started_at = Instant::now();
     for number in 1..=inputs {
-        let (at, input) = recorded.fleet.next(number);
+        let (at, input) = recorded.fleet.next_input(number);
         let (outputs, took) = recorded.handle(at, input);
-        times
+        latencies
             .record(took.as_nanos() as u64)
-            .expect("the histogram grows");
+            .expect("the histogram resizes itself");
         for output in outputs {
             recorded.fleet.carry_out(output);
         }
         let due = Duration::from_micros(number * INPUT_INTERVAL_US);
-        let early = due.saturating_sub(begun.elapsed());
-        if early > Duration::from_millis(1) {
-            std::thread::sleep(early);
+        let remaining = due.saturating_sub(started_at.elapsed());
+        if remaining > Duration::from_millis(1) {
+            std::thread::sleep(remaining);
         }
     }
     let mut state = None;
     while let Ok(Input::EventLog(other)) = notifications.try_recv() {
         state = Some(other);
     }
-    let us = |part| times.value_at_quantile(part) as f64 / 1e3;
+    let us = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
     println!(
-        "event log {}: {inputs} inputs, p50 {:.1} us, p99 {:.1} us, p99.9 {:.1} us, most {:.1} us; {}",
+        "event log {}: {inputs} inputs, p50 {:.1} us, p99 {:.1} us, p99.9 {:.1} us, max {:.1} us; {}",
         recording.name(),
         us(0.5),
         us(0.99),
         us(0.999),
-        times.max() as f64 / 1e3,
+        latencies.max() as f64 / 1e3,
         state.map_or("no notification".into(), |state| format!("{state:?}"))
     );
-    recorded.end();
+    recorded.shut_down();
 }
--- a/crates/daemon/benches/recording/main.rs
+++ b/crates/daemon/benches/recording/main.rs
@@ -1,17 +1,18 @@
-//! What recording costs: the time of one input with the event log off, on, and on a disk whose every sync takes 2 s;
-//! records and bytes a second; time to recover by the size of the log; replay against real time:
-//! `cargo bench -p pondarch-daemon`.
+//! Cost of the event log: latency of an input with the event log off, on, and on a disk whose every sync takes 2 s;
+//! write throughput and record sizes; recovery time by log size; replay speed relative to real time.
+//!
+//! Run with `cargo bench -p pondarch-daemon`; the argument `large` adds a log of 1 GB.
 
 mod fleet;
 mod latency;
 mod sizes;
 
-use latency::{Recording, latency};
-use sizes::sizes;
+use latency::{Recording, measure_latency};
+use sizes::measure_log;
 use std::time::Duration;
 
 fn main() {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("start the runtime");
     runtime.block_on(async {
         tokio::task::spawn(async {
             for recording in [
@@ -20,14 +21,14 @@
                 Recording::SlowDisk(Duration::from_secs(2)),
                 Recording::Off,
             ] {
-                tokio::task::block_in_place(|| latency(recording, 100_000));
+                tokio::task::block_in_place(|| measure_latency(recording, 100_000));
             }
         })
         .await
-        .expect("played");
+        .expect("the latency runs complete");
     });
-    sizes(10_000_000);
+    measure_log(10_000_000);
     if std::env::args().any(|arg| arg == "large") {
-        sizes(1_000_000_000);
+        measure_log(1_000_000_000);
     }
 }
--- a/crates/daemon/benches/recording/sizes.rs
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -1,6 +1,6 @@
-//! What a log of a given size takes, to write, to recover from and to replay.
+//! Time to write, recover from and replay a log of a given size.
 
-use crate::fleet::{HOSTS, PROXIES, SimulatedFleet, settings, start};
+use crate::fleet::{HOSTS, PROXIES, SimulatedFleet, run_start, settings};
 use pondarch_config::{Site, site_from_text};
 use pondarch_controller::Time;
 use pondarch_daemon::Clock;
@@ -11,30 +11,30 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// What a folder holds.
-fn bytes_of(folder: &Path) -> u64 {
+/// Total size of the files in a folder, in bytes.
+fn folder_bytes(folder: &Path) -> u64 {
     Folder::read_only(folder)
         .list()
         .map(|files| files.iter().map(|file| file.bytes).sum())
         .unwrap_or(0)
 }
 
-/// What was written to a log.
+/// Statistics of a written log.
 #[derive(Default)]
-struct Written {
+struct WriteStatistics {
     records: u64,
     /// Bytes of the records before compression.
     record_bytes: u64,
-    /// Time that the writing took.
+    /// Time spent writing.
     took: Duration,
 }
 
-/// Frames on their way to a log.
+/// Writes records to a log in batches of frames.
 struct LogWriter {
     log: EventLog<Folder>,
     frames: Vec<u8>,
     frame_bytes: u64,
-    written: Written,
+    written: WriteStatistics,
 }
 
 impl LogWriter {
@@ -45,16 +45,16 @@
             max_age: UNLIMITED,
             sync_within: UNLIMITED,
         };
-        let folder = Folder::lock(folder).expect("a lock");
-        let log = EventLog::new(folder, retention, unix_micros(at)).expect("a log");
+        let folder = Folder::lock(folder).expect("lock the folder");
+        let log = EventLog::new(folder, retention, unix_micros(at)).expect("open the log");
         let mut frames = Vec::new();
-        let start = Record::Start(Box::new(start(text, at)));
+        let start = Record::Start(Box::new(run_start(text, at)));
         frame::write(&mut frames, &start.to_bytes());
         LogWriter {
             log,
             frames,
             frame_bytes: 0,
-            written: Written::default(),
+            written: WriteStatistics::default(),
         }
     }
 
@@ -65,9 +65,9 @@
         frame::write(&mut self.frames, &record);
     }
 
-    /// Writes an input and what was decided by it.
+    /// Writes an input and the core's outputs for it.
     fn write(&mut self, number: u64, at: Time, input: Input, outputs: &[Output]) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.push(&Record::Input {
             number,
             at_us: unix_micros(at),
@@ -82,27 +82,27 @@
             self.frame_bytes += self.frames.len() as u64;
             self.frames.clear();
         }
-        self.written.took += begun.elapsed();
+        self.written.took += started_at.elapsed();
     }
 
-    fn end(self) -> Written {
+    fn end(self) -> WriteStatistics {
         self.log.end();
         self.written
     }
 }
 
-/// A log of so many bytes, written as fast as can be; then recovered, and replayed.
-pub(crate) fn sizes(bytes: u64) {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Writes a log of at least this many bytes at full speed, then measures recovery and replay.
+pub(crate) fn measure_log(bytes: u64) {
+    let folder = tempfile::tempdir().expect("create a temporary folder");
     let text = settings(folder.path());
-    let site = site_from_text(&text).expect("settings");
+    let site = site_from_text(&text).expect("valid settings");
     let start = Clock::start().now();
     let mut writer = LogWriter::start(folder.path(), &text, start);
     let mut fleet = SimulatedFleet::new(&site, unix_micros(start));
     let mut number = 0;
     while writer.frame_bytes < bytes {
         number += 1;
-        let (at, input) = fleet.next(number);
+        let (at, input) = fleet.next_input(number);
         fleet.core.handle(at, input.clone());
         let outputs: Vec<Output> = std::iter::from_fn(|| fleet.core.next_output()).collect();
         writer.write(number, at, input, &outputs);
@@ -116,33 +116,33 @@
     time_replay(folder.path(), span);
 }
 
-fn time_recovery(folder: &Path, site: &Site, written: &Written, span: Duration) {
-    let begun = Instant::now();
-    let found = recover(&Folder::read_only(folder), site).expect("recovered");
-    let took = begun.elapsed();
+fn time_recovery(folder: &Path, site: &Site, written: &WriteStatistics, span: Duration) {
+    let started_at = Instant::now();
+    let recovered = recover(&Folder::read_only(folder), site).expect("recover from the log");
+    let took = started_at.elapsed();
     let records = written.records as f64;
     println!(
         "{} MB of records: {} of {:.0} bytes in the file ({:.0} before compression), {:.0} a second written; \
          {:.0} s of {PROXIES} proxies and {HOSTS} hosts; recovered without any snapshot in {:.2} s ({} inputs)",
-        bytes_of(folder) / 1_000_000,
+        folder_bytes(folder) / 1_000_000,
         written.records,
-        bytes_of(folder) as f64 / records,
+        folder_bytes(folder) as f64 / records,
         written.record_bytes as f64 / records,
         records / written.took.as_secs_f64(),
         span.as_secs_f64(),
         took.as_secs_f64(),
-        found.inputs
+        recovered.inputs
     );
 }
 
 fn time_replay(folder: &Path, span: Duration) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let FolderReplay { runs, .. } =
-        replay(&Folder::read_only(folder), ComparedInputs::default()).expect("replayed");
-    let took_s = begun.elapsed().as_secs_f64();
-    let same = runs.iter().all(|run| run.difference.is_none());
+        replay(&Folder::read_only(folder), ComparedInputs::default()).expect("replay the log");
+    let took_s = started_at.elapsed().as_secs_f64();
+    let identical = runs.iter().all(|run| run.difference.is_none());
     println!(
-        "  replayed in {took_s:.1} s, {:.1} times as fast as real time; the same: {same}",
+        "  replayed in {took_s:.1} s, {:.1} times as fast as real time; identical decisions: {identical}",
         span.as_secs_f64() / took_s
     );
 }
--- a/crates/daemon/src/command_handler.rs
+++ b/crates/daemon/src/command_handler.rs
@@ -1,4 +1,4 @@
-//! Answers commands on the controller's own sockets: passes each one to the core and waits for its reply.
+//! Answers commands on the controller's runtime API sockets: passes each one to the core and waits for its reply.
 
 use pondarch_daemon_core::Input;
 use pondarch_runtime_api::Level;
@@ -14,7 +14,7 @@
     inputs: mpsc::Sender<Input>,
 }
 
-/// The callers that wait for a reply of the core.
+/// The callers that wait for a reply from the core.
 #[derive(Default)]
 struct PendingReplies {
     last_caller: u64,
@@ -32,7 +32,7 @@
 }
 
 impl CoreCommandHandler {
-    /// A handler without pending replies.
+    /// Creates a handler without pending replies.
     pub(crate) fn new(inputs: mpsc::Sender<Input>) -> CoreCommandHandler {
         CoreCommandHandler {
             pending: Arc::default(),
@@ -55,7 +55,7 @@
 }
 
 impl CommandHandler for CoreCommandHandler {
-    /// The core handles each command by itself: connections need no numbers.
+    /// The core handles each command independently, so connections need no numbers.
     fn opened(&self) -> u64 {
         0
     }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: start-up by named steps, and the loop that feeds the core and carries out its outputs.
+//! Start-up and shutdown of the daemon, and the main loop that passes inputs to the core and carries out its outputs.
 
 use crate::command_handler::CoreCommandHandler;
 use crate::dns::{self, DnsServer};
@@ -20,22 +20,23 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-/// Inputs that wait for the core. At this many, whoever sends the next one waits: proxies are read from and operators
-/// answered later, and nothing is lost.
-const MAX_WAITING_INPUTS: usize = 4096;
+/// Capacity of the input queue. While it is full, report_senders wait: reads from proxies and replies to operators are delayed,
+/// and nothing is lost.
+const MAX_QUEUED_INPUTS: usize = 4096;
 
-/// How the program was started, beyond its settings.
+/// Command-line options of the program that are not part of its settings.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Seed of this run; absent: drawn from the clock.
+    /// Random seed of this run; if absent, the start time is used.
     pub seed: Option<u64>,
 }
 
-/// Runs a controller until SIGTERM or SIGINT. `text`: its settings, evaluated, for the event log.
+/// Runs a controller until SIGTERM or SIGINT. `text` is the evaluated settings, which the event log stores.
 ///
 /// # Errors
 ///
-/// A socket or file of its own cannot be had; nothing has been sent to any proxy then.
+/// A socket cannot be bound, a file cannot be opened or the settings cannot be used. Nothing has been sent to any proxy
+/// in that case.
 pub async fn run(site: Site, text: String, options: Options) -> Result<(), DaemonError> {
     let mut daemon = Daemon::start(site, text, options).await?;
     while let Some(input) = daemon.next_input().await {
@@ -45,20 +46,20 @@
     Ok(())
 }
 
-/// The core and all that surrounds it.
+/// The core and the resources around it.
 struct Daemon {
     clock: Clock,
     core: Core,
     queue: mpsc::Receiver<Input>,
-    /// An input that is applied before those in the queue.
-    next: Option<Input>,
+    /// An input that is handled before those in the queue.
+    priority_input: Option<Input>,
     terminate: Signal,
     interrupt: Signal,
     recorder: Option<Recorder>,
     dns: Option<DnsServer>,
-    outputs: OutputHandler,
-    memory: MemoryReporter,
-    /// Listeners and the follower of the hosts file.
+    output_handler: OutputHandler,
+    memory_reporter: MemoryReporter,
+    /// Listeners and the watcher of the hosts file.
     tasks: JoinSet<()>,
 }
 
@@ -67,9 +68,10 @@
         let clock = Clock::start();
         let now = clock.now();
         let seed = options.seed.unwrap_or(unix_micros(now));
-        let (inputs, queue) = mpsc::channel(MAX_WAITING_INPUTS);
+        let (inputs, queue) = mpsc::channel(MAX_QUEUED_INPUTS);
         let previous = recorder::previous_run(&site, now)?;
-        // Above that of any run before, whatever the clock says: proxies refuse the updates of an older one.
+        // Higher than that of every earlier run, even if the clock went back: proxies refuse updates of an older
+        // incarnation.
         let incarnation = unix_micros(now).max(previous.incarnation + 1);
         let start = run_start(text, seed, incarnation, now);
         let process = start.process;
@@ -79,11 +81,11 @@
             Recorder::start(open, &records, start, clock, inputs.clone())
         });
         let mut tasks = JoinSet::new();
-        let commands = CoreCommandHandler::new(inputs.clone());
-        listen_for_commands(&site, &commands, &mut tasks).await?;
-        let senders = push::open(&site, inputs.clone(), &mut tasks).await?;
+        let command_handler = CoreCommandHandler::new(inputs.clone());
+        listen_for_commands(&site, &command_handler, &mut tasks).await?;
+        let report_senders = push::open(&site, inputs.clone(), &mut tasks).await?;
         let dns = dns::open(&site, seed, clock, inputs.clone(), &mut tasks).await?;
-        tasks.spawn(hosts_file::follow(
+        tasks.spawn(hosts_file::watch(
             site.hosts_file.clone(),
             site.zones.clone(),
             inputs.clone(),
@@ -97,7 +99,7 @@
             "controller started"
         );
         let core = Core::new(&site, seed, process, incarnation, now);
-        let written = recorder.as_ref().map(Recorder::written);
+        let written_up_to = recorder.as_ref().map(Recorder::written_up_to);
         let first = previous.state.map_or(Input::TimerExpired, |state| {
             Input::Recovered(Box::new(state))
         });
@@ -105,85 +107,92 @@
             clock,
             core,
             queue,
-            next: Some(first),
+            priority_input: Some(first),
             terminate,
             interrupt,
             recorder,
             dns,
-            outputs: OutputHandler::new(site, inputs, commands, senders, written),
-            memory: MemoryReporter::new(now),
+            output_handler: OutputHandler::new(
+                site,
+                inputs,
+                command_handler,
+                report_senders,
+                written_up_to,
+            ),
+            memory_reporter: MemoryReporter::new(now),
             tasks,
         })
     }
 
-    /// The next input for the core; none once the program is to stop.
+    /// The next input for the core, or `None` after a termination signal.
     async fn next_input(&mut self) -> Option<Input> {
-        if let Some(input) = self.next.take() {
+        if let Some(input) = self.priority_input.take() {
             return Some(input);
         }
-        let wake = Instant::from_std(self.clock.instant(self.core.wake_at()));
+        let wake_at = Instant::from_std(self.clock.instant(self.core.wake_at()));
         tokio::select! {
             biased;
             _ = self.terminate.recv() => None,
             _ = self.interrupt.recv() => None,
             Some(input) = self.queue.recv() => Some(input),
-            () = sleep_until(wake) => Some(Input::TimerExpired),
+            () = sleep_until(wake_at) => Some(Input::TimerExpired),
         }
     }
 
-    /// Applies one input, carries out what the core gives, and records both.
+    /// Handles one input, carries out the core's outputs, and records both.
     fn handle(&mut self, input: Input) {
         let now = self.clock.now();
         let number = self
             .recorder
             .as_mut()
-            .map(|recorder| recorder.input(now, &input));
-        // An operator's command is acknowledged once its effect would survive a restart.
-        let awaited = number
+            .map(|recorder| recorder.record_input(now, &input));
+        // The reply to an operator's command waits until the command's effect would survive a restart.
+        let awaited_input = number
             .filter(|_| matches!(input, Input::Command { .. }) && input.changes_recovered_state());
-        self.outputs.replies_await(awaited);
+        self.output_handler
+            .hold_replies_until_written(awaited_input);
         self.core.handle(now, input);
-        let mut decisions = Vec::new();
+        let mut recorded_outputs = Vec::new();
         while let Some(output) = self.core.next_output() {
             if number.is_some() {
-                decisions.push(output.clone());
+                recorded_outputs.push(output.clone());
             }
             self.carry_out(output);
         }
-        let usage = self
-            .memory
-            .report_if_due(now, &self.outputs, self.recorder.as_ref());
+        let usage =
+            self.memory_reporter
+                .report_if_due(now, &self.output_handler, self.recorder.as_ref());
         if let Some(recorder) = &mut self.recorder {
-            recorder.decided(decisions);
-            if recorder.wants_snapshot(now) {
-                recorder.snapshot(now, self.core.state_to_recover());
+            recorder.record_outputs(recorded_outputs);
+            if recorder.is_snapshot_due(now) {
+                recorder.record_snapshot(now, self.core.state_to_recover());
             }
         }
-        // What is in the queue is taken before the clock, or a busy controller would handle nothing but timers.
-        self.next = usage.or_else(|| self.queue.try_recv().ok());
+        // Queued inputs are taken before timers; otherwise a busy controller would handle nothing but timers.
+        self.priority_input = usage.or_else(|| self.queue.try_recv().ok());
     }
 
     fn carry_out(&mut self, output: Output) {
         match (&output, &self.dns) {
             (Output::DnsViewChanged { .. }, Some(dns)) => dns.set_view(self.core.dns_view()),
             (Output::NotifySecondary { secondary }, Some(dns)) => dns.notify(*secondary),
-            _ => self.outputs.carry_out(output),
+            _ => self.output_handler.carry_out(output),
         }
     }
 
-    /// Ends the tasks, then writes what waits for the event log.
+    /// Stops the tasks, then writes the queued records to the event log.
     async fn shut_down(mut self) {
         info!("controller stops; proxies keep their tables");
         self.tasks.shutdown().await;
         if let Some(recorder) = self.recorder {
             recorder
-                .end(self.clock.now(), self.core.state_to_recover())
+                .shut_down(self.clock.now(), self.core.state_to_recover())
                 .await;
         }
     }
 }
 
-/// The event log's first record.
+/// The first record of the event log, which describes this run.
 fn run_start(settings: String, seed: u64, incarnation: u64, now: Time) -> RunStart {
     RunStart {
         program: env!("CARGO_PKG_VERSION").into(),
@@ -192,21 +201,25 @@
         process: std::process::id(),
         incarnation,
         at_us: unix_micros(now),
-        boot: recorder::boot(),
+        boot: recorder::current_boot(),
     }
 }
 
-/// Opens the operators' sockets; their tasks end with the set.
+/// Opens the operators' sockets and serves them in tasks of the set.
 async fn listen_for_commands(
     site: &Site,
-    commands: &CoreCommandHandler,
+    command_handler: &CoreCommandHandler,
     tasks: &mut JoinSet<()>,
 ) -> Result<(), DaemonError> {
     for socket in &site.runtime_api {
         let listener = Listener::bind(&socket.listen)
             .await
             .map_err(DaemonError::listen(&socket.listen))?;
-        tasks.spawn(serve(listener, socket.level.into(), commands.clone()));
+        tasks.spawn(serve(
+            listener,
+            socket.level.into(),
+            command_handler.clone(),
+        ));
     }
     Ok(())
 }
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -1,4 +1,5 @@
-//! The connections to proxies' runtime sockets: each one a task, owned by the daemon and ended with its entry.
+//! Connections to the proxies' runtime API sockets. Each one runs in a task that stops when its [`Connection`] is
+//! dropped.
 
 use futures_util::stream::{SplitSink, SplitStream};
 use futures_util::{SinkExt, StreamExt};
@@ -16,11 +17,12 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Groups of lines that wait for a connection's task. The core has one update batch and one status request under way at
-/// most, so this is never reached by a proxy that answers; one that does not is hung up at the answer limit.
-const MAX_WAITING_GROUPS: usize = 16;
-/// Bytes of them: a few times the largest batch of a large deployment.
-const MAX_WAITING_BYTES: u64 = 4 << 20;
+/// Capacity of a connection's write queue, in groups of lines. The core has at most one update batch and one status
+/// request in flight, so a proxy that answers never reaches this; the core closes the connection of one that does not
+/// at its answer time limit.
+const MAX_QUEUED_GROUPS: usize = 16;
+/// Capacity of a connection's write queue in bytes: a few times the largest update batch of a large deployment.
+const MAX_QUEUED_BYTES: u64 = 4 << 20;
 
 /// Why a connection ended. The texts are stored in the event log.
 #[derive(Debug, Error)]
@@ -42,17 +44,17 @@
     Stopping,
 }
 
-/// One connection, or the attempt at one. Dropping it closes the connection.
+/// A connection, or an attempt to establish one. Dropping it closes the connection.
 pub(crate) struct Connection {
     lines: mpsc::Sender<Vec<String>>,
-    /// Bytes that are handed over and not written.
-    waiting: Arc<AtomicU64>,
-    /// Its task, which is aborted when this is dropped.
+    /// Bytes in the write queue.
+    queued_bytes: Arc<AtomicU64>,
+    /// The connection's task, which is aborted when this is dropped.
     _task: JoinSet<()>,
 }
 
 impl Connection {
-    /// Dials a proxy; the core is notified of how that goes under this number.
+    /// Dials a proxy. The core is notified of the connection's state and the proxy's answers under this connection number.
     pub(crate) fn dial(
         proxy: u16,
         connection: u64,
@@ -60,64 +62,67 @@
         limit: Duration,
         inputs: mpsc::Sender<Input>,
     ) -> Connection {
-        let (lines, queue) = mpsc::channel(MAX_WAITING_GROUPS);
-        let waiting: Arc<AtomicU64> = Arc::default();
-        let session = ProxyConnection {
+        let (lines, queue) = mpsc::channel(MAX_QUEUED_GROUPS);
+        let queued_bytes: Arc<AtomicU64> = Arc::default();
+        let proxy_connection = ProxyConnection {
             proxy,
             connection,
-            waiting: waiting.clone(),
+            queued_bytes: queued_bytes.clone(),
             inputs,
         };
         let mut task = JoinSet::new();
         task.spawn(async move {
-            let reason = session.run(endpoint, limit, queue).await.to_string();
+            let reason = proxy_connection
+                .run(endpoint, limit, queue)
+                .await
+                .to_string();
             let ended = Input::Disconnected {
                 proxy,
                 connection,
                 reason,
             };
-            // If the daemon is gone, nobody needs to know.
-            session.inputs.send(ended).await.ok();
+            // The error is ignored because the daemon may have stopped.
+            proxy_connection.inputs.send(ended).await.ok();
         });
         Connection {
             lines,
-            waiting,
+            queued_bytes,
             _task: task,
         }
     }
 
-    /// Hands lines over without waiting. Gives whether there was room.
+    /// Queues lines for writing without queued_bytes; returns whether there was room.
     pub(crate) fn write(&self, lines: Vec<String>) -> bool {
-        let bytes = bytes(&lines);
+        let bytes = wire_bytes(&lines);
         let sent =
-            self.waiting() + bytes <= MAX_WAITING_BYTES && self.lines.try_send(lines).is_ok();
+            self.queued_bytes() + bytes <= MAX_QUEUED_BYTES && self.lines.try_send(lines).is_ok();
         if sent {
-            self.waiting.fetch_add(bytes, Relaxed);
+            self.queued_bytes.fetch_add(bytes, Relaxed);
         }
         sent
     }
 
-    /// Bytes that wait to be written.
-    pub(crate) fn waiting(&self) -> u64 {
-        self.waiting.load(Relaxed)
+    /// Bytes in the write queue, including those being written.
+    pub(crate) fn queued_bytes(&self) -> u64 {
+        self.queued_bytes.load(Relaxed)
     }
 }
 
-/// What lines take on the wire.
-fn bytes(lines: &[String]) -> u64 {
+/// Size of the lines on the wire, with a newline each.
+fn wire_bytes(lines: &[String]) -> u64 {
     lines.iter().map(|line| line.len() as u64 + 1).sum()
 }
 
-/// A connection as its task has it.
+/// The state of a connection within its task.
 struct ProxyConnection {
     proxy: u16,
     connection: u64,
-    waiting: Arc<AtomicU64>,
+    queued_bytes: Arc<AtomicU64>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl ProxyConnection {
-    /// Runs the connection to its end.
+    /// Connects and serves the connection until it ends.
     async fn run(
         &self,
         endpoint: Endpoint,
@@ -137,7 +142,7 @@
             return EndReason::Stopping;
         }
         let (sink, stream) = Framed::new(stream, ClientCodec::default()).split();
-        // Whichever end fails first ends both.
+        // The connection ends when either direction ends.
         tokio::select! {
             reason = self.write(sink, queue) => reason,
             reason = self.read(stream) => reason,
@@ -150,7 +155,7 @@
         mut queue: mpsc::Receiver<Vec<String>>,
     ) -> EndReason {
         while let Some(lines) = queue.recv().await {
-            let bytes = bytes(&lines);
+            let bytes = wire_bytes(&lines);
             for line in lines {
                 if let Err(error) = sink.feed(line).await {
                     return EndReason::Write(error);
@@ -159,7 +164,7 @@
             if let Err(error) = sink.flush().await {
                 return EndReason::Write(error);
             }
-            self.waiting.fetch_sub(bytes, Relaxed);
+            self.queued_bytes.fetch_sub(bytes, Relaxed);
         }
         EndReason::Stopping
     }
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -1,4 +1,4 @@
-//! The DNS server's sockets: UDP, and TCP with its two bytes of length (RFC 1035, section 4.2.2; RFC 7766).
+//! The DNS server's sockets: UDP, and TCP with a two-byte length prefix (RFC 1035, section 4.2.2; RFC 7766).
 
 use crate::error::{DaemonError, DnsError, SecretError};
 use futures_util::{SinkExt, StreamExt};
@@ -22,25 +22,25 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tracing::warn;
 
-/// Connections at one time; whoever connects beyond them waits in the system's own queue.
+/// Maximum number of concurrent TCP connections; further ones wait in the system's accept queue.
 const MAX_CONNECTIONS: usize = 64;
-/// A connection without a query for this long is closed.
+/// A TCP connection without a query for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Sources whose answers are counted apart.
-const MAX_SOURCES: usize = 20_000;
-/// Largest packet that is read, in bytes.
-const MAX_PACKET: usize = 4_096;
-/// The pause after an error of the UDP socket.
+/// Maximum number of source addresses that the rate limiter tracks individually.
+const MAX_TRACKED_SOURCES: usize = 20_000;
+/// Maximum size of a UDP query, in bytes.
+const MAX_PACKET_BYTES: usize = 4_096;
+/// Delay after an error of the UDP socket.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The pause after an error of the TCP listener.
+/// Delay after an error of the TCP listener.
 const LISTENER_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Queries are reported again within this part of the time that the core reckons with.
-const REPORT_INTERVAL_PART: f64 = 0.5;
+/// Queries are reported at this fraction of [`DNS_QUERY_REPORT_INTERVAL`], the interval that the core expects.
+const REPORT_INTERVAL_FRACTION: f64 = 0.5;
 
-/// The proxy that a query was of, and the table it was given.
+/// The proxy that sent a query, and the table that it was answered with.
 type QueryKey = (Option<ProxyId>, u16);
 
-/// When queries were reported to the core last.
+/// The last report of a query to the core.
 #[derive(Clone, Copy)]
 struct QueryReport {
     at: Time,
@@ -52,19 +52,19 @@
 pub(crate) struct DnsServer {
     answerer: Arc<Mutex<Answerer>>,
     view: Arc<RwLock<Arc<View>>>,
-    /// The last reports of each proxy and table: as many as there are of both at most.
-    reported: Arc<Mutex<BTreeMap<QueryKey, QueryReport>>>,
+    /// The last report for each proxy and table. The size is bounded by the number of proxies and tables.
+    last_reports: Arc<Mutex<BTreeMap<QueryKey, QueryReport>>>,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
     socket: Arc<UdpSocket>,
     secondaries: Arc<[SocketAddr]>,
 }
 
-/// Opens both sockets; the tasks end with the set. None if the settings have no DNS server.
+/// Opens both sockets and serves them in tasks of the set. Returns `None` if the settings have no DNS server.
 ///
 /// # Errors
 ///
-/// An address cannot be had, or a name of the settings cannot be one.
+/// The address cannot be bound, or the DNS settings cannot be used.
 pub(crate) async fn open(
     site: &Site,
     seed: u64,
@@ -76,8 +76,8 @@
         return Ok(None);
     };
     let zone = zone(site, dns)?;
-    let copies = ZoneTransfers::new(keys(dns)?);
-    let limits = RateLimiter::new(dns.answers_per_second, MAX_SOURCES, clock.now());
+    let transfers = ZoneTransfers::new(read_keys(dns)?);
+    let rate_limiter = RateLimiter::new(dns.answers_per_second, MAX_TRACKED_SOURCES, clock.now());
     let endpoint = Endpoint::Tcp(dns.listen);
     let udp = UdpSocket::bind(dns.listen)
         .await
@@ -87,9 +87,14 @@
         .map_err(DaemonError::listen(&endpoint))?;
     let secondaries = dns.secondaries.iter();
     let server = DnsServer {
-        answerer: Arc::new(Mutex::new(Answerer::new(zone, limits, copies, seed))),
+        answerer: Arc::new(Mutex::new(Answerer::new(
+            zone,
+            rate_limiter,
+            transfers,
+            seed,
+        ))),
         view: Arc::default(),
-        reported: Arc::default(),
+        last_reports: Arc::default(),
         clock,
         inputs,
         socket: Arc::new(udp),
@@ -100,7 +105,7 @@
     Ok(Some(server))
 }
 
-/// The zone that the settings describe.
+/// The DNS zone that the settings describe.
 fn zone(site: &Site, dns: &Dns) -> Result<Zone, DnsError> {
     let lifetime = dns.lifetime()?;
     let classes: Vec<String> = site.kinds.iter().map(|class| class.name.clone()).collect();
@@ -116,7 +121,7 @@
     Ok(zone)
 }
 
-/// The networks that a proxy's queries come from.
+/// The source networks of a proxy's queries.
 fn sources((index, proxy): (usize, &Proxy)) -> Vec<SourceNet> {
     let source = |net: &ipnet::IpNet| SourceNet {
         address: net.network(),
@@ -126,8 +131,8 @@
     proxy.sources.iter().map(source).collect()
 }
 
-/// The secondaries' keys, from the files that hold their secrets.
-fn keys(dns: &Dns) -> Result<Vec<TsigKey>, DnsError> {
+/// Reads the secondaries' TSIG keys from their secret files.
+fn read_keys(dns: &Dns) -> Result<Vec<TsigKey>, DnsError> {
     let key = |secondary: &Secondary| {
         read_key(secondary).map_err(|source| DnsError::Secret {
             file: secondary.secret_file.clone(),
@@ -144,23 +149,23 @@
 }
 
 impl DnsServer {
-    /// Answers from this view from now on.
+    /// Replaces the view that queries are answered from.
     pub(crate) fn set_view(&self, view: Arc<View>) {
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = view.clone();
         if !self.secondaries.is_empty() {
             let zone = self.answerer().zone().clone();
-            // Not under the lock: queries go on meanwhile.
+            // Computed without holding the lock, so that queries are answered meanwhile.
             let rows = zone_rows(&zone, &view);
             self.answerer().transfers().set_zone(view.serial, rows);
         }
     }
 
-    /// Notifies a secondary that the zone has changed. If that is lost, the core has it notified again.
+    /// Notifies a secondary that the zone has changed. If the notification is lost, the core requests it again.
     pub(crate) fn notify(&self, index: u16) {
         let message = self.answerer().notification(self.clock.now(), index);
         let address = self.secondaries.get(usize::from(index));
         if let (Some(message), Some(address)) = (message, address) {
-            // Lost like any packet may be.
+            // A send error is handled like packet loss.
             self.socket.try_send_to(&message, *address).ok();
         }
     }
@@ -176,8 +181,10 @@
             .clone()
     }
 
-    fn reported(&self) -> MutexGuard<'_, BTreeMap<QueryKey, QueryReport>> {
-        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_reports(&self) -> MutexGuard<'_, BTreeMap<QueryKey, QueryReport>> {
+        self.last_reports
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn answer(&self, from: IpAddr, transport: Transport, packet: &[u8]) -> Reply {
@@ -188,7 +195,7 @@
         reply
     }
 
-    /// All of a reply was sent: the core is notified of what that says of a secondary.
+    /// Notifies the core of a secondary's events once the complete reply has been sent.
     async fn report_sent(&self, reply: Reply) {
         for (index, observation) in reply.secondary_events {
             let input = Input::SecondaryObserved { index, observation };
@@ -197,14 +204,14 @@
         }
     }
 
-    /// Notifies the core of each proxy and table once in a while, not of each answer.
+    /// Notifies the core of a query, at a limited rate for each proxy and table.
     fn report_query(&self, now: Time, reply: &Reply, serial: u32) {
         let proxy = reply.proxy.map(|id| id.0);
         let table = reply.table.map(|table| table.0);
-        let Some(counted) = table.or(proxy.map(|_| u16::MAX)) else {
+        let Some(table_key) = table.or(proxy.map(|_| u16::MAX)) else {
             return;
         };
-        let key = (reply.proxy, counted);
+        let key = (reply.proxy, table_key);
         if !self.is_report_due(key, QueryReport { at: now, serial }) {
             return;
         }
@@ -214,39 +221,39 @@
             serial,
         };
         if self.inputs.try_send(input).is_err() {
-            // The next answer reports it again.
-            self.reported().remove(&key);
+            // The input queue is full; the next query is reported instead.
+            self.last_reports().remove(&key);
         }
     }
 
-    /// Whether a report is to be made now; if so it counts as made.
+    /// Whether a report is due now. If so, it is stored as the last report.
     fn is_report_due(&self, key: QueryKey, report: QueryReport) -> bool {
-        let mut reported = self.reported();
-        // Again well within the time that the core reckons with, and at once with another serial.
-        let recent = reported.get(&key).is_some_and(|last| {
+        let mut last_reports = self.last_reports();
+        // Due well within the interval that the core expects, and at once when the serial has changed.
+        let recent = last_reports.get(&key).is_some_and(|last| {
             last.serial == report.serial
-                && report.at - last.at < DNS_QUERY_REPORT_INTERVAL.scaled(REPORT_INTERVAL_PART)
+                && report.at - last.at < DNS_QUERY_REPORT_INTERVAL.scaled(REPORT_INTERVAL_FRACTION)
         });
         if !recent {
-            reported.insert(key, report);
+            last_reports.insert(key, report);
         }
         !recent
     }
 }
 
 async fn serve_udp(server: DnsServer) {
-    let mut packet = vec![0; MAX_PACKET];
+    let mut packet = vec![0; MAX_PACKET_BYTES];
     loop {
         match server.socket.recv_from(&mut packet).await {
             Ok((length, from)) => {
                 let reply = server.answer(from.ip(), Transport::Udp, &packet[..length]);
                 for answer in &reply.packets {
-                    // A resolver that is gone needs no answer.
+                    // The error is ignored because the resolver may no longer be there.
                     server.socket.send_to(answer, from).await.ok();
                 }
                 server.report_sent(reply).await;
             }
-            // What the system says of an earlier answer is no reason to stop.
+            // The error may concern an earlier answer, so serving continues.
             Err(error) => {
                 warn!(%error, "DNS socket failed");
                 sleep(SOCKET_RETRY_DELAY).await;
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon cannot start.
+//! Errors that prevent the daemon from starting.
 
 use pondarch_config::Endpoint;
 use std::io;
@@ -9,27 +9,27 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum DaemonError {
-    /// An address cannot be had.
+    /// An address cannot be bound.
     #[error("cannot listen at {endpoint}: {source}")]
     Listen {
         /// The address.
         endpoint: Endpoint,
-        /// The error of the system.
+        /// The system's error.
         source: io::Error,
     },
-    /// Another program writes the event log.
+    /// Another program holds the lock of the event log.
     #[error("records: {0}")]
     EventLog(#[from] pondarch_event_log::LockError),
     /// The DNS server's settings cannot be used.
     #[error("dns: {0}")]
     Dns(#[from] DnsError),
-    /// The system gives no signals.
+    /// The signal handlers cannot be installed.
     #[error("cannot follow signals: {0}")]
     Signals(#[source] io::Error),
 }
 
 impl DaemonError {
-    /// Gives the error of an address from that of the system.
+    /// Returns a function that wraps the system's error with the address.
     pub(crate) fn listen(endpoint: &Endpoint) -> impl Fn(io::Error) -> DaemonError {
         move |source| DaemonError::Listen {
             endpoint: endpoint.clone(),
@@ -42,33 +42,33 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum DnsError {
-    /// The times of the settings leave no lifetime for an answer.
+    /// The times in the settings leave no lifetime for a DNS answer.
     #[error(transparent)]
     Lifetime(#[from] pondarch_dns_core::LifetimeError),
-    /// A name of the settings cannot be one in DNS.
+    /// A name in the settings is not a valid DNS name.
     #[error(transparent)]
     Zone(#[from] pondarch_dns_server::ZoneError),
-    /// A secondary's key cannot be used.
+    /// A secondary's secret cannot be used.
     #[error("{}: {source}", file.display())]
     Secret {
         /// The file that holds the secret.
         file: PathBuf,
-        /// What is wrong with it.
+        /// Why it cannot be used.
         source: SecretError,
     },
 }
 
-/// What is wrong with a secondary's secret.
+/// Why a secondary's secret cannot be used.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum SecretError {
-    /// Its file cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is not Base64.
+    /// The secret is not valid Base64.
     #[error(transparent)]
     Encoding(#[from] data_encoding::DecodeError),
-    /// It makes no key.
+    /// The secret is not a valid TSIG key.
     #[error(transparent)]
     Key(#[from] pondarch_dns_server::KeyError),
 }
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks over HTTP/1.1, which also give a host's load.
+//! Health checks over HTTP/1.1, whose responses can also report a host's load.
 
 use pondarch_config::site::Probes;
 use pondarch_daemon_core::{Input, ReportedLoad};
@@ -9,42 +9,45 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// Health checks under way at one time; one more is made at its next turn and counts as unanswered now.
-const MAX_CHECKS: usize = 256;
-/// Bytes of an answer's body, which is not evaluated.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// Maximum number of concurrent health checks. Further ones count as unanswered and are repeated at the next interval.
+const MAX_CONCURRENT_CHECKS: usize = 256;
+/// Maximum size of a response body, in bytes. The body is not evaluated.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Makes health checks. Clones share their limit.
+/// Performs health checks. Clones share the limit on concurrent checks.
 #[derive(Clone)]
-pub(crate) struct Prober {
+pub(crate) struct HealthChecker {
     settings: Arc<Probes>,
     permits: Arc<Semaphore>,
     inputs: mpsc::Sender<Input>,
 }
 
-impl Prober {
-    /// A prober by the settings.
-    pub(crate) fn new(settings: Probes, inputs: mpsc::Sender<Input>) -> Prober {
-        Prober {
+impl HealthChecker {
+    /// Creates a health checker with these settings.
+    pub(crate) fn new(settings: Probes, inputs: mpsc::Sender<Input>) -> HealthChecker {
+        HealthChecker {
             settings: Arc::new(settings),
-            permits: Arc::new(Semaphore::new(MAX_CHECKS)),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CHECKS)),
             inputs,
         }
     }
 
-    /// One health check, to its end within the time limit.
+    /// Performs one health check within the time limit and reports the result to the core.
     pub(crate) async fn check(self, host: String, address: SocketAddr, for_load: bool) {
-        let answer = match self.permits.try_acquire() {
+        let response = match self.permits.try_acquire() {
             Ok(_permit) => {
                 timeout(
                     self.settings.time_limit.std(),
-                    get(address, &self.settings.path, MAX_ANSWER_BYTES),
+                    get(address, &self.settings.path, MAX_BODY_BYTES),
                 )
                 .await
             }
             Err(_) => Ok(None),
         };
-        let report = answer.ok().flatten().map(|answer| load_of(&answer));
+        let report = response
+            .ok()
+            .flatten()
+            .map(|response| reported_load(&response));
         let load = report.map(|report| ReportedLoad {
             utilization: report.utilization,
             queue_length: report.queue_length,
@@ -52,7 +55,7 @@
             request_rate: report.request_rate,
             failure_rate: report.failure_rate,
         });
-        // If the daemon is gone, nobody needs to know.
+        // The error is ignored because the daemon may have stopped.
         self.inputs
             .send(Input::HealthCheckCompleted {
                 host,
@@ -65,9 +68,9 @@
     }
 }
 
-/// The load that an answer reports, as far as it does.
-fn load_of(answer: &GetResponse) -> Report {
-    let value = answer
+/// The load that a response reports; empty if it has no load report.
+fn reported_load(response: &GetResponse) -> Report {
+    let value = response
         .headers
         .get(HEADER)
         .and_then(|value| value.to_str().ok());
--- a/crates/daemon/src/hosts_file.rs
+++ b/crates/daemon/src/hosts_file.rs
@@ -1,7 +1,7 @@
-//! Follows the endpoint list: polls the file's metadata several times a second and reads the file when it has changed.
+//! Watches the endpoint list file: polls its metadata several times a second and reads it when it has changed.
 //!
-//! A file that cannot be read or evaluated (half written, say) is reported once, and read again when it changes; the last
-//! good list holds meanwhile.
+//! A file that cannot be read or evaluated, for example because it is partly written, is reported once and read again
+//! when it changes. Until then the last valid list stays in effect.
 
 use pondarch_config::read_hosts;
 use pondarch_daemon_core::Input;
@@ -10,10 +10,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Time between two polls: short beside the list's own delay of seconds.
+/// Time between two polls; short compared with the endpoint list's own delay of seconds.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Distinguishes one state of the file from another without reading it.
+/// Metadata that changes with the file's content.
 #[derive(Clone, Copy, PartialEq)]
 struct FileVersion {
     modified: SystemTime,
@@ -22,26 +22,26 @@
 }
 
 /// Reads the file whenever it has changed, until the daemon ends.
-pub(crate) async fn follow(file: PathBuf, zones: Vec<String>, inputs: mpsc::Sender<Input>) {
-    let mut last: Option<Option<FileVersion>> = None;
-    let mut next = Instant::now();
+pub(crate) async fn watch(file: PathBuf, zones: Vec<String>, inputs: mpsc::Sender<Input>) {
+    let mut last_read: Option<Option<FileVersion>> = None;
+    let mut next_poll = Instant::now();
     loop {
-        let version = version_of(&file).await;
-        if last != Some(version) {
+        let version = file_version(&file).await;
+        if last_read != Some(version) {
             let input = read(file.clone(), zones.clone()).await;
-            // Changed while it was being read: the next poll reads it again.
-            last = (version_of(&file).await == version).then_some(version);
+            // If the file changed during the read, the next poll reads it again.
+            last_read = (file_version(&file).await == version).then_some(version);
             if inputs.send(input).await.is_err() {
                 return;
             }
         }
-        next += POLL_INTERVAL;
-        sleep_until(next).await;
+        next_poll += POLL_INTERVAL;
+        sleep_until(next_poll).await;
     }
 }
 
 async fn read(file: PathBuf, zones: Vec<String>) -> Input {
-    // Evaluating takes its time: not on a thread that serves sockets.
+    // Evaluation is slow, so it must not block a thread that serves sockets.
     let list = tokio::task::spawn_blocking(move || read_hosts(&file, &zones)).await;
     match list {
         Ok(Ok(list)) => Input::EndpointList {
@@ -57,8 +57,8 @@
     }
 }
 
-/// The file's state; none if there is no such file.
-async fn version_of(file: &Path) -> Option<FileVersion> {
+/// The file's version, or `None` if its metadata cannot be read.
+async fn file_version(file: &Path) -> Option<FileVersion> {
     let metadata = tokio::fs::metadata(file).await.ok()?;
     Some(FileVersion {
         modified: metadata.modified().ok()?,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,27 +1,28 @@
-//! The daemon of the stand-alone controller: sockets, files, clocks and signals around `daemon-core`, which decides.
+//! The daemon of the stand-alone controller: sockets, files, clocks and signals around `daemon-core`, which makes all
+//! decisions.
 //!
-//! - `daemon`: start-up, and the loop that feeds the core.
-//! - `output_handler`: carries out what the core gives.
+//! - `daemon`: start-up, and the main loop that passes inputs to the core.
+//! - `output_handler`: carries out the core's outputs.
 //! - `memory`: reports the memory in use to the core.
-//! - `dial`: the connections to proxies' runtime sockets.
-//! - `command_handler`: operators' commands, and the replies they wait for.
-//! - `hosts_file`: follows the endpoint list.
-//! - `probe`: health checks over HTTP.
-//! - `push`: proxies and hosts that push load reports.
+//! - `dial`: connections to the proxies' runtime API sockets.
+//! - `command_handler`: operators' commands and their pending replies.
+//! - `hosts_file`: watches the endpoint list file.
+//! - `health_checks`: health checks over HTTP.
+//! - `push`: connections of proxies and hosts that push load reports.
 //! - `dns`: the DNS server's sockets.
-//! - `recorder`: the event log's way to the disk, and what was found there at the start.
-//! - `log`: events as structured logs.
+//! - `recorder`: writes the event log, and recovers state from it at start-up.
+//! - `log`: logs the core's events.
 
 mod command_handler;
 mod daemon;
 mod dial;
 mod dns;
 mod error;
+mod health_checks;
 mod hosts_file;
 mod log;
 mod memory;
 mod output_handler;
-mod probe;
 mod push;
 mod recorder;
 
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Events as structured logs: one log line each, with the input that led to it.
+//! Logs the core's events, one structured log line each, with the input that caused the event.
 
 use pondarch_daemon_core::Event;
 use tracing::{debug, info, warn};
@@ -35,7 +35,7 @@
     }
 }
 
-/// Logs an event of the endpoint list and its hosts.
+/// Logs an event that concerns the endpoint list or its hosts.
 fn host_event(event: &Event) {
     match event {
         Event::EndpointListApplied {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Logs an event of a proxy.
+/// Logs a proxy that joined, left or was bound to a table.
 fn proxy_event(event: &Event) {
     match event {
         Event::ProxyJoined {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Logs a decision, or why there is none.
+/// Logs a decision, or why none was made.
 fn decision_event(event: &Event) {
     match event {
         Event::TableChanged {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Logs an event of updates to a proxy.
+/// Logs an event that concerns updates to a proxy.
 fn update_event(event: &Event) {
     match event {
         Event::UpdateSent {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Logs whether the event log is written.
+/// Logs that writing the event log has resumed or stopped.
 fn event_log_changed(stopped_reason: Option<&str>, lost_inputs: u64) {
     match stopped_reason {
         None => info!(lost_inputs, "event log is written"),
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -1,4 +1,4 @@
-//! Reports to the core how much memory its surroundings use.
+//! Reports the memory used by queues and connections outside the core to the core.
 
 use crate::output_handler::OutputHandler;
 use crate::recorder::Recorder;
@@ -6,13 +6,13 @@
 use pondarch_daemon_core::Input;
 use std::time::Duration;
 
-/// How often the memory is counted.
-const COUNT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The part by which a figure must have changed to be reported.
-const REPORTED_CHANGE: f64 = 0.125;
-/// The bytes by which it must have changed beyond that part.
-const REPORTED_CHANGE_BYTES: f64 = 4_096.0;
-/// What a connection takes, with its task and buffers, in bytes, roughly.
+/// Time between two measurements of the memory in use.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Relative part of the change that a figure must exceed to be reported.
+const MIN_REPORTED_CHANGE_RATIO: f64 = 0.125;
+/// Absolute part of the change that a figure must exceed to be reported, in bytes, added to the relative part.
+const MIN_REPORTED_CHANGE_BYTES: f64 = 4_096.0;
+/// Approximate memory of a connection with its task and buffers, in bytes.
 const CONNECTION_BYTES: u64 = 8 * 1024;
 
 /// Memory in use, in bytes.
@@ -25,8 +25,9 @@
 
 impl MemoryUsage {
     fn differs_from(self, reported: MemoryUsage) -> bool {
-        let differs = |now: u64, then: u64| {
-            now.abs_diff(then) as f64 > then as f64 * REPORTED_CHANGE + REPORTED_CHANGE_BYTES
+        let differs = |current: u64, last: u64| {
+            current.abs_diff(last) as f64
+                > last as f64 * MIN_REPORTED_CHANGE_RATIO + MIN_REPORTED_CHANGE_BYTES
         };
         differs(self.queued, reported.queued)
             || differs(self.event_log, reported.event_log)
@@ -34,42 +35,42 @@
     }
 }
 
-/// Counts the memory at intervals and reports changes.
+/// Measures the memory in use at intervals and reports changes.
 pub(crate) struct MemoryReporter {
-    reported: MemoryUsage,
-    next_at: Time,
+    last_reported: MemoryUsage,
+    next_measurement_at: Time,
 }
 
 impl MemoryReporter {
-    /// A reporter that counts at `now` for the first time.
+    /// Creates a reporter whose first measurement is at `now`.
     pub(crate) fn new(now: Time) -> MemoryReporter {
         MemoryReporter {
-            reported: MemoryUsage::default(),
-            next_at: now,
+            last_reported: MemoryUsage::default(),
+            next_measurement_at: now,
         }
     }
 
-    /// The usage, if it is time to count and it has changed enough to be reported.
+    /// Returns a report if a measurement is due and a figure has changed enough, or if load report senders were rejected.
     pub(crate) fn report_if_due(
         &mut self,
         now: Time,
-        outputs: &OutputHandler,
+        output_handler: &OutputHandler,
         recorder: Option<&Recorder>,
     ) -> Option<Input> {
-        if now < self.next_at {
+        if now < self.next_measurement_at {
             return None;
         }
-        self.next_at = now + COUNT_INTERVAL;
-        let senders = outputs.sender_counts();
+        self.next_measurement_at = now + MEASUREMENT_INTERVAL;
+        let senders = output_handler.sender_counts();
         let usage = MemoryUsage {
-            queued: outputs.queued_bytes(),
-            event_log: recorder.map_or(0, Recorder::waiting),
-            connections: (outputs.connections() + senders.connected) * CONNECTION_BYTES,
+            queued: output_handler.queued_bytes(),
+            event_log: recorder.map_or(0, Recorder::queued_bytes),
+            connections: (output_handler.connections() + senders.connected) * CONNECTION_BYTES,
         };
-        if senders.rejected == 0 && !usage.differs_from(self.reported) {
+        if senders.rejected == 0 && !usage.differs_from(self.last_reported) {
             return None;
         }
-        self.reported = usage;
+        self.last_reported = usage;
         Some(Input::MemoryUsage {
             queued_bytes: usage.queued,
             event_log_bytes: usage.event_log,
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -1,9 +1,9 @@
-//! Carries out the core's outputs: one function for each.
+//! Carries out the core's outputs.
 
 use crate::command_handler::CoreCommandHandler;
 use crate::dial::Connection;
+use crate::health_checks::HealthChecker;
 use crate::log;
-use crate::probe::Prober;
 use crate::push::{ReportSenders, SenderCounts};
 use pondarch_config::Site;
 use pondarch_daemon_core::{Input, Output};
@@ -19,86 +19,86 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// How long the reply to an operator waits for the event log.
+/// How long the reply to an operator waits until the command is in the event log.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The connection to a proxy, with the number that the core gave it.
+/// A connection to a proxy, with the number that the core assigned to it.
 struct NumberedConnection {
     number: u64,
     connection: Connection,
 }
 
-/// What the core's outputs act on.
+/// The connections, tasks and channels that the core's outputs act on.
 pub(crate) struct OutputHandler {
     connections: BTreeMap<u16, NumberedConnection>,
-    prober: Option<Prober>,
-    /// Health checks under way; they end with the daemon.
-    checks: JoinSet<()>,
-    /// The last plan, which the next one starts from.
-    warm: Arc<Mutex<WarmStartSolver>>,
-    /// The solve under way, which ends by its own limit.
-    solving: JoinSet<()>,
+    health_checker: Option<HealthChecker>,
+    /// Running health checks.
+    health_check_tasks: JoinSet<()>,
+    /// The solver, which keeps the last plan as the starting point of the next.
+    solver: Arc<Mutex<WarmStartSolver>>,
+    /// The running solve, which ends by its own time limit.
+    solver_tasks: JoinSet<()>,
     commands: CoreCommandHandler,
     inputs: mpsc::Sender<Input>,
     site: Site,
-    replies: JoinSet<()>,
-    senders: Option<ReportSenders>,
-    /// Up to which input the event log is written; none: nothing is recorded.
-    written: Option<watch::Receiver<u64>>,
-    /// The input that a reply to an operator waits for.
-    awaited: Option<u64>,
+    reply_tasks: JoinSet<()>,
+    report_senders: Option<ReportSenders>,
+    /// The number of the last input in the event log; `None` if there is no event log.
+    written_up_to: Option<watch::Receiver<u64>>,
+    /// The number of the input that must be in the event log before replies are sent.
+    awaited_input: Option<u64>,
 }
 
 impl OutputHandler {
-    /// A handler without connections.
+    /// Creates a handler without connections.
     pub(crate) fn new(
         site: Site,
         inputs: mpsc::Sender<Input>,
         commands: CoreCommandHandler,
-        senders: Option<ReportSenders>,
-        written: Option<watch::Receiver<u64>>,
+        report_senders: Option<ReportSenders>,
+        written_up_to: Option<watch::Receiver<u64>>,
     ) -> OutputHandler {
-        let prober = site
+        let health_checker = site
             .probes
             .clone()
-            .map(|probes| Prober::new(probes, inputs.clone()));
+            .map(|probes| HealthChecker::new(probes, inputs.clone()));
         OutputHandler {
             connections: BTreeMap::new(),
-            prober,
-            checks: JoinSet::new(),
-            warm: Arc::default(),
-            solving: JoinSet::new(),
+            health_checker,
+            health_check_tasks: JoinSet::new(),
+            solver: Arc::default(),
+            solver_tasks: JoinSet::new(),
             commands,
             inputs,
             site,
-            replies: JoinSet::new(),
-            senders,
-            written,
-            awaited: None,
+            reply_tasks: JoinSet::new(),
+            report_senders,
+            written_up_to,
+            awaited_input: None,
         }
     }
 
-    /// From now on replies wait until this input is in the event log.
-    pub(crate) fn replies_await(&mut self, input: Option<u64>) {
-        self.awaited = input;
+    /// Delays subsequent replies until this input is in the event log; `None` sends them at once.
+    pub(crate) fn hold_replies_until_written(&mut self, input: Option<u64>) {
+        self.awaited_input = input;
     }
 
-    /// Bytes that wait to be written to proxies.
+    /// Bytes in the write queues of the connections to proxies.
     pub(crate) fn queued_bytes(&self) -> u64 {
         self.connections
             .values()
-            .map(|numbered| numbered.connection.waiting())
+            .map(|numbered| numbered.connection.queued_bytes())
             .sum()
     }
 
-    /// Connections to proxies.
+    /// Number of connections to proxies.
     pub(crate) fn connections(&self) -> u64 {
         self.connections.len() as u64
     }
 
-    /// Counts of those that push reports.
+    /// Counts of the senders that push load reports.
     pub(crate) fn sender_counts(&self) -> SenderCounts {
-        self.senders
+        self.report_senders
             .as_ref()
             .map(ReportSenders::counts)
             .unwrap_or_default()
@@ -130,9 +130,9 @@
             }
             Output::Reply { caller, text } => self.reply(caller, text),
             Output::Event(event) => log::event(&event),
-            // For the event log only.
+            // Only recorded in the event log.
             Output::LoadReportsApplied { .. } => {}
-            // Without a DNS server there is nothing to do; with one, the daemon carries these out.
+            // The daemon carries these out if there is a DNS server; without one there is nothing to do.
             Output::DnsViewChanged { .. } | Output::NotifySecondary { .. } => {}
         }
     }
@@ -140,7 +140,7 @@
     fn dial(&mut self, proxy: u16, number: u64) {
         let settings = &self.site.proxies[proxy as usize];
         let limit = self.site.links.dial_limit.std();
-        // Those without a runtime API are never dialled.
+        // Proxies without a runtime API are never dialled.
         let Some(endpoint) = settings.runtime.clone() else {
             return;
         };
@@ -151,72 +151,79 @@
 
     fn write(&mut self, proxy: u16, number: u64, lines: Vec<String>) {
         let written = match self.connections.get(&proxy) {
-            Some(held) if held.number == number => held.connection.write(lines),
+            Some(current) if current.number == number => current.connection.write(lines),
             _ => true,
         };
         if !written {
-            // It reads nothing: the core's answer limit hangs it up; what was not written is sent again then.
+            // The proxy does not read. The core closes the connection at its answer time limit and then sends the lines
+            // again.
             warn!(
                 proxy = self.site.proxies[proxy as usize].name,
-                "connection's queue is full"
+                "write queue of the proxy connection is full"
             );
         }
     }
 
     fn hang_up(&mut self, proxy: u16, number: u64) {
-        let held = self.connections.get(&proxy);
-        if held.is_some_and(|held| held.number == number) {
+        let current = self.connections.get(&proxy);
+        if current.is_some_and(|current| current.number == number) {
             self.connections.remove(&proxy);
         }
     }
 
     fn check_health(&mut self, host: String, address: SocketAddr, for_load: bool) {
-        reap(&mut self.checks);
-        if let Some(prober) = self.prober.clone() {
-            self.checks.spawn(prober.check(host, address, for_load));
+        remove_finished(&mut self.health_check_tasks);
+        if let Some(health_checker) = self.health_checker.clone() {
+            self.health_check_tasks
+                .spawn(health_checker.check(host, address, for_load));
         }
     }
 
     fn solve(&mut self, number: u64, fleet: Fleet) {
-        // One at a time: the core requests the next when this one has ended or is given up.
-        reap(&mut self.solving);
+        // The core requests one solve at a time: the next follows when this one has ended or was abandoned.
+        remove_finished(&mut self.solver_tasks);
         let inputs = self.inputs.clone();
-        let warm = self.warm.clone();
-        self.solving.spawn_blocking(move || {
-            let mut warm = warm.lock().unwrap_or_else(PoisonError::into_inner);
-            let plan = warm
+        let solver = self.solver.clone();
+        self.solver_tasks.spawn_blocking(move || {
+            let mut solver = solver.lock().unwrap_or_else(PoisonError::into_inner);
+            let plan = solver
                 .solve(&fleet, SOLVER_TIME_LIMIT)
                 .map(|(plan, _)| plan)
                 .map_err(|error| error.to_string());
-            // The daemon may have ended meanwhile.
+            // The error is ignored because the daemon may have stopped meanwhile.
             inputs.blocking_send(Input::Solved { number, plan }).ok();
         });
     }
 
     fn send_to_sender(&self, connection: u64, message: ToSender) {
-        if let Some(senders) = &self.senders {
-            senders.send(connection, message);
+        if let Some(report_senders) = &self.report_senders {
+            report_senders.send(connection, message);
         }
     }
 
     fn reply(&mut self, caller: u64, text: String) {
-        let (Some(number), Some(mut written)) = (self.awaited, self.written.clone()) else {
+        let (Some(number), Some(mut written_up_to)) =
+            (self.awaited_input, self.written_up_to.clone())
+        else {
             self.commands.reply(caller, text);
             return;
         };
         let commands = self.commands.clone();
-        reap(&mut self.replies);
-        self.replies.spawn(async move {
-            // The reply is sent after the timeout too: with a slow disk nobody waits longer.
-            timeout(REPLY_TIMEOUT, written.wait_for(|up_to| *up_to >= number))
-                .await
-                .ok();
+        remove_finished(&mut self.reply_tasks);
+        self.reply_tasks.spawn(async move {
+            // The reply is also sent after the timeout, so that a slow disk does not delay it further.
+            timeout(
+                REPLY_TIMEOUT,
+                written_up_to.wait_for(|written| *written >= number),
+            )
+            .await
+            .ok();
             commands.reply(caller, text);
         });
     }
 }
 
-/// Forgets the tasks that have ended.
-fn reap(tasks: &mut JoinSet<()>) {
+/// Removes the tasks that have ended from the set.
+fn remove_finished(tasks: &mut JoinSet<()>) {
     while tasks.try_join_next().is_some() {}
 }
--- a/crates/daemon/src/push.rs
+++ b/crates/daemon/src/push.rs
@@ -1,5 +1,5 @@
-//! Proxies and hosts that push load reports: a stream each, by credit. What one of them does harms no other: it has a few
-//! reports under way at most, and whoever sends more than it may is cut off.
+//! Proxies and hosts that push load reports, each on its own connection with credit-based flow control. Senders cannot
+//! affect each other: each has at most a few reports in flight, and one that exceeds its credit is disconnected.
 
 use crate::error::DaemonError;
 use futures_util::{SinkExt, StreamExt};
@@ -16,23 +16,23 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Senders at one time: beyond them, a connection is closed at once and the sender tries again.
+/// Maximum number of concurrent senders. Further connections are closed at once, and their senders retry.
 const MAX_SENDERS: usize = 4_096;
-/// Messages to one sender that wait; it has a few reports under way at most, so that there are never more.
-const MAX_WAITING_MESSAGES: usize = 16;
-/// Within which a sender says who it is.
+/// Capacity of the message queue to a sender. It is never reached because a sender has at most a few reports in flight.
+const MAX_QUEUED_MESSAGES: usize = 16;
+/// Time limit for a sender to identify itself with a hello message.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Within which a sender takes a message.
+/// Time limit for writing a message to a sender.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A sender that sends nothing for so long is gone.
+/// A sender that sends nothing for this long is disconnected.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The queue of messages to each sender, by the number of its connection.
 type MessageQueues = BTreeMap<u64, mpsc::Sender<ToSender>>;
 
-/// The senders that are connected.
+/// The connected senders.
 #[derive(Clone)]
 pub(crate) struct ReportSenders {
     queues: Arc<Mutex<MessageQueues>>,
@@ -42,17 +42,17 @@
 /// Counts of senders.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SenderCounts {
-    /// Those connected now.
+    /// Senders connected now.
     pub(crate) connected: u64,
-    /// Those rejected since the last count.
+    /// Connections rejected since the last count.
     pub(crate) rejected: u64,
 }
 
-/// Opens the listener; its task ends with the set. None if the settings name none.
+/// Opens the listener and serves it in a task of the set. Returns `None` if the settings have no address for it.
 ///
 /// # Errors
 ///
-/// The address cannot be had.
+/// The address cannot be bound.
 pub(crate) async fn open(
     site: &Site,
     inputs: mpsc::Sender<Input>,
@@ -77,20 +77,20 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to one sender; one that does not take it is cut off.
+    /// Queues a message to a sender. A sender whose queue is full is disconnected.
     pub(crate) fn send(&self, connection: u64, message: ToSender) {
-        let last = matches!(message, ToSender::Rejected { .. });
+        let is_rejection = matches!(message, ToSender::Rejected { .. });
         let mut queues = self.queues();
         let full = queues
             .get(&connection)
             .is_some_and(|queue| queue.try_send(message).is_err());
-        if full || last {
-            // What is in the queue is still written; then the stream ends.
+        if full || is_rejection {
+            // The queued messages are still written; then the connection is closed.
             queues.remove(&connection);
         }
     }
 
-    /// Senders now, and those rejected since the last call.
+    /// The number of connected senders, and of connections rejected since the last call.
     pub(crate) fn counts(&self) -> SenderCounts {
         SenderCounts {
             connected: self.queues().len() as u64,
@@ -109,7 +109,7 @@
             Some(_) = connections.join_next() => continue,
         };
         let Ok(stream) = stream else {
-            // Out of files, say: a pause, so as not to spin.
+            // The delay avoids a busy loop, for example while no file descriptors are free.
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -123,7 +123,7 @@
         connections.spawn(async move {
             serve(connection, stream, &senders, &inputs).await;
             if senders.queues().remove(&connection).is_some() {
-                // If the daemon is gone, nobody needs to know.
+                // The error is ignored because the daemon may have stopped.
                 inputs
                     .send(Input::SenderDisconnected { connection })
                     .await
@@ -134,7 +134,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it ends.
 async fn serve(
     connection: u64,
     stream: Stream,
@@ -146,9 +146,13 @@
     else {
         return;
     };
-    let (queue, messages) = mpsc::channel(MAX_WAITING_MESSAGES);
+    let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
     senders.queues().insert(connection, queue);
-    if inputs.send(connected(connection, hello)).await.is_err() {
+    if inputs
+        .send(connected_input(connection, hello))
+        .await
+        .is_err()
+    {
         return;
     }
     let mut session = SenderSession {
@@ -160,7 +164,7 @@
     session.run(messages).await;
 }
 
-fn connected(connection: u64, hello: Hello) -> Input {
+fn connected_input(connection: u64, hello: Hello) -> Input {
     Input::SenderConnected {
         connection,
         name: hello.name,
@@ -169,18 +173,18 @@
     }
 }
 
-/// Whether a session goes on.
+/// Whether a session continues.
 #[derive(PartialEq)]
 enum Progress {
     Continue,
     End,
 }
 
-/// A sender that has said who it is.
+/// The session of a sender that has identified itself.
 struct SenderSession<'a> {
     connection: u64,
     framed: Framed<Stream, Codec<ToController, ToSender>>,
-    /// Reports that it may still send.
+    /// Number of reports that the sender may still send.
     credit: u32,
     inputs: &'a mpsc::Sender<Input>,
 }
@@ -194,7 +198,7 @@
                 message = messages.recv() => self.write(message).await,
                 received = timeout(IDLE_TIMEOUT, self.framed.next()) => match received {
                     Ok(Some(Ok(received))) => self.receive(received).await,
-                    // Silence, a message that cannot be read, or the end.
+                    // Idle timeout, invalid message or closed connection.
                     _ => Progress::End,
                 },
             };
@@ -202,7 +206,7 @@
     }
 
     async fn write(&mut self, message: Option<ToSender>) -> Progress {
-        // Once nothing more will be sent to it, the stream ends.
+        // The queue was removed, so the connection is closed.
         let Some(message) = message else {
             return Progress::End;
         };
@@ -217,7 +221,7 @@
 
     async fn receive(&mut self, received: ToController) -> Progress {
         let ToController::Report(report) = received else {
-            // A second hello.
+            // A second hello is a protocol violation.
             return Progress::End;
         };
         if self.credit == 0 {
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -1,8 +1,8 @@
-//! The event log's way to the disk: a bounded queue, and a thread of its own that writes, syncs, and stores snapshots.
-//! Nothing that decides waits for it: what finds no room is a gap, and recorded as one.
+//! Records inputs and decisions in the event log, through a bounded queue and a thread that writes, syncs and stores
+//! snapshots. The core never waits for the disk: records that do not fit into the queue become a gap, which is recorded.
 //!
-//! - `previous_run`: what was recorded before, at the start.
-//! - `writer`: the thread, and what is written when.
+//! - `previous_run`: recovers the state of the previous run at start-up.
+//! - `writer`: the writer thread.
 
 use pondarch_config::site::Records;
 use pondarch_controller::Time;
@@ -22,16 +22,16 @@
 mod previous_run;
 mod writer;
 
-pub(crate) use previous_run::{boot, folder_opener, previous_run};
+pub(crate) use previous_run::{current_boot, folder_opener, previous_run};
 
-/// Records that wait for the disk; beyond them there is a gap.
-const MAX_WAITING_RECORDS: usize = 16_384;
-/// Bytes of them, roughly; beyond them there is a gap.
-const MAX_WAITING_BYTES: usize = 64 << 20;
-/// How long the end may take, for a disk that hangs.
-const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of queued records; further ones become a gap.
+const MAX_QUEUED_RECORDS: usize = 16_384;
+/// Approximate maximum size of the queued records, in bytes; further ones become a gap.
+const MAX_QUEUED_BYTES: usize = 64 << 20;
+/// Time limit for writing the queue at shutdown, in case the disk hangs.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What goes to the thread that writes.
+/// An entry in the queue of the writer thread.
 enum Entry {
     /// An input of the core.
     Input {
@@ -39,15 +39,15 @@
         at: Time,
         input: Box<Input>,
     },
-    /// What the core decided by an input.
-    Decided { number: u64, outputs: Vec<Output> },
-    /// Inputs that found no room in the queue.
+    /// The core's outputs for an input.
+    Outputs { number: u64, outputs: Vec<Output> },
+    /// Inputs that did not fit into the queue.
     Gap(InputRange),
-    /// The core's state at one point.
+    /// A snapshot of the core's state.
     Snapshot(Box<Snapshot>),
 }
 
-/// Consecutive inputs, by their numbers.
+/// A range of consecutive input numbers, both ends included.
 #[derive(Clone, Copy)]
 struct InputRange {
     first: u64,
@@ -55,31 +55,31 @@
 }
 
 impl InputRange {
-    /// How many inputs it holds.
+    /// The number of inputs in the range.
     fn count(self) -> u64 {
         self.last - self.first + 1
     }
 }
 
-/// Sends inputs and decisions to the event log. Whoever holds it ends it.
+/// Sends inputs and decisions to the writer thread. Its owner must call `shut_down`.
 pub struct Recorder {
     entries: SyncSender<Entry>,
-    waiting: Arc<AtomicUsize>,
-    written: watch::Receiver<u64>,
+    queued_bytes: Arc<AtomicUsize>,
+    written_up_to: watch::Receiver<u64>,
     thread: JoinHandle<()>,
     /// The number of the last input.
-    number: u64,
-    /// Whether the input under way is in the queue: then what is decided by it may be as well.
-    queued: bool,
-    /// Inputs that found no room and are not recorded as missing yet.
-    gap: Option<InputRange>,
+    last_number: u64,
+    /// Whether the last input was queued. Its outputs are queued only in that case.
+    last_input_queued: bool,
+    /// Inputs that did not fit into the queue and have no gap entry yet.
+    unrecorded_gap: Option<InputRange>,
     snapshot_interval: Duration,
-    snapshot_at: Time,
+    next_snapshot_at: Time,
     incarnation: u64,
 }
 
 impl Recorder {
-    /// Starts the thread that writes; it opens the disk itself, and again while it cannot be had.
+    /// Starts the writer thread, which opens the disk itself and retries while that fails.
     #[must_use]
     pub fn start<D: Disk + Send + 'static>(
         open: impl FnMut() -> Result<D, LockError> + Send + 'static,
@@ -88,134 +88,140 @@
         clock: Clock,
         inputs: mpsc::Sender<Input>,
     ) -> Recorder {
-        let (entries, queue) = sync_channel(MAX_WAITING_RECORDS);
-        let (written_sender, written) = watch::channel(0);
-        let waiting: Arc<AtomicUsize> = Arc::default();
+        let (entries, queue) = sync_channel(MAX_QUEUED_RECORDS);
+        let (written_up_to_sender, written_up_to) = watch::channel(0);
+        let queued_bytes: Arc<AtomicUsize> = Arc::default();
         let incarnation = start.incarnation;
         let snapshot_interval = records.snapshot_every.0;
-        let snapshot_at = Time::from_micros(start.at_us) + snapshot_interval;
+        let next_snapshot_at = Time::from_micros(start.at_us) + snapshot_interval;
         let mut writer = Writer::new(WriterConfig {
             open: Box::new(open),
             retention: retention(records),
             start,
             clock,
             queue,
-            waiting: waiting.clone(),
-            written: written_sender,
+            queued_bytes: queued_bytes.clone(),
+            written_up_to: written_up_to_sender,
             inputs,
         });
         let thread = tokio::task::spawn_blocking(move || writer.run());
         Recorder {
             entries,
-            waiting,
-            written,
+            queued_bytes,
+            written_up_to,
             thread,
-            number: 0,
-            queued: false,
-            gap: None,
+            last_number: 0,
+            last_input_queued: false,
+            unrecorded_gap: None,
             snapshot_interval,
-            snapshot_at,
+            next_snapshot_at,
             incarnation,
         }
     }
 
-    /// Up to which input records are written, or given up.
+    /// The number of the last input whose records were written or dropped.
     #[must_use]
-    pub fn written(&self) -> watch::Receiver<u64> {
-        self.written.clone()
+    pub fn written_up_to(&self) -> watch::Receiver<u64> {
+        self.written_up_to.clone()
     }
 
-    /// Bytes that wait for the disk, roughly.
+    /// Approximate size of the queued records, in bytes.
     #[must_use]
-    pub fn waiting(&self) -> u64 {
-        self.waiting.load(Relaxed) as u64
+    pub fn queued_bytes(&self) -> u64 {
+        self.queued_bytes.load(Relaxed) as u64
     }
 
-    /// Records an input; gives its number.
-    pub fn input(&mut self, at: Time, input: &Input) -> u64 {
-        self.number += 1;
-        // What was applied while nothing could be written is in no record: a snapshot makes that good at once.
+    /// Records an input and returns its number.
+    pub fn record_input(&mut self, at: Time, input: &Input) -> u64 {
+        self.last_number += 1;
+        // Writing works again after inputs were lost; an immediate snapshot covers the lost inputs.
         if matches!(input, Input::EventLog(state) if state.stopped_reason.is_none() && state.lost_inputs > 0)
         {
-            self.snapshot_at = at;
+            self.next_snapshot_at = at;
         }
-        if let Some(gap) = self.gap
+        if let Some(gap) = self.unrecorded_gap
             && self.send(Entry::Gap(gap), 0)
         {
-            self.gap = None;
+            self.unrecorded_gap = None;
         }
         let entry = Entry::Input {
-            number: self.number,
+            number: self.last_number,
             at,
             input: Box::new(input.clone()),
         };
-        self.queued = self.gap.is_none() && self.send(entry, queue_bytes(input));
-        if !self.queued {
-            self.gap = Some(InputRange {
-                first: self.gap.map_or(self.number, |gap| gap.first),
-                last: self.number,
+        self.last_input_queued =
+            self.unrecorded_gap.is_none() && self.send(entry, input_bytes(input));
+        if !self.last_input_queued {
+            self.unrecorded_gap = Some(InputRange {
+                first: self
+                    .unrecorded_gap
+                    .map_or(self.last_number, |gap| gap.first),
+                last: self.last_number,
             });
         }
-        self.number
+        self.last_number
     }
 
-    /// Records what was decided by the last input.
-    pub fn decided(&mut self, outputs: Vec<Output>) {
-        let number = self.number;
-        if !outputs.is_empty() && self.queued && !self.send(Entry::Decided { number, outputs }, 0) {
-            self.gap = Some(InputRange {
+    /// Records the core's outputs for the last input.
+    pub fn record_outputs(&mut self, outputs: Vec<Output>) {
+        let number = self.last_number;
+        if !outputs.is_empty()
+            && self.last_input_queued
+            && !self.send(Entry::Outputs { number, outputs }, 0)
+        {
+            self.unrecorded_gap = Some(InputRange {
                 first: number,
                 last: number,
             });
         }
     }
 
-    /// Whether it is time for a snapshot.
+    /// Whether a snapshot is due.
     #[must_use]
-    pub fn wants_snapshot(&self, now: Time) -> bool {
-        now >= self.snapshot_at
+    pub fn is_snapshot_due(&self, now: Time) -> bool {
+        now >= self.next_snapshot_at
     }
 
     /// Records a snapshot of the core's state.
-    pub fn snapshot(&mut self, now: Time, state: RecoveredState) {
-        self.snapshot_at = now + self.snapshot_interval;
+    pub fn record_snapshot(&mut self, now: Time, state: RecoveredState) {
+        self.next_snapshot_at = now + self.snapshot_interval;
         let snapshot = Snapshot {
             incarnation: self.incarnation,
-            number: self.number,
+            number: self.last_number,
             at_us: unix_micros(now),
-            boot: boot(),
+            boot: current_boot(),
             state,
         };
-        // Without room there is none this time.
+        // If the queue is full, this snapshot is skipped.
         self.send(Entry::Snapshot(Box::new(snapshot)), 0);
     }
 
-    /// Puts an entry in the queue; gives whether there was room.
+    /// Puts an entry into the queue; returns whether there was room.
     fn send(&mut self, entry: Entry, bytes: usize) -> bool {
-        if self.waiting.load(Relaxed) + bytes > MAX_WAITING_BYTES {
+        if self.queued_bytes.load(Relaxed) + bytes > MAX_QUEUED_BYTES {
             return false;
         }
         let sent = self.entries.try_send(entry).is_ok();
         if sent {
-            self.waiting.fetch_add(bytes, Relaxed);
+            self.queued_bytes.fetch_add(bytes, Relaxed);
         }
         sent
     }
 
-    /// Writes what waits and a last snapshot, within a bound.
-    pub async fn end(mut self, now: Time, state: RecoveredState) {
-        self.snapshot(now, state);
+    /// Writes the queued records and a last snapshot, within a time limit.
+    pub async fn shut_down(mut self, now: Time, state: RecoveredState) {
+        self.record_snapshot(now, state);
         drop(self.entries);
-        if tokio::time::timeout(END_TIMEOUT, self.thread)
+        if tokio::time::timeout(SHUTDOWN_TIMEOUT, self.thread)
             .await
             .is_err()
         {
-            warn!("the disk does not answer: the last records are not written");
+            warn!("event log writer timed out at shutdown; the last records may not be written");
         }
     }
 }
 
-/// How long and how much is stored, by the settings.
+/// The retention and sync configuration from the settings.
 fn retention(records: &Records) -> RetentionConfig {
     RetentionConfig {
         segment_bytes: records.segment_bytes,
@@ -225,8 +231,8 @@
     }
 }
 
-/// What an input takes in the queue, roughly.
-fn queue_bytes(input: &Input) -> usize {
+/// Approximate size of an input in the queue, in bytes.
+fn input_bytes(input: &Input) -> usize {
     match input {
         Input::Answer { text, .. } => text.len() + 100,
         Input::EndpointList { hosts, .. } => hosts.len() * 200 + 100,
--- a/crates/daemon/src/recorder/previous_run.rs
+++ b/crates/daemon/src/recorder/previous_run.rs
@@ -1,4 +1,4 @@
-//! What the event log holds of the run before, and the folder it is in.
+//! Recovers the state of the previous run from the event log.
 
 use crate::error::DaemonError;
 use pondarch_config::Site;
@@ -12,41 +12,41 @@
 #[cfg(test)]
 mod tests;
 
-/// What was found of the run before.
+/// The recovered state of the previous run.
 #[derive(Default)]
 pub(crate) struct PreviousRun {
-    /// None: it could not be had yet, and is tried again.
+    /// The locked folder; `None` if it could not be opened, which is retried.
     pub(crate) folder: Option<Folder>,
-    /// Its incarnation; 0: there was none.
+    /// Incarnation of the previous run; 0 if there was none.
     pub(crate) incarnation: u64,
-    /// What the core takes over.
+    /// State for the core to restore.
     pub(crate) state: Option<RecoveredState>,
 }
 
-/// Gives the folder that is held already, or tries to lock it.
+/// Returns an opener that gives the already locked folder first, and locks the path in later calls.
 pub(crate) fn folder_opener(
-    held: Option<Folder>,
+    locked: Option<Folder>,
     path: PathBuf,
 ) -> impl FnMut() -> Result<Folder, LockError> + Send {
-    let mut held = held;
-    move || match held.take() {
+    let mut locked = locked;
+    move || match locked.take() {
         Some(folder) => Ok(folder),
         None => Folder::lock(&path),
     }
 }
 
-/// Locks the event log's folder and recovers what was recorded before.
+/// Locks the event log's folder and recovers the previous run from it.
 ///
 /// # Errors
 ///
-/// Another program writes there. A folder that cannot be had otherwise is none: deciding goes on without.
+/// Another program holds the lock. If the folder cannot be opened for another reason, the controller starts without it.
 pub(crate) fn previous_run(site: &Site, now: Time) -> Result<PreviousRun, DaemonError> {
     let Some(records) = &site.records else {
         return Ok(PreviousRun::default());
     };
     let folder = match Folder::lock(&records.folder) {
         Ok(folder) => folder,
-        Err(held @ LockError::Held(_)) => return Err(held.into()),
+        Err(error @ LockError::Held(_)) => return Err(error.into()),
         Err(error) => {
             warn!(%error, "cannot open the event log");
             return Ok(PreviousRun::default());
@@ -57,16 +57,16 @@
     Ok(previous)
 }
 
-/// What a folder holds; nothing if it cannot be read.
+/// Recovers the previous run from a folder; empty if the folder cannot be read.
 fn recover_from(folder: &Folder, site: &Site, now: Time) -> PreviousRun {
-    let found = match recover(folder, site) {
-        Ok(found) => found,
+    let recovered = match recover(folder, site) {
+        Ok(recovered) => recovered,
         Err(error) => {
             warn!(%error, "nothing recovered");
             return PreviousRun::default();
         }
     };
-    for fault in &found.faults {
+    for fault in &recovered.faults {
         warn!(
             file = fault.file,
             cause = fault.cause.to_string(),
@@ -74,34 +74,44 @@
         );
     }
     info!(
-        inputs = found.inputs,
-        incarnation = found.incarnation,
+        inputs = recovered.inputs,
+        incarnation = recovered.incarnation,
         "event log read"
     );
     let now_us = unix_micros(now);
-    let elapsed_us = elapsed_us(found.boot.as_ref(), boot().as_ref(), found.last_us, now_us);
+    let elapsed_us = elapsed_us(
+        recovered.boot.as_ref(),
+        current_boot().as_ref(),
+        recovered.last_us,
+        now_us,
+    );
     PreviousRun {
         folder: None,
-        incarnation: found.incarnation,
-        state: found
+        incarnation: recovered.incarnation,
+        state: recovered
             .state
             .map(|state| state.rebased_to_clock(now_us, elapsed_us)),
     }
 }
 
-/// How much time has passed since the last record: by the machine's own count if it did not restart meanwhile, else by
-/// its clock, as far as that went on.
-fn elapsed_us(then: Option<&Boot>, now: Option<&Boot>, last_us: u64, now_us: u64) -> u64 {
-    match (then, now) {
-        (Some(then), Some(now)) if then.id == now.id => {
-            now.uptime_us.saturating_sub(then.uptime_us)
+/// Time since the last record: the difference in uptime if the machine has not rebooted since, otherwise the difference
+/// in wall-clock time, or 0 if the wall clock went back.
+fn elapsed_us(
+    last_boot: Option<&Boot>,
+    current_boot: Option<&Boot>,
+    last_us: u64,
+    now_us: u64,
+) -> u64 {
+    match (last_boot, current_boot) {
+        (Some(last), Some(current)) if last.id == current.id => {
+            current.uptime_us.saturating_sub(last.uptime_us)
         }
         _ => now_us.saturating_sub(last_us),
     }
 }
 
-/// The machine's own count of time; none where the system does not give it.
-pub(crate) fn boot() -> Option<Boot> {
+/// The machine's boot id and uptime, or `None` where the system does not provide them.
+pub(crate) fn current_boot() -> Option<Boot> {
     let id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
     let uptime = std::fs::read_to_string("/proc/uptime").ok()?;
     let seconds: f64 = uptime.split_whitespace().next()?.parse().ok()?;
--- a/crates/daemon/src/recorder/writer.rs
+++ b/crates/daemon/src/recorder/writer.rs
@@ -1,6 +1,6 @@
-//! The thread that writes the event log: what is written when, and what the core is notified of.
+//! The thread that writes the event log and notifies the core of the log's state.
 
-use super::{Entry, InputRange, queue_bytes};
+use super::{Entry, InputRange, input_bytes};
 use pondarch_daemon_core::{EventLogState, Input, unix_micros};
 use pondarch_event_log::{Disk, DiskState, EventLog, LockError, LogError, RetentionConfig, frame};
 use pondarch_io_util::Clock;
@@ -12,17 +12,17 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
 
-/// Records that are written at one time.
-const MAX_BATCH: usize = 1_024;
-/// How long the thread waits for an entry if nothing has to be synced.
+/// Maximum number of queue entries in one write.
+const MAX_BATCH_ENTRIES: usize = 1_024;
+/// How long the thread waits for an entry if no sync is due.
 const IDLE_WAIT: Duration = Duration::from_millis(500);
-/// The least time it waits.
+/// Minimum time that the thread waits for an entry.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Opens the disk; called again while it cannot be had.
+/// Opens the disk; called again while that fails.
 type OpenDisk<D> = Box<dyn FnMut() -> Result<D, LockError> + Send>;
 
-/// Why the event log cannot be opened.
+/// Why the event log could not be opened.
 #[derive(Debug, Error)]
 enum OpenError {
     #[error(transparent)]
@@ -31,27 +31,27 @@
     Log(#[from] LogError),
 }
 
-/// What a writer works with.
+/// Settings and channels of a writer.
 pub(super) struct WriterConfig<D> {
     pub(super) open: OpenDisk<D>,
     pub(super) retention: RetentionConfig,
     pub(super) start: RunStart,
     pub(super) clock: Clock,
     pub(super) queue: Receiver<Entry>,
-    /// Bytes in the queue, roughly.
-    pub(super) waiting: Arc<AtomicUsize>,
-    /// Up to which input records are written, or given up.
-    pub(super) written: watch::Sender<u64>,
+    /// Approximate size of the queued records, in bytes.
+    pub(super) queued_bytes: Arc<AtomicUsize>,
+    /// The number of the last input whose records were written or dropped.
+    pub(super) written_up_to: watch::Sender<u64>,
     pub(super) inputs: mpsc::Sender<Input>,
 }
 
-/// Inputs that were taken off the queue and could not be written.
+/// Inputs that were taken from the queue but could not be written.
 struct UnwrittenInputs {
     range: InputRange,
     reason: String,
 }
 
-/// Frames that are not written yet, and the inputs they are of.
+/// Frames that are not written yet, and the range of their inputs.
 #[derive(Default)]
 struct Batch {
     frames: Vec<u8>,
@@ -69,18 +69,19 @@
     }
 }
 
-/// Takes entries off the queue and writes them.
+/// Takes entries from the queue and writes them to the event log.
 pub(super) struct Writer<D> {
     config: WriterConfig<D>,
     log: Option<EventLog<D>>,
-    /// The start is in the log.
-    started: bool,
+    /// Whether the start record has been written.
+    start_written: bool,
     state: EventLogState,
-    /// The state that the core was notified of last.
+    /// The state in the last notification to the core.
     notified: EventLogState,
-    /// The last notification found no room.
+    /// Whether the core must be notified even if the state has not changed, because the last notification did not fit
+    /// into its queue.
     notification_due: bool,
-    gap: Option<UnwrittenInputs>,
+    unrecorded_gap: Option<UnwrittenInputs>,
 }
 
 impl<D: Disk> Writer<D> {
@@ -89,15 +90,15 @@
         Writer {
             config,
             log: None,
-            started: false,
+            start_written: false,
             state: EventLogState::default(),
             notified: EventLogState::default(),
             notification_due: true,
-            gap: None,
+            unrecorded_gap: None,
         }
     }
 
-    /// Writes until the queue is closed.
+    /// Writes entries until the queue is closed.
     pub(super) fn run(&mut self) {
         while let Some(entries) = self.next_entries() {
             self.write(entries);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// What is in the queue, or nothing if a sync is due first; none once it is closed.
+    /// The queued entries, which are empty if the wait ends first, or `None` once the queue is closed.
     fn next_entries(&mut self) -> Option<Vec<Entry>> {
         let now = self.config.clock.now();
         let sync_at = self.log.as_ref().and_then(|log| log.policy().sync_at());
@@ -122,7 +123,7 @@
             Err(RecvTimeoutError::Timeout) => Vec::new(),
             Err(RecvTimeoutError::Disconnected) => return None,
         };
-        while entries.len() < MAX_BATCH {
+        while entries.len() < MAX_BATCH_ENTRIES {
             match self.config.queue.try_recv() {
                 Ok(entry) => entries.push(entry),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
@@ -131,7 +132,7 @@
         Some(entries)
     }
 
-    /// Opens the log if it can be had by now.
+    /// Tries to open the log if it is not open.
     fn open_if_closed(&mut self) {
         if self.log.is_some() {
             return;
@@ -154,7 +155,9 @@
         for entry in entries {
             match entry {
                 Entry::Input { number, at, input } => {
-                    self.config.waiting.fetch_sub(queue_bytes(&input), Relaxed);
+                    self.config
+                        .queued_bytes
+                        .fetch_sub(input_bytes(&input), Relaxed);
                     let record = Record::Input {
                         number,
                         at_us: unix_micros(at),
@@ -162,7 +165,7 @@
                     };
                     batch.push(number, &record);
                 }
-                Entry::Decided { number, outputs } => {
+                Entry::Outputs { number, outputs } => {
                     let decisions = outputs.into_iter().map(Decision::of).collect();
                     batch.push(number, &Record::Decided { number, decisions });
                 }
@@ -172,7 +175,7 @@
                     batch.push(gap.last, &record);
                 }
                 Entry::Snapshot(snapshot) => {
-                    // It replaces all that was recorded before it.
+                    // A snapshot covers all earlier records, so these are written first.
                     self.write_batch(std::mem::take(&mut batch));
                     self.write_snapshot(&snapshot);
                 }
@@ -181,22 +184,22 @@
         self.write_batch(batch);
     }
 
-    /// Writes a batch; what cannot be written is a gap.
+    /// Writes a batch. If that fails, its inputs become a gap.
     fn write_batch(&mut self, batch: Batch) {
         let Some(range) = batch.range else {
             return;
         };
         if self.write_frames(range.first, &batch.frames) {
-            self.started = true;
-            self.gap = None;
+            self.start_written = true;
+            self.unrecorded_gap = None;
             self.state.stopped_reason = None;
         } else {
             self.record_loss(range);
         }
-        self.config.written.send_replace(range.last);
+        self.config.written_up_to.send_replace(range.last);
     }
 
-    /// Writes frames, after those that are due before them; gives whether they are written.
+    /// Writes frames, preceded by an outstanding start or gap record; returns whether they were written.
     fn write_frames(&mut self, first: u64, frames: &[u8]) -> bool {
         let now = self.config.clock.now();
         let Some(log) = &mut self.log else {
@@ -205,20 +208,20 @@
         if !log.policy().may_write(now) {
             return false;
         }
-        let mut all = Vec::new();
-        if !self.started {
+        let mut all_frames = Vec::new();
+        if !self.start_written {
             let start = Record::Start(Box::new(self.config.start.clone()));
-            frame::write(&mut all, &start.to_bytes());
+            frame::write(&mut all_frames, &start.to_bytes());
         }
-        if let Some(gap) = &self.gap {
+        if let Some(gap) = &self.unrecorded_gap {
             let record = gap_record(gap.range, gap.reason.clone());
-            frame::write(&mut all, &record.to_bytes());
+            frame::write(&mut all_frames, &record.to_bytes());
         }
-        all.extend(frames);
-        log.write(now, first, &all)
+        all_frames.extend(frames);
+        log.write(now, first, &all_frames)
     }
 
-    /// Notes that inputs could not be written, and why.
+    /// Stores the range of inputs that could not be written, and the reason.
     fn record_loss(&mut self, range: InputRange) {
         let failure = self
             .log
@@ -232,8 +235,11 @@
             .unwrap_or_else(|| "the folder cannot be had".into());
         self.state.stopped_reason = Some(reason.clone());
         self.state.lost_inputs += range.count();
-        let first = self.gap.as_ref().map_or(range.first, |gap| gap.range.first);
-        self.gap = Some(UnwrittenInputs {
+        let first = self
+            .unrecorded_gap
+            .as_ref()
+            .map_or(range.first, |gap| gap.range.first);
+        self.unrecorded_gap = Some(UnwrittenInputs {
             range: InputRange {
                 first,
                 last: range.last,
@@ -244,7 +250,7 @@
 
     fn write_snapshot(&mut self, snapshot: &Snapshot) {
         let now = self.config.clock.now();
-        // With a gap before it that is not on record yet, it is all the more wanted.
+        // The snapshot is written even if a gap before it has not been recorded, because it covers the lost inputs.
         if let Some(log) = &mut self.log
             && !log.write_snapshot(now, &snapshot.to_bytes())
             && let DiskState::Failed { reason, .. } = log.policy().disk_state()
@@ -253,7 +259,7 @@
         }
     }
 
-    /// Notifies the core of a changed state; if its queue has no room now, the next time.
+    /// Notifies the core of a changed state; retried on the next call if the core's queue is full.
     fn notify(&mut self) {
         if self.notification_due || self.state.stopped_reason != self.notified.stopped_reason {
             let input = Input::EventLog(self.state.clone());
