--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The next input: an endpoint list at fixed intervals, otherwise a pending input from the proxies, otherwise the timer
-    /// that the core set.
+    /// The next input: an endpoint list at fixed intervals, otherwise a pending input from the proxies, otherwise the
+    /// timer that the core set.
     pub(crate) fn next_input(&mut self, number: u64) -> (Time, Input) {
         if number == 1 || number.is_multiple_of(LIST_INTERVAL) {
             let weight = 1.0 + (number / LIST_INTERVAL % 3) as f64;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-/// Capacity of the input queue. While it is full, report_senders wait: reads from proxies and replies to operators are delayed,
+/// Capacity of the input queue. While it is full, senders wait: reads from proxies and replies to operators are delayed,
 /// and nothing is lost.
 const MAX_QUEUED_INPUTS: usize = 4096;
 
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -54,7 +54,8 @@
 }
 
 impl Connection {
-    /// Dials a proxy. The core is notified of the connection's state and the proxy's answers under this connection number.
+    /// Dials a proxy. The core is notified of the connection's state and the proxy's answers under this connection
+    /// number.
     pub(crate) fn dial(
         proxy: u16,
         connection: u64,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Queues lines for writing without queued_bytes; returns whether there was room.
+    /// Queues lines for writing without waiting; returns whether there was room.
     pub(crate) fn write(&self, lines: Vec<String>) -> bool {
         let bytes = wire_bytes(&lines);
         let sent =
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -199,7 +199,7 @@
     async fn report_sent(&self, reply: Reply) {
         for (index, observation) in reply.secondary_events {
             let input = Input::SecondaryObserved { index, observation };
-            // If the daemon is gone, nobody needs to know.
+            // The error is ignored because the daemon may have stopped.
             self.inputs.send(input).await.ok();
         }
     }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a daemon cannot start.
+/// An error that prevents the daemon from starting.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum DaemonError {
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -56,7 +56,7 @@
         Event::HostExcluded { host, duration_s } => {
             info!(host, duration_s, "restarted host excluded from DNS");
         }
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
@@ -75,7 +75,7 @@
             table,
             cause,
         } => info!(proxy, table, cause, "proxy bound"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
@@ -103,7 +103,7 @@
             info!(table, host, "weight of warming host too small to send");
         }
         Event::PlanFailed { error } => warn!(error, "solver found no plan"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
@@ -122,7 +122,7 @@
         }
         Event::UpdateRejected { proxy, error } => warn!(proxy, error, "update rejected"),
         Event::UpdateDelayed { proxy, reason } => warn!(proxy, %reason, "update delayed"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -24,7 +24,8 @@
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers the command lines of the accepted connections, which it identifies by number.
+/// Answers the command lines of the accepted connections. Each connection has its own number, which increases as
+/// connections open.
 pub trait CommandHandler: Clone + Send + Sync + 'static {
     /// Called when a connection opens; returns its number.
     fn opened(&self) -> u64;
