--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Events as structured logs: one log line each, with the input that led to it.
+//! Logs the core's events, one structured log line each, with the input that caused the event.
 
 use pondarch_daemon_core::Event;
 use tracing::{debug, info, warn};
@@ -35,7 +35,7 @@
     }
 }
 
-/// Logs an event of the endpoint list and its hosts.
+/// Logs an event that concerns the endpoint list or its hosts.
 fn host_event(event: &Event) {
     match event {
         Event::EndpointListApplied {
@@ -56,12 +56,12 @@
         Event::HostExcluded { host, duration_s } => {
             info!(host, duration_s, "restarted host excluded from DNS");
         }
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
 
-/// Logs an event of a proxy.
+/// Logs a proxy that joined, left or was bound to a table.
 fn proxy_event(event: &Event) {
     match event {
         Event::ProxyJoined {
@@ -75,12 +75,12 @@
             table,
             cause,
         } => info!(proxy, table, cause, "proxy bound"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
 
-/// Logs a decision, or why there is none.
+/// Logs a decision, or why none was made.
 fn decision_event(event: &Event) {
     match event {
         Event::TableChanged {
@@ -103,12 +103,12 @@
             info!(table, host, "weight of warming host too small to send");
         }
         Event::PlanFailed { error } => warn!(error, "solver found no plan"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
 
-/// Logs an event of updates to a proxy.
+/// Logs an event that concerns updates to a proxy.
 fn update_event(event: &Event) {
     match event {
         Event::UpdateSent {
@@ -122,12 +122,12 @@
         }
         Event::UpdateRejected { proxy, error } => warn!(proxy, error, "update rejected"),
         Event::UpdateDelayed { proxy, reason } => warn!(proxy, %reason, "update delayed"),
-        // Of another family.
+        // Handled by another function of this module.
         _ => {}
     }
 }
 
-/// Logs whether the event log is written.
+/// Logs that writing the event log has resumed or stopped.
 fn event_log_changed(stopped_reason: Option<&str>, lost_inputs: u64) {
     match stopped_reason {
         None => info!(lost_inputs, "event log is written"),
