--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -3,7 +3,9 @@
 use crate::failed;
 use clap::{Args, Subcommand, ValueEnum};
 use pondarch_rehearsal::bad_day::RehearsalError;
-use pondarch_rehearsal::{bad_day, flood, kills, storm, trial, weighing};
+use pondarch_rehearsal::{
+    bad_day, connection_storm, controller_kills, proxy_benchmark, report_load, weight_comparison,
+};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -153,7 +155,7 @@
                 return Err("1 to 1000 kills".into());
             }
             let folder = show.folder()?;
-            let report = kills::play(times, seed, &program, &folder)
+            let report = controller_kills::play(times, seed, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
@@ -197,8 +199,8 @@
                 return Err("a trial has 1000 to 2000000 reqs".into());
             }
             let folder = show.folder()?;
-            let plan = trial::Plan::of(reqs, seed);
-            let report = trial::play(&plan, &program, &folder)
+            let plan = proxy_benchmark::Plan::of(reqs, seed);
+            let report = proxy_benchmark::play(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
@@ -213,14 +215,14 @@
             loads,
             show,
         } => {
-            let mut plan = weighing::Plan::full(sites, stewards);
+            let mut plan = weight_comparison::Plan::full(sites, stewards);
             plan.loads = loads.unwrap_or(plan.loads);
             let sound = plan.loads.iter().all(|load| (0.05..=2.0).contains(load));
             if !(1..=20).contains(&sites) || !(1..=plan.proxies).contains(&stewards) || !sound {
                 return Err("1 to 20 sites, 1 to 12 stewards, loads from 0.05 to 2".into());
             }
             let folder = show.folder()?;
-            let report = weighing::play(&plan, &program, &folder)
+            let report = weight_comparison::play(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
@@ -249,14 +251,14 @@
             }
             let folder = show.folder()?;
             let each = std::time::Duration::from_secs(each);
-            let plan = flood::Plan {
+            let plan = report_load::Plan {
                 proxies,
                 hosts,
                 times,
                 each,
                 lines_per_second: lines,
             };
-            let report = flood::play(&plan, &program, &folder)
+            let report = report_load::play(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
@@ -272,12 +274,12 @@
                 return Err("a storm has 1 to 1000 proxies and 8 to 5000 hosts".into());
             }
             let folder = show.folder()?;
-            let plan = storm::Plan {
+            let plan = connection_storm::Plan {
                 proxies,
                 hosts,
-                ..storm::Plan::default()
+                ..connection_storm::Plan::default()
             };
-            let report = storm::play(&plan, &program, &folder)
+            let report = connection_storm::play(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::too_many_lines)]
 
 use pondarch_rehearsal::client::Kind;
-use pondarch_rehearsal::facts::Facts;
-use pondarch_rehearsal::front::Front;
+use pondarch_rehearsal::intercepted_proxy::Front;
+use pondarch_rehearsal::observations::Facts;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output};
 use std::time::{Duration, Instant};
--- a/crates/rehearsal/src/bad_day.rs
+++ b/crates/rehearsal/src/bad_day.rs
@@ -1,16 +1,16 @@
 //! The bad day: hosts, proxies and clients on loopback, stewards as processes of their own, and every trouble that
 //! the site has met, one after the other.
 
+pub(crate) mod harness;
 mod report;
-pub(crate) mod stage;
 
+pub(crate) use harness::{ask, kinds};
 pub use report::{Moment, Report};
-pub(crate) use stage::{ask, kinds};
 
-use crate::facts::{Fact, Facts, Listed};
+use crate::observations::{Fact, Facts, Listed};
 use crate::rules::{self, Limits};
-use crate::service::{moved, service};
-use stage::Stage;
+use crate::service_level::{moved, service};
+use harness::Stage;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     #[error("a proxy cannot be started: {0}")]
     Proxy(#[from] pondarch_proxy::ProxyError),
     #[error(transparent)]
-    Stream(#[from] crate::stream::StreamError),
+    Stream(#[from] crate::request_trace::StreamError),
     #[error("the report cannot be written: {0}")]
     Report(#[from] minijinja::Error),
 }
--- a/crates/rehearsal/src/bad_day/stage.rs
+++ b/crates/rehearsal/src/bad_day/harness.rs
@@ -1,12 +1,12 @@
 //! All that a day needs: hosts, proxies, the list, stewards.
 
 use super::{Fronts, Plan, RehearsalError};
-use crate::by_name::ByName;
 use crate::client::{self, Kind, Way};
-use crate::facts::{Fact, Facts, Listed};
-use crate::front::Front;
+use crate::dns_proxy::ByName;
+use crate::endpoint_list::{Entry, List, spawn, write_settings};
 use crate::host::{Host, Make, Trouble};
-use crate::site::{Entry, List, spawn, write_settings};
+use crate::intercepted_proxy::Front;
+use crate::observations::{Fact, Facts, Listed};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/rehearsal/src/bad_day/report.rs
+++ b/crates/rehearsal/src/bad_day/report.rs
@@ -2,9 +2,9 @@
 
 use super::{Plan, Played, RehearsalError, moment};
 use crate::client::Kind;
-use crate::facts::{Fact, Listed};
+use crate::observations::{Fact, Listed};
 use crate::rules::{Break, RULES};
-use crate::service::{Service, service};
+use crate::service_level::{Service, service};
 use minijinja::{Environment, context};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -1,7 +1,7 @@
 //! A paced client: reqs of each kind at drawn times over HTTP, whether the former ones are answered or not.
 
-use crate::by_name::ByName;
-use crate::facts::{Fact, Facts, How};
+use crate::dns_proxy::ByName;
+use crate::observations::{Fact, Facts, How};
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Bytes;
--- a/crates/rehearsal/src/storm.rs
+++ b/crates/rehearsal/src/connection_storm.rs
@@ -2,9 +2,9 @@
 
 use crate::bad_day::RehearsalError;
 use crate::client::Kind;
-use crate::facts::{Fact, Facts, Listed};
-use crate::front::Front;
-use crate::site::{Entry, List, spawn, write_settings};
+use crate::endpoint_list::{Entry, List, spawn, write_settings};
+use crate::intercepted_proxy::Front;
+use crate::observations::{Fact, Facts, Listed};
 use minijinja::{Environment, context};
 use serde::Serialize;
 use serde_json::json;
--- a/crates/rehearsal/src/kills.rs
+++ b/crates/rehearsal/src/controller_kills.rs
@@ -1,11 +1,11 @@
 //! A steward killed again and again under load, now and then all of them, each time a moment after a drain was listed: what
 //! it was told must hold, by what crossed the sockets.
 
-use crate::bad_day::stage::{Stage, kinds};
+use crate::bad_day::harness::{Stage, kinds};
 use crate::bad_day::{Plan, RehearsalError};
-use crate::facts::{Facts, Listed};
+use crate::observations::{Facts, Listed};
 use crate::rules::{self, Break, RULES};
-use crate::service::{Service, service};
+use crate::service_level::{Service, service};
 use minijinja::{Environment, context};
 use serde::Serialize;
 use std::path::Path;
--- a/crates/rehearsal/src/by_name.rs
+++ b/crates/rehearsal/src/dns_proxy.rs
@@ -2,7 +2,7 @@
 //! a bit more, as caches do that count seconds; it picks by SRV weight (RFC 2782), and takes another host only where the
 //! connection was refused, so that nothing was sent.
 
-use crate::facts::{Fact, Facts, How};
+use crate::observations::{Fact, Facts, How};
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Bytes;
--- a/crates/rehearsal/src/site.rs
+++ b/crates/rehearsal/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The settings and the list that the stewards of a rehearsal are given, as files.
 
-use crate::facts::{Fact, Facts, Listed};
+use crate::observations::{Fact, Facts, Listed};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/rehearsal/src/host.rs
+++ b/crates/rehearsal/src/host.rs
@@ -1,6 +1,6 @@
 //! A stand-in render node: HTTP/1.1, cores with a waiting room, a cold ramp, and troubles on request.
 
-use crate::facts::{Fact, Facts};
+use crate::observations::{Fact, Facts};
 use http_body_util::Empty;
 use hyper::body::{Bytes, Incoming};
 use hyper::service::service_fn;
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/intercepted_proxy.rs
@@ -2,7 +2,7 @@
 //! a mirror of what the proxy holds, and can break off or double what a steward sends.
 
 use crate::client::Kind;
-use crate::facts::{Fact, Facts};
+use crate::observations::{Fact, Facts};
 use futures_util::{SinkExt, StreamExt};
 use pondarch_config::proxy::{Avoid, Limits, Pick, ProxyKind};
 use pondarch_config::site::{Listener, ListenerLevel, Repeats};
--- a/crates/rehearsal/src/trial.rs
+++ b/crates/rehearsal/src/proxy_benchmark.rs
@@ -3,9 +3,9 @@
 
 use crate::bad_day::{RehearsalError, ask};
 use crate::client::Kind;
-use crate::facts::{Facts, Listed};
-use crate::site::{Entry, List, spawn, write_settings};
-use crate::stream::{self, Recorded};
+use crate::endpoint_list::{Entry, List, spawn, write_settings};
+use crate::observations::{Facts, Listed};
+use crate::request_trace::{self, Recorded};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty, Full};
 use hyper::body::{Bytes, Incoming};
@@ -264,11 +264,11 @@
     }
 
     let file = folder.join("stream.arrow");
-    stream::write(
+    request_trace::write(
         &file,
-        &stream::drawn(&kinds(), plan.reqs, plan.rate, plan.seed),
+        &request_trace::drawn(&kinds(), plan.reqs, plan.rate, plan.seed),
     )?;
-    let recorded = stream::read(&file)?;
+    let recorded = request_trace::read(&file)?;
     let mut chance = fastrand::Rng::with_seed(plan.seed);
     let mut weights = Vec::new();
     for _ in 0..plan.versions {
@@ -290,13 +290,13 @@
 
     let direct = speed(hosts[0].0, plan.speed_for).await;
     let proxied = speed(proxy_addr, plan.speed_for).await;
-    let before = crate::storm::memory_kib(&proxy, "VmRSS");
+    let before = crate::connection_storm::memory_kib(&proxy, "VmRSS");
     let mut idle = Vec::new();
     for _ in 0..IDLE {
         idle.extend(TcpStream::connect(proxy_addr).await.ok());
     }
     sleep(Duration::from_millis(300)).await;
-    let grown = crate::storm::memory_kib(&proxy, "VmRSS").saturating_sub(before);
+    let grown = crate::connection_storm::memory_kib(&proxy, "VmRSS").saturating_sub(before);
     proxy
         .kill()
         .await
--- a/crates/rehearsal/src/flood.rs
+++ b/crates/rehearsal/src/report_load.rs
@@ -3,10 +3,10 @@
 //! in their names what clients would have brought.
 
 use crate::bad_day::RehearsalError;
-use crate::facts::Facts;
-use crate::front::Front;
-use crate::site::{List, write_settings};
-use crate::storm;
+use crate::connection_storm as storm;
+use crate::endpoint_list::{List, write_settings};
+use crate::intercepted_proxy::Front;
+use crate::observations::Facts;
 use futures_util::{SinkExt, StreamExt};
 use minijinja::{Environment, context};
 use pondarch_event_log::Folder;
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,6 +1,6 @@
 //! The five rules, checked on what the stand-ins saw. What the steward believes plays no part.
 
-use crate::facts::{Fact, Listed};
+use crate::observations::{Fact, Listed};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
--- a/crates/rehearsal/src/service.rs
+++ b/crates/rehearsal/src/service_level.rs
@@ -1,7 +1,7 @@
 //! Service: benefit answered within the response target over benefit asked for.
 
 use crate::client::Kind;
-use crate::facts::{Fact, How};
+use crate::observations::{Fact, How};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/rehearsal/src/weighing.rs
+++ b/crates/rehearsal/src/weight_comparison.rs
@@ -1,16 +1,16 @@
 //! Weights as a solver sets them beside listed and equal ones, on stand-in hosts of known capacity: the same site and
 //! the same traffic three times side by side, at several loads, for several seeded sites.
 
-mod judge;
+mod evaluation;
+mod harness;
 mod report;
-mod stage;
 
-pub use judge::{Judged, best};
+pub use evaluation::{Judged, best};
 pub use report::{Report, Row};
 
 use crate::bad_day::RehearsalError;
 use crate::client::Kind;
-use stage::Stage;
+use harness::Stage;
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
--- a/crates/rehearsal/src/weighing/judge.rs
+++ b/crates/rehearsal/src/weight_comparison/evaluation.rs
@@ -2,8 +2,8 @@
 
 use super::{Plan, Site, SiteHost};
 use crate::client::Kind;
-use crate::facts::Fact;
-use crate::service::{Service, service};
+use crate::observations::Fact;
+use crate::service_level::{Service, service};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/rehearsal/src/weighing/stage.rs
+++ b/crates/rehearsal/src/weight_comparison/harness.rs
@@ -1,14 +1,14 @@
 //! One site under one load with one way of weighing: its hosts, proxies, stewards and clients.
 
-use super::judge::{self, Weights};
+use super::evaluation::{self, Weights};
 use super::{Judged, Mode, Plan, Row, Site, SiteHost, ZONES, kinds};
 use crate::bad_day::{RehearsalError, ask, limits};
 use crate::client::{self, Kind};
-use crate::facts::{Facts, Listed};
-use crate::front::Front;
+use crate::endpoint_list::{Entry, List, spawn, write_settings};
 use crate::host::{Host, Make};
+use crate::intercepted_proxy::Front;
+use crate::observations::{Facts, Listed};
 use crate::rules;
-use crate::site::{Entry, List, spawn, write_settings};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -203,7 +203,7 @@
         let facts = self.facts.take();
         let breaks = rules::check(&facts, &limits());
         let judged = Judged::of(&facts, plan, site, kinds, self.judged_from, &weights);
-        let best = judge::best(&facts, plan, site, kinds, self.judged_from);
+        let best = evaluation::best(&facts, plan, site, kinds, self.judged_from);
         Row {
             seed: self.seed,
             load: self.load,
--- a/crates/rehearsal/tests/release_once.rs
+++ b/crates/rehearsal/tests/single_execution.rs
@@ -4,10 +4,10 @@
 #![allow(clippy::too_many_lines)]
 
 use pondarch_rehearsal::client::{Client, Kind};
-use pondarch_rehearsal::facts::{Fact, Facts, How, Listed};
-use pondarch_rehearsal::front::Front;
+use pondarch_rehearsal::endpoint_list::{Entry, List};
 use pondarch_rehearsal::host::{Host, Make};
-use pondarch_rehearsal::site::{Entry, List};
+use pondarch_rehearsal::intercepted_proxy::Front;
+use pondarch_rehearsal::observations::{Fact, Facts, How, Listed};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
