--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -155,14 +155,14 @@
                 return Err("1 to 1000 kills".into());
             }
             let folder = show.folder()?;
-            let report = controller_kills::play(times, seed, &program, &folder)
+            let report = controller_kills::run(times, seed, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 show.tidy(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Scene::BadDay {
             seed,
@@ -177,37 +177,40 @@
             } else {
                 bad_day::Plan::full(seed)
             };
-            let plan = plan.by(match fronts {
-                Fronts::Runtime => bad_day::Fronts::Runtime,
-                Fronts::Names => bad_day::Fronts::Names,
-                Fronts::Both => bad_day::Fronts::Both,
+            let plan = plan.with_table_source(match fronts {
+                Fronts::Runtime => bad_day::TableSource::RuntimeApi,
+                Fronts::Names => bad_day::TableSource::Dns,
+                Fronts::Both => bad_day::TableSource::Mixed,
             });
-            let plan = bad_day::Plan { records, ..plan };
-            let report = bad_day::play(plan, &program, &folder)
+            let plan = bad_day::Plan {
+                event_log: records,
+                ..plan
+            };
+            let report = bad_day::run(plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
-            if report.rules_held() {
+            if report.passed() {
                 show.tidy(&folder);
             } else {
                 eprintln!("pondarch: the stewards' logs are in {}", folder.display());
             }
-            Ok(report.rules_held())
+            Ok(report.passed())
         }
         Scene::Proxy { reqs, seed, show } => {
             if !(1_000..=2_000_000).contains(&reqs) {
                 return Err("a trial has 1000 to 2000000 reqs".into());
             }
             let folder = show.folder()?;
-            let plan = proxy_benchmark::Plan::of(reqs, seed);
-            let report = proxy_benchmark::play(&plan, &program, &folder)
+            let plan = proxy_benchmark::Plan::with_requests(reqs, seed);
+            let report = proxy_benchmark::run(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 show.tidy(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Scene::Weights {
             sites,
@@ -222,14 +225,14 @@
                 return Err("1 to 20 sites, 1 to 12 stewards, loads from 0.05 to 2".into());
             }
             let folder = show.folder()?;
-            let report = weight_comparison::play(&plan, &program, &folder)
+            let report = weight_comparison::run(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 show.tidy(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Scene::Reports {
             proxies,
@@ -254,11 +257,11 @@
             let plan = report_load::Plan {
                 proxies,
                 hosts,
-                times,
-                each,
+                rate_multiples: times,
+                step_duration: each,
                 lines_per_second: lines,
             };
-            let report = report_load::play(&plan, &program, &folder)
+            let report = report_load::run(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
@@ -279,7 +282,7 @@
                 hosts,
                 ..connection_storm::Plan::default()
             };
-            let report = connection_storm::play(&plan, &program, &folder)
+            let report = connection_storm::run(&plan, &program, &folder)
                 .await
                 .map_err(|wrong| wrong.to_string())?;
             show.print(&report, report.text())?;
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -268,14 +268,17 @@
     let mut steward = Steward::start_at(dns, &more);
     let name = "_proof._tcp.plain.pond.test";
     let hosts = || {
-        let lines = second.copy().services(name);
+        let lines = second.zone_copy().services(name);
         lines
             .into_iter()
             .map(|(_, target)| target.split('.').next().unwrap_or("").to_string())
             .collect::<Vec<_>>()
     };
     steward.until("a copy", || hosts().len() == 6);
-    assert!(second.counts().1 >= 1, "it was told");
+    assert!(
+        second.transfer_and_notification_counts().1 >= 1,
+        "it was told"
+    );
     let told = Instant::now();
     steward.list(Some(2));
     steward.until("the drain in the copy", || {
@@ -295,7 +298,9 @@
     steward.until("not behind", || {
         !steward.ctl("show map secondaries").contains("behind")
     });
-    second.cut.store(true, std::sync::atomic::Ordering::Relaxed);
+    second
+        .isolated
+        .store(true, std::sync::atomic::Ordering::Relaxed);
     steward.list(Some(3));
     steward.until("behind", || {
         steward.ctl("show map secondaries").contains("behind")
@@ -308,30 +313,32 @@
             && steward.ctl("show map lingering").contains("host-3")
     );
     second
-        .cut
+        .isolated
         .store(false, std::sync::atomic::Ordering::Relaxed);
     steward.until("caught up", || !hosts().contains(&"host-3".to_string()));
     steward.until("ran out", || {
         !steward.ctl("show map lingering").contains("host-3")
     });
-    let before = second.copy().serial;
+    let before = second.zone_copy().serial;
     let mut child = steward.child.take().expect("a process");
     child.kill().expect("killed");
     child.wait().expect("gone");
     steward.run();
-    steward.until("the new steward's copy", || second.copy().serial > before);
+    steward.until("the new steward's copy", || {
+        second.zone_copy().serial > before
+    });
     steward.until("its hosts", || hosts().len() == 5);
     let serial = steward.figure("NamesSerial");
     steward.until("the same", || {
         second
-            .copy()
+            .zone_copy()
             .serial
             .map(|serial| serial.to_string())
             .as_ref()
             == Some(&serial)
     });
     assert_eq!(
-        stranger.copy().serial,
+        stranger.zone_copy().serial,
         None,
         "without the secret there is no copy"
     );
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -3,9 +3,9 @@
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
 
-use pondarch_rehearsal::client::Kind;
-use pondarch_rehearsal::intercepted_proxy::Front;
-use pondarch_rehearsal::observations::Facts;
+use pondarch_rehearsal::client::RequestClass;
+use pondarch_rehearsal::intercepted_proxy::InterceptedProxy;
+use pondarch_rehearsal::observations::ObservationLog;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output};
 use std::time::{Duration, Instant};
@@ -129,34 +129,34 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-async fn fronts(folder: &Path) -> Vec<Front> {
-    let kind = Kind {
+async fn fronts(folder: &Path) -> Vec<InterceptedProxy> {
+    let kind = RequestClass {
         name: "proof",
         share: 1.0,
         work: Duration::from_millis(1),
-        response_target: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(4),
-        benefit: 1.0,
+        priority_weight: 1.0,
         replayable: true,
     };
     let mut fronts = Vec::new();
     for n in 0..PROXIES {
         let (list, name) = (folder.join("hosts.jsonnet"), format!("front-{n}"));
-        let front = Front::start(
+        let front = InterceptedProxy::start(
             &name,
             "ede",
             &["ede"],
             std::slice::from_ref(&kind),
             &list,
             n as u64,
-            Facts::default(),
+            ObservationLog::default(),
         );
         fronts.push(front.await.expect("a proxy"));
     }
     fronts
 }
 
-fn serves(front: &Front, host: &str) -> bool {
+fn serves(front: &InterceptedProxy, host: &str) -> bool {
     front.mirror().backends["proof"]
         .servers
         .get(host)
--- a/crates/rehearsal/src/bad_day/harness.rs
+++ b/crates/rehearsal/src/bad_day/harness.rs
@@ -1,12 +1,12 @@
-//! All that a day needs: hosts, proxies, the list, stewards.
+//! The components of a rehearsal: simulated hosts, proxies, the endpoint list and controllers.
 
-use super::{Fronts, Plan, RehearsalError};
-use crate::client::{self, Kind, Way};
-use crate::dns_proxy::ByName;
-use crate::endpoint_list::{Entry, List, spawn, write_settings};
-use crate::host::{Host, Make, Trouble};
-use crate::intercepted_proxy::Front;
-use crate::observations::{Fact, Facts, Listed};
+use super::{Plan, RehearsalError, TableSource};
+use crate::client::{self, LoadTarget, RequestClass};
+use crate::dns_proxy::DnsProxy;
+use crate::endpoint_list::{EndpointEntry, EndpointList, spawn_program, write_settings};
+use crate::host::{Host, HostConfig, HostFaults};
+use crate::intercepted_proxy::InterceptedProxy;
+use crate::observations::{ListedState, Observation, ObservationLog};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,169 +20,180 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// The zone of names that stewards answer for.
+/// The DNS zone that controllers serve.
 const DNS_ZONE: &str = "pond.test";
 const ZONES: [&str; 4] = ["ede", "arnhem", "utrecht", "amersfoort"];
-/// How long all proxies may take to be joined at the start, in seconds.
+/// Time limit for all proxies to join, in seconds.
 const JOIN_LIMIT_S: u64 = 10;
 
-pub(crate) fn kinds() -> Vec<Kind> {
-    let kind = |name, share, work, target, timeout, benefit, replayable| Kind {
+/// The request classes that clients send.
+pub(crate) fn classes() -> Vec<RequestClass> {
+    let class = |name, share, work, objective, timeout, priority_weight, replayable| RequestClass {
         name,
         share,
         work: Duration::from_millis(work),
-        response_target: Duration::from_millis(target),
+        latency_objective: Duration::from_millis(objective),
         client_timeout: Duration::from_millis(timeout),
-        benefit,
+        priority_weight,
         replayable,
     };
     vec![
-        kind("proof", 0.48, 60, 600, 2_000, 1.0, true),
-        kind("order", 0.40, 40, 400, 1_500, 5.0, false),
-        kind("release", 0.12, 40, 300, 1_200, 3.0, false),
+        class("proof", 0.48, 60, 600, 2_000, 1.0, true),
+        class("order", 0.40, 40, 400, 1_500, 5.0, false),
+        class("release", 0.12, 40, 300, 1_200, 3.0, false),
     ]
 }
 
-pub(crate) struct Stage {
+/// All running components of a bad day.
+pub(crate) struct Harness {
     hosts: BTreeMap<String, Host>,
-    pub(crate) proxies: Vec<Front>,
-    /// Plain proxies that ask by name.
-    names: Vec<Arc<ByName>>,
-    pub(crate) list: List,
-    stewards: Vec<Option<Child>>,
+    pub(crate) proxies: Vec<InterceptedProxy>,
+    /// Plain proxies that use DNS.
+    dns_proxies: Vec<Arc<DnsProxy>>,
+    pub(crate) list: EndpointList,
+    controllers: Vec<Option<Child>>,
     program: PathBuf,
     folder: PathBuf,
-    facts: Facts,
-    watch: JoinHandle<()>,
+    observations: ObservationLog,
+    queue_monitor: JoinHandle<()>,
 }
 
-impl Stage {
-    pub(crate) async fn set(
+impl Harness {
+    pub(crate) async fn start(
         plan: &Plan,
         program: &Path,
         folder: &Path,
-        facts: Facts,
-    ) -> Result<Stage, RehearsalError> {
-        let mut list = List::new(folder.join("hosts.jsonnet"), facts.clone());
+        observations: ObservationLog,
+    ) -> Result<Harness, RehearsalError> {
+        let mut list = EndpointList::new(folder.join("hosts.jsonnet"), observations.clone());
         let mut hosts = BTreeMap::new();
         for n in 0..plan.hosts {
             let zone = ZONES[n % ZONES.len()];
-            let make = Make {
+            let config = HostConfig {
                 name: format!("{zone}-{}", n / ZONES.len()),
                 zone: zone.to_string(),
                 rack: format!("{zone}-rack-{}", n / (2 * ZONES.len())),
                 cores: 1,
                 speed: 1.0,
-                start_share: plan.start_share,
-                warm_within: plan.warm_within,
+                initial_capacity: plan.initial_capacity,
+                slow_start_window: plan.slow_start_window,
                 warm: true,
             };
-            let host = Host::start(make, None, facts.clone())
+            let host = Host::start(config, None, observations.clone())
                 .await
-                .map_err(failed("a host cannot be started"))?;
-            hosts.insert(host.make.name.clone(), host);
+                .map_err(io_error("cannot start a host"))?;
+            hosts.insert(host.config.name.clone(), host);
         }
-        list.change(|list| {
+        list.update(|list| {
             list.extend(
                 hosts
                     .values()
-                    .map(|host| (host.make.name.clone(), entry(host, None))),
+                    .map(|host| (host.config.name.clone(), endpoint_entry(host, None))),
             )
         })
-        .map_err(failed("the list cannot be written"))?;
-        let dns: Vec<SocketAddr> = (0..plan.stewards)
+        .map_err(io_error("cannot write the endpoint list"))?;
+        let dns: Vec<SocketAddr> = (0..plan.controllers)
             .map(|_| free_port())
             .collect::<Result<_, _>>()?;
-        let (mut proxies, mut names) = (Vec::new(), Vec::new());
+        let (mut proxies, mut dns_proxies) = (Vec::new(), Vec::new());
         for n in 0..plan.proxies {
             let zone = ZONES[n % ZONES.len()];
             let (name, seed) = (
                 format!("front-{n}"),
                 plan.seed.wrapping_mul(1_000) + n as u64,
             );
-            if plan.fronts.by_name(n, plan.stewards) {
+            if plan.table_source.uses_dns(n, plan.controllers) {
                 let mut servers = dns.clone();
-                servers.rotate_left(n % plan.stewards);
-                let kinds: Vec<&'static str> = kinds().iter().map(|kind| kind.name).collect();
-                let front = ByName::new(&name, DNS_ZONE, servers, &kinds, seed, facts.clone());
-                names.push(Arc::new(front));
+                servers.rotate_left(n % plan.controllers);
+                let classes: Vec<&'static str> = classes().iter().map(|class| class.name).collect();
+                let proxy = DnsProxy::new(
+                    &name,
+                    DNS_ZONE,
+                    servers,
+                    &classes,
+                    seed,
+                    observations.clone(),
+                );
+                dns_proxies.push(Arc::new(proxy));
                 continue;
             }
             proxies.push(
-                Front::start(
+                InterceptedProxy::start(
                     &name,
                     zone,
                     &ZONES,
-                    &kinds(),
+                    &classes(),
                     list.file(),
                     seed,
-                    facts.clone(),
+                    observations.clone(),
                 )
                 .await?,
             );
         }
-        for (s, dns) in dns.iter().enumerate() {
+        for (c, dns) in dns.iter().enumerate() {
             write_settings(
-                &folder.join(format!("steward-{s}.jsonnet")),
-                &settings(plan, s, *dns),
+                &folder.join(format!("steward-{c}.jsonnet")),
+                &controller_settings(plan, c, *dns),
             )
-            .map_err(failed("settings cannot be written"))?;
+            .map_err(io_error("cannot write a controller's settings"))?;
         }
-        let sockets = (0..plan.stewards)
-            .map(|s| folder.join(format!("steward-{s}.sock")))
+        let sockets = (0..plan.controllers)
+            .map(|c| folder.join(format!("steward-{c}.sock")))
             .collect();
-        let mut stage = Stage {
+        let mut harness = Harness {
             hosts,
             proxies,
-            names,
+            dns_proxies,
             list,
-            stewards: (0..plan.stewards).map(|_| None).collect(),
+            controllers: (0..plan.controllers).map(|_| None).collect(),
             program: program.to_path_buf(),
             folder: folder.to_path_buf(),
-            facts: facts.clone(),
-            watch: tokio::spawn(watch(sockets, facts)),
+            observations: observations.clone(),
+            queue_monitor: tokio::spawn(monitor_queues(sockets, observations)),
         };
-        for s in 0..plan.stewards {
-            stage.start_steward(s)?;
+        for c in 0..plan.controllers {
+            harness.start_controller(c)?;
         }
-        Ok(stage)
+        Ok(harness)
     }
 
-    pub(crate) fn start_steward(&mut self, s: usize) -> Result<(), RehearsalError> {
-        let settings = self.folder.join(format!("steward-{s}.jsonnet"));
-        let log = self.folder.join(format!("steward-{s}.log"));
-        let child = spawn(&self.program, &["run"], &settings, &log)
-            .map_err(failed("a steward cannot be started"))?;
-        self.stewards[s] = Some(child);
+    pub(crate) fn start_controller(&mut self, c: usize) -> Result<(), RehearsalError> {
+        let settings = self.folder.join(format!("steward-{c}.jsonnet"));
+        let log = self.folder.join(format!("steward-{c}.log"));
+        let child = spawn_program(&self.program, &["run"], &settings, &log)
+            .map_err(io_error("cannot start a controller"))?;
+        self.controllers[c] = Some(child);
         Ok(())
     }
 
-    /// Killed outright: no word to anybody.
-    pub(crate) async fn kill_steward(&mut self, s: usize) {
-        if let Some(mut child) = self.stewards[s].take() {
-            // It may have ended by itself: gone either way.
+    /// Kills a controller without a clean shutdown.
+    pub(crate) async fn kill_controller(&mut self, c: usize) {
+        if let Some(mut child) = self.controllers[c].take() {
+            // An error means that it has already exited.
             child.kill().await.ok();
         }
     }
 
-    /// Waits until each proxy has the mark of a steward that runs now.
+    /// Waits until each proxy with a runtime socket has joined a running controller.
     pub(crate) async fn wait_joined(&mut self) -> Result<(), RehearsalError> {
         let deadline = Instant::now() + Duration::from_secs(JOIN_LIMIT_S);
         loop {
-            for steward in self.stewards.iter_mut().flatten() {
-                if let Ok(Some(status)) = steward.try_wait() {
-                    return Err(RehearsalError::StewardEnded(
+            for controller in self.controllers.iter_mut().flatten() {
+                if let Ok(Some(status)) = controller.try_wait() {
+                    return Err(RehearsalError::ProcessFailed(
                         status.to_string(),
                         self.folder.clone(),
                     ));
                 }
             }
             let mut joined = 0;
-            for s in 0..self.stewards.len() {
-                let text = ask(&self.folder.join(format!("steward-{s}.sock")), "show info").await;
+            for c in 0..self.controllers.len() {
+                let text =
+                    runtime_command(&self.folder.join(format!("steward-{c}.sock")), "show info")
+                        .await;
                 joined += text
                     .as_deref()
-                    .and_then(|text| figure(text, "ProxiesJoined"))
+                    .and_then(|text| info_number(text, "ProxiesJoined"))
                     .unwrap_or(0);
             }
             if joined as usize == self.proxies.len() {
@@ -195,190 +206,196 @@
         }
     }
 
-    /// A host's process ends, and another starts cold under its name and address; the list says so at once.
+    /// Stops a host and starts a cold one with its name and address; the endpoint list shows the new start time at once.
     pub(crate) async fn restart_host(&mut self, name: &str) -> Result<(), RehearsalError> {
         let Some(old) = self.hosts.remove(name) else {
             return Ok(());
         };
-        let (make, addr) = (
-            Make {
+        let (config, addr) = (
+            HostConfig {
                 warm: false,
-                ..old.make.clone()
+                ..old.config.clone()
             },
             old.addr,
         );
         drop(old);
         let deadline = Instant::now() + Duration::from_secs(2);
         let host = loop {
-            // The old process's sockets close in their own time.
-            match Host::start(make.clone(), Some(addr), self.facts.clone()).await {
+            // The old listener closes asynchronously, so that the address may still be in use.
+            match Host::start(config.clone(), Some(addr), self.observations.clone()).await {
                 Ok(host) => break host,
                 Err(_) if Instant::now() < deadline => sleep(Duration::from_millis(5)).await,
-                Err(wrong) => return Err(failed("a host cannot be started again")(wrong)),
+                Err(error) => return Err(io_error("cannot restart a host")(error)),
             }
         };
         self.hosts.insert(name.to_string(), host);
         let started = now_s();
-        let change = |list: &mut BTreeMap<String, Entry>| {
+        let change = |list: &mut BTreeMap<String, EndpointEntry>| {
             list.entry(name.to_string())
                 .and_modify(|entry| entry.started = Some(started));
         };
         self.list
-            .change(change)
-            .map_err(failed("the list cannot be written"))
+            .update(change)
+            .map_err(io_error("cannot write the endpoint list"))
     }
 
-    /// How long the script takes at least, with some room for what it waits for.
-    pub(crate) fn spans(&self, plan: &Plan) -> Duration {
-        let batch = plan.limits.grace.max(plan.between_batches) + Duration::from_millis(200);
-        plan.opening
-            + plan.slow
-            + plan.silent
-            + batch * plan.deploy.len() as u32
-            + plan.warm_within / 2
-            + plan.warm_within
-            + plan.calm * 7
+    /// Minimum duration of the script, with some margin for the events that it waits for.
+    pub(crate) fn script_duration(&self, plan: &Plan) -> Duration {
+        let batch =
+            plan.limits.drain_grace_period.max(plan.batch_interval) + Duration::from_millis(200);
+        plan.initial_quiet_period
+            + plan.slow_host_duration
+            + plan.unresponsive_host_duration
+            + batch * plan.deploy_batches.len() as u32
+            + plan.slow_start_window / 2
+            + plan.slow_start_window
+            + plan.quiet_period * 7
             + Duration::from_secs(4)
-            + plan.steward_away
-            + plan.wrong_list
+            + plan.controller_downtime
+            + plan.wrong_list_duration
     }
 
-    pub(crate) fn clients(
+    /// Sends requests to all proxies until `until`.
+    pub(crate) fn client_load(
         &self,
         plan: &Plan,
         until: Instant,
     ) -> impl Future<Output = ()> + Send + use<> {
-        let ids = Arc::new(AtomicU64::new(1));
-        let mut chance = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
-        let by_proxy = self
+        let next_id = Arc::new(AtomicU64::new(1));
+        let mut rng = fastrand::Rng::with_seed(plan.seed ^ 0x5eed);
+        let runtime_api_targets = self
             .proxies
             .iter()
-            .map(|proxy| Way::Proxy(client::Client::new(proxy.addr)));
-        let ways: Vec<Way> = by_proxy
-            .chain(self.names.iter().cloned().map(Way::Names))
+            .map(|proxy| LoadTarget::Proxy(client::Client::new(proxy.addr)));
+        let targets: Vec<LoadTarget> = runtime_api_targets
+            .chain(self.dns_proxies.iter().cloned().map(LoadTarget::Dns))
             .collect();
-        // Proxies get unequal parts of the traffic.
-        let parts: Vec<f64> = ways.iter().map(|_| 0.5 + chance.f64()).collect();
-        let sum: f64 = parts.iter().sum();
-        let mut asking = tokio::task::JoinSet::new();
-        for (way, part) in ways.into_iter().zip(parts) {
-            let (rate, seed) = (plan.rate * part / sum, chance.u64(..));
-            asking.spawn(client::ask(
-                way,
-                kinds(),
+        // Proxies receive unequal shares of the traffic.
+        let shares: Vec<f64> = targets.iter().map(|_| 0.5 + rng.f64()).collect();
+        let total: f64 = shares.iter().sum();
+        let mut generators = tokio::task::JoinSet::new();
+        for (target, share) in targets.into_iter().zip(shares) {
+            let (rate, seed) = (plan.request_rate * share / total, rng.u64(..));
+            generators.spawn(client::generate_load(
+                target,
+                classes(),
                 rate,
                 until,
-                ids.clone(),
+                next_id.clone(),
                 seed,
-                self.facts.clone(),
+                self.observations.clone(),
             ));
         }
-        async move { while asking.join_next().await.is_some() {} }
+        async move { while generators.join_next().await.is_some() {} }
     }
 
-    pub(crate) fn some_host(&self, chance: &mut fastrand::Rng, zone: &str) -> String {
-        let of: Vec<&String> = self
+    pub(crate) fn random_host_in(&self, rng: &mut fastrand::Rng, zone: &str) -> String {
+        let in_zone: Vec<&String> = self
             .list
             .hosts
             .iter()
             .filter(|(_, e)| e.zone == zone)
             .map(|(n, _)| n)
             .collect();
-        of.get(chance.usize(0..of.len().max(1)))
+        in_zone
+            .get(rng.usize(0..in_zone.len().max(1)))
             .map(|name| name.to_string())
             .unwrap_or_default()
     }
 
-    pub(crate) fn trouble(&self, host: &str, set: impl FnOnce(&Trouble)) {
+    pub(crate) fn set_host_faults(&self, host: &str, set: impl FnOnce(&HostFaults)) {
         if let Some(host) = self.hosts.get(host) {
-            set(&host.trouble);
+            set(&host.faults);
         }
     }
 
-    /// Hosts of the first day that are still listed, but for these.
-    pub(crate) fn replaceable(&self, count: usize, not: &[&String]) -> Vec<String> {
-        let old = |name: &&String| !name.ends_with("-new") && !not.contains(name);
+    /// Up to `count` listed hosts that were there from the start, except those in `excluded`.
+    pub(crate) fn replaceable(&self, count: usize, excluded: &[&String]) -> Vec<String> {
+        let initial = |name: &&String| !name.ends_with("-new") && !excluded.contains(name);
         self.list
             .hosts
             .keys()
-            .filter(old)
+            .filter(initial)
             .take(count)
             .cloned()
             .collect()
     }
 
-    /// Cold successors start and are listed, and the old ones drain, in one word of the list.
-    pub(crate) async fn successors(&mut self, old: &[String]) -> Result<(), RehearsalError> {
+    /// Starts a cold successor of each old host. One update of the endpoint list adds them and drains the old ones.
+    pub(crate) async fn replace_hosts(&mut self, old: &[String]) -> Result<(), RehearsalError> {
         let mut new = Vec::new();
         for name in old {
             let Some(host) = self.hosts.get(name) else {
                 continue;
             };
-            let make = Make {
+            let config = HostConfig {
                 name: format!("{name}-new"),
                 warm: false,
-                ..host.make.clone()
+                ..host.config.clone()
             };
-            let host = Host::start(make, None, self.facts.clone())
+            let host = Host::start(config, None, self.observations.clone())
                 .await
-                .map_err(failed("a successor"))?;
-            new.push((host.make.name.clone(), entry(&host, Some(now_s()))));
-            self.hosts.insert(host.make.name.clone(), host);
+                .map_err(io_error("cannot start a successor host"))?;
+            new.push((
+                host.config.name.clone(),
+                endpoint_entry(&host, Some(now_s())),
+            ));
+            self.hosts.insert(host.config.name.clone(), host);
         }
         self.list
-            .change(|list| {
+            .update(|list| {
                 list.extend(new);
                 for name in old {
                     if let Some(entry) = list.get_mut(name) {
-                        entry.listed = Listed::Drain;
+                        entry.state = ListedState::Draining;
                     }
                 }
             })
-            .map_err(failed("the list cannot be written"))
+            .map_err(io_error("cannot write the endpoint list"))
     }
 
     pub(crate) fn kill_host(&mut self, name: &str) {
         self.hosts.remove(name);
     }
 
-    /// Changes every other host at a steward, so that each of its tables has something to send.
-    pub(crate) async fn operator(
+    /// Applies an operator's change to every other host at a controller, so that each of its tables changes.
+    pub(crate) async fn change_every_other_host(
         &self,
-        steward: usize,
+        controller: usize,
         change: &str,
     ) -> Result<(), RehearsalError> {
-        let socket = self.folder.join(format!("steward-{steward}.sock"));
+        let socket = self.folder.join(format!("steward-{controller}.sock"));
         for host in self.list.hosts.keys().step_by(2) {
-            ask(&socket, &format!("set server hosts/{host} {change}")).await;
+            runtime_command(&socket, &format!("set server hosts/{host} {change}")).await;
         }
         Ok(())
     }
 
-    pub(crate) async fn end(&mut self) {
-        self.watch.abort();
-        for s in 0..self.stewards.len() {
-            self.kill_steward(s).await;
+    pub(crate) async fn shut_down(&mut self) {
+        self.queue_monitor.abort();
+        for c in 0..self.controllers.len() {
+            self.kill_controller(c).await;
         }
     }
 }
 
-fn entry(host: &Host, started: Option<f64>) -> Entry {
-    let make = &host.make;
-    Entry {
+fn endpoint_entry(host: &Host, started: Option<f64>) -> EndpointEntry {
+    let config = &host.config;
+    EndpointEntry {
         addr: host.addr,
-        zone: make.zone.clone(),
-        rack: make.rack.clone(),
+        zone: config.zone.clone(),
+        rack: config.rack.clone(),
         weight: 1.0,
-        cores: make.cores as f64,
+        cores: config.cores as f64,
         started,
-        listed: Listed::Ready,
+        state: ListedState::Ready,
     }
 }
 
-fn failed(what: &'static str) -> impl Fn(std::io::Error) -> RehearsalError {
-    move |wrong| RehearsalError::Io {
-        what: what.into(),
-        wrong,
+fn io_error(context: &'static str) -> impl Fn(std::io::Error) -> RehearsalError {
+    move |error| RehearsalError::Io {
+        context: context.into(),
+        error,
     }
 }
 
@@ -389,9 +406,9 @@
         .as_secs_f64()
 }
 
-/// A port that UDP and TCP both have free.
+/// A port that is free for both UDP and TCP.
 fn free_port() -> Result<SocketAddr, RehearsalError> {
-    let mut wrong = None;
+    let mut last_error = None;
     for _ in 0..20 {
         let both = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|udp| {
             let at = udp.local_addr()?;
@@ -399,77 +416,77 @@
         });
         match both {
             Ok(at) => return Ok(at),
-            Err(other) => wrong = Some(other),
+            Err(error) => last_error = Some(error),
         }
     }
-    let wrong = wrong.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
-    Err(failed("no port for DNS")(wrong))
+    let error = last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
+    Err(io_error("found no free port for DNS")(error))
 }
 
-fn settings(plan: &Plan, steward: usize, dns: SocketAddr) -> serde_json::Value {
-    let ms = |span: Duration| format!("{} ms", span.as_millis());
-    let kind = |kind: &Kind| {
-        let repeats = match kind.name {
+fn controller_settings(plan: &Plan, controller: usize, dns: SocketAddr) -> serde_json::Value {
+    let ms = |duration: Duration| format!("{} ms", duration.as_millis());
+    let class = |class: &RequestClass| {
+        let repeats = match class.name {
             "proof" => "replayable",
             "order" => "uniqued",
             _ => "non-replayable",
         };
-        json!({"name": kind.name, "response_target": ms(kind.response_target),
-            "client_timeout": ms(kind.client_timeout), "benefit": kind.benefit, "repeats": repeats})
+        json!({"name": class.name, "response_target": ms(class.latency_objective),
+            "client_timeout": ms(class.client_timeout), "benefit": class.priority_weight, "repeats": repeats})
     };
-    let by_name = |n: usize| plan.fronts.by_name(n, plan.stewards);
-    // A plain proxy may ask any steward; the others have one each.
-    let own = (0..plan.proxies).filter(|n| n % plan.stewards == steward || by_name(*n));
+    let uses_dns = |n: usize| plan.table_source.uses_dns(n, plan.controllers);
+    // A plain proxy may query any controller; the others belong to one each.
+    let own = (0..plan.proxies).filter(|n| n % plan.controllers == controller || uses_dns(*n));
     let proxy = |n: usize| {
         let (name, zone) = (format!("front-{n}"), ZONES[n % ZONES.len()]);
-        let usual = plan.rate / plan.proxies as f64;
-        match by_name(n) {
-            true => json!({"name": name, "zone": zone, "usual_rate": usual}),
+        let usual_rate = plan.request_rate / plan.proxies as f64;
+        match uses_dns(n) {
+            true => json!({"name": name, "zone": zone, "usual_rate": usual_rate}),
             false => {
-                json!({"name": name, "zone": zone, "runtime": format!("unix:front-{n}.sock"), "usual_rate": usual})
+                json!({"name": name, "zone": zone, "runtime": format!("unix:front-{n}.sock"), "usual_rate": usual_rate})
             }
         }
     };
     let mut settings = json!({
-        "name": format!("steward-{steward}"),
+        "name": format!("steward-{controller}"),
         "zones": ZONES,
-        "kinds": kinds().iter().map(kind).collect::<Vec<_>>(),
+        "kinds": classes().iter().map(class).collect::<Vec<_>>(),
         "proxies": own.map(proxy).collect::<Vec<_>>(),
         "proxies_of_site": plan.proxies,
         "hosts_file": "hosts.jsonnet",
-        "channel": {"lines_per_second": 4000, "most_waiting": plan.limits.most_waiting,
+        "channel": {"lines_per_second": 4000, "most_waiting": plan.limits.max_queued_lines,
             "message_cap": plan.limits.message_cap, "message_window": ms(plan.limits.message_window)},
         "reports": {"every": "1 s"},
-        "cold": {"start_share": plan.start_share, "warm_within": ms(plan.warm_within)},
+        "cold": {"start_share": plan.initial_capacity, "warm_within": ms(plan.slow_start_window)},
         "probes": {"path": "/health"},
         "crossing_price": 0.06,
-        "runtime_api": [{"listen": format!("unix:steward-{steward}.sock"), "level": "admin"}],
+        "runtime_api": [{"listen": format!("unix:steward-{controller}.sock"), "level": "admin"}],
     });
-    if plan.records {
+    if plan.event_log {
         settings["records"] =
-            json!({"folder": format!("records-{steward}"), "snapshot_every": "1 s"});
+            json!({"folder": format!("records-{controller}"), "snapshot_every": "1 s"});
     }
-    if plan.fronts != Fronts::Runtime {
-        settings["dns"] = json!({"zone": DNS_ZONE, "listen": dns, "grace": ms(plan.limits.grace),
+    if plan.table_source != TableSource::RuntimeApi {
+        settings["dns"] = json!({"zone": DNS_ZONE, "listen": dns, "grace": ms(plan.limits.drain_grace_period),
             "answers_per_second": 2000});
-        // DNS brings no sums: hosts are asked for what they say of themselves.
+        // Proxies that use DNS send no load reports, so that controllers read load from the hosts' health checks.
         settings["probes"] =
             json!({"path": "/health", "load_every": "500 ms", "time_limit": "400 ms"});
     }
     settings
 }
 
-/// Asks the stewards' own sockets how many lines wait.
-async fn watch(sockets: Vec<PathBuf>, facts: Facts) {
+/// Periodically reads the number of queued lines from the controllers' sockets.
+async fn monitor_queues(sockets: Vec<PathBuf>, observations: ObservationLog) {
     loop {
         for (n, socket) in sockets.iter().enumerate() {
-            let text = ask(socket, "show info").await;
+            let text = runtime_command(socket, "show info").await;
             if let Some(lines) = text
                 .as_deref()
-                .and_then(|text| figure(text, "LinesWaiting"))
+                .and_then(|text| info_number(text, "LinesWaiting"))
             {
-                facts.note(Fact::Waiting {
-                    steward: format!("steward-{n}"),
+                observations.record(Observation::QueuedLines {
+                    controller: format!("steward-{n}"),
                     lines,
                 });
             }
@@ -478,13 +495,13 @@
     }
 }
 
-fn figure(info: &str, name: &str) -> Option<u64> {
+fn info_number(info: &str, name: &str) -> Option<u64> {
     pondarch_runtime_api::info::Info::read(info).number(name)
 }
 
-/// One command on a steward's own socket; none if nobody answers within a second.
-pub(crate) async fn ask(socket: &Path, command: &str) -> Option<String> {
-    let asked = async {
+/// Sends one command to a runtime API socket; `None` if there is no reply within a second.
+pub(crate) async fn runtime_command(socket: &Path, command: &str) -> Option<String> {
+    let exchange = async {
         let mut stream = UnixStream::connect(socket).await.ok()?;
         stream
             .write_all(format!("{command}\n").as_bytes())
@@ -494,7 +511,7 @@
         stream.read_to_string(&mut text).await.ok()?;
         Some(text)
     };
-    tokio::time::timeout(Duration::from_secs(1), asked)
+    tokio::time::timeout(Duration::from_secs(1), exchange)
         .await
         .ok()
         .flatten()
--- a/crates/rehearsal/src/bad_day/report.rs
+++ b/crates/rehearsal/src/bad_day/report.rs
@@ -1,52 +1,64 @@
-//! What a day came to, as figures and as text.
+//! The results of a bad day, as JSON and as text.
 
-use super::{Plan, Played, RehearsalError, moment};
-use crate::client::Kind;
-use crate::observations::{Fact, Listed};
-use crate::rules::{Break, RULES};
-use crate::service_level::{Service, service};
+use super::{InjectedFault, Plan, RehearsalError, fault_report};
+use crate::client::RequestClass;
+use crate::observations::{ListedState, Observation};
+use crate::rules::{RULES, Violation};
+use crate::service_level::{ServiceLevel, measure};
 use minijinja::{Environment, context};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Service around one trouble; `None` where nothing was asked for or nothing moved.
+/// Service level around one fault; `None` where no request was sent or no traffic moved.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Moment {
+pub struct FaultReport {
     pub name: &'static str,
-    pub began_s: f64,
-    pub lasted_s: f64,
+    #[serde(rename = "began_s")]
+    pub start_s: f64,
+    #[serde(rename = "lasted_s")]
+    pub duration_s: f64,
     pub before: Option<f64>,
     pub during: Option<f64>,
     pub after: Option<f64>,
-    /// From the trouble's begin to the first proxy whose table was changed.
-    pub first_moved_s: Option<f64>,
-    /// To the second in which the host got under half of its usual part of all tries.
-    pub half_moved_s: Option<f64>,
+    /// Time from the start of the fault until the first proxy's table lowered the weight of the host.
+    #[serde(rename = "first_moved_s")]
+    pub first_shift_s: Option<f64>,
+    /// Time until the host received less than half of its usual share of all attempts, over one second.
+    #[serde(rename = "half_moved_s")]
+    pub half_shifted_s: Option<f64>,
 }
 
+/// The results of a bad day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub seed: u64,
-    pub moments: Vec<Moment>,
-    pub day: Service,
-    pub service: Option<f64>,
-    /// Messages with orders, and the commands in them, over all proxies.
-    pub messages: usize,
+    #[serde(rename = "moments")]
+    pub faults: Vec<FaultReport>,
+    #[serde(rename = "day")]
+    pub service_level: ServiceLevel,
+    #[serde(rename = "service")]
+    pub service_share: Option<f64>,
+    /// Number of messages that contained updates, over all proxies.
+    #[serde(rename = "messages")]
+    pub update_messages: usize,
+    /// Number of commands in those messages.
     pub commands: usize,
-    /// Longest time from the list's word to the last proxy without the host, over all drains.
+    /// Longest time from a change of the endpoint list until the last proxy removed the host, over all drains.
     pub longest_drain_s: Option<f64>,
-    pub held: Vec<&'static str>,
-    pub breaks: Vec<Break>,
+    #[serde(rename = "held")]
+    pub rules_held: Vec<&'static str>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
 }
 
 const TEXT: &str = "\
 Bad day, seed {{ r.seed }}: service {{ share(r.service) }} \
-({{ r.day.asked }} asked, {{ r.day.in_time }} in time, {{ r.day.done - r.day.in_time }} late, \
-{{ r.day.denied }} denied, {{ r.day.errored }} errored)
+({{ r.day.asked }} sent, {{ r.day.in_time }} in time, {{ r.day.done - r.day.in_time }} late, \
+{{ r.day.denied }} rejected, {{ r.day.errored }} failed)
 
-{{ pad('trouble', 38) }}{{ pad('at s', 8) }}{{ pad('for s', 8) }}{{ pad('before', 9) }}{{ pad('during', 9) }}\
-{{ pad('after', 9) }}{{ pad('first moved', 13) }}half moved
+{{ pad('fault', 38) }}{{ pad('at s', 8) }}{{ pad('for s', 8) }}{{ pad('before', 9) }}{{ pad('during', 9) }}\
+{{ pad('after', 9) }}{{ pad('first shift', 13) }}half shifted
 {% for m in r.moments -%}
 {{ pad(m.name, 38) }}{{ pad(m.began_s | round(1), 8) }}{{ pad(m.lasted_s | round(1), 8) }}{{ pad(share(m.before), 9) }}\
 {{ pad(share(m.during), 9) }}{{ pad(share(m.after), 9) }}{{ pad(seconds(m.first_moved_s), 13) }}\
@@ -61,13 +73,16 @@
 {% endfor %}";
 
 impl Report {
-    pub fn rules_held(&self) -> bool {
-        self.breaks.is_empty()
+    /// Whether no rule was violated.
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 
-    /// The report as operators read it.
+    /// Renders the report as text.
     ///
-    /// Errors: only if the template and the figures do not fit each other.
+    /// # Errors
+    ///
+    /// The template does not match the fields.
     pub fn text(&self) -> Result<String, RehearsalError> {
         let mut templates = Environment::new();
         templates.add_function("pad", |text: String, width: usize| {
@@ -76,8 +91,8 @@
         templates.add_function("share", |share: Option<f64>| {
             share.map_or("-".into(), |s| format!("{s:.3}"))
         });
-        templates.add_function("seconds", |span: Option<f64>| {
-            span.map_or("-".into(), |s| format!("{s:.2} s"))
+        templates.add_function("seconds", |duration: Option<f64>| {
+            duration.map_or("-".into(), |s| format!("{s:.2} s"))
         });
         Ok(templates.render_str(TEXT, context! { r => self })?)
     }
@@ -85,58 +100,66 @@
 
 pub(super) fn report(
     plan: &Plan,
-    facts: &[(Duration, Fact)],
-    played: Vec<Played>,
-    breaks: Vec<Break>,
-    kinds: &[Kind],
+    observations: &[(Duration, Observation)],
+    faults: Vec<InjectedFault>,
+    violations: Vec<Violation>,
+    classes: &[RequestClass],
 ) -> Report {
-    let day = service(facts, kinds, Duration::ZERO, Duration::MAX);
-    let broken: BTreeSet<&str> = breaks.iter().map(|b| b.rule).collect();
-    let messages = facts.iter().filter_map(|(_, fact)| match fact {
-        Fact::Message { commands, .. } => Some(*commands),
-        _ => None,
-    });
+    let service_level = measure(observations, classes, Duration::ZERO, Duration::MAX);
+    let violated: BTreeSet<&str> = violations.iter().map(|violation| violation.rule).collect();
+    let messages = observations
+        .iter()
+        .filter_map(|(_, observation)| match observation {
+            Observation::UpdateMessage { commands, .. } => Some(*commands),
+            _ => None,
+        });
     Report {
         seed: plan.seed,
-        moments: played
+        faults: faults
             .iter()
-            .map(|played| moment(plan, facts, played, kinds))
+            .map(|fault| fault_report(plan, observations, fault, classes))
             .collect(),
-        service: day.share(),
-        day,
-        messages: messages.clone().count(),
+        service_share: service_level.share(),
+        service_level,
+        update_messages: messages.clone().count(),
         commands: messages.sum(),
-        longest_drain_s: longest_drain(facts).map(|span| span.as_secs_f64()),
-        held: RULES
+        longest_drain_s: longest_drain(observations).map(|duration| duration.as_secs_f64()),
+        rules_held: RULES
             .into_iter()
-            .filter(|rule| !broken.contains(rule))
+            .filter(|rule| !violated.contains(rule))
             .collect(),
-        breaks,
+        violations,
     }
 }
 
-/// From the list's word that a host is to be left alone to the last table that lost it.
-fn longest_drain(facts: &[(Duration, Fact)]) -> Option<Duration> {
-    let mut away: BTreeMap<&str, Duration> = BTreeMap::new();
-    let mut holds: BTreeSet<(&str, &str, &str)> = BTreeSet::new();
+/// Longest time from the endpoint list draining or removing a host until the last table without it.
+fn longest_drain(observations: &[(Duration, Observation)]) -> Option<Duration> {
+    let mut unavailable_since: BTreeMap<&str, Duration> = BTreeMap::new();
+    let mut in_table: BTreeSet<(&str, &str, &str)> = BTreeSet::new();
     let mut longest = None;
-    for (at, fact) in facts {
-        match fact {
-            Fact::Listed {
+    for (at, observation) in observations {
+        match observation {
+            Observation::ListedStateChanged {
                 host,
-                as_: Listed::Ready,
-            } => drop(away.remove(host.as_str())),
-            Fact::Listed { host, .. } => drop(away.entry(host).or_insert(*at)),
-            Fact::Lines { proxy, kind, lines } => {
-                let (proxy, kind) = (proxy.as_str(), kind.as_str());
-                for (host, since) in &away {
-                    let holds_now = lines.iter().any(|(name, _)| name == host);
-                    if !holds_now && holds.contains(&(proxy, kind, *host)) {
+                state: ListedState::Ready,
+            } => drop(unavailable_since.remove(host.as_str())),
+            Observation::ListedStateChanged { host, .. } => {
+                unavailable_since.entry(host).or_insert(*at);
+            }
+            Observation::TableChanged {
+                proxy,
+                class,
+                lines,
+            } => {
+                let (proxy, class) = (proxy.as_str(), class.as_str());
+                for (host, since) in &unavailable_since {
+                    let still_in_table = lines.iter().any(|(name, _)| name == host);
+                    if !still_in_table && in_table.contains(&(proxy, class, *host)) {
                         longest = longest.max(Some(*at - *since));
                     }
                 }
-                holds.retain(|(p, k, _)| (*p, *k) != (proxy, kind));
-                holds.extend(lines.iter().map(|(name, _)| (proxy, kind, name.as_str())));
+                in_table.retain(|(p, c, _)| (*p, *c) != (proxy, class));
+                in_table.extend(lines.iter().map(|(name, _)| (proxy, class, name.as_str())));
             }
             _ => {}
         }
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -1,7 +1,8 @@
-//! A paced client: reqs of each kind at drawn times over HTTP, whether the former ones are answered or not.
+//! An open-loop HTTP client: it sends requests of each class at random times, whether or not earlier ones have been
+//! answered.
 
-use crate::dns_proxy::ByName;
-use crate::observations::{Fact, Facts, How};
+use crate::dns_proxy::DnsProxy;
+use crate::observations::{Observation, ObservationLog, RequestOutcome};
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Bytes;
@@ -15,23 +16,24 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// Reqs of one client that may be under way; it asks no more until one ends, so that a rehearsal stays bounded.
-const OPEN_MOST: usize = 4_000;
+/// Maximum number of requests that one client has in flight. At this limit it waits until one ends, which bounds the
+/// resources that a rehearsal uses.
+const MAX_IN_FLIGHT: usize = 4_000;
 
-/// One request kind as clients ask for it.
+/// A request class as clients send it.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestClass {
     pub name: &'static str,
-    /// Part of all reqs.
+    /// Fraction of all requests.
     pub share: f64,
     pub work: Duration,
-    pub response_target: Duration,
+    pub latency_objective: Duration,
     pub client_timeout: Duration,
-    pub benefit: f64,
+    pub priority_weight: f64,
     pub replayable: bool,
 }
 
-/// Clients of one proxy.
+/// An HTTP client of one proxy.
 #[derive(Clone)]
 pub struct Client {
     http: Http<HttpConnector, Empty<Bytes>>,
@@ -39,6 +41,7 @@
 }
 
 impl Client {
+    /// Creates a client that sends to this proxy and does not retry.
     pub fn new(proxy: SocketAddr) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -48,110 +51,118 @@
         Client { http, proxy }
     }
 
-    /// One req to its end.
-    pub async fn send(&self, kind: &str, id: u64, work: Duration, client_timeout: Duration) -> How {
-        let built = Request::get(format!("http://{}/{kind}", self.proxy))
+    /// Sends one request and waits until it ends.
+    pub async fn send(
+        &self,
+        class: &str,
+        id: u64,
+        work: Duration,
+        client_timeout: Duration,
+    ) -> RequestOutcome {
+        let request = Request::get(format!("http://{}/{class}", self.proxy))
             .header("x-req", id)
-            .header("x-kind", kind)
+            .header("x-kind", class)
             .header("x-work-us", work.as_micros().to_string())
             .body(Empty::new());
-        let Ok(built) = built else {
-            return How::Errored;
+        let Ok(request) = request else {
+            return RequestOutcome::Failed;
         };
-        let asked = async {
-            let answer = self.http.request(built).await.ok()?;
-            let (status, later) = (
-                answer.status(),
-                answer.headers().contains_key("retry-after"),
+        let exchange = async {
+            let response = self.http.request(request).await.ok()?;
+            let (status, retry_later) = (
+                response.status(),
+                response.headers().contains_key("retry-after"),
             );
-            answer.into_body().collect().await.ok()?;
+            response.into_body().collect().await.ok()?;
             Some(match status.is_success() {
-                true => How::Done,
-                false if later => How::Denied,
-                false => How::Errored,
+                true => RequestOutcome::Succeeded,
+                false if retry_later => RequestOutcome::Rejected,
+                false => RequestOutcome::Failed,
             })
         };
-        tokio::time::timeout(client_timeout, asked)
+        tokio::time::timeout(client_timeout, exchange)
             .await
             .ok()
             .flatten()
-            .unwrap_or(How::Errored)
+            .unwrap_or(RequestOutcome::Failed)
     }
 }
 
-/// Which way reqs go.
+/// Where a client sends its requests.
 #[derive(Clone)]
-pub enum Way {
+pub enum LoadTarget {
     Proxy(Client),
-    /// By a plain proxy that takes its hosts from DNS.
-    Names(Arc<ByName>),
+    /// Through a plain proxy that resolves its hosts through DNS.
+    Dns(Arc<DnsProxy>),
 }
 
-impl Way {
+impl LoadTarget {
     async fn send(
         &self,
-        kind: &'static str,
+        class: &'static str,
         id: u64,
         work: Duration,
         client_timeout: Duration,
-    ) -> How {
+    ) -> RequestOutcome {
         match self {
-            Way::Proxy(client) => client.send(kind, id, work, client_timeout).await,
-            Way::Names(proxy) => proxy.send(kind, id, work, client_timeout).await,
+            LoadTarget::Proxy(client) => client.send(class, id, work, client_timeout).await,
+            LoadTarget::Dns(proxy) => proxy.send(class, id, work, client_timeout).await,
         }
     }
 }
 
-/// Asks `rate` reqs a second of one proxy until `until`, then waits for the last to end.
-pub async fn ask(
-    way: Way,
-    kinds: Vec<Kind>,
+/// Sends `rate` requests per second to one proxy until `until`, then waits for the last one to end.
+pub async fn generate_load(
+    target: LoadTarget,
+    classes: Vec<RequestClass>,
     rate: f64,
     until: Instant,
-    ids: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
     seed: u64,
-    facts: Facts,
+    observations: ObservationLog,
 ) {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let mut open = JoinSet::new();
-    let mut next = Instant::now();
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut in_flight = JoinSet::new();
+    let mut next_send = Instant::now();
     loop {
-        // Times between reqs as they come from many clients that do not know of each other.
-        next += Duration::from_secs_f64((-(1.0 - chance.f64()).ln() / rate).min(5.0));
-        if next >= until {
+        // Exponential intervals, as of many independent clients.
+        next_send += Duration::from_secs_f64((-(1.0 - rng.f64()).ln() / rate).min(5.0));
+        if next_send >= until {
             break;
         }
-        sleep_until(next).await;
-        while open.try_join_next().is_some() {}
-        if open.len() >= OPEN_MOST {
-            open.join_next().await;
+        sleep_until(next_send).await;
+        while in_flight.try_join_next().is_some() {}
+        if in_flight.len() >= MAX_IN_FLIGHT {
+            in_flight.join_next().await;
         }
-        let mut at = chance.f64() * kinds.iter().map(|kind| kind.share).sum::<f64>();
-        let drawn = kinds.iter().find(|kind| {
-            at -= kind.share;
-            at < 0.0
+        let mut point = rng.f64() * classes.iter().map(|class| class.share).sum::<f64>();
+        let drawn = classes.iter().find(|class| {
+            point -= class.share;
+            point < 0.0
         });
-        let Some(kind) = drawn.or(kinds.last()).cloned() else {
+        let Some(class) = drawn.or(classes.last()).cloned() else {
             return;
         };
-        let id = ids.fetch_add(1, Relaxed);
-        // A fifth either way, as jobs differ.
-        let work = kind.work.mul_f64(0.8 + 0.4 * chance.f64());
-        let (way, facts) = (way.clone(), facts.clone());
-        open.spawn(async move {
-            let (asked, name) = (Instant::now(), kind.name.to_string());
-            facts.note(Fact::Asked {
-                kind: name.clone(),
-                req: id,
+        let id = next_id.fetch_add(1, Relaxed);
+        // The work of requests varies by up to 20 % either way.
+        let work = class.work.mul_f64(0.8 + 0.4 * rng.f64());
+        let (target, observations) = (target.clone(), observations.clone());
+        in_flight.spawn(async move {
+            let (sent_at, name) = (Instant::now(), class.name.to_string());
+            observations.record(Observation::RequestSent {
+                class: name.clone(),
+                request_id: id,
             });
-            let how = way.send(kind.name, id, work, kind.client_timeout).await;
-            facts.note(Fact::Ended {
-                kind: name,
-                req: id,
-                how,
-                took: asked.elapsed(),
+            let outcome = target
+                .send(class.name, id, work, class.client_timeout)
+                .await;
+            observations.record(Observation::RequestCompleted {
+                class: name,
+                request_id: id,
+                outcome,
+                latency: sent_at.elapsed(),
             });
         });
     }
-    while open.join_next().await.is_some() {}
+    while in_flight.join_next().await.is_some() {}
 }
--- a/crates/rehearsal/src/connection_storm.rs
+++ b/crates/rehearsal/src/connection_storm.rs
@@ -1,10 +1,11 @@
-//! Many proxies, many hosts, no traffic: how long joining all and draining one host takes, and what it costs.
+//! Many proxies and many hosts without traffic: how long it takes all proxies to join at once and to drain one host, and
+//! what the controller uses.
 
 use crate::bad_day::RehearsalError;
-use crate::client::Kind;
-use crate::endpoint_list::{Entry, List, spawn, write_settings};
-use crate::intercepted_proxy::Front;
-use crate::observations::{Fact, Facts, Listed};
+use crate::client::RequestClass;
+use crate::endpoint_list::{EndpointEntry, EndpointList, spawn_program, write_settings};
+use crate::intercepted_proxy::InterceptedProxy;
+use crate::observations::{ListedState, Observation, ObservationLog};
 use minijinja::{Environment, context};
 use serde::Serialize;
 use serde_json::json;
@@ -13,17 +14,19 @@
 use tokio::process::Child;
 use tokio::time::{Instant, sleep};
 
-const KINDS: [&str; 3] = ["proof", "order", "release"];
+const CLASSES: [&str; 3] = ["proof", "order", "release"];
 const ZONES: [&str; 4] = ["ede", "arnhem", "utrecht", "amersfoort"];
-/// How long anything may take, before the storm is given up.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of each step.
+const STEP_LIMIT: Duration = Duration::from_secs(60);
 
+/// Size of the rehearsal.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub proxies: usize,
     pub hosts: usize,
     pub drains: usize,
-    pub rest: Duration,
+    /// Time over which the idle CPU usage is measured.
+    pub idle_duration: Duration,
 }
 
 impl Default for Plan {
@@ -32,79 +35,92 @@
             proxies: 200,
             hosts: 700,
             drains: 5,
-            rest: Duration::from_secs(10),
+            idle_duration: Duration::from_secs(10),
         }
     }
 }
 
-/// Spans in milliseconds, memory in KiB.
+/// Results; times in milliseconds, memory in KiB.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub proxies: usize,
     pub hosts: usize,
-    /// From the first proxy reached to the last one that held its table.
+    /// Time from the first connection to a proxy until the last message that brought a proxy its table.
     pub join_ms: f64,
     pub join_messages: usize,
     pub join_commands: usize,
-    pub most_waiting: u64,
-    /// The same for a steward that starts again, with proxies that hold its tables already.
+    #[serde(rename = "most_waiting")]
+    pub max_queued_lines: u64,
+    /// The same for a restarted controller, whose proxies already have their tables.
     pub rejoin_ms: f64,
     pub rejoin_commands: usize,
-    /// From the list's word to the last proxy without the host, each drain.
+    /// Time of each drain from the change of the endpoint list until the last proxy removed the host.
     pub drains_ms: Vec<f64>,
-    pub rest_cpu_ms_per_s: f64,
-    pub rest_rss_kib: u64,
+    #[serde(rename = "rest_cpu_ms_per_s")]
+    pub idle_cpu_ms_per_s: f64,
+    #[serde(rename = "rest_rss_kib")]
+    pub idle_rss_kib: u64,
     pub peak_rss_kib: u64,
 }
 
 const TEXT: &str = "\
-Storm: {{ r.proxies }} proxies, {{ r.hosts }} hosts, one steward, no traffic
+Storm: {{ r.proxies }} proxies, {{ r.hosts }} hosts, one controller, no traffic
   all joined after          {{ r.join_ms | round(0) }} ms ({{ r.join_messages }} messages, {{ r.join_commands }} commands, \
-{{ r.most_waiting }} lines waiting at most)
+at most {{ r.most_waiting }} lines queued)
   joined again after a kill {{ r.rejoin_ms | round(0) }} ms ({{ r.rejoin_commands }} commands)
   drains, list to last      {% for ms in r.drains_ms %}{{ ms | round(0) }} ms {% endfor %}
-  CPU at rest               {{ r.rest_cpu_ms_per_s | round(1) }} ms a second
-  memory at rest, peak      {{ r.rest_rss_kib }} KiB, {{ r.peak_rss_kib }} KiB
+  CPU when idle             {{ r.rest_cpu_ms_per_s | round(1) }} ms per second
+  memory when idle, peak    {{ r.rest_rss_kib }} KiB, {{ r.peak_rss_kib }} KiB
 ";
 
 impl Report {
-    /// Errors: only if the template and the figures do not fit each other.
+    /// Renders the report as text.
+    ///
+    /// # Errors
+    ///
+    /// The template does not match the fields.
     pub fn text(&self) -> Result<String, RehearsalError> {
         Ok(Environment::new().render_str(TEXT, context! { r => self })?)
     }
 }
 
-pub async fn play(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
-    let io = |what: &'static str| {
-        move |wrong| RehearsalError::Io {
-            what: what.into(),
-            wrong,
+/// Runs the rehearsal in this folder, with `program` as the controller.
+///
+/// # Errors
+///
+/// A component could not be started or stopped, or a step exceeded its time limit.
+pub async fn run(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
+    let io_error = |context: &'static str| {
+        move |error| RehearsalError::Io {
+            context: context.into(),
+            error,
         }
     };
-    let facts = Facts::default();
-    let mut list = List::new(folder.join("hosts.jsonnet"), facts.clone());
-    list.change(|all| all.extend(entries(plan.hosts)))
-        .map_err(io("the list cannot be written"))?;
+    let observations = ObservationLog::default();
+    let mut list = EndpointList::new(folder.join("hosts.jsonnet"), observations.clone());
+    list.update(|all| all.extend(endpoint_entries(plan.hosts)))
+        .map_err(io_error("cannot write the endpoint list"))?;
     let mut proxies = Vec::new();
     for n in 0..plan.proxies {
-        proxies.push(front(n, list.file(), &facts).await?);
+        proxies.push(start_proxy(n, list.file(), &observations).await?);
     }
     let settings = folder.join("steward.jsonnet");
-    write_settings(&settings, &site(plan)).map_err(io("settings cannot be written"))?;
-    facts.take();
-    let mut steward = start(program, &settings, folder)?;
-    let most_waiting = until_settled(plan, folder).await?;
-    let joined = facts.take();
-    let (join_ms, join_messages, join_commands) = storm(&joined);
+    write_settings(&settings, &controller_settings(plan))
+        .map_err(io_error("cannot write the controller's settings"))?;
+    observations.take();
+    let mut controller = start_controller(program, &settings, folder)?;
+    let max_queued_lines = wait_settled(plan, folder).await?;
+    let joined = observations.take();
+    let (join_ms, join_messages, join_commands) = join_costs(&joined);
     sleep(Duration::from_secs(3)).await;
-    let before = cpu_ms(&steward);
-    let rested = Instant::now();
-    sleep(plan.rest).await;
-    let rest_cpu = (cpu_ms(&steward) - before) / rested.elapsed().as_secs_f64();
-    let rest_rss_kib = memory_kib(&steward, "VmRSS");
+    let cpu_before = cpu_ms(&controller);
+    let idle_since = Instant::now();
+    sleep(plan.idle_duration).await;
+    let idle_cpu_ms_per_s = (cpu_ms(&controller) - cpu_before) / idle_since.elapsed().as_secs_f64();
+    let idle_rss_kib = memory_kib(&controller, "VmRSS");
     let mut drains_ms = Vec::new();
     for drain in 0..plan.drains {
-        facts.take();
+        observations.take();
         let Some(host) = proxies.iter().find_map(|proxy| {
             let tables = proxy.mirror();
             let serving = tables
@@ -119,89 +135,97 @@
         }) else {
             break;
         };
-        let told = facts.now();
-        list.set(std::slice::from_ref(&host), Listed::Drain)
-            .map_err(io("the list cannot be written"))?;
-        let began = Instant::now();
-        while proxies.iter().any(|proxy| holds(proxy, &host)) && began.elapsed() < LIMIT {
+        let listed_at = observations.elapsed();
+        list.set_state(std::slice::from_ref(&host), ListedState::Draining)
+            .map_err(io_error("cannot write the endpoint list"))?;
+        let drain_start = Instant::now();
+        while proxies.iter().any(|proxy| serves(proxy, &host)) && drain_start.elapsed() < STEP_LIMIT
+        {
             sleep(Duration::from_millis(5)).await;
         }
-        drains_ms.push(last_message(&facts.take()).map_or(0.0, |at| ms(at.saturating_sub(told))));
+        drains_ms.push(
+            last_message(&observations.take())
+                .map_or(0.0, |at| millis(at.saturating_sub(listed_at))),
+        );
         sleep(Duration::from_secs(2)).await;
     }
-    let peak_rss_kib = memory_kib(&steward, "VmHWM");
-    steward
+    let peak_rss_kib = memory_kib(&controller, "VmHWM");
+    controller
         .kill()
         .await
-        .map_err(io("the steward cannot be ended"))?;
-    facts.take();
-    let mut steward = start(program, &settings, folder)?;
-    until_settled(plan, folder).await?;
-    let (rejoin_ms, _, rejoin_commands) = storm(&facts.take());
-    steward
+        .map_err(io_error("cannot stop the controller"))?;
+    observations.take();
+    let mut controller = start_controller(program, &settings, folder)?;
+    wait_settled(plan, folder).await?;
+    let (rejoin_ms, _, rejoin_commands) = join_costs(&observations.take());
+    controller
         .kill()
         .await
-        .map_err(io("the steward cannot be ended"))?;
+        .map_err(io_error("cannot stop the controller"))?;
     Ok(Report {
         proxies: plan.proxies,
         hosts: plan.hosts,
         join_ms,
         join_messages,
         join_commands,
-        most_waiting,
+        max_queued_lines,
         rejoin_ms,
         rejoin_commands,
         drains_ms,
-        rest_cpu_ms_per_s: rest_cpu,
-        rest_rss_kib,
+        idle_cpu_ms_per_s,
+        idle_rss_kib,
         peak_rss_kib,
     })
 }
 
-/// So many hosts that nobody answers for.
-pub(crate) fn entries(hosts: usize) -> impl Iterator<Item = (String, Entry)> {
-    let entry = |n: usize| Entry {
+/// Entries of hosts with addresses that nothing listens on.
+pub(crate) fn endpoint_entries(hosts: usize) -> impl Iterator<Item = (String, EndpointEntry)> {
+    let entry = |n: usize| EndpointEntry {
         addr: ([127, 1, (n / 250) as u8, (n % 250) as u8 + 1], 9).into(),
         zone: ZONES[n % 4].into(),
         rack: format!("rack-{}", n / 6),
         weight: 1.0,
         cores: 1.0,
         started: None,
-        listed: Listed::Ready,
+        state: ListedState::Ready,
     };
     (0..hosts).map(move |n| (format!("host-{n}"), entry(n)))
 }
 
-/// The n-th proxy.
-pub(crate) async fn front(n: usize, list: &Path, facts: &Facts) -> Result<Front, RehearsalError> {
+/// Starts the proxy with index `n`.
+pub(crate) async fn start_proxy(
+    n: usize,
+    list: &Path,
+    observations: &ObservationLog,
+) -> Result<InterceptedProxy, RehearsalError> {
     let (name, seed) = (format!("front-{n}"), n as u64);
-    Ok(Front::start(
+    Ok(InterceptedProxy::start(
         &name,
         ZONES[n % 4],
         &ZONES,
-        &kinds(),
+        &classes(),
         list,
         seed,
-        facts.clone(),
+        observations.clone(),
     )
     .await?)
 }
 
-fn kinds() -> Vec<Kind> {
-    let kind = |name| Kind {
+fn classes() -> Vec<RequestClass> {
+    let class = |name| RequestClass {
         name,
         share: 1.0,
         work: Duration::from_millis(50),
-        response_target: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(3),
-        benefit: 1.0,
+        priority_weight: 1.0,
         replayable: true,
     };
-    KINDS.map(kind).into()
+    CLASSES.map(class).into()
 }
 
-pub(crate) fn site(plan: &Plan) -> serde_json::Value {
-    let kind = |name: &str| json!({"name": name, "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"});
+pub(crate) fn controller_settings(plan: &Plan) -> serde_json::Value {
+    let class = |name: &str| json!({"name": name, "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"});
     let proxy = |n: usize| {
         json!({"name": format!("front-{n}"), "zone": ZONES[n % 4], "runtime": format!("unix:front-{n}.sock"),
             "usual_rate": 3.5})
@@ -209,7 +233,7 @@
     json!({
         "name": "storm",
         "zones": ZONES,
-        "kinds": KINDS.map(kind),
+        "kinds": CLASSES.map(class),
         "proxies": (0..plan.proxies).map(proxy).collect::<Vec<_>>(),
         "hosts_file": "hosts.jsonnet",
         "channel": {"lines_per_second": 50000, "most_waiting": 50000, "message_cap": 12, "message_window": "10 s"},
@@ -219,75 +243,86 @@
     })
 }
 
-pub(crate) fn start(
+pub(crate) fn start_controller(
     program: &Path,
     settings: &Path,
     folder: &Path,
 ) -> Result<Child, RehearsalError> {
-    let wrong = |wrong| RehearsalError::Io {
-        what: "a steward cannot be started".into(),
-        wrong,
+    let io_error = |error| RehearsalError::Io {
+        context: "cannot start the controller".into(),
+        error,
     };
-    spawn(
+    spawn_program(
         program,
         &["--log-level", "warn", "run"],
         settings,
         &folder.join("steward.log"),
     )
-    .map_err(wrong)
+    .map_err(io_error)
 }
 
-/// Waits until all are joined and nothing waits; gives the most lines that were seen waiting.
-pub(crate) async fn until_settled(plan: &Plan, folder: &Path) -> Result<u64, RehearsalError> {
-    let (began, mut most, mut quiet) = (Instant::now(), 0, 0);
-    while began.elapsed() < LIMIT {
-        let text = crate::bad_day::ask(&folder.join("steward.sock"), "show info")
+/// Waits until all proxies are joined and up to date and the update queue is empty, at five polls in a row. Returns the
+/// maximum number of queued lines that was read.
+pub(crate) async fn wait_settled(plan: &Plan, folder: &Path) -> Result<u64, RehearsalError> {
+    let (began, mut max_queued_lines, mut settled_polls) = (Instant::now(), 0, 0);
+    while began.elapsed() < STEP_LIMIT {
+        let text = crate::bad_day::runtime_command(&folder.join("steward.sock"), "show info")
             .await
             .unwrap_or_default();
         let info = pondarch_runtime_api::info::Info::read(&text);
-        let figure = |name: &str| info.number(name).unwrap_or(0);
-        most = most.max(figure("LinesWaiting"));
-        let settled = figure("ProxiesJoined") as usize == plan.proxies
-            && figure("LinesWaiting") == 0
-            && figure("ProxiesBehind") == 0;
-        quiet = if settled { quiet + 1 } else { 0 };
-        if quiet == 5 {
-            return Ok(most);
+        let number = |name: &str| info.number(name).unwrap_or(0);
+        max_queued_lines = max_queued_lines.max(number("LinesWaiting"));
+        let settled = number("ProxiesJoined") as usize == plan.proxies
+            && number("LinesWaiting") == 0
+            && number("ProxiesBehind") == 0;
+        settled_polls = if settled { settled_polls + 1 } else { 0 };
+        if settled_polls == 5 {
+            return Ok(max_queued_lines);
         }
         sleep(Duration::from_millis(10)).await;
     }
     Err(RehearsalError::NotJoined(
-        LIMIT.as_secs(),
+        STEP_LIMIT.as_secs(),
         folder.to_path_buf(),
     ))
 }
 
-/// From the first link to the last message, in milliseconds; messages and commands.
-fn storm(facts: &[(Duration, Fact)]) -> (f64, usize, usize) {
-    let first = facts
+/// Time from the first connection to the last message in milliseconds, number of messages, number of commands.
+fn join_costs(observations: &[(Duration, Observation)]) -> (f64, usize, usize) {
+    let first = observations
         .iter()
-        .find(|(_, fact)| matches!(fact, Fact::Link { up: true, .. }))
+        .find(|(_, observation)| {
+            matches!(
+                observation,
+                Observation::ControllerConnection {
+                    connected: true,
+                    ..
+                }
+            )
+        })
         .map(|(at, _)| *at);
-    let last = last_message(facts).or(facts.last().map(|(at, _)| *at));
-    let commands = facts.iter().filter_map(|(_, fact)| match fact {
-        Fact::Message { commands, .. } => Some(*commands),
-        _ => None,
-    });
-    let took = first
+    let last = last_message(observations).or(observations.last().map(|(at, _)| *at));
+    let commands = observations
+        .iter()
+        .filter_map(|(_, observation)| match observation {
+            Observation::UpdateMessage { commands, .. } => Some(*commands),
+            _ => None,
+        });
+    let duration_ms = first
         .zip(last)
-        .map_or(0.0, |(first, last)| ms(last.saturating_sub(first)));
-    (took, commands.clone().count(), commands.sum())
+        .map_or(0.0, |(first, last)| millis(last.saturating_sub(first)));
+    (duration_ms, commands.clone().count(), commands.sum())
 }
 
-fn last_message(facts: &[(Duration, Fact)]) -> Option<Duration> {
-    facts
+fn last_message(observations: &[(Duration, Observation)]) -> Option<Duration> {
+    observations
         .iter()
         .rev()
-        .find(|(_, fact)| matches!(fact, Fact::Message { .. }))
+        .find(|(_, observation)| matches!(observation, Observation::UpdateMessage { .. }))
         .map(|(at, _)| *at)
 }
 
-fn holds(proxy: &Front, host: &str) -> bool {
+fn serves(proxy: &InterceptedProxy, host: &str) -> bool {
     let tables = proxy.mirror();
     tables.backends.values().any(|b| {
         b.servers
@@ -296,11 +331,11 @@
     })
 }
 
-fn ms(span: Duration) -> f64 {
-    span.as_secs_f64() * 1e3
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
 }
 
-/// CPU time of a process so far, by the system's account (ticks of 10 ms).
+/// CPU time that a process has used, from `/proc` (in ticks of 10 ms).
 pub(crate) fn cpu_ms(child: &Child) -> f64 {
     let stat = child
         .id()
@@ -308,15 +343,16 @@
         .unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = |at: usize| {
+    let ticks = |index: usize| {
         fields
-            .get(at)
+            .get(index)
             .and_then(|text| text.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
     (ticks(11) + ticks(12)) * 10.0
 }
 
+/// A memory figure of a process, such as `VmRSS`, from `/proc`.
 pub(crate) fn memory_kib(child: &Child, name: &str) -> u64 {
     let text = child
         .id()
--- a/crates/rehearsal/src/dns_proxy.rs
+++ b/crates/rehearsal/src/dns_proxy.rs
@@ -1,8 +1,8 @@
-//! A plain proxy that knows no runtime API: it asks a resolver of its own, which holds answers for their whole lifetime and
-//! a bit more, as caches do that count seconds; it picks by SRV weight (RFC 2782), and takes another host only where the
-//! connection was refused, so that nothing was sent.
+//! A simulated plain proxy without a runtime API. It resolves hosts through its own resolver, which caches answers for their
+//! whole TTL and up to a second more, as caches do that count whole seconds. It picks a host by SRV weight (RFC 2782) and
+//! tries another one only if the connection was refused, so that nothing was sent.
 
-use crate::observations::{Fact, Facts, How};
+use crate::observations::{Observation, ObservationLog, RequestOutcome};
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Bytes;
@@ -19,214 +19,229 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{Instant, timeout};
 
-/// How long a server may take to answer before it is asked again, and then the next one.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(150);
-const ASKS: usize = 2;
-/// An answer that could not be had is not asked for again before.
-const ASKS_AGAIN: Duration = Duration::from_millis(100);
-/// What a cache adds to a lifetime at most, by counting whole seconds.
-const COUNTED: Duration = Duration::from_millis(1_000);
-/// Hosts that are tried for one req at most, while connections are refused.
-const PICKS: usize = 3;
+/// Time that a name server has to answer before it is queried again; after `QUERIES_PER_SERVER` queries, the next one is
+/// queried.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
+const QUERIES_PER_SERVER: usize = 2;
+/// Time until the next query after a failed or empty one.
+const FAILED_QUERY_CACHE_TIME: Duration = Duration::from_millis(100);
+/// Maximum time that a cache adds to a TTL by counting whole seconds.
+const MAX_TTL_ROUNDING: Duration = Duration::from_millis(1_000);
+/// Maximum number of hosts tried for one request while connections are refused.
+const MAX_ATTEMPTS: usize = 3;
 
-/// A line as a cache holds it.
-type Line = (String, SocketAddr, u16);
+/// A cached line of the table: host name, address, weight.
+type CachedLine = (String, SocketAddr, u16);
 
-pub struct ByName {
+/// A proxy that gets its hosts from DNS.
+pub struct DnsProxy {
     name: String,
     zone: String,
-    /// Its name servers, the first asked first.
+    /// Its name servers, in the order in which they are queried.
     servers: Vec<SocketAddr>,
     http: Http<HttpConnector, Empty<Bytes>>,
-    /// By kind; asked for by one req while others wait.
-    cache: BTreeMap<&'static str, tokio::sync::Mutex<Cached>>,
-    chance: Mutex<fastrand::Rng>,
-    asked: AtomicU64,
-    joined: AtomicBool,
-    facts: Facts,
+    /// By request class. The lock lets one request query while others wait.
+    cache: BTreeMap<&'static str, tokio::sync::Mutex<CachedAnswer>>,
+    rng: Mutex<fastrand::Rng>,
+    query_count: AtomicU64,
+    reachable: AtomicBool,
+    observations: ObservationLog,
 }
 
 #[derive(Default)]
-struct Cached {
-    lines: Vec<Line>,
-    until: Option<Instant>,
+struct CachedAnswer {
+    lines: Vec<CachedLine>,
+    expires_at: Option<Instant>,
 }
 
-impl ByName {
+impl DnsProxy {
+    /// Creates a proxy that looks up `_<class>._tcp.<name>.<zone>` at these name servers.
     pub fn new(
         name: &str,
         zone: &str,
         servers: Vec<SocketAddr>,
-        kinds: &[&'static str],
+        classes: &[&'static str],
         seed: u64,
-        facts: Facts,
-    ) -> ByName {
+        observations: ObservationLog,
+    ) -> DnsProxy {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        ByName {
+        DnsProxy {
             name: name.into(),
             zone: zone.into(),
             servers,
             http: Http::builder(TokioExecutor::new())
                 .retry_canceled_requests(false)
                 .build(connector),
-            cache: kinds
+            cache: classes
                 .iter()
-                .map(|kind| (*kind, tokio::sync::Mutex::default()))
+                .map(|class| (*class, tokio::sync::Mutex::default()))
                 .collect(),
-            chance: Mutex::new(fastrand::Rng::with_seed(seed)),
-            asked: AtomicU64::new(0),
-            joined: AtomicBool::new(false),
-            facts,
+            rng: Mutex::new(fastrand::Rng::with_seed(seed)),
+            query_count: AtomicU64::new(0),
+            reachable: AtomicBool::new(false),
+            observations,
         }
     }
 
-    /// Questions that went to a server.
-    pub fn asked(&self) -> u64 {
-        self.asked.load(Relaxed)
+    /// Number of queries sent to name servers.
+    pub fn query_count(&self) -> u64 {
+        self.query_count.load(Relaxed)
     }
 
-    /// One req to its end.
+    /// Sends one request and waits until it ends.
     pub async fn send(
         &self,
-        kind: &'static str,
+        class: &'static str,
         id: u64,
         work: Duration,
         client_timeout: Duration,
-    ) -> How {
-        let sent = async {
-            let mut lines = self.lines(kind).await;
-            for _ in 0..PICKS {
+    ) -> RequestOutcome {
+        let exchange = async {
+            let mut lines = self.lines(class).await;
+            for _ in 0..MAX_ATTEMPTS {
                 let Some((_, addr, _)) = self.pick(&mut lines) else {
-                    return How::Errored;
+                    return RequestOutcome::Failed;
                 };
-                let built = Request::get(format!("http://{addr}/{kind}"))
+                let request = Request::get(format!("http://{addr}/{class}"))
                     .header("x-req", id)
-                    .header("x-kind", kind)
+                    .header("x-kind", class)
                     .header("x-pondarch-proxy", &self.name)
                     .header("x-work-us", work.as_micros().to_string())
                     .body(Empty::new());
-                let Ok(built) = built else {
-                    return How::Errored;
+                let Ok(request) = request else {
+                    return RequestOutcome::Failed;
                 };
-                match self.http.request(built).await {
-                    Ok(answer) if answer.status().is_success() => {
-                        let whole = answer.into_body().collect().await.is_ok();
-                        return if whole { How::Done } else { How::Errored };
+                match self.http.request(request).await {
+                    Ok(response) if response.status().is_success() => {
+                        let complete = response.into_body().collect().await.is_ok();
+                        return if complete {
+                            RequestOutcome::Succeeded
+                        } else {
+                            RequestOutcome::Failed
+                        };
                     }
-                    // Refused before anything was sent: RFC 2782 has the next one tried.
-                    Err(wrong) if wrong.is_connect() => {}
-                    _ => return How::Errored,
+                    // Nothing was sent yet: RFC 2782 asks for an attempt at the next host.
+                    Err(error) if error.is_connect() => {}
+                    _ => return RequestOutcome::Failed,
                 }
             }
-            How::Errored
+            RequestOutcome::Failed
         };
-        timeout(client_timeout, sent).await.unwrap_or(How::Errored)
+        timeout(client_timeout, exchange)
+            .await
+            .unwrap_or(RequestOutcome::Failed)
     }
 
-    /// Draws by weight, and takes the line out.
-    fn pick(&self, lines: &mut Vec<Line>) -> Option<Line> {
-        let sum: u32 = lines.iter().map(|(_, _, weight)| u32::from(*weight)).sum();
-        let mut at = self.chance().u32(0..sum.max(1));
-        let drawn = lines.iter().position(|(_, _, weight)| {
-            let here = at < u32::from(*weight);
-            at = at.saturating_sub(u32::from(*weight));
-            here
+    /// Picks a line at random by weight and removes it.
+    fn pick(&self, lines: &mut Vec<CachedLine>) -> Option<CachedLine> {
+        let total_weight: u32 = lines.iter().map(|(_, _, weight)| u32::from(*weight)).sum();
+        let mut point = self.rng().u32(0..total_weight.max(1));
+        let index = lines.iter().position(|(_, _, weight)| {
+            let selected = point < u32::from(*weight);
+            point = point.saturating_sub(u32::from(*weight));
+            selected
         })?;
-        Some(lines.swap_remove(drawn))
+        Some(lines.swap_remove(index))
     }
 
-    /// The kind's lines as the cache has them, asked for if they ran out.
-    async fn lines(&self, kind: &'static str) -> Vec<Line> {
-        let Some(cached) = self.cache.get(kind) else {
+    /// The lines of a request class, from the cache or, if the cached answer has expired, from a new query.
+    async fn lines(&self, class: &'static str) -> Vec<CachedLine> {
+        let Some(cached) = self.cache.get(class) else {
             return Vec::new();
         };
         let mut cached = cached.lock().await;
-        if cached.until.is_some_and(|until| Instant::now() < until) {
+        if cached
+            .expires_at
+            .is_some_and(|expires_at| Instant::now() < expires_at)
+        {
             return cached.lines.clone();
         }
-        let begun = Instant::now();
-        let (lines, held) = match self.ask(kind).await {
+        let queried_at = Instant::now();
+        let (lines, cache_time) = match self.query(class).await {
             Some(found) if !found.is_empty() => {
                 let ttl = found
                     .iter()
                     .map(|service| service.lifetime_s)
                     .min()
                     .unwrap_or(0);
-                let more = COUNTED.mul_f64(self.chance().f64());
+                let rounding = MAX_TTL_ROUNDING.mul_f64(self.rng().f64());
                 let lines = found.into_iter().filter_map(|service| {
                     let host = service.target.split(".hosts.").next()?.to_string();
                     Some((host, service.address?, service.weight))
                 });
-                (lines.collect(), Duration::from_secs(u64::from(ttl)) + more)
+                (
+                    lines.collect(),
+                    Duration::from_secs(u64::from(ttl)) + rounding,
+                )
             }
-            _ => (Vec::new(), ASKS_AGAIN),
+            _ => (Vec::new(), FAILED_QUERY_CACHE_TIME),
         };
-        // The lifetime counts from the question: the answer may have left at once.
-        cached.until = Some(begun + held);
+        // The TTL counts from the query, because the answer may have been sent right after it.
+        cached.expires_at = Some(queried_at + cache_time);
         if lines != cached.lines {
-            let told = lines
+            let weights = lines
                 .iter()
-                .map(|(host, _, weight): &Line| (host.clone(), *weight))
+                .map(|(host, _, weight): &CachedLine| (host.clone(), *weight))
                 .collect();
-            self.facts.note(Fact::Lines {
+            self.observations.record(Observation::TableChanged {
                 proxy: self.name.clone(),
-                kind: kind.to_string(),
-                lines: told,
+                class: class.to_string(),
+                lines: weights,
             });
         }
         cached.lines = lines;
         cached.lines.clone()
     }
 
-    /// Asks one server after the other; none: nobody answered.
-    async fn ask(&self, kind: &str) -> Option<Vec<ServiceTarget>> {
-        let name = format!("_{kind}._tcp.{}.{}", self.name, self.zone);
+    /// Queries the name servers in order; `None` if none of them answered.
+    async fn query(&self, class: &str) -> Option<Vec<ServiceTarget>> {
+        let name = format!("_{class}._tcp.{}.{}", self.name, self.zone);
         for server in &self.servers {
-            for _ in 0..ASKS {
-                self.asked.fetch_add(1, Relaxed);
-                let id = self.chance().u16(..);
-                let question = encode_query(id, &name, "SRV").ok()?;
-                let asked = timeout(ANSWERS_WITHIN, by_udp(*server, &question)).await;
-                let answer = asked
+            for _ in 0..QUERIES_PER_SERVER {
+                self.query_count.fetch_add(1, Relaxed);
+                let id = self.rng().u16(..);
+                let query = encode_query(id, &name, "SRV").ok()?;
+                let received = timeout(QUERY_TIMEOUT, query_udp(*server, &query)).await;
+                let response = received
                     .ok()
                     .flatten()
                     .and_then(|bytes| decode_services(id, &bytes).ok());
-                let Some((answer, mut found)) = answer else {
+                let Some((response, mut found)) = response else {
                     continue;
                 };
-                if answer.truncated || found.iter().any(|service| service.address.is_none()) {
-                    let asked = timeout(ANSWERS_WITHIN, by_tcp(*server, &question)).await;
-                    let by_tcp = asked
+                if response.truncated || found.iter().any(|service| service.address.is_none()) {
+                    let received = timeout(QUERY_TIMEOUT, query_tcp(*server, &query)).await;
+                    let tcp_response = received
                         .ok()
                         .flatten()
                         .and_then(|bytes| decode_services(id, &bytes).ok());
-                    found = by_tcp.map(|(_, found)| found).unwrap_or(found);
+                    found = tcp_response.map(|(_, found)| found).unwrap_or(found);
                 }
-                self.link(true);
+                self.set_reachable(true);
                 return Some(found);
             }
         }
-        self.link(false);
+        self.set_reachable(false);
         None
     }
 
-    /// It is joined while a steward answers it.
-    fn link(&self, up: bool) {
-        if self.joined.swap(up, Relaxed) != up {
-            self.facts.note(Fact::Link {
+    /// The proxy counts as connected while a controller answers its queries.
+    fn set_reachable(&self, reachable: bool) {
+        if self.reachable.swap(reachable, Relaxed) != reachable {
+            self.observations.record(Observation::ControllerConnection {
                 proxy: self.name.clone(),
-                up,
+                connected: reachable,
             });
         }
     }
 
-    fn chance(&self) -> MutexGuard<'_, fastrand::Rng> {
-        self.chance.lock().unwrap_or_else(PoisonError::into_inner)
+    fn rng(&self) -> MutexGuard<'_, fastrand::Rng> {
+        self.rng.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn by_udp(server: SocketAddr, packet: &[u8]) -> Option<Vec<u8>> {
+async fn query_udp(server: SocketAddr, packet: &[u8]) -> Option<Vec<u8>> {
     let socket = UdpSocket::bind("127.0.0.1:0").await.ok()?;
     socket.connect(server).await.ok()?;
     socket.send(packet).await.ok()?;
@@ -236,7 +251,7 @@
     Some(bytes)
 }
 
-async fn by_tcp(server: SocketAddr, packet: &[u8]) -> Option<Vec<u8>> {
+async fn query_tcp(server: SocketAddr, packet: &[u8]) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(server).await.ok()?;
     let len = u16::try_from(packet.len()).ok()?;
     stream
--- a/crates/rehearsal/src/endpoint_list.rs
+++ b/crates/rehearsal/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The settings and the list that the stewards of a rehearsal are given, as files.
+//! The files that the controllers of a rehearsal read: settings and endpoint list.
 
-use crate::observations::{Fact, Facts, Listed};
+use crate::observations::{ListedState, Observation, ObservationLog};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io;
@@ -9,96 +9,102 @@
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 
-/// One host as the list shows it.
+/// One host in the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub addr: SocketAddr,
     pub zone: String,
     pub rack: String,
     pub weight: f64,
     pub cores: f64,
-    /// Seconds since 1970; none: not said.
+    /// Start time in seconds since 1970; `None` if the list does not state it.
     pub started: Option<f64>,
-    pub listed: Listed,
+    pub state: ListedState,
 }
 
-/// The list that stewards follow, as a file that is replaced whole.
-pub struct List {
+/// The endpoint list that controllers watch. Its file is replaced atomically on each update.
+pub struct EndpointList {
     file: PathBuf,
     version: u64,
-    pub hosts: BTreeMap<String, Entry>,
-    facts: Facts,
+    pub hosts: BTreeMap<String, EndpointEntry>,
+    observations: ObservationLog,
 }
 
-impl List {
-    pub fn new(file: PathBuf, facts: Facts) -> List {
-        List {
+impl EndpointList {
+    /// Creates an empty list; the file is written by the first update.
+    pub fn new(file: PathBuf, observations: ObservationLog) -> EndpointList {
+        EndpointList {
             file,
             version: 0,
             hosts: BTreeMap::new(),
-            facts,
+            observations,
         }
     }
 
+    /// Path of the list's file.
     pub fn file(&self) -> &Path {
         &self.file
     }
 
     /// Changes entries and writes the file.
-    pub fn change(&mut self, change: impl FnOnce(&mut BTreeMap<String, Entry>)) -> io::Result<()> {
-        let before: BTreeMap<String, Listed> = self
+    pub fn update(
+        &mut self,
+        change: impl FnOnce(&mut BTreeMap<String, EndpointEntry>),
+    ) -> io::Result<()> {
+        let before: BTreeMap<String, ListedState> = self
             .hosts
             .iter()
-            .map(|(name, entry)| (name.clone(), entry.listed))
+            .map(|(name, entry)| (name.clone(), entry.state))
             .collect();
         change(&mut self.hosts);
         self.version += 1;
-        let entry = |(name, entry): (&String, &Entry)| {
-            let state = match entry.listed {
-                Listed::Ready => "ready",
-                Listed::Drain => "drain",
-                Listed::Gone => "gone",
+        let entry = |(name, entry): (&String, &EndpointEntry)| {
+            let state = match entry.state {
+                ListedState::Ready => "ready",
+                ListedState::Draining => "drain",
+                ListedState::Gone => "gone",
             };
             json!({"name": name, "address": entry.addr, "zone": entry.zone, "rack": entry.rack,
                 "weight": entry.weight, "cores": entry.cores, "started": entry.started, "state": state})
         };
         let hosts: Vec<Value> = self.hosts.iter().map(entry).collect();
         let text = json!({"version": self.version, "hosts": hosts}).to_string();
-        let part = self.file.with_extension("part");
-        std::fs::write(&part, text)?;
-        // The clock of the rules starts no later than the stewards can know.
+        let temporary_file = self.file.with_extension("part");
+        std::fs::write(&temporary_file, text)?;
+        // Recorded before the rename: the time limits of the rules must not start after controllers can read the list.
         for (name, entry) in &self.hosts {
-            if before.get(name) != Some(&entry.listed) {
-                self.facts.note(Fact::Listed {
+            if before.get(name) != Some(&entry.state) {
+                self.observations.record(Observation::ListedStateChanged {
                     host: name.clone(),
-                    as_: entry.listed,
+                    state: entry.state,
                 });
             }
         }
         for name in before.keys().filter(|name| !self.hosts.contains_key(*name)) {
-            self.facts.note(Fact::Listed {
+            self.observations.record(Observation::ListedStateChanged {
                 host: name.clone(),
-                as_: Listed::Gone,
+                state: ListedState::Gone,
             });
         }
-        std::fs::rename(&part, &self.file)
+        std::fs::rename(&temporary_file, &self.file)
     }
 
-    pub fn set(&mut self, hosts: &[String], listed: Listed) -> io::Result<()> {
-        self.change(|list| {
+    /// Sets the state of the named hosts that are in the list, and writes the file.
+    pub fn set_state(&mut self, hosts: &[String], state: ListedState) -> io::Result<()> {
+        self.update(|list| {
             hosts
                 .iter()
                 .filter_map(|name| Some((name, list.get(name)?.clone())))
                 .collect::<Vec<_>>()
                 .into_iter()
                 .for_each(|(name, entry)| {
-                    drop(list.insert(name.clone(), Entry { listed, ..entry }))
+                    drop(list.insert(name.clone(), EndpointEntry { state, ..entry }))
                 });
         })
     }
 }
 
-/// Writes a steward's settings; JSON is Jsonnet.
+/// Writes a settings file as JSON, which is valid Jsonnet.
 pub fn write_settings(file: &Path, settings: &Value) -> io::Result<()> {
     std::fs::write(
         file,
@@ -106,8 +112,8 @@
     )
 }
 
-/// Starts this program in a process of its own; it ends with the rehearsal, and its log is added to that file.
-pub(crate) fn spawn(
+/// Starts `program` as a child process that is killed when its handle is dropped; its log is appended to `log`.
+pub(crate) fn spawn_program(
     program: &Path,
     args: &[&str],
     settings: &Path,
--- a/crates/rehearsal/src/host.rs
+++ b/crates/rehearsal/src/host.rs
@@ -1,6 +1,6 @@
-//! A stand-in render node: HTTP/1.1, cores with a waiting room, a cold ramp, and troubles on request.
+//! A simulated host: HTTP/1.1, a number of cores with a bounded queue, a slow start, and faults that can be injected.
 
-use crate::observations::{Fact, Facts};
+use crate::observations::{Observation, ObservationLog};
 use http_body_util::Empty;
 use hyper::body::{Bytes, Incoming};
 use hyper::service::service_fn;
@@ -16,135 +16,149 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Reqs that wait at a host at most; it refuses the next one unseen, and says so.
-const WAITING_MOST: usize = 60;
-/// Says with a refusal that the req never ran.
-pub const NEVER_RAN: &str = "x-never-ran";
+/// Maximum number of requests queued at a host; it rejects further ones without processing them, and marks the response
+/// with [`UNPROCESSED_HEADER`].
+const MAX_QUEUED_REQUESTS: usize = 60;
+/// Header of a rejection which states that the request was not processed.
+pub const UNPROCESSED_HEADER: &str = "x-never-ran";
 
-/// How a host is made.
+/// Properties of a simulated host.
 #[derive(Clone, Debug)]
-pub struct Make {
+pub struct HostConfig {
     pub name: String,
     pub zone: String,
     pub rack: String,
     pub cores: usize,
-    /// Work of one core a second.
+    /// Seconds of work that one core completes per second.
     pub speed: f64,
-    pub start_share: f64,
-    pub warm_within: Duration,
-    /// Warm from the first moment: it ran before the day began.
+    pub initial_capacity: f64,
+    pub slow_start_window: Duration,
+    /// Has its full capacity from the start, as a host that ran before the rehearsal began.
     pub warm: bool,
 }
 
-/// A running host. Dropping it is its death: all connections break.
+/// A running host. Dropping it stops the host and breaks all of its connections.
 pub struct Host {
-    pub make: Make,
+    pub config: HostConfig,
     pub addr: SocketAddr,
-    pub trouble: Arc<Trouble>,
+    pub faults: Arc<HostFaults>,
     task: JoinHandle<()>,
-    facts: Facts,
+    observations: ObservationLog,
 }
 
-/// What is wrong with a host; all of it can be set while it runs.
+/// Faults of a host; they can be set while it runs.
 #[derive(Debug)]
-pub struct Trouble {
-    /// Times slower, in thousandths.
-    pub slower: AtomicU64,
-    /// Takes reqs and answers none.
-    pub hangs: AtomicBool,
+pub struct HostFaults {
+    /// Factor by which execution is slowed down, in thousandths.
+    pub slowdown_permille: AtomicU64,
+    /// Accepts requests and never answers.
+    pub unresponsive: AtomicBool,
 }
 
-struct Works {
-    make: Make,
+struct HostState {
+    config: HostConfig,
     started: Instant,
     cores: Semaphore,
-    waiting: AtomicUsize,
-    busy: Mutex<Busy>,
-    trouble: Arc<Trouble>,
-    facts: Facts,
+    queued: AtomicUsize,
+    utilization: Mutex<UtilizationMeter>,
+    faults: Arc<HostFaults>,
+    observations: ObservationLog,
 }
 
-/// How busy the cores were lately, as a host reports it: the mean of the last whole period.
+/// Measures utilization for load reports: the mean of the last completed period.
 #[derive(Debug)]
-struct Busy {
+struct UtilizationMeter {
     running: usize,
-    changed: Instant,
-    /// Core seconds used in this period, and when it began.
-    used: f64,
-    since: Instant,
-    /// Reqs that ended and that were refused in this period.
-    ended: u32,
-    refused: u32,
-    last: f64,
-    /// The same of the last whole period, by the second.
+    updated_at: Instant,
+    /// Core seconds used in the current period, and when the period began.
+    core_seconds: f64,
+    period_start: Instant,
+    /// Requests that completed and that were rejected in the current period.
+    completed: u32,
+    rejected: u32,
+    last_utilization: f64,
+    /// Requests per second of the last completed period: all that ended, and the rejected ones.
     last_rates: (f64, f64),
 }
 
-/// How often a host's report of its load is made anew.
-const REFRESHED: Duration = Duration::from_millis(400);
+/// How often a host refreshes its load report.
+const REPORT_PERIOD: Duration = Duration::from_millis(400);
 
-impl Busy {
-    /// Counts up to now; then so many more or fewer run.
-    fn change(&mut self, by: isize, cores: usize) {
+impl UtilizationMeter {
+    /// Accounts for the time until now, then changes the number of running requests.
+    fn update(&mut self, running_change: isize, cores: usize) {
         let now = Instant::now();
-        self.used += self.running as f64 * (now - self.changed).as_secs_f64();
-        self.changed = now;
-        self.running = self.running.saturating_add_signed(by);
-        self.ended += u32::from(by < 0);
-        let passed = now - self.since;
-        if passed >= REFRESHED {
-            let passed = passed.as_secs_f64();
-            self.last = self.used / (passed * cores as f64);
+        self.core_seconds += self.running as f64 * (now - self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.running = self.running.saturating_add_signed(running_change);
+        self.completed += u32::from(running_change < 0);
+        let elapsed = now - self.period_start;
+        if elapsed >= REPORT_PERIOD {
+            let elapsed = elapsed.as_secs_f64();
+            self.last_utilization = self.core_seconds / (elapsed * cores as f64);
             self.last_rates = (
-                f64::from(self.ended + self.refused) / passed,
-                f64::from(self.refused) / passed,
+                f64::from(self.completed + self.rejected) / elapsed,
+                f64::from(self.rejected) / elapsed,
             );
-            (self.used, self.since, self.ended, self.refused) = (0.0, now, 0, 0);
+            (
+                self.core_seconds,
+                self.period_start,
+                self.completed,
+                self.rejected,
+            ) = (0.0, now, 0, 0);
         }
     }
 }
 
 impl Host {
-    /// Starts at this address, or at one of the system's choosing.
-    pub async fn start(make: Make, at: Option<SocketAddr>, facts: Facts) -> std::io::Result<Host> {
+    /// Starts a host at this address, or at one that the system chooses.
+    pub async fn start(
+        config: HostConfig,
+        listen_addr: Option<SocketAddr>,
+        observations: ObservationLog,
+    ) -> std::io::Result<Host> {
         let listener =
-            TcpListener::bind(at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))).await?;
+            TcpListener::bind(listen_addr.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))).await?;
         let addr = listener.local_addr()?;
-        let trouble = Arc::new(Trouble {
-            slower: AtomicU64::new(1_000),
-            hangs: AtomicBool::new(false),
+        let faults = Arc::new(HostFaults {
+            slowdown_permille: AtomicU64::new(1_000),
+            unresponsive: AtomicBool::new(false),
         });
-        facts.note(Fact::HostStarted {
-            host: make.name.clone(),
-            cores: make.cores as f64 * make.speed,
-            start_share: if make.warm { 1.0 } else { make.start_share },
-            warm_within: make.warm_within,
+        observations.record(Observation::HostStarted {
+            host: config.name.clone(),
+            cores: config.cores as f64 * config.speed,
+            initial_capacity: if config.warm {
+                1.0
+            } else {
+                config.initial_capacity
+            },
+            slow_start_window: config.slow_start_window,
         });
-        let works = Arc::new(Works {
+        let state = Arc::new(HostState {
             started: Instant::now(),
-            cores: Semaphore::new(make.cores),
-            waiting: AtomicUsize::new(0),
-            busy: Mutex::new(Busy {
+            cores: Semaphore::new(config.cores),
+            queued: AtomicUsize::new(0),
+            utilization: Mutex::new(UtilizationMeter {
                 running: 0,
-                changed: Instant::now(),
-                used: 0.0,
-                since: Instant::now(),
-                ended: 0,
-                refused: 0,
-                last: 0.0,
+                updated_at: Instant::now(),
+                core_seconds: 0.0,
+                period_start: Instant::now(),
+                completed: 0,
+                rejected: 0,
+                last_utilization: 0.0,
                 last_rates: (0.0, 0.0),
             }),
-            trouble: trouble.clone(),
-            facts: facts.clone(),
-            make: make.clone(),
+            faults: faults.clone(),
+            observations: observations.clone(),
+            config: config.clone(),
         });
-        let task = tokio::spawn(accept(listener, works));
+        let task = tokio::spawn(accept(listener, state));
         Ok(Host {
-            make,
+            config,
             addr,
-            trouble,
+            faults,
             task,
-            facts,
+            observations,
         })
     }
 }
@@ -152,14 +166,14 @@
 impl Drop for Host {
     fn drop(&mut self) {
         self.task.abort();
-        self.facts.note(Fact::HostDied {
-            host: self.make.name.clone(),
+        self.observations.record(Observation::HostStopped {
+            host: self.config.name.clone(),
         });
     }
 }
 
-async fn accept(listener: TcpListener, works: Arc<Works>) {
-    // Connections end with this task.
+async fn accept(listener: TcpListener, state: Arc<HostState>) {
+    // Owned by this task, so that connections end with it.
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -167,104 +181,110 @@
             Some(_) = connections.join_next() => continue,
         };
         let Ok((stream, _)) = accepted else { continue };
-        let works = works.clone();
+        let state = state.clone();
         connections.spawn(async move {
-            let serve = service_fn(move |req| {
-                let works = works.clone();
-                async move { Ok::<_, Infallible>(works.serve(req).await) }
+            let service = service_fn(move |request| {
+                let state = state.clone();
+                async move { Ok::<_, Infallible>(state.serve(request).await) }
             });
-            // A proxy that gives a req up closes the connection: no failure of the host.
+            // A proxy that cancels a request closes the connection; that is no failure of the host.
             hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), serve)
+                .serve_connection(TokioIo::new(stream), service)
                 .await
                 .ok();
         });
     }
 }
 
-impl Works {
-    async fn serve(&self, req: Request<Incoming>) -> Response<Empty<Bytes>> {
-        let text = |name: &str| {
-            req.headers()
+impl HostState {
+    async fn serve(&self, request: Request<Incoming>) -> Response<Empty<Bytes>> {
+        let header = |name: &str| {
+            request
+                .headers()
                 .get(name)
                 .and_then(|value| value.to_str().ok())
         };
-        if self.trouble.hangs.load(Relaxed) {
-            if let Some((id, work)) = text("x-req")
+        if self.faults.unresponsive.load(Relaxed) {
+            if let Some((id, work)) = header("x-req")
                 .and_then(|id| id.parse().ok())
-                .zip(self.work(&req))
+                .zip(self.requested_work(&request))
             {
-                self.tried(&req, id);
-                self.facts.note(Fact::Arrived {
-                    host: self.make.name.clone(),
-                    req: id,
+                self.record_attempt(&request, id);
+                self.observations.record(Observation::RequestArrived {
+                    host: self.config.name.clone(),
+                    request_id: id,
                     work,
                 });
             }
             std::future::pending::<()>().await;
         }
-        let Some(work) = self.work(&req) else {
-            return self.answer(StatusCode::OK, false);
+        let Some(work) = self.requested_work(&request) else {
+            return self.respond(StatusCode::OK, false);
         };
-        let (id, kind) = (
-            text("x-req").and_then(|id| id.parse().ok()).unwrap_or(0),
-            text("x-kind").unwrap_or(""),
+        let (id, class) = (
+            header("x-req").and_then(|id| id.parse().ok()).unwrap_or(0),
+            header("x-kind").unwrap_or(""),
         );
-        let host = self.make.name.clone();
-        self.tried(&req, id);
-        self.facts.note(Fact::Arrived {
+        let host = self.config.name.clone();
+        self.record_attempt(&request, id);
+        self.observations.record(Observation::RequestArrived {
             host: host.clone(),
-            req: id,
+            request_id: id,
             work,
         });
-        if self.waiting.load(Relaxed) >= WAITING_MOST {
-            return self.answer(StatusCode::SERVICE_UNAVAILABLE, true);
+        if self.queued.load(Relaxed) >= MAX_QUEUED_REQUESTS {
+            return self.respond(StatusCode::SERVICE_UNAVAILABLE, true);
         }
-        let place = Count::up(&self.waiting);
+        let queue_slot = CounterGuard::increment(&self.queued);
         let Ok(_core) = self.cores.acquire().await else {
-            return self.answer(StatusCode::SERVICE_UNAVAILABLE, true);
+            return self.respond(StatusCode::SERVICE_UNAVAILABLE, true);
         };
-        drop(place);
-        let _running = Runs::begin(self);
-        self.facts.note(Fact::Ran {
+        drop(queue_slot);
+        let _running = RunningRequest::start(self);
+        self.observations.record(Observation::ExecutionStarted {
             host,
-            kind: kind.to_string(),
-            req: id,
+            class: class.to_string(),
+            request_id: id,
         });
-        let slower = self.trouble.slower.load(Relaxed) as f64 / 1e3;
-        tokio::time::sleep(work.mul_f64(slower / self.share() / self.make.speed)).await;
-        self.answer(StatusCode::OK, false)
+        let slowdown = self.faults.slowdown_permille.load(Relaxed) as f64 / 1e3;
+        tokio::time::sleep(work.mul_f64(slowdown / self.capacity_fraction() / self.config.speed))
+            .await;
+        self.respond(StatusCode::OK, false)
     }
 
-    /// Whose try this is, as the proxy's own header says.
-    fn tried(&self, req: &Request<Incoming>, id: u64) {
-        let text = |name: &str| {
-            req.headers()
+    /// Records an attempt of the proxy that the proxy's own header names.
+    fn record_attempt(&self, request: &Request<Incoming>, id: u64) {
+        let header = |name: &str| {
+            request
+                .headers()
                 .get(name)
                 .and_then(|value| value.to_str().ok())
         };
-        if let (Some(proxy), Some(kind)) = (text("x-pondarch-proxy"), text("x-kind")) {
-            let (proxy, kind) = (proxy.to_string(), kind.to_string());
-            self.facts.note(Fact::Try {
+        if let (Some(proxy), Some(class)) = (header("x-pondarch-proxy"), header("x-kind")) {
+            let (proxy, class) = (proxy.to_string(), class.to_string());
+            self.observations.record(Observation::Attempt {
                 proxy,
-                kind,
-                host: self.make.name.clone(),
-                req: id,
+                class,
+                host: self.config.name.clone(),
+                request_id: id,
             });
         }
     }
 
-    /// So many more or fewer run; gives how busy the cores were lately, and the reqs a second that ended and that
-    /// were refused.
-    fn busy(&self, by: isize, refused: bool) -> (f64, (f64, f64)) {
-        let mut busy = self.busy.lock().unwrap_or_else(PoisonError::into_inner);
-        busy.change(by, self.make.cores);
-        busy.refused += u32::from(refused);
-        (busy.last, busy.last_rates)
+    /// Changes the number of running requests and counts a rejected one. Returns the utilization of the last completed
+    /// period, and its requests per second: all that ended, and the rejected ones.
+    fn update_utilization(&self, running_change: isize, rejected: bool) -> (f64, (f64, f64)) {
+        let mut meter = self
+            .utilization
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        meter.update(running_change, self.config.cores);
+        meter.rejected += u32::from(rejected);
+        (meter.last_utilization, meter.last_rates)
     }
 
-    fn work(&self, req: &Request<Incoming>) -> Option<Duration> {
-        let us = req
+    fn requested_work(&self, request: &Request<Incoming>) -> Option<Duration> {
+        let us = request
             .headers()
             .get("x-work-us")?
             .to_str()
@@ -274,65 +294,66 @@
         Some(Duration::from_micros(us))
     }
 
-    /// The part of its work that it can do by now.
-    fn share(&self) -> f64 {
-        let age =
-            self.started.elapsed().as_secs_f64() / self.make.warm_within.as_secs_f64().max(1e-3);
-        if self.make.warm {
+    /// Current fraction of the full capacity, which grows linearly during the slow start.
+    fn capacity_fraction(&self) -> f64 {
+        let progress = self.started.elapsed().as_secs_f64()
+            / self.config.slow_start_window.as_secs_f64().max(1e-3);
+        if self.config.warm {
             1.0
         } else {
-            (self.make.start_share + (1.0 - self.make.start_share) * age).min(1.0)
+            (self.config.initial_capacity + (1.0 - self.config.initial_capacity) * progress)
+                .min(1.0)
         }
     }
 
-    fn answer(&self, status: StatusCode, never_ran: bool) -> Response<Empty<Bytes>> {
-        let (busy, (rate, errored_rate)) = self.busy(0, never_ran);
+    fn respond(&self, status: StatusCode, unprocessed: bool) -> Response<Empty<Bytes>> {
+        let (utilization, (rate, errored_rate)) = self.update_utilization(0, unprocessed);
         let load = Report {
-            busy: Some(busy),
-            queue: Some(self.waiting.load(Relaxed) as f64),
+            busy: Some(utilization),
+            queue: Some(self.queued.load(Relaxed) as f64),
             latency_ms: None,
             rate: Some(rate),
             errored_rate: Some(errored_rate),
         };
-        let mut answer = Response::new(Empty::new());
-        *answer.status_mut() = status;
+        let mut response = Response::new(Empty::new());
+        *response.status_mut() = status;
         if let Ok(value) = load.write().parse() {
-            answer.headers_mut().insert(HEADER, value);
+            response.headers_mut().insert(HEADER, value);
         }
-        if never_ran && let Ok(value) = "1".parse() {
-            answer.headers_mut().insert(NEVER_RAN, value);
+        if unprocessed && let Ok(value) = "1".parse() {
+            response.headers_mut().insert(UNPROCESSED_HEADER, value);
         }
-        answer
+        response
     }
 }
 
-/// A req on a core, until dropped.
-struct Runs<'a>(&'a Works);
+/// Counts a request as running on a core until dropped.
+struct RunningRequest<'a>(&'a HostState);
 
-impl Runs<'_> {
-    fn begin(of: &Works) -> Runs<'_> {
-        of.busy(1, false);
-        Runs(of)
+impl RunningRequest<'_> {
+    fn start(host: &HostState) -> RunningRequest<'_> {
+        host.update_utilization(1, false);
+        RunningRequest(host)
     }
 }
 
-impl Drop for Runs<'_> {
+impl Drop for RunningRequest<'_> {
     fn drop(&mut self) {
-        self.0.busy(-1, false);
+        self.0.update_utilization(-1, false);
     }
 }
 
-/// Counts one up until dropped, also when the connection breaks in between.
-struct Count<'a>(&'a AtomicUsize);
+/// Increments a counter until dropped, which also happens when the connection breaks meanwhile.
+struct CounterGuard<'a>(&'a AtomicUsize);
 
-impl Count<'_> {
-    fn up(of: &AtomicUsize) -> Count<'_> {
-        of.fetch_add(1, Relaxed);
-        Count(of)
+impl CounterGuard<'_> {
+    fn increment(counter: &AtomicUsize) -> CounterGuard<'_> {
+        counter.fetch_add(1, Relaxed);
+        CounterGuard(counter)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Relaxed);
     }
--- a/crates/rehearsal/src/intercepted_proxy.rs
+++ b/crates/rehearsal/src/intercepted_proxy.rs
@@ -1,8 +1,8 @@
-//! The project's own proxy in a rehearsal, with a relay before its runtime socket: the relay sees what crosses, keeps
-//! a mirror of what the proxy holds, and can break off or double what a steward sends.
+//! The project's proxy in a rehearsal, with an interceptor in front of its runtime socket. The interceptor observes the
+//! traffic, mirrors the proxy's state, and can cut off or duplicate what a controller sends.
 
-use crate::client::Kind;
-use crate::observations::{Fact, Facts};
+use crate::client::RequestClass;
+use crate::observations::{Observation, ObservationLog};
 use futures_util::{SinkExt, StreamExt};
 use pondarch_config::proxy::{Avoid, Limits, Pick, ProxyKind};
 use pondarch_config::site::{Listener, ListenerLevel, Repeats};
@@ -21,74 +21,88 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::codec::Framed;
 
-/// What goes wrong on a proxy's runtime socket; each is used up by the next orders.
+/// Faults of a proxy's runtime socket. The next update triggers a fault, which clears it.
 #[derive(Debug, Default)]
-pub struct Faults {
-    /// Breaks the connection after so many commands of the next orders; 0: no.
-    pub cut_after: AtomicUsize,
-    /// Delivers the next orders twice.
-    pub twice: AtomicBool,
-    /// How many faults were used up.
-    pub used: AtomicUsize,
+pub struct SocketFaults {
+    /// Breaks the connection after this many commands of the next update; 0 disables the fault.
+    pub disconnect_after: AtomicUsize,
+    /// Delivers the next update twice.
+    pub duplicate_next: AtomicBool,
+    /// Number of faults that were triggered.
+    pub triggered: AtomicUsize,
 }
 
-/// A running proxy and its relay. Dropping it ends both.
-pub struct Front {
+/// A running proxy and its interceptor. Dropping it stops both.
+pub struct InterceptedProxy {
     pub addr: SocketAddr,
-    relay: Arc<Relay>,
+    interceptor: Arc<Interceptor>,
     task: JoinHandle<()>,
     _running: Running,
 }
 
-struct Relay {
+struct Interceptor {
     name: String,
-    own: PathBuf,
-    faults: Faults,
+    proxy_socket: PathBuf,
+    faults: SocketFaults,
     mirror: Mutex<ProxyState>,
-    facts: Facts,
+    observations: ObservationLog,
 }
 
-/// What the next answer of the proxy answers.
-struct Due {
+/// A command whose reply from the proxy is outstanding.
+struct PendingReply {
     command: Option<Command>,
-    passed_on: bool,
-    then_cut: bool,
+    forward: bool,
+    then_disconnect: bool,
 }
 
-impl Front {
-    /// Starts with a standing table of this list; stewards reach it at `<folder>/<name>.sock`.
+impl InterceptedProxy {
+    /// Starts a proxy with an initial table from the endpoint list; controllers connect to `<folder>/<name>.sock`.
     ///
-    /// Errors: as the proxy's own start, or the relay's socket cannot be had.
+    /// # Errors
+    ///
+    /// The proxy cannot be started, or the interceptor's socket cannot be opened.
     pub async fn start(
         name: &str,
         zone: &str,
         zones: &[&str],
-        kinds: &[Kind],
+        classes: &[RequestClass],
         hosts_file: &Path,
         seed: u64,
-        facts: Facts,
-    ) -> Result<Front, ProxyError> {
+        observations: ObservationLog,
+    ) -> Result<InterceptedProxy, ProxyError> {
         let folder = hosts_file.parent().unwrap_or(Path::new("")).to_path_buf();
-        let own = folder.join(format!("{name}.own"));
-        let site = site(name, zone, zones, kinds, hosts_file, own.clone(), seed);
-        let running = start(&site).await?;
-        let names: Vec<&str> = kinds.iter().map(|kind| kind.name).collect();
+        let proxy_socket = folder.join(format!("{name}.own"));
+        let settings = proxy_settings(
+            name,
+            zone,
+            zones,
+            classes,
+            hosts_file,
+            proxy_socket.clone(),
+            seed,
+        );
+        let running = start(&settings).await?;
+        let names: Vec<&str> = classes.iter().map(|class| class.name).collect();
         let mut mirror = ProxyState::new(name, 0, &names);
-        let listen = |at: PathBuf| {
+        let listen_error = |at: PathBuf| {
             move |wrong| ProxyError::Listen {
                 at: Endpoint::Unix(at),
                 wrong,
             }
         };
-        let mut wire = Framed::new(
-            UnixStream::connect(&own)
+        let mut connection = Framed::new(
+            UnixStream::connect(&proxy_socket)
                 .await
-                .map_err(listen(own.clone()))?,
+                .map_err(listen_error(proxy_socket.clone()))?,
             ClientCodec::default(),
         );
-        wire.send("show servers state".into()).await.ok();
-        let held = wire.next().await.and_then(Result::ok).unwrap_or_default();
-        for server in state::read_state(&held).unwrap_or_default() {
+        connection.send("show servers state".into()).await.ok();
+        let reply = connection
+            .next()
+            .await
+            .and_then(Result::ok)
+            .unwrap_or_default();
+        for server in state::read_state(&reply).unwrap_or_default() {
             if let Some(backend) = mirror.backends.get_mut(&server.backend) {
                 backend.servers.insert(
                     server.server,
@@ -96,61 +110,64 @@
                 );
             }
         }
-        let relay = Relay {
+        let interceptor = Interceptor {
             name: name.into(),
-            own,
-            faults: Faults::default(),
+            proxy_socket,
+            faults: SocketFaults::default(),
             mirror: Mutex::new(mirror),
-            facts,
+            observations,
         };
-        let relay = Arc::new(relay);
-        names.iter().for_each(|kind| relay.note_lines(kind));
+        let interceptor = Arc::new(interceptor);
+        names
+            .iter()
+            .for_each(|class| interceptor.record_table(class));
         let socket = folder.join(format!("{name}.sock"));
-        let listener = UnixListener::bind(&socket).map_err(listen(socket))?;
-        let task = tokio::spawn(accept(listener, relay.clone()));
-        Ok(Front {
+        let listener = UnixListener::bind(&socket).map_err(listen_error(socket))?;
+        let task = tokio::spawn(accept(listener, interceptor.clone()));
+        Ok(InterceptedProxy {
             addr: running.addr,
-            relay,
+            interceptor,
             task,
             _running: running,
         })
     }
 
-    pub fn faults(&self) -> &Faults {
-        &self.relay.faults
+    /// The faults that can be injected into the runtime socket.
+    pub fn faults(&self) -> &SocketFaults {
+        &self.interceptor.faults
     }
 
-    /// What the proxy holds, as what crossed its socket made it.
+    /// The proxy's state, reconstructed from the traffic on its socket.
     pub fn mirror(&self) -> MutexGuard<'_, ProxyState> {
-        self.relay.mirror()
+        self.interceptor.mirror()
     }
 }
 
-impl Drop for Front {
+impl Drop for InterceptedProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-fn site(
+fn proxy_settings(
     name: &str,
     zone: &str,
     zones: &[&str],
-    kinds: &[Kind],
+    classes: &[RequestClass],
     hosts_file: &Path,
-    own: PathBuf,
+    proxy_socket: PathBuf,
     seed: u64,
 ) -> ProxySite {
-    let length = |span: std::time::Duration| Length::millis(span.as_millis() as u64);
-    let kind = |kind: &Kind| ProxyKind {
-        name: kind.name.into(),
-        path_prefix: Some(format!("/{}", kind.name)),
+    let length = |duration: std::time::Duration| Length::millis(duration.as_millis() as u64);
+    let class_settings = |class: &RequestClass| ProxyKind {
+        name: class.name.into(),
+        path_prefix: Some(format!("/{}", class.name)),
         host: None,
         header: None,
-        response_target: length(kind.response_target),
-        client_timeout: length(kind.client_timeout),
-        benefit: kind.benefit,
-        repeats: if kind.replayable {
+        response_target: length(class.latency_objective),
+        client_timeout: length(class.client_timeout),
+        benefit: class.priority_weight,
+        repeats: if class.replayable {
             Repeats::Replayable
         } else {
             Repeats::NonReplayable
@@ -163,10 +180,10 @@
         zones: zones.iter().map(ToString::to_string).collect(),
         listen: ([127, 0, 0, 1], 0).into(),
         runtime_api: vec![Listener {
-            listen: Endpoint::Unix(own),
+            listen: Endpoint::Unix(proxy_socket),
             level: ListenerLevel::Admin,
         }],
-        kinds: kinds.iter().map(kind).collect(),
+        kinds: classes.iter().map(class_settings).collect(),
         hosts_file: hosts_file.into(),
         standing_most: 8,
         pick: Pick::Weighted,
@@ -186,37 +203,40 @@
     }
 }
 
-async fn accept(listener: UnixListener, relay: Arc<Relay>) {
+async fn accept(listener: UnixListener, interceptor: Arc<Interceptor>) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             Ok((stream, _)) = listener.accept() => {
-                connections.spawn(talk(stream, relay.clone()));
+                connections.spawn(forward_connection(stream, interceptor.clone()));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// One connection of a steward, to its end.
-async fn talk(stream: UnixStream, relay: Arc<Relay>) {
-    let Ok(own) = UnixStream::connect(&relay.own).await else {
+/// Forwards one connection of a controller until it ends.
+async fn forward_connection(stream: UnixStream, interceptor: Arc<Interceptor>) {
+    let Ok(proxy_stream) = UnixStream::connect(&interceptor.proxy_socket).await else {
         return;
     };
-    let mut steward = Framed::new(stream, ServerCodec::default());
-    let mut proxy = Framed::new(own, ClientCodec::default());
-    let mut due: VecDeque<Due> = VecDeque::new();
+    let mut controller = Framed::new(stream, ServerCodec::default());
+    let mut proxy = Framed::new(proxy_stream, ClientCodec::default());
+    let mut pending: VecDeque<PendingReply> = VecDeque::new();
     let mut joined = false;
     loop {
-        let went_well = tokio::select! {
-            line = steward.next() => match line {
+        let keep_open = tokio::select! {
+            line = controller.next() => match line {
                 Some(Ok(ServerFrame::Line(line))) => {
-                    // An operator who only looks is no steward.
+                    // Controllers start with `prompt`; an operator who only reads is not counted as connected.
                     if !joined && line.starts_with("prompt") {
                         joined = true;
-                        relay.facts.note(Fact::Link { proxy: relay.name.clone(), up: true });
+                        interceptor.observations.record(Observation::ControllerConnection {
+                            proxy: interceptor.name.clone(),
+                            connected: true,
+                        });
                     }
-                    let lines = relay.lines(line, &mut due);
+                    let lines = interceptor.lines_to_forward(line, &mut pending);
                     let mut written = true;
                     for line in lines {
                         written &= proxy.send(line).await.is_ok();
@@ -225,59 +245,66 @@
                 }
                 _ => false,
             },
-            answer = proxy.next() => match (answer, due.pop_front()) {
-                (Some(Ok(text)), Some(asked)) => {
-                    relay.answered(&asked, &text);
-                    let sent = !asked.passed_on || steward.send(framed_answer(&text)).await.is_ok();
-                    sent && !asked.then_cut
+            reply = proxy.next() => match (reply, pending.pop_front()) {
+                (Some(Ok(text)), Some(request)) => {
+                    interceptor.apply_reply(&request, &text);
+                    let sent = !request.forward || controller.send(framed_answer(&text)).await.is_ok();
+                    sent && !request.then_disconnect
                 }
                 _ => false,
             },
         };
-        if !went_well {
+        if !keep_open {
             break;
         }
     }
     if joined {
-        relay.facts.note(Fact::Link {
-            proxy: relay.name.clone(),
-            up: false,
-        });
+        interceptor
+            .observations
+            .record(Observation::ControllerConnection {
+                proxy: interceptor.name.clone(),
+                connected: false,
+            });
     }
 }
 
-impl Relay {
+impl Interceptor {
     fn mirror(&self) -> MutexGuard<'_, ProxyState> {
         self.mirror.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is passed on of a line, by the faults in force.
-    fn lines(&self, line: String, due: &mut VecDeque<Due>) -> Vec<String> {
+    /// Returns the lines to send to the proxy in place of this one, according to the active faults.
+    fn lines_to_forward(&self, line: String, pending: &mut VecDeque<PendingReply>) -> Vec<String> {
         let commands: Vec<Option<Command>> =
             parse_line(&line).into_iter().map(Result::ok).collect();
-        let orders = commands.iter().flatten().any(ProxyState::is_update);
-        let asked = |command: &Option<Command>, passed_on| Due {
+        let is_update = commands.iter().flatten().any(ProxyState::is_update);
+        let pending_reply = |command: &Option<Command>, forward| PendingReply {
             command: command.clone(),
-            passed_on,
-            then_cut: false,
+            forward,
+            then_disconnect: false,
         };
-        if orders {
-            self.facts.note(Fact::Message {
+        if is_update {
+            self.observations.record(Observation::UpdateMessage {
                 proxy: self.name.clone(),
                 commands: commands.len(),
             });
-            let cut = self.faults.cut_after.load(Relaxed);
-            if cut > 0 && cut < commands.len() {
-                self.faults.cut_after.store(0, Relaxed);
-                self.faults.used.fetch_add(1, Relaxed);
-                due.extend(commands[..cut].iter().map(|command| Due {
-                    passed_on: false,
-                    ..asked(command, false)
-                }));
-                due.back_mut()
+            let disconnect_after = self.faults.disconnect_after.load(Relaxed);
+            if disconnect_after > 0 && disconnect_after < commands.len() {
+                self.faults.disconnect_after.store(0, Relaxed);
+                self.faults.triggered.fetch_add(1, Relaxed);
+                pending.extend(
+                    commands[..disconnect_after]
+                        .iter()
+                        .map(|command| PendingReply {
+                            forward: false,
+                            ..pending_reply(command, false)
+                        }),
+                );
+                pending
+                    .back_mut()
                     .into_iter()
-                    .for_each(|last| last.then_cut = true);
-                let texts: Vec<String> = commands[..cut]
+                    .for_each(|last| last.then_disconnect = true);
+                let texts: Vec<String> = commands[..disconnect_after]
                     .iter()
                     .flatten()
                     .map(Command::to_string)
@@ -285,48 +312,52 @@
                 return vec![texts.join("; ")];
             }
         }
-        due.extend(commands.iter().map(|command| asked(command, true)));
+        pending.extend(commands.iter().map(|command| pending_reply(command, true)));
         if commands.is_empty() {
-            due.push_back(Due {
+            pending.push_back(PendingReply {
                 command: None,
-                passed_on: true,
-                then_cut: false,
+                forward: true,
+                then_disconnect: false,
             });
         }
-        if orders && self.faults.twice.swap(false, Relaxed) {
-            self.faults.used.fetch_add(1, Relaxed);
-            due.extend(commands.iter().map(|command| asked(command, false)));
+        if is_update && self.faults.duplicate_next.swap(false, Relaxed) {
+            self.faults.triggered.fetch_add(1, Relaxed);
+            pending.extend(commands.iter().map(|command| pending_reply(command, false)));
             return vec![line.clone(), line];
         }
         vec![line]
     }
 
-    /// The mirror follows what the proxy says that it did.
-    fn answered(&self, asked: &Due, text: &str) {
-        let Some(command) = asked
+    /// Applies a command to the mirror if the proxy's reply says that it was executed.
+    fn apply_reply(&self, request: &PendingReply, text: &str) {
+        let Some(command) = request
             .command
             .as_ref()
             .filter(|command| ProxyState::is_update(command))
         else {
             return;
         };
-        let fine = [
+        let success_prefixes = [
             "New server registered",
             "Server deleted",
             "IP changed",
             "New version",
         ];
-        if !text.is_empty() && !fine.iter().any(|start| text.starts_with(start)) {
+        if !text.is_empty()
+            && !success_prefixes
+                .iter()
+                .any(|prefix| text.starts_with(prefix))
+        {
             return;
         }
         self.mirror().execute(command.clone());
         let changed = self.mirror().take_changed_backends();
-        changed.iter().for_each(|kind| self.note_lines(kind));
+        changed.iter().for_each(|class| self.record_table(class));
     }
 
-    fn note_lines(&self, kind: &str) {
+    fn record_table(&self, class: &str) {
         let mirror = self.mirror();
-        let Some(backend) = mirror.backends.get(kind) else {
+        let Some(backend) = mirror.backends.get(class) else {
             return;
         };
         let serving = backend
@@ -337,9 +368,9 @@
             .map(|(name, server)| (name.clone(), server.weight))
             .collect();
         drop(mirror);
-        self.facts.note(Fact::Lines {
+        self.observations.record(Observation::TableChanged {
             proxy: self.name.clone(),
-            kind: kind.to_string(),
+            class: class.to_string(),
             lines,
         });
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,18 +1,19 @@
-//! Stand-in hosts and clients and the own proxy on loopback, a scripted bad day, and checks of the rules from what crossed
-//! the sockets. Stewards run as processes of their own.
+//! Rehearsals on loopback: simulated hosts, proxies and clients under scripted faults, and checks of the rules against
+//! the traffic that was observed. Controllers run as separate processes.
 //!
-//! - `intercepted_proxy`: the project's own proxy, with a relay that sees what crosses its runtime socket.
-//! - `host`, `client`: the stand-ins.
-//! - `dns_proxy`: a stand-in of a plain proxy that takes its hosts from DNS, with a cache.
-//! - `secondary`: a stand-in of a server that answers from a copy of the zone.
-//! - `observations`: what they saw, in one list.
-//! - `rules`: the five rules, checked on that list.
-//! - `service_level`: benefit answered in time over benefit asked for, by span of the day.
-//! - `endpoint_list`: the settings and list that the stewards are given.
-//! - `request_trace`: a recorded stream of reqs in a columnar file.
-//! - `bad_day`, `report_load`, `controller_kills`, `connection_storm`, `proxy_benchmark`, `weight_comparison`: the scripts.
+//! - `intercepted_proxy`: the project's proxy, behind an interceptor that observes its runtime socket.
+//! - `host`, `client`: simulated hosts and clients.
+//! - `dns_proxy`: a simulated plain proxy that resolves its hosts through DNS and caches the answers.
+//! - `secondary`: a simulated DNS secondary that serves a copy of the zone.
+//! - `observations`: the log of everything that the parts above observe.
+//! - `rules`: the five rules, checked against that log.
+//! - `service_level`: priority weight served in time, relative to the weight requested, per time span.
+//! - `endpoint_list`: the settings files and the endpoint list that controllers read.
+//! - `request_trace`: a recorded sequence of requests in a columnar file.
+//! - `bad_day`, `controller_kills`, `connection_storm`, `proxy_benchmark`, `report_load`, `weight_comparison`: the
+//!   scripts.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+// The scripts are long sequences of steps, and the fields of plans and reports are not all documented.
 #![allow(clippy::too_many_lines, missing_docs)]
 
 pub mod bad_day;
--- a/crates/rehearsal/src/observations.rs
+++ b/crates/rehearsal/src/observations.rs
@@ -1,125 +1,133 @@
-//! What the stand-ins saw, in one list, with the time since the day began.
+//! A time-ordered log of what the simulated components observe during a rehearsal.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Where a host stands on the list.
+/// State of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     Ready,
-    Drain,
+    Draining,
     Gone,
 }
 
+/// One observed event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
-    /// The list that stewards follow says this of a host.
-    Listed {
+pub enum Observation {
+    /// The endpoint list that controllers read changed the state of a host.
+    ListedStateChanged {
         host: String,
-        as_: Listed,
+        state: ListedState,
     },
     HostStarted {
         host: String,
         cores: f64,
-        start_share: f64,
-        warm_within: Duration,
+        initial_capacity: f64,
+        slow_start_window: Duration,
     },
-    HostDied {
+    HostStopped {
         host: String,
     },
-    /// A steward's connection to a proxy came up or broke.
-    Link {
+    /// A controller's connection to a proxy was established or lost.
+    ControllerConnection {
         proxy: String,
-        up: bool,
+        connected: bool,
     },
-    /// A line with orders came to a proxy.
-    Message {
+    /// A proxy received a message that contains updates.
+    UpdateMessage {
         proxy: String,
         commands: usize,
     },
-    /// What a proxy may pick for a kind, from now on.
-    Lines {
+    /// From now on a proxy sends requests of a class to these hosts, by weight.
+    TableChanged {
         proxy: String,
-        kind: String,
+        class: String,
         lines: Vec<(String, u16)>,
     },
-    /// A try of a proxy came to a host.
-    Try {
+    /// An attempt by a proxy reached a host.
+    Attempt {
         proxy: String,
-        kind: String,
+        class: String,
         host: String,
-        req: u64,
+        request_id: u64,
     },
-    /// A req came to a host, as work of one core.
-    Arrived {
+    /// A request reached a host; `work` is its service time on one core.
+    RequestArrived {
         host: String,
-        req: u64,
+        request_id: u64,
         work: Duration,
     },
-    /// A host began to carry a req out: it takes effect.
-    Ran {
+    /// A host started to execute a request, so that the request takes effect.
+    ExecutionStarted {
         host: String,
-        kind: String,
-        req: u64,
+        class: String,
+        request_id: u64,
     },
-    Asked {
-        kind: String,
-        req: u64,
+    /// A client sent a request.
+    RequestSent {
+        class: String,
+        request_id: u64,
     },
-    Ended {
-        kind: String,
-        req: u64,
-        how: How,
-        took: Duration,
+    /// A request of a client ended.
+    RequestCompleted {
+        class: String,
+        request_id: u64,
+        outcome: RequestOutcome,
+        latency: Duration,
     },
-    /// What a steward's own socket says of its channel.
-    Waiting {
-        steward: String,
+    /// Number of lines waiting in a controller's update queue, as read from its own socket.
+    QueuedLines {
+        controller: String,
         lines: u64,
     },
-    /// A trouble of the script begins or ends.
-    Trouble {
+    /// The script injected or removed a fault.
+    Fault {
         name: &'static str,
-        begins: bool,
+        active: bool,
     },
 }
 
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    Done,
-    Denied,
-    Errored,
+pub enum RequestOutcome {
+    Succeeded,
+    /// The proxy shed it and asked the client to retry later.
+    Rejected,
+    Failed,
 }
 
-/// The list; clones share it.
+/// The log; clones share their entries.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct ObservationLog {
     start: Instant,
-    list: Arc<Mutex<Vec<(Duration, Fact)>>>,
+    entries: Arc<Mutex<Vec<(Duration, Observation)>>>,
 }
 
-impl Default for Facts {
-    fn default() -> Facts {
-        Facts {
+impl Default for ObservationLog {
+    fn default() -> ObservationLog {
+        ObservationLog {
             start: Instant::now(),
-            list: Arc::default(),
+            entries: Arc::default(),
         }
     }
 }
 
-impl Facts {
-    pub fn now(&self) -> Duration {
+impl ObservationLog {
+    /// Time since the log was created.
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
-    pub fn note(&self, fact: Fact) {
-        let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock, so that the list is in order of time.
-        let now = self.start.elapsed();
-        list.push((now, fact));
+    /// Appends an observation with the current time.
+    pub fn record(&self, observation: Observation) {
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        // Read the clock while holding the lock, so that entries are ordered by time.
+        let elapsed = self.start.elapsed();
+        entries.push((elapsed, observation));
     }
 
-    pub fn take(&self) -> Vec<(Duration, Fact)> {
-        std::mem::take(&mut self.list.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Removes and returns all entries, with their time since the log was created.
+    pub fn take(&self) -> Vec<(Duration, Observation)> {
+        std::mem::take(&mut self.entries.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/rehearsal/src/proxy_benchmark.rs
+++ b/crates/rehearsal/src/proxy_benchmark.rs
@@ -1,11 +1,11 @@
-//! The own proxy under a recorded stream: does it send the parts that were published, does it ever apply an older
-//! table over a newer one, and what does it cost beside a direct connection.
+//! The project's proxy under a recorded trace of requests: whether hosts receive requests in proportion to the published
+//! weights, whether an older table ever replaces a newer one, and what the proxy costs compared with a direct connection.
 
-use crate::bad_day::{RehearsalError, ask};
-use crate::client::Kind;
-use crate::endpoint_list::{Entry, List, spawn, write_settings};
-use crate::observations::{Facts, Listed};
-use crate::request_trace::{self, Recorded};
+use crate::bad_day::{RehearsalError, runtime_command};
+use crate::client::RequestClass;
+use crate::endpoint_list::{EndpointEntry, EndpointList, spawn_program, write_settings};
+use crate::observations::{ListedState, ObservationLog};
+use crate::request_trace::{self, TraceRequest};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty, Full};
 use hyper::body::{Bytes, Incoming};
@@ -30,118 +30,136 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Reqs under way at one time at most.
-const OPEN_MOST: usize = 256;
-/// Connections of the speed trial, each asking again as soon as it is answered.
-const ASKING: usize = 32;
-/// Idle connections that are opened to see what one costs.
-const IDLE: usize = 500;
+/// Maximum number of requests in flight.
+const MAX_IN_FLIGHT: usize = 256;
+/// Connections of the throughput measurement; each sends its next request as soon as the last one is answered.
+const BENCHMARK_CONNECTIONS: usize = 32;
+/// Idle connections opened to measure the memory that one uses.
+const IDLE_CONNECTIONS: usize = 500;
 
+/// Size of the benchmark.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    pub reqs: usize,
+    pub requests: usize,
     pub rate: f64,
     pub hosts: usize,
-    pub versions: usize,
-    pub speed_for: Duration,
+    pub table_versions: usize,
+    pub benchmark_duration: Duration,
 }
 
 impl Plan {
-    pub fn of(reqs: usize, seed: u64) -> Plan {
+    /// The usual benchmark with this number of requests.
+    pub fn with_requests(requests: usize, seed: u64) -> Plan {
         Plan {
             seed,
-            reqs,
+            requests,
             rate: 5_000.0,
             hosts: 20,
-            versions: 6,
-            speed_for: Duration::from_secs(3),
+            table_versions: 6,
+            benchmark_duration: Duration::from_secs(3),
         }
     }
 }
 
-/// One published version and what hosts saw of it.
+/// How the requests of one published table version were distributed over the hosts.
 #[derive(Clone, Debug, Serialize)]
-pub struct Published {
+pub struct VersionReport {
     pub version: u64,
-    pub reqs: u64,
-    /// Largest difference of a host's part of the reqs from its part of the weights.
-    pub off_most: f64,
-    /// How likely a difference as large comes by chance alone (chi-square).
+    #[serde(rename = "reqs")]
+    pub requests: u64,
+    /// Largest difference between a host's fraction of the requests and its fraction of the weights.
+    #[serde(rename = "off_most")]
+    pub max_deviation: f64,
+    /// Probability that chance alone causes deviations as large (chi-squared test).
     pub p: f64,
 }
 
-/// Answers a second and latency in microseconds.
+/// Responses per second and latency percentiles in microseconds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Speed {
-    pub answers_per_s: f64,
+pub struct Performance {
+    #[serde(rename = "answers_per_s")]
+    pub responses_per_s: f64,
     pub p50_us: u64,
     pub p99_us: u64,
     pub p999_us: u64,
 }
 
+/// Results of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    pub reqs: usize,
-    pub done: u64,
-    pub versions: Vec<Published>,
-    /// Reqs that met an older table than one that a host had seen before they were sent.
-    pub went_back: u64,
-    /// Orders of older versions that were sent on purpose, and how many of them were refused.
-    pub older_sent: u64,
-    pub older_refused: u64,
-    pub direct: Speed,
-    pub proxied: Speed,
+    #[serde(rename = "reqs")]
+    pub requests: usize,
+    #[serde(rename = "done")]
+    pub succeeded: u64,
+    pub versions: Vec<VersionReport>,
+    /// Requests forwarded by a table older than one that had reached a host before they were sent.
+    #[serde(rename = "went_back")]
+    pub forwarded_by_older_table: u64,
+    /// Updates to older versions that were sent deliberately.
+    #[serde(rename = "older_sent")]
+    pub older_updates_sent: u64,
+    /// How many of those the proxy rejected.
+    #[serde(rename = "older_refused")]
+    pub older_updates_rejected: u64,
+    pub direct: Performance,
+    pub proxied: Performance,
     pub kib_per_connection: f64,
 }
 
 const TEXT: &str = "\
-Own proxy: {{ r.done }} of {{ r.reqs }} reqs done; {{ r.older_refused }} of {{ r.older_sent }} older tables refused; \
-{{ r.went_back }} reqs went back to an older table
+Proxy: {{ r.done }} of {{ r.reqs }} requests succeeded; {{ r.older_refused }} of {{ r.older_sent }} older tables rejected; \
+{{ r.went_back }} requests forwarded by an older table
 {% for v in r.versions -%}
-version {{ v.version }}: {{ v.reqs }} reqs, parts off by {{ (v.off_most * 100) | round(2) }} points at most, p {{ v.p | round(4) }}
+version {{ v.version }}: {{ v.reqs }} requests, distribution off by at most {{ (v.off_most * 100) | round(2) }} points, p {{ v.p | round(4) }}
 {% endfor -%}
-direct    {{ r.direct.answers_per_s | round(0) }} a second, p50 {{ r.direct.p50_us }} us, p99 {{ r.direct.p99_us }} us, \
+direct    {{ r.direct.answers_per_s | round(0) }} per second, p50 {{ r.direct.p50_us }} us, p99 {{ r.direct.p99_us }} us, \
 p99.9 {{ r.direct.p999_us }} us
-proxied   {{ r.proxied.answers_per_s | round(0) }} a second, p50 {{ r.proxied.p50_us }} us, p99 {{ r.proxied.p99_us }} us, \
+proxied   {{ r.proxied.answers_per_s | round(0) }} per second, p50 {{ r.proxied.p50_us }} us, p99 {{ r.proxied.p99_us }} us, \
 p99.9 {{ r.proxied.p999_us }} us
-ratio     {{ (r.proxied.answers_per_s / r.direct.answers_per_s) | round(2) }} of the answers, \
+ratio     {{ (r.proxied.answers_per_s / r.direct.answers_per_s) | round(2) }} of the responses, \
 {{ (r.proxied.p50_us / r.direct.p50_us) | round(2) }} / {{ (r.proxied.p99_us / r.direct.p99_us) | round(2) }} / \
 {{ (r.proxied.p999_us / r.direct.p999_us) | round(2) }} times the latency
-an idle connection costs {{ r.kib_per_connection | round(1) }} KiB
+an idle connection uses {{ r.kib_per_connection | round(1) }} KiB
 ";
 
 impl Report {
-    /// Errors: only if the template and the figures do not fit each other.
+    /// Renders the report as text.
+    ///
+    /// # Errors
+    ///
+    /// The template does not match the fields.
     pub fn text(&self) -> Result<String, RehearsalError> {
         Ok(Environment::new().render_str(TEXT, context! { r => self })?)
     }
 
-    /// Parts within two points, no version unlikely, none older applied, nothing lost.
-    pub fn holds(&self) -> bool {
-        let fits = |v: &Published| v.off_most <= 0.02 && v.p >= 1e-6;
-        self.versions.iter().all(fits)
-            && self.went_back == 0
-            && self.older_refused == self.older_sent
-            && self.done as usize == self.reqs
+    /// Whether each version's distribution is within two points and plausible by chance, no older table was applied, and all
+    /// requests succeeded.
+    pub fn passed(&self) -> bool {
+        let plausible = |v: &VersionReport| v.max_deviation <= 0.02 && v.p >= 1e-6;
+        self.versions.iter().all(plausible)
+            && self.forwarded_by_older_table == 0
+            && self.older_updates_rejected == self.older_updates_sent
+            && self.succeeded as usize == self.requests
     }
 }
 
-/// A host that answers at once and keeps what it saw: req, version, when.
+/// Requests that one host received: request ID, table version, time.
 #[derive(Clone, Default)]
-struct Ledger(Arc<Mutex<Vec<(u64, u64, Duration)>>>);
+struct RequestLog(Arc<Mutex<Vec<(u64, u64, Duration)>>>);
 
-impl Ledger {
-    fn note(&self, req: &Request<Incoming>, at: Duration) {
-        let text = |name: &str| {
-            req.headers()
+impl RequestLog {
+    fn record(&self, request: &Request<Incoming>, at: Duration) {
+        let header = |name: &str| {
+            request
+                .headers()
                 .get(name)
                 .and_then(|value| value.to_str().ok())
         };
-        let version = text("x-pondarch-table")
+        let version = header("x-pondarch-table")
             .and_then(|v| v.rsplit('/').next())
             .and_then(|n| n.parse().ok());
-        if let Some(id) = text("x-req").and_then(|id| id.parse().ok()) {
+        if let Some(id) = header("x-req").and_then(|id| id.parse().ok()) {
             self.0.lock().unwrap_or_else(PoisonError::into_inner).push((
                 id,
                 version.unwrap_or(0),
@@ -151,112 +169,121 @@
     }
 }
 
-async fn host(began: Instant, tasks: &mut JoinSet<()>) -> std::io::Result<(SocketAddr, Ledger)> {
+/// Starts a host that answers each request at once and logs it.
+async fn start_host(
+    began: Instant,
+    tasks: &mut JoinSet<()>,
+) -> std::io::Result<(SocketAddr, RequestLog)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
-    let ledger = Ledger::default();
-    let kept = ledger.clone();
+    let log = RequestLog::default();
+    let host_log = log.clone();
     tasks.spawn(async move {
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             stream.set_nodelay(true).ok();
-            let ledger = kept.clone();
+            let log = host_log.clone();
             connections.spawn(async move {
-                let serve = service_fn(move |req| {
-                    ledger.note(&req, began.elapsed());
+                let service = service_fn(move |request| {
+                    log.record(&request, began.elapsed());
                     async move {
                         Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(b"ok"))))
                     }
                 });
                 hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(stream), serve)
+                    .serve_connection(TokioIo::new(stream), service)
                     .await
                     .ok();
             });
         }
     });
-    Ok((addr, ledger))
+    Ok((addr, log))
 }
 
-fn kinds() -> Vec<Kind> {
-    let kind = |name, share| Kind {
+fn classes() -> Vec<RequestClass> {
+    let class = |name, share| RequestClass {
         name,
         share,
         work: Duration::ZERO,
-        response_target: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(5),
-        benefit: 1.0,
+        priority_weight: 1.0,
         replayable: true,
     };
     vec![
-        kind("proof", 0.48),
-        kind("order", 0.40),
-        kind("release", 0.12),
+        class("proof", 0.48),
+        class("order", 0.40),
+        class("release", 0.12),
     ]
 }
 
-pub async fn play(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
-    let io = |what: &'static str| {
-        move |wrong| RehearsalError::Io {
-            what: what.into(),
-            wrong,
+/// Runs the benchmark in this folder, with `program` as the proxy.
+///
+/// # Errors
+///
+/// A component could not be started or stopped, or the trace file could not be written or read.
+pub async fn run(plan: &Plan, program: &Path, folder: &Path) -> Result<Report, RehearsalError> {
+    let io_error = |context: &'static str| {
+        move |error| RehearsalError::Io {
+            context: context.into(),
+            error,
         }
     };
     let (began, mut tasks) = (Instant::now(), JoinSet::new());
     let mut hosts = Vec::new();
     for _ in 0..plan.hosts {
         hosts.push(
-            host(began, &mut tasks)
+            start_host(began, &mut tasks)
                 .await
-                .map_err(io("a host cannot be started"))?,
+                .map_err(io_error("cannot start a host"))?,
         );
     }
-    let mut list = List::new(folder.join("hosts.jsonnet"), Facts::default());
-    let entry = |addr| Entry {
+    let mut list = EndpointList::new(folder.join("hosts.jsonnet"), ObservationLog::default());
+    let entry = |addr| EndpointEntry {
         addr,
         zone: "ede".into(),
         rack: "r".into(),
         weight: 1.0,
         cores: 1.0,
         started: None,
-        listed: Listed::Ready,
+        state: ListedState::Ready,
     };
-    list.change(|all| {
+    list.update(|all| {
         all.extend(
             hosts
                 .iter()
                 .enumerate()
-                .map(|(n, (addr, _))| (name(n), entry(*addr))),
+                .map(|(n, (addr, _))| (host_name(n), entry(*addr))),
         )
     })
-    .map_err(io("the list cannot be written"))?;
-    // A port of the system's choosing, free again by the time the proxy takes it.
+    .map_err(io_error("cannot write the endpoint list"))?;
+    // The system picks a free port, which is released again before the proxy binds it.
     let spare = TcpListener::bind("127.0.0.1:0")
         .await
-        .map_err(io("no port"))?;
-    let proxy_addr = spare.local_addr().map_err(io("no port"))?;
+        .map_err(io_error("found no free port"))?;
+    let proxy_addr = spare.local_addr().map_err(io_error("found no free port"))?;
     drop(spare);
     write_settings(
         &folder.join("proxy.jsonnet"),
-        &settings(proxy_addr, plan.seed),
+        &proxy_settings(proxy_addr, plan.seed),
     )
-    .map_err(io("settings"))?;
+    .map_err(io_error("cannot write the proxy's settings"))?;
     let socket = folder.join("proxy.sock");
-    let mut proxy = spawn(
+    let mut proxy = spawn_program(
         program,
         &["--log-level", "warn", "proxy"],
         &folder.join("proxy.jsonnet"),
         &folder.join("proxy.log"),
     )
-    .map_err(io("the proxy cannot be started"))?;
-    let up_by = Instant::now() + Duration::from_secs(10);
-    while ask(&socket, "show info")
+    .map_err(io_error("cannot start the proxy"))?;
+    let start_deadline = Instant::now() + Duration::from_secs(10);
+    while runtime_command(&socket, "show info")
         .await
         .is_none_or(|text| text.is_empty())
     {
-        if Instant::now() > up_by {
-            return Err(RehearsalError::StewardEnded(
-                "the proxy does not answer".into(),
+        if Instant::now() > start_deadline {
+            return Err(RehearsalError::ProcessFailed(
+                "the proxy does not answer on its runtime socket".into(),
                 folder.to_path_buf(),
             ));
         }
@@ -266,260 +293,283 @@
     let file = folder.join("stream.arrow");
     request_trace::write(
         &file,
-        &request_trace::drawn(&kinds(), plan.reqs, plan.rate, plan.seed),
+        &request_trace::generate(&classes(), plan.requests, plan.rate, plan.seed),
     )?;
-    let recorded = request_trace::read(&file)?;
-    let mut chance = fastrand::Rng::with_seed(plan.seed);
+    let trace = request_trace::read(&file)?;
+    let mut rng = fastrand::Rng::with_seed(plan.seed);
     let mut weights = Vec::new();
-    for _ in 0..plan.versions {
-        // Some hosts leave, the others get any weight.
+    for _ in 0..plan.table_versions {
+        // In each version a sixth of the hosts, on average, is left out, and the others get random weights.
         weights.push(
             (0..plan.hosts)
                 .map(|_| {
-                    if chance.u8(0..6) == 0 {
+                    if rng.u8(0..6) == 0 {
                         0
                     } else {
-                        chance.u16(1..=256)
+                        rng.u16(1..=256)
                     }
                 })
                 .collect::<Vec<_>>(),
         );
     }
-    let replayed = replay(plan, proxy_addr, &socket, &weights, recorded, began).await;
-    let (older_sent, older_refused, sent_at, done) = replayed;
+    let replayed = replay(plan, proxy_addr, &socket, &weights, trace, began).await;
+    let (older_updates_sent, older_updates_rejected, sent_at, succeeded) = replayed;
 
-    let direct = speed(hosts[0].0, plan.speed_for).await;
-    let proxied = speed(proxy_addr, plan.speed_for).await;
-    let before = crate::connection_storm::memory_kib(&proxy, "VmRSS");
+    let direct = measure_performance(hosts[0].0, plan.benchmark_duration).await;
+    let proxied = measure_performance(proxy_addr, plan.benchmark_duration).await;
+    let memory_before = crate::connection_storm::memory_kib(&proxy, "VmRSS");
     let mut idle = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_CONNECTIONS {
         idle.extend(TcpStream::connect(proxy_addr).await.ok());
     }
     sleep(Duration::from_millis(300)).await;
-    let grown = crate::connection_storm::memory_kib(&proxy, "VmRSS").saturating_sub(before);
+    let memory_growth =
+        crate::connection_storm::memory_kib(&proxy, "VmRSS").saturating_sub(memory_before);
     proxy
         .kill()
         .await
-        .map_err(io("the proxy cannot be ended"))?;
+        .map_err(io_error("cannot stop the proxy"))?;
     tasks.shutdown().await;
 
-    let mut seen: Vec<(u64, u64, Duration, usize)> = Vec::new();
-    for (n, (_, ledger)) in hosts.iter().enumerate() {
-        let ledger = ledger.0.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.extend(ledger.iter().map(|&(id, version, at)| (id, version, at, n)));
+    let mut received: Vec<(u64, u64, Duration, usize)> = Vec::new();
+    for (n, (_, log)) in hosts.iter().enumerate() {
+        let log = log.0.lock().unwrap_or_else(PoisonError::into_inner);
+        received.extend(log.iter().map(|&(id, version, at)| (id, version, at, n)));
     }
-    let versions = (1..=plan.versions as u64)
-        .map(|version| judged(version, &weights[version as usize - 1], &seen));
+    let versions = (1..=plan.table_versions as u64)
+        .map(|version| version_report(version, &weights[version as usize - 1], &received));
     Ok(Report {
-        reqs: plan.reqs,
-        done,
+        requests: plan.requests,
+        succeeded,
         versions: versions.collect(),
-        went_back: went_back(&seen, &sent_at),
-        older_sent,
-        older_refused,
+        forwarded_by_older_table: count_forwarded_by_older_table(&received, &sent_at),
+        older_updates_sent,
+        older_updates_rejected,
         direct,
         proxied,
-        kib_per_connection: grown as f64 / idle.len().max(1) as f64,
+        kib_per_connection: memory_growth as f64 / idle.len().max(1) as f64,
     })
 }
 
-fn name(n: usize) -> String {
+fn host_name(n: usize) -> String {
     format!("host-{n}")
 }
 
-/// Orders that make a table of these weights, as one version; each sets, so that they may come in any order.
-fn orders(version: u64, weights: &[u16]) -> String {
+/// An update that makes a table with these weights, as one version. All of its commands set absolute values, so that their
+/// order does not matter.
+fn update_line(version: u64, weights: &[u16]) -> String {
     let mut line = format!("add map pond_state table trial:1/{version}");
     for (n, weight) in weights.iter().enumerate() {
-        for kind in kinds() {
-            let (kind, host) = (kind.name, name(n));
+        for class in classes() {
+            let (class, host) = (class.name, host_name(n));
             let state = if *weight > 0 { "ready" } else { "maint" };
             line.push_str(&format!(
-                "; set server {kind}/{host} weight {weight}; set server {kind}/{host} state {state}"
+                "; set server {class}/{host} weight {weight}; set server {class}/{host} state {state}"
             ));
         }
     }
     line
 }
 
-/// Sends the stream at its times and publishes versions in between, older ones too. Gives how many of those were
-/// sent and refused, when each req was sent, and how many were done.
+/// Sends the requests of the trace at their times and publishes table versions in between, including older ones. Returns how
+/// many older ones were sent and rejected, when each request was sent, and how many requests succeeded.
 async fn replay(
     plan: &Plan,
     proxy: SocketAddr,
     socket: &Path,
     weights: &[Vec<u16>],
-    recorded: Vec<Recorded>,
+    trace: Vec<TraceRequest>,
     began: Instant,
 ) -> (u64, u64, Vec<Duration>, u64) {
-    let http = client();
-    let (places, done) = (
-        Arc::new(Semaphore::new(OPEN_MOST)),
+    let http = http_client();
+    let (permits, succeeded) = (
+        Arc::new(Semaphore::new(MAX_IN_FLIGHT)),
         Arc::new(AtomicU64::new(0)),
     );
-    let (mut older_sent, mut older_refused) = (0, 0);
-    let mut sent_at = Vec::with_capacity(recorded.len());
-    let part = recorded.len().div_ceil(plan.versions);
-    let (start, kinds) = (Instant::now(), kinds());
-    let mut open = JoinSet::new();
-    for (id, req) in recorded.into_iter().enumerate() {
-        if id % part == 0 {
-            let version = (id / part) as u64 + 1;
-            ask(socket, &orders(version, &weights[version as usize - 1])).await;
-            // Twice, and then one that is late.
-            ask(socket, &orders(version, &weights[version as usize - 1])).await;
+    let (mut older_sent, mut older_rejected) = (0, 0);
+    let mut sent_at = Vec::with_capacity(trace.len());
+    let requests_per_version = trace.len().div_ceil(plan.table_versions);
+    let (start, classes) = (Instant::now(), classes());
+    let mut in_flight = JoinSet::new();
+    for (id, request) in trace.into_iter().enumerate() {
+        if id % requests_per_version == 0 {
+            let version = (id / requests_per_version) as u64 + 1;
+            runtime_command(
+                socket,
+                &update_line(version, &weights[version as usize - 1]),
+            )
+            .await;
+            // The same version again, then the previous one as if its update arrived late.
+            runtime_command(
+                socket,
+                &update_line(version, &weights[version as usize - 1]),
+            )
+            .await;
             if version > 1 {
                 older_sent += 1;
-                let answer =
-                    ask(socket, &orders(version - 1, &weights[version as usize - 2])).await;
-                older_refused +=
-                    u64::from(answer.is_some_and(|answer| answer.starts_with("Refused")));
+                let reply = runtime_command(
+                    socket,
+                    &update_line(version - 1, &weights[version as usize - 2]),
+                )
+                .await;
+                older_rejected +=
+                    u64::from(reply.is_some_and(|reply| reply.starts_with("Refused")));
             }
         }
-        sleep_until(start + req.at).await;
-        let Ok(place) = places.clone().acquire_owned().await else {
+        sleep_until(start + request.at).await;
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             break;
         };
         sent_at.push(began.elapsed());
-        let (http, done, kind) = (
+        let (http, succeeded, class) = (
             http.clone(),
-            done.clone(),
-            kinds[req.kind % kinds.len()].name,
+            succeeded.clone(),
+            classes[request.class % classes.len()].name,
         );
-        open.spawn(async move {
-            let uri = format!("http://{proxy}/{kind}");
-            let built = Request::get(uri)
+        in_flight.spawn(async move {
+            let uri = format!("http://{proxy}/{class}");
+            let request = Request::get(uri)
                 .header("x-req", id)
                 .body(Empty::<Bytes>::new());
-            if let Ok(built) = built
-                && let Ok(answer) = http.request(built).await
-                && answer.status().is_success()
-                && answer.into_body().collect().await.is_ok()
+            if let Ok(request) = request
+                && let Ok(response) = http.request(request).await
+                && response.status().is_success()
+                && response.into_body().collect().await.is_ok()
             {
-                done.fetch_add(1, Relaxed);
+                succeeded.fetch_add(1, Relaxed);
             }
-            drop(place);
+            drop(permit);
         });
-        while open.try_join_next().is_some() {}
+        while in_flight.try_join_next().is_some() {}
     }
-    while open.join_next().await.is_some() {}
-    (older_sent, older_refused, sent_at, done.load(Relaxed))
+    while in_flight.join_next().await.is_some() {}
+    (older_sent, older_rejected, sent_at, succeeded.load(Relaxed))
 }
 
-fn client() -> Http<HttpConnector, Empty<Bytes>> {
+fn http_client() -> Http<HttpConnector, Empty<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Http::builder(TokioExecutor::new())
-        .pool_max_idle_per_host(OPEN_MOST)
+        .pool_max_idle_per_host(MAX_IN_FLIGHT)
         .build(connector)
 }
 
-/// As many answers as `ASKING` connections get in this time.
-async fn speed(addr: SocketAddr, span: Duration) -> Speed {
-    let until = Instant::now() + span;
-    let mut asking = JoinSet::new();
-    for _ in 0..ASKING {
-        asking.spawn(async move {
-            let http = client();
-            let mut took = Vec::new();
+/// Measures throughput and latency of `BENCHMARK_CONNECTIONS` closed-loop connections.
+async fn measure_performance(addr: SocketAddr, duration: Duration) -> Performance {
+    let until = Instant::now() + duration;
+    let mut connections = JoinSet::new();
+    for _ in 0..BENCHMARK_CONNECTIONS {
+        connections.spawn(async move {
+            let http = http_client();
+            let mut latencies = Vec::new();
             while Instant::now() < until {
-                let asked = Instant::now();
-                let Ok(built) = Request::get(format!("http://{addr}/proof")).body(Empty::new())
+                let sent_at = Instant::now();
+                let Ok(request) = Request::get(format!("http://{addr}/proof")).body(Empty::new())
                 else {
                     break;
                 };
-                let Ok(answer) = http.request(built).await else {
+                let Ok(response) = http.request(request).await else {
                     break;
                 };
-                if answer.into_body().collect().await.is_err() {
+                if response.into_body().collect().await.is_err() {
                     break;
                 }
-                took.push(asked.elapsed());
+                latencies.push(sent_at.elapsed());
             }
-            took
+            latencies
         });
     }
-    // From a microsecond to a minute, three digits: the bounds are fixed and fit each other.
-    let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit");
-    let mut answers = 0;
-    while let Some(Ok(took)) = asking.join_next().await {
-        answers += took.len();
-        took.iter()
-            .for_each(|took| all.saturating_record(took.as_micros() as u64));
+    // From 1 us to 60 s with three significant digits. These constant bounds are valid.
+    let mut histogram =
+        Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
+    let mut responses = 0;
+    while let Some(Ok(latencies)) = connections.join_next().await {
+        responses += latencies.len();
+        latencies
+            .iter()
+            .for_each(|latency| histogram.saturating_record(latency.as_micros() as u64));
     }
-    let at = |q| all.value_at_quantile(q).max(1);
-    Speed {
-        answers_per_s: answers as f64 / span.as_secs_f64(),
-        p50_us: at(0.5),
-        p99_us: at(0.99),
-        p999_us: at(0.999),
+    let quantile = |q| histogram.value_at_quantile(q).max(1);
+    Performance {
+        responses_per_s: responses as f64 / duration.as_secs_f64(),
+        p50_us: quantile(0.5),
+        p99_us: quantile(0.99),
+        p999_us: quantile(0.999),
     }
 }
 
-/// Whether the hosts' parts of a version's reqs are those of its weights.
-fn judged(version: u64, weights: &[u16], seen: &[(u64, u64, Duration, usize)]) -> Published {
-    let mut met: BTreeMap<usize, f64> = BTreeMap::new();
-    for (_, _, _, host) in seen.iter().filter(|(_, of, _, _)| *of == version) {
-        *met.entry(*host).or_default() += 1.0;
+/// Compares the distribution of a version's requests over the hosts with its weights.
+fn version_report(
+    version: u64,
+    weights: &[u16],
+    received: &[(u64, u64, Duration, usize)],
+) -> VersionReport {
+    let mut requests_by_host: BTreeMap<usize, f64> = BTreeMap::new();
+    for (_, _, _, host) in received.iter().filter(|(_, of, _, _)| *of == version) {
+        *requests_by_host.entry(*host).or_default() += 1.0;
     }
-    let reqs: f64 = met.values().sum();
-    let total: f64 = weights.iter().map(|weight| f64::from(*weight)).sum();
-    let (mut off_most, mut chi) = (0.0f64, 0.0);
+    let requests: f64 = requests_by_host.values().sum();
+    let total_weight: f64 = weights.iter().map(|weight| f64::from(*weight)).sum();
+    let (mut max_deviation, mut statistic) = (0.0f64, 0.0);
     for (host, weight) in weights.iter().enumerate() {
-        let (part, count) = (
-            f64::from(*weight) / total,
-            met.get(&host).copied().unwrap_or(0.0),
+        let (fraction, count) = (
+            f64::from(*weight) / total_weight,
+            requests_by_host.get(&host).copied().unwrap_or(0.0),
         );
-        off_most = off_most.max((count / reqs.max(1.0) - part).abs());
-        let due = part * reqs;
-        // A host without a weight must not be met at all.
-        chi += if due > 0.0 {
-            (count - due).powi(2) / due
+        max_deviation = max_deviation.max((count / requests.max(1.0) - fraction).abs());
+        let expected = fraction * requests;
+        // A host without weight must receive no request at all.
+        statistic += if expected > 0.0 {
+            (count - expected).powi(2) / expected
         } else {
             count * 1e9
         };
     }
-    let freedom = weights
+    let degrees_of_freedom = weights
         .iter()
         .filter(|weight| **weight > 0)
         .count()
         .saturating_sub(1)
         .max(1);
-    let p = ChiSquared::new(freedom as f64).map_or(0.0, |chi_square| chi_square.sf(chi));
-    Published {
+    let p = ChiSquared::new(degrees_of_freedom as f64)
+        .map_or(0.0, |chi_squared| chi_squared.sf(statistic));
+    VersionReport {
         version,
-        reqs: reqs as u64,
-        off_most,
+        requests: requests as u64,
+        max_deviation,
         p,
     }
 }
 
-/// Reqs that met an older table than one that a host had met before they were sent.
-fn went_back(seen: &[(u64, u64, Duration, usize)], sent_at: &[Duration]) -> u64 {
-    let mut first_met: BTreeMap<u64, Duration> = BTreeMap::new();
-    for (_, version, at, _) in seen {
-        let first = first_met.entry(*version).or_insert(*at);
+/// Counts the requests forwarded by a table older than one that had reached a host before they were sent.
+fn count_forwarded_by_older_table(
+    received: &[(u64, u64, Duration, usize)],
+    sent_at: &[Duration],
+) -> u64 {
+    let mut first_received: BTreeMap<u64, Duration> = BTreeMap::new();
+    for (_, version, at, _) in received {
+        let first = first_received.entry(*version).or_insert(*at);
         *first = (*first).min(*at);
     }
     let sent = |id: u64| sent_at.get(id as usize).copied().unwrap_or_default();
-    let back = |(id, version, _, _): &&(u64, u64, Duration, usize)| {
-        first_met
+    let used_older_table = |(id, version, _, _): &&(u64, u64, Duration, usize)| {
+        first_received
             .range(version + 1..)
             .any(|(_, at)| *at < sent(*id))
     };
-    seen.iter().filter(back).count() as u64
+    received.iter().filter(used_older_table).count() as u64
 }
 
-fn settings(addr: SocketAddr, seed: u64) -> serde_json::Value {
-    let kind = |kind: &Kind| {
-        json!({"name": kind.name, "path_prefix": format!("/{}", kind.name), "response_target": "1 s",
+fn proxy_settings(addr: SocketAddr, seed: u64) -> serde_json::Value {
+    let class = |class: &RequestClass| {
+        json!({"name": class.name, "path_prefix": format!("/{}", class.name), "response_target": "1 s",
             "client_timeout": "5 s", "benefit": 1, "repeats": "replayable"})
     };
     json!({
         "name": "trial", "zone": "ede", "zones": ["ede"], "listen": addr,
         "runtime_api": [{"listen": "unix:proxy.sock", "level": "admin"}],
-        "kinds": kinds().iter().map(kind).collect::<Vec<_>>(),
+        "kinds": classes().iter().map(class).collect::<Vec<_>>(),
         "hosts_file": "hosts.jsonnet", "standing_most": 100, "seed": seed,
-        "limits": {"at_host": OPEN_MOST},
+        "limits": {"at_host": MAX_IN_FLIGHT},
     })
 }
--- a/crates/rehearsal/src/request_trace.rs
+++ b/crates/rehearsal/src/request_trace.rs
@@ -1,6 +1,6 @@
-//! A recorded stream of reqs, in a columnar file (Arrow IPC): when each came, of which kind, how much work.
+//! A recorded sequence of requests in a columnar file (Arrow IPC): arrival time, request class and work of each request.
 
-use crate::client::Kind;
+use crate::client::RequestClass;
 use arrow_array::{Array, RecordBatch, UInt32Array, UInt64Array};
 use arrow_ipc::reader::FileReader;
 use arrow_ipc::writer::FileWriter;
@@ -11,108 +11,114 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Rows of one batch in the file.
-const BATCH: usize = 16_384;
+/// Number of rows in one batch of the file.
+const BATCH_ROWS: usize = 16_384;
 
-/// One req of the stream; its number is its place.
+/// One request of a trace; its position in the trace is its ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Recorded {
-    /// Since the stream began.
+pub struct TraceRequest {
+    /// Arrival time since the start of the trace.
     pub at: Duration,
-    /// Place of its kind.
-    pub kind: usize,
+    /// Index of its request class.
+    pub class: usize,
     pub work: Duration,
 }
 
+/// Why a trace file could not be written or read.
 #[derive(Debug, Error)]
-pub enum StreamError {
-    #[error("the stream's file: {0}")]
+pub enum TraceError {
+    #[error("cannot access the trace file: {0}")]
     Io(#[from] std::io::Error),
-    #[error("the stream's file: {0}")]
+    #[error("cannot encode or decode the trace file: {0}")]
     Arrow(#[from] ArrowError),
-    #[error("the stream's file has no column '{0}' of whole numbers")]
+    #[error("the trace file has no integer column '{0}'")]
     Column(&'static str),
 }
 
-/// A seeded stream: `rate` reqs a second at drawn times.
-pub fn drawn(kinds: &[Kind], reqs: usize, rate: f64, seed: u64) -> Vec<Recorded> {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let shares: f64 = kinds.iter().map(|kind| kind.share).sum();
-    let mut at = 0.0;
-    let one = |_| {
-        at += -(1.0 - chance.f64()).ln() / rate;
-        let mut left = chance.f64() * shares;
-        let kind = kinds.iter().position(|kind| {
-            left -= kind.share;
-            left < 0.0
+/// Generates a random trace of `count` requests with `rate` arrivals per second.
+pub fn generate(classes: &[RequestClass], count: usize, rate: f64, seed: u64) -> Vec<TraceRequest> {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let total_share: f64 = classes.iter().map(|class| class.share).sum();
+    let mut arrival_s = 0.0;
+    let next_request = |_| {
+        arrival_s += -(1.0 - rng.f64()).ln() / rate;
+        let mut point = rng.f64() * total_share;
+        let class = classes.iter().position(|class| {
+            point -= class.share;
+            point < 0.0
         });
-        let kind = kind.unwrap_or(0);
-        Recorded {
-            at: Duration::from_secs_f64(at),
-            kind,
-            work: kinds[kind].work,
+        let class = class.unwrap_or(0);
+        TraceRequest {
+            at: Duration::from_secs_f64(arrival_s),
+            class,
+            work: classes[class].work,
         }
     };
-    (0..reqs).map(one).collect()
+    (0..count).map(next_request).collect()
 }
 
-pub fn write(file: &Path, stream: &[Recorded]) -> Result<(), StreamError> {
-    let field = |name: &str, kind: DataType| Field::new(name, kind, false);
+/// Writes a trace to a file.
+pub fn write(file: &Path, trace: &[TraceRequest]) -> Result<(), TraceError> {
+    let field = |name: &str, data_type: DataType| Field::new(name, data_type, false);
     let schema = Arc::new(Schema::new(vec![
         field("at_us", DataType::UInt64),
         field("kind", DataType::UInt32),
         field("work_us", DataType::UInt32),
     ]));
-    let mut out = FileWriter::try_new(File::create(file)?, &schema)?;
-    for part in stream.chunks(BATCH) {
-        let at: UInt64Array = part
+    let mut writer = FileWriter::try_new(File::create(file)?, &schema)?;
+    for batch in trace.chunks(BATCH_ROWS) {
+        let at: UInt64Array = batch
             .iter()
-            .map(|req| req.at.as_micros() as u64)
+            .map(|request| request.at.as_micros() as u64)
             .collect::<Vec<_>>()
             .into();
-        let kind: UInt32Array = part
+        let class: UInt32Array = batch
             .iter()
-            .map(|req| req.kind as u32)
+            .map(|request| request.class as u32)
             .collect::<Vec<_>>()
             .into();
-        let work: UInt32Array = part
+        let work: UInt32Array = batch
             .iter()
-            .map(|req| req.work.as_micros() as u32)
+            .map(|request| request.work.as_micros() as u32)
             .collect::<Vec<_>>()
             .into();
-        out.write(&RecordBatch::try_new(
+        writer.write(&RecordBatch::try_new(
             schema.clone(),
-            vec![Arc::new(at), Arc::new(kind), Arc::new(work)],
+            vec![Arc::new(at), Arc::new(class), Arc::new(work)],
         )?)?;
     }
-    Ok(out.finish()?)
+    Ok(writer.finish()?)
 }
 
-/// Errors: the file is no such stream; a kind's place is not checked.
-pub fn read(file: &Path) -> Result<Vec<Recorded>, StreamError> {
-    let mut stream = Vec::new();
+/// Reads a trace from a file. Class indexes are not checked.
+///
+/// # Errors
+///
+/// The file cannot be read or is not a trace.
+pub fn read(file: &Path) -> Result<Vec<TraceRequest>, TraceError> {
+    let mut trace = Vec::new();
     for batch in FileReader::try_new(File::open(file)?, None)? {
         let batch = batch?;
-        let column = |name| batch.column_by_name(name).ok_or(StreamError::Column(name));
+        let column = |name| batch.column_by_name(name).ok_or(TraceError::Column(name));
         let at = column("at_us")?
             .as_any()
             .downcast_ref::<UInt64Array>()
-            .ok_or(StreamError::Column("at_us"))?;
-        let small = |name| -> Result<UInt32Array, StreamError> {
+            .ok_or(TraceError::Column("at_us"))?;
+        let u32_column = |name| -> Result<UInt32Array, TraceError> {
             column(name)?
                 .as_any()
                 .downcast_ref::<UInt32Array>()
                 .cloned()
-                .ok_or(StreamError::Column(name))
+                .ok_or(TraceError::Column(name))
         };
-        let (kind, work) = (small("kind")?, small("work_us")?);
-        stream.extend((0..batch.num_rows()).map(|n| Recorded {
+        let (class, work) = (u32_column("kind")?, u32_column("work_us")?);
+        trace.extend((0..batch.num_rows()).map(|n| TraceRequest {
             at: Duration::from_micros(at.value(n)),
-            kind: kind.value(n) as usize,
+            class: class.value(n) as usize,
             work: Duration::from_micros(work.value(n).into()),
         }));
     }
-    Ok(stream)
+    Ok(trace)
 }
 
 #[cfg(test)]
@@ -120,28 +126,28 @@
     use super::*;
 
     #[test]
-    fn what_is_written_is_read() {
-        let kind = |name, share| Kind {
+    fn a_written_trace_reads_back_unchanged() {
+        let class = |name, share| RequestClass {
             name,
             share,
             work: Duration::from_micros(300),
-            response_target: Duration::from_secs(1),
+            latency_objective: Duration::from_secs(1),
             client_timeout: Duration::from_secs(1),
-            benefit: 1.0,
+            priority_weight: 1.0,
             replayable: true,
         };
-        let stream = drawn(&[kind("a", 0.5), kind("b", 0.5)], 40_000, 1e4, 3);
-        let folder = tempfile::tempdir().expect("a folder");
+        let trace = generate(&[class("a", 0.5), class("b", 0.5)], 40_000, 1e4, 3);
+        let folder = tempfile::tempdir().expect("create a temporary folder");
         let file = folder.path().join("stream.arrow");
-        write(&file, &stream).expect("written");
-        let read_back = read(&file).expect("read");
-        let micros = |s: &[Recorded]| {
-            s.iter()
-                .map(|r| (r.at.as_micros(), r.kind, r.work))
+        write(&file, &trace).expect("write the trace");
+        let read_back = read(&file).expect("read the trace");
+        let columns = |t: &[TraceRequest]| {
+            t.iter()
+                .map(|r| (r.at.as_micros(), r.class, r.work))
                 .collect::<Vec<_>>()
         };
-        assert_eq!(micros(&read_back), micros(&stream));
-        std::fs::write(&file, "nonsense").expect("written");
+        assert_eq!(columns(&read_back), columns(&trace));
+        std::fs::write(&file, "nonsense").expect("overwrite the file");
         assert!(read(&file).is_err());
     }
 }
