--- a/crates/rehearsal/src/bad_day.rs
+++ b/crates/rehearsal/src/bad_day.rs
@@ -1,5 +1,5 @@
-//! The bad day: simulated hosts, proxies and clients on loopback, controllers as separate processes, and every fault that
-//! the deployment has met in operation, one after the other.
+//! The bad day: simulated hosts, proxies and clients on loopback, controllers as separate processes, and every fault
+//! that the deployment has met in operation, one after the other.
 
 pub(crate) mod harness;
 mod report;
@@ -161,7 +161,8 @@
     }
 }
 
-/// Runs the day in this folder, with `program` as the controllers. Everything that it started has ended when it returns.
+/// Runs the day in this folder, with `program` as the controllers. Everything that it started has ended when it
+/// returns.
 ///
 /// # Errors
 ///
--- a/crates/rehearsal/src/bad_day/harness.rs
+++ b/crates/rehearsal/src/bad_day/harness.rs
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Stops a host and starts a cold one with its name and address; the endpoint list shows the new start time at once.
+    /// Stops a host and starts a cold one with its name and address; the endpoint list shows the new start time at
+    /// once.
     pub(crate) async fn restart_host(&mut self, name: &str) -> Result<(), RehearsalError> {
         let Some(old) = self.hosts.remove(name) else {
             return Ok(());
--- a/crates/rehearsal/src/connection_storm.rs
+++ b/crates/rehearsal/src/connection_storm.rs
@@ -1,5 +1,5 @@
-//! Many proxies and many hosts without traffic: how long it takes all proxies to join at once and to drain one host, and
-//! what the controller uses.
+//! Many proxies and many hosts without traffic: how long it takes all proxies to join at once and to drain one host,
+//! and what the controller uses.
 
 use crate::bad_day::RehearsalError;
 use crate::client::RequestClass;
@@ -45,7 +45,7 @@
 pub struct Report {
     pub proxies: usize,
     pub hosts: usize,
-    /// Time from the first connection to a proxy until the last message that brought a proxy its table.
+    /// Time from the first connection to a proxy until the last message that updated a proxy's table.
     pub join_ms: f64,
     pub join_messages: usize,
     pub join_commands: usize,
@@ -352,7 +352,7 @@
     (ticks(11) + ticks(12)) * 10.0
 }
 
-/// A memory figure of a process, such as `VmRSS`, from `/proc`.
+/// A memory value of a process, such as `VmRSS`, from `/proc`.
 pub(crate) fn memory_kib(child: &Child, name: &str) -> u64 {
     let text = child
         .id()
--- a/crates/rehearsal/src/controller_kills.rs
+++ b/crates/rehearsal/src/controller_kills.rs
@@ -1,5 +1,5 @@
-//! Kills controllers repeatedly under load, every fifth time all of them at once, each time shortly after the endpoint list
-//! began to drain a host. Checks on the observed traffic that the drains take effect nevertheless.
+//! Kills controllers repeatedly under load, every fifth time all of them at once, each time shortly after the
+//! endpoint list began to drain a host. Checks on the observed traffic that the drains take effect nevertheless.
 
 use crate::bad_day::harness::{Harness, classes};
 use crate::bad_day::{Plan, RehearsalError};
@@ -79,8 +79,8 @@
         event_log: true,
         ..Plan::short(seed)
     };
-    // Each restart sends a join and each drain at least two messages, so that the message cap of normal operation does not
-    // apply to this many kills.
+    // Each restart sends a join and each drain at least two messages, so that the message cap of normal operation
+    // does not apply to this many kills.
     let plan = Plan {
         limits: rules::RuleLimits {
             message_cap: 0,
--- a/crates/rehearsal/src/dns_proxy.rs
+++ b/crates/rehearsal/src/dns_proxy.rs
@@ -1,6 +1,6 @@
-//! A simulated plain proxy without a runtime API. It resolves hosts through its own resolver, which caches answers for their
-//! whole TTL and up to a second more, as caches do that count whole seconds. It picks a host by SRV weight (RFC 2782) and
-//! tries another one only if the connection was refused, so that nothing was sent.
+//! A simulated plain proxy without a runtime API. It resolves hosts through its own resolver, which caches answers
+//! for their whole TTL and up to a second more, as caches do that count whole seconds. It picks a host by SRV weight
+//! (RFC 2782) and tries another one only if the connection was refused, so that nothing was sent.
 
 use crate::observations::{Observation, ObservationLog, RequestOutcome};
 use http_body_util::{BodyExt, Empty};
@@ -19,8 +19,8 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{Instant, timeout};
 
-/// Time that a name server has to answer before it is queried again; after `QUERIES_PER_SERVER` queries, the next one is
-/// queried.
+/// Time that a name server has to answer before it is queried again; after `QUERIES_PER_SERVER` queries, the next one
+/// is queried.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 const QUERIES_PER_SERVER: usize = 2;
 /// Time until the next query after a failed or empty one.
--- a/crates/rehearsal/src/proxy_benchmark.rs
+++ b/crates/rehearsal/src/proxy_benchmark.rs
@@ -1,5 +1,6 @@
-//! The project's proxy under a recorded trace of requests: whether hosts receive requests in proportion to the published
-//! weights, whether an older table ever replaces a newer one, and what the proxy costs compared with a direct connection.
+//! The project's proxy under a recorded trace of requests: whether hosts receive requests in proportion to the
+//! published weights, whether an older table ever replaces a newer one, and what the proxy costs compared with a
+//! direct connection.
 
 use crate::bad_day::{RehearsalError, runtime_command};
 use crate::client::RequestClass;
@@ -133,8 +134,8 @@
         Ok(Environment::new().render_str(TEXT, context! { r => self })?)
     }
 
-    /// Whether each version's distribution is within two points and plausible by chance, no older table was applied, and all
-    /// requests succeeded.
+    /// Whether each version's distribution is within two points and plausible by chance, no older table was applied,
+    /// and all requests succeeded.
     pub fn passed(&self) -> bool {
         let plausible = |v: &VersionReport| v.max_deviation <= 0.02 && v.p >= 1e-6;
         self.versions.iter().all(plausible)
@@ -355,8 +356,8 @@
     format!("host-{n}")
 }
 
-/// An update that makes a table with these weights, as one version. All of its commands set absolute values, so that their
-/// order does not matter.
+/// An update that makes a table with these weights, as one version. All of its commands set absolute values, so that
+/// their order does not matter.
 fn update_line(version: u64, weights: &[u16]) -> String {
     let mut line = format!("add map pond_state table trial:1/{version}");
     for (n, weight) in weights.iter().enumerate() {
@@ -371,8 +372,8 @@
     line
 }
 
-/// Sends the requests of the trace at their times and publishes table versions in between, including older ones. Returns how
-/// many older ones were sent and rejected, when each request was sent, and how many requests succeeded.
+/// Sends the requests of the trace at their times and publishes table versions in between, including older ones.
+/// Returns how many older ones were sent and rejected, when each request was sent, and how many requests succeeded.
 async fn replay(
     plan: &Plan,
     proxy: SocketAddr,
--- a/crates/rehearsal/src/report_load.rs
+++ b/crates/rehearsal/src/report_load.rs
@@ -1,6 +1,7 @@
 //! Load reports at multiples of the expected rate: how old the reported load is when the controller uses it, what the
-//! controller uses, and how soon hosts that stop answering are noticed meanwhile. The proxies are the project's own, without
-//! clients; simulated senders push load reports in their names, with the counts that clients would have caused.
+//! controller uses, and how soon hosts that stop answering are noticed meanwhile. The proxies are the project's own,
+//! without clients; simulated senders push load reports in their names, with the counts that clients would have
+//! caused.
 
 use crate::bad_day::RehearsalError;
 use crate::connection_storm;
@@ -253,8 +254,8 @@
         .as_micros() as u64
 }
 
-/// Makes a tenth of the hosts unresponsive. Returns how many of them are in use, and the time in milliseconds until half of
-/// those and all of those are in no table.
+/// Makes a tenth of the hosts unresponsive. Returns how many of them are in use, and the time in milliseconds until
+/// half of those and all of those are in no table.
 async fn measure_detection(
     proxies: &[Arc<InterceptedProxy>],
     state: &SenderState,
@@ -294,8 +295,8 @@
     (initial.len(), half, all)
 }
 
-/// Reads the decision rounds of a time span from the event log: the age in milliseconds of the oldest load that each of them
-/// used, and the numbers of lines deferred and dropped.
+/// Reads the decision rounds of a time span from the event log: the age in milliseconds of the oldest load that each
+/// of them used, and the numbers of lines deferred and dropped.
 fn read_ages(
     folder: &Path,
     from_us: u64,
--- a/crates/rehearsal/src/request_trace.rs
+++ b/crates/rehearsal/src/request_trace.rs
@@ -1,4 +1,5 @@
-//! A recorded sequence of requests in a columnar file (Arrow IPC): arrival time, request class and work of each request.
+//! A recorded sequence of requests in a columnar file (Arrow IPC): arrival time, request class and work of each
+//! request.
 
 use crate::client::RequestClass;
 use arrow_array::{Array, RecordBatch, UInt32Array, UInt64Array};
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,5 +1,5 @@
-//! The five rules, checked against what the simulated components observed. The controllers' own view is not used, except
-//! for the length of their update queues.
+//! The five rules, checked against what the simulated components observed. The controllers' own view is not used,
+//! except for the length of their update queues.
 
 use crate::observations::{ListedState, Observation};
 use serde::Serialize;
--- a/crates/rehearsal/src/secondary.rs
+++ b/crates/rehearsal/src/secondary.rs
@@ -1,5 +1,5 @@
-//! A simulated DNS secondary, which serves a copy of the zone: it answers notifications of changes, transfers the zone over
-//! TCP, refreshes periodically, and can be isolated from the network.
+//! A simulated DNS secondary, which serves a copy of the zone: it answers notifications of changes, transfers the
+//! zone over TCP, refreshes periodically, and can be isolated from the network.
 
 use futures_util::{SinkExt, StreamExt};
 use pondarch_dns_server::TsigKey;
--- a/crates/rehearsal/src/service_level.rs
+++ b/crates/rehearsal/src/service_level.rs
@@ -1,5 +1,5 @@
-//! Service level: priority weight of the requests answered within their latency objective, relative to the weight of all
-//! requests sent.
+//! Service level: priority weight of the requests answered within their latency objective, relative to the weight of
+//! all requests sent.
 
 use crate::client::RequestClass;
 use crate::observations::{Observation, RequestOutcome};
@@ -81,8 +81,9 @@
     level
 }
 
-/// How fast traffic moved off a host that became slow at `since`: the time until the first proxy lowered the host's weight
-/// in its table, and the time until the host's share of all attempts fell below half of its share in the `before` span.
+/// How fast traffic moved off a host that became slow at `since`: the time until the first proxy lowered the host's
+/// weight in its table, and the time until the host's share of all attempts fell below half of its share in the
+/// `before` span.
 pub fn traffic_shift(
     observations: &[(Duration, Observation)],
     host: &str,
--- a/crates/rehearsal/src/weight_comparison.rs
+++ b/crates/rehearsal/src/weight_comparison.rs
@@ -1,5 +1,6 @@
-//! Compares weights that the solver computes with listed and with equal weights, on simulated hosts of known capacity. Each
-//! random site runs with the same traffic under every weight source, side by side and at several loads.
+//! Compares weights that the solver computes with listed and with equal weights, on simulated hosts of known
+//! capacity. Each random site runs with the same traffic under every weight source, side by side and at several
+//! loads.
 
 mod evaluation;
 mod harness;
@@ -23,8 +24,8 @@
     /// The inaccurate listed weights.
     Listed,
     Equal,
-    /// Listed weights equal to the hosts' capacities. No real list has these; they show what the controller can reach with
-    /// exact weights.
+    /// Listed weights equal to the hosts' capacities. No real list has these; they show what the controller can reach
+    /// with exact weights.
     TrueCapacity,
 }
 
@@ -110,8 +111,8 @@
     }
 }
 
-/// The request classes of the bad day with twice the work and time limits, so that hosts with several cores are loaded by
-/// fewer requests.
+/// The request classes of the bad day with twice the work and time limits, so that hosts with several cores are
+/// loaded by fewer requests.
 pub(crate) fn classes() -> Vec<RequestClass> {
     let doubled = |class: RequestClass| RequestClass {
         work: class.work * 2,
--- a/crates/rehearsal/src/weight_comparison/evaluation.rs
+++ b/crates/rehearsal/src/weight_comparison/evaluation.rs
@@ -134,10 +134,15 @@
 }
 
 fn new_host_max_load(observations: &[(Duration, Observation)], plan: &Plan, site: &Site) -> f64 {
-    let is_start_of_new_host = |observation: &Observation| matches!(observation, Observation::HostStarted { host, .. } if *host == site.new_host.name);
+    let is_new_host_start = |observation: &Observation| {
+        matches!(
+            observation,
+            Observation::HostStarted { host, .. } if *host == site.new_host.name
+        )
+    };
     let Some(started) = observations
         .iter()
-        .find(|(_, observation)| is_start_of_new_host(observation))
+        .find(|(_, observation)| is_new_host_start(observation))
         .map(|(at, _)| *at)
     else {
         return 0.0;
@@ -194,9 +199,9 @@
     }
 }
 
-/// Upper bound of the service share that any weights could reach: the work sent fills all hosts, the new one as far as its
-/// slow start allows, in order of priority weight per second of work. Nothing is ever queued, and every host serves every
-/// proxy.
+/// Upper bound of the service share that any weights could reach: the work sent fills all hosts, the new one as far
+/// as its slow start allows, in order of priority weight per second of work. Nothing is ever queued, and every host
+/// serves every proxy.
 pub fn max_service_share(
     observations: &[(Duration, Observation)],
     plan: &Plan,
--- a/crates/rehearsal/src/weight_comparison/report.rs
+++ b/crates/rehearsal/src/weight_comparison/report.rs
@@ -87,8 +87,8 @@
 
 /// Fraction of the best possible service that solved weights must reach, at loads up to `MAX_CHECKED_LOAD`.
 const MIN_FRACTION_OF_MAX: f64 = 0.95;
-/// Highest load at which solved weights are checked. Beyond it, the handling of overload matters more than weights, and even
-/// exact weights miss the required fraction.
+/// Highest load at which solved weights are checked. Beyond it, the handling of overload matters more than weights,
+/// and even exact weights miss the required fraction.
 const MAX_CHECKED_LOAD: f64 = 0.76;
 
 impl Report {
--- a/crates/rehearsal/tests/single_execution.rs
+++ b/crates/rehearsal/tests/single_execution.rs
@@ -48,8 +48,9 @@
         .expect("read the reply");
 }
 
-/// Sends 200 requests through a proxy with this retry policy. Of its three hosts, one is stopped from the start, and one is
-/// slow and stops while it executes requests. Returns how often each request was executed, and how many requests failed.
+/// Sends 200 requests through a proxy with this retry policy. Of its three hosts, one is stopped from the start, and
+/// one is slow and stops while it executes requests. Returns how often each request was executed, and how many
+/// requests failed.
 async fn execution_counts(retry_policy: &str) -> (BTreeMap<u64, usize>, usize) {
     let observations = ObservationLog::default();
     let hosts = [
