--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -24,9 +24,9 @@
     if state.pushed_reports.enabled {
         put_reports(&mut info, state);
     }
-    for purpose in pondarch_load_ingestion::account::PURPOSES {
-        let name = purpose.word();
-        info.put(&format!("Memory_{name}"), state.memory.of(purpose).bytes);
+    for purpose in pondarch_load_ingestion::memory::PURPOSES {
+        let name = purpose.name();
+        info.put(&format!("Memory_{name}"), state.memory.usage(purpose).bytes);
     }
     put_updates(&mut info, state);
     info
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -19,8 +19,8 @@
 use pondarch_config::site::{Links, Weights};
 use pondarch_controller::Controller;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
-use pondarch_load_ingestion::{Account, Choice};
-use pondarch_proxy_session::{Front, FrontKind};
+use pondarch_load_ingestion::{HostSelector, MemoryAccounting};
+use pondarch_proxy_session::{ClassMapping, ProxyMapping};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -95,11 +95,11 @@
     /// Maximum number of hosts whose outcomes are applied per second; none: no limit.
     pub(crate) max_outcomes_per_second: Option<f64>,
     /// Chooses the hosts whose outcomes are applied when the limit does not allow all.
-    pub(crate) selection: Choice,
+    pub(crate) selection: HostSelector,
     /// State of the senders that push reports.
     pub(crate) pushed_reports: PushedReports,
     /// Memory use by purpose.
-    pub(crate) memory: Account,
+    pub(crate) memory: MemoryAccounting,
     /// State of the event log; none: nothing is recorded.
     pub(crate) event_log: Option<EventLogState>,
     /// Number of inputs so far.
@@ -157,9 +157,9 @@
             next_load_read_at: load_interval.map(|interval| now + interval),
             outcomes_applied_at: BTreeMap::new(),
             max_outcomes_per_second: site.reports.lines_per_second,
-            selection: Choice::new(seed),
+            selection: HostSelector::new(seed),
             pushed_reports: PushedReports::new(site.reports.push.is_some()),
-            memory: Account::default(),
+            memory: MemoryAccounting::default(),
             event_log: None,
             input_count: 0,
             cause: String::new(),
@@ -243,13 +243,13 @@
 
 /// The proxies by their ids: those of the settings, then those that stand for unknown proxies.
 fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
-    let front = Arc::new(front(site, mark));
+    let mapping = Arc::new(proxy_mapping(site, mark));
     let zone = |name: &str| site.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
     site.proxies
         .iter()
         .chain(&dns_state::unknown_proxies(site))
         .enumerate()
-        .map(|(index, proxy)| Peer::new(index, proxy, zone(&proxy.zone), front.clone(), now))
+        .map(|(index, proxy)| Peer::new(index, proxy, zone(&proxy.zone), mapping.clone(), now))
         .collect()
 }
 
@@ -265,13 +265,13 @@
     )
 }
 
-fn front(site: &Site, mark: &str) -> Front {
-    let class = |class: &pondarch_config::site::Kind| FrontKind {
+fn proxy_mapping(site: &Site, mark: &str) -> ProxyMapping {
+    let class = |class: &pondarch_config::site::Kind| ClassMapping {
         name: class.name.clone(),
         backend: class.backend().to_string(),
     };
-    Front {
-        mark: mark.to_string(),
-        kinds: site.kinds.iter().map(class).collect(),
+    ProxyMapping {
+        controller_incarnation: mark.to_string(),
+        classes: site.kinds.iter().map(class).collect(),
     }
 }
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -36,7 +36,7 @@
                 LinkState::Disconnected(dial_at) => consider(Some(dial_at)),
                 LinkState::Joined if peer.pending_update.is_some() => {
                     consider(peer.blocked_until);
-                    consider(peer.session.next_due());
+                    consider(peer.session.next_retry_at());
                 }
                 _ => {}
             }
@@ -72,7 +72,7 @@
             .collect();
         let must_be_read = |(peer, pushes): &(&mut Peer, bool)| peer.is_joined() && !pushes;
         for (peer, _) in self.peers.iter_mut().zip(pushing).filter(must_be_read) {
-            let Some(line) = peer.session.read_stat() else {
+            let Some(line) = peer.session.request_counters() else {
                 continue;
             };
             peer.silent_since = Some(now);
--- a/crates/daemon-core/src/weight_events.rs
+++ b/crates/daemon-core/src/weight_events.rs
@@ -24,8 +24,8 @@
             .collect();
         let has_restarted =
             |host: &HostId| previous_starts.get(host) != weight_planner.started.get(host);
-        weight_planner.planner.list_came(&listed, has_restarted);
-        list.planned_weights = weight_planner.planner.handed(now, &listed);
+        weight_planner.planner.on_list(&listed, has_restarted);
+        list.planned_weights = weight_planner.planner.target_weights(now, &listed);
     }
 
     /// Ends the planner's report interval, with the reported loads that are not older than `max_age`.
@@ -50,9 +50,9 @@
         if now < weight_planner.wake_at() {
             return;
         }
-        let gave_up = weight_planner.planner.gave_up(now);
+        let gave_up = weight_planner.planner.abandon_late_problem(now);
         let listed = weight_planner.planner_hosts(now, &self.endpoints);
-        let problem = weight_planner.planner.due(now, &listed);
+        let problem = weight_planner.planner.next_problem(now, &listed);
         if gave_up {
             self.log_event(Event::PlanFailed {
                 error: "the solver is too late".into(),
@@ -74,7 +74,7 @@
             return;
         };
         let error = result.as_ref().err().cloned();
-        weight_planner.planner.answered(now, number, result);
+        weight_planner.planner.on_result(now, number, result);
         match error {
             Some(error) => self.log_event(Event::PlanFailed { error }),
             None => self.apply_plan_step(),
@@ -89,14 +89,14 @@
             return;
         };
         let listed = weight_planner.planner_hosts(now, &self.endpoints);
-        let new_weights = weight_planner.planner.step(now, &listed);
+        let new_weights = weight_planner.planner.advance(now, &listed);
         let source = weight_planner.planner.source();
-        let admitted_fraction = weight_planner.planner.let_in();
+        let admitted_fraction = weight_planner.planner.admitted_share();
         let source_changed = std::mem::replace(&mut weight_planner.last_source, source) != source;
         self.controller.apply_capacity_plan(now, admitted_fraction);
         if source_changed {
             self.log_event(Event::WeightSourceChanged {
-                source: source.word().into(),
+                source: source.name().into(),
             });
         }
         let Some(planned_weights) = new_weights else {
@@ -137,8 +137,8 @@
         let zone = peer.zone;
         if let Some(weight_planner) = &mut self.weight_planner {
             weight_planner
-                .estimates()
-                .asked(id, zone, class, requests, period);
+                .estimator()
+                .observe_demand(id, zone, class, requests, period);
         }
     }
 }
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -4,26 +4,26 @@
 use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
 use pondarch_controller::{EndpointState, HostId, Time};
-use pondarch_proxy_session::sums::Look;
-use pondarch_weight_solver::planner::KindFacts;
-use pondarch_weight_solver::{Estimates, Listed, Planner, Seen, Source};
+use pondarch_proxy_session::counters::CounterDelta;
+use pondarch_weight_solver::planner::ClassSettings;
+use pondarch_weight_solver::{Estimator, HostObservation, ListedHost, Planner, WeightSource};
 use std::collections::BTreeMap;
 
 pub(crate) struct WeightPlanner {
     pub(crate) planner: Planner,
     start_share: f64,
     /// Observations of the current report interval, by host.
-    observed: BTreeMap<HostId, Seen>,
+    observed: BTreeMap<HostId, HostObservation>,
     /// Start time of each host in the latest list; another one means that the host restarted.
     pub(crate) started: BTreeMap<HostId, Time>,
-    pub(crate) last_source: Source,
+    pub(crate) last_source: WeightSource,
 }
 
 impl WeightPlanner {
     pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
-        let class = |class: &pondarch_config::site::Kind| KindFacts {
+        let class = |class: &pondarch_config::site::Kind| ClassSettings {
             name: class.name.clone(),
-            response_target: class.response_target.0,
+            latency_objective: class.response_target.0,
             benefit: class.benefit,
         };
         let classes = site.kinds.iter().map(class).collect();
@@ -43,41 +43,41 @@
             start_share: site.cold.start_share,
             observed: BTreeMap::new(),
             started: BTreeMap::new(),
-            last_source: Source::Listed,
+            last_source: WeightSource::Listed,
         }
     }
 
     /// The current source of the weights, in its wire text.
     pub(crate) fn source(&self) -> &'static str {
-        self.planner.source().word()
+        self.planner.source().name()
     }
 
     /// Why the latest problem got no plan; none: it got one.
     pub(crate) fn failed(&self) -> Option<&str> {
-        self.planner.failed()
+        self.planner.last_error()
     }
 
     pub(crate) fn wake_at(&self) -> Time {
         self.planner.wake_at()
     }
 
-    pub(crate) fn estimates(&mut self) -> &mut Estimates {
-        &mut self.planner.estimates
+    pub(crate) fn estimator(&mut self) -> &mut Estimator {
+        &mut self.planner.estimator
     }
 
     /// Adds counters of one proxy to the observations; each counter difference is recorded only once.
-    pub(crate) fn record(&mut self, look: &Look) {
-        for (host, class, done, took) in &look.done {
+    pub(crate) fn record(&mut self, delta: &CounterDelta) {
+        for (host, class, done, took) in &delta.completed {
             let observed = self.observed.entry(host.clone()).or_default();
             match observed
-                .done
+                .completed
                 .iter_mut()
                 .find(|(known, _, _)| known == class)
             {
                 Some((_, total, time)) => (*total, *time) = (*total + done, *time + *took),
-                None => observed.done.push((*class, *done, *took)),
+                None => observed.completed.push((*class, *done, *took)),
             }
-            observed.over = observed.over.max(look.over);
+            observed.period = observed.period.max(delta.period);
         }
     }
 
@@ -93,25 +93,25 @@
                 && list.warm_fraction(&host, now, self.start_share) >= 1.0
             {
                 observed.load = loads(&host);
-                self.planner.estimates.seen(now, &host, &observed);
+                self.planner.estimator.observe_host(now, &host, &observed);
             }
         }
     }
 
     /// The hosts of the list in the planner's form.
-    pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<Listed> {
+    pub(crate) fn planner_hosts(&self, now: Time, list: &EndpointList) -> Vec<ListedHost> {
         let listed = list
             .hosts
             .iter()
             .filter(|(_, host)| host.state != EndpointState::Removed);
         listed
-            .map(|(id, host)| Listed {
-                host: id.clone(),
+            .map(|(id, host)| ListedHost {
+                id: id.clone(),
                 zone: list.zone_of(host),
                 cores: host.entry.cores,
                 weight: host.entry.weight,
-                warm: list.warm_fraction(id, now, self.start_share),
-                open: host.state == EndpointState::Ready,
+                warm_fraction: list.warm_fraction(id, now, self.start_share),
+                ready: host.state == EndpointState::Ready,
             })
             .collect()
     }
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -8,7 +8,7 @@
 use pondarch_config::Length;
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::{Event, Input, Output};
-use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
+use pondarch_load_report_protocol::{HostMetrics, ProxyCounters, Report, ReportBody, SenderRole};
 use pondarch_proxy_core::proxy_state::ProxyState;
 use pondarch_runtime_api::stat::RowType;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 /// A sender of pushed reports, with a clock of its own.
 struct ReportSender {
     name: String,
-    role: SenderIs,
+    role: SenderRole,
     connection: u64,
     incarnation: u64,
     /// Number of the latest report.
@@ -45,22 +45,22 @@
 }
 
 /// The body of a report with the counters of a proxy.
-fn report_body(state: &ProxyState) -> Body {
+fn report_body(state: &ProxyState) -> ReportBody {
     let counted = state.stat_rows().into_iter().map(|row| {
         let sums = row.sums.unwrap_or_default();
-        Counted {
+        ProxyCounters {
             backend: row.backend,
             server: (row.of == RowType::Server).then_some(row.server),
-            reqs: row.reqs,
-            done: sums.done,
-            errored: sums.errored,
-            done_us: sums.done_time.as_micros() as u64,
-            ..Counted::default()
+            requests: row.reqs,
+            succeeded: sums.done,
+            failed: sums.errored,
+            success_time_us: sums.done_time.as_micros() as u64,
+            ..ProxyCounters::default()
         }
     });
-    Body {
-        counted: counted.collect(),
-        own: None,
+    ReportBody {
+        counters: counted.collect(),
+        host_metrics: None,
     }
 }
 
@@ -70,7 +70,7 @@
         let name = format!("front-{n}");
         ReportSender {
             name,
-            role: SenderIs::Proxy,
+            role: SenderRole::Proxy,
             connection: 100 + n as u64,
             incarnation: 5,
             number: 0,
@@ -115,15 +115,15 @@
     }
 
     /// The next report, as of now.
-    fn report(&mut self, fleet: &SimulatedFleet, body: Body) -> Report {
+    fn report(&mut self, fleet: &SimulatedFleet, body: ReportBody) -> Report {
         self.number += 1;
         let sent_us = self.local_time(fleet.now);
         let had_us = sent_us - self.last_credit_us.1;
         Report {
             number: self.number,
             sent_us,
-            word_us: self.last_credit_us.0,
-            had_us,
+            echo_us: self.last_credit_us.0,
+            echo_delay_us: had_us,
             body,
         }
     }
--- a/crates/rehearsal/src/host.rs
+++ b/crates/rehearsal/src/host.rs
@@ -307,17 +307,17 @@
     }
 
     fn respond(&self, status: StatusCode, unprocessed: bool) -> Response<Empty<Bytes>> {
-        let (utilization, (rate, errored_rate)) = self.update_utilization(0, unprocessed);
+        let (utilization, (rate, rejection_rate)) = self.update_utilization(0, unprocessed);
         let load = Report {
-            busy: Some(utilization),
-            queue: Some(self.queued.load(Relaxed) as f64),
-            latency_ms: None,
-            rate: Some(rate),
-            errored_rate: Some(errored_rate),
+            utilization: Some(utilization),
+            queue_length: Some(self.queued.load(Relaxed) as f64),
+            service_time_ms: None,
+            request_rate: Some(rate),
+            failure_rate: Some(rejection_rate),
         };
         let mut response = Response::new(Empty::new());
         *response.status_mut() = status;
-        if let Ok(value) = load.write().parse() {
+        if let Ok(value) = load.to_header_value().parse() {
             response.headers_mut().insert(HEADER, value);
         }
         if unprocessed && let Ok(value) = "1".parse() {
--- a/crates/rehearsal/src/report_load.rs
+++ b/crates/rehearsal/src/report_load.rs
@@ -11,9 +11,9 @@
 use futures_util::{SinkExt, StreamExt};
 use minijinja::{Environment, context};
 use pondarch_event_log::Folder;
-use pondarch_load_report_protocol::message::VERSION;
+use pondarch_load_report_protocol::message::PROTOCOL_VERSION;
 use pondarch_load_report_protocol::{
-    Body, Codec, Counted, Hello, Sender, SenderIs, ToSender, ToSteward,
+    Codec, Hello, ProxyCounters, ReportBody, ReportSender, SenderRole, ToController, ToSender,
 };
 use pondarch_replay::export;
 use serde::Serialize;
@@ -328,25 +328,25 @@
     proxy: Arc<InterceptedProxy>,
     state: Arc<SenderState>,
 ) {
-    let mut sender = Sender::default();
-    let (mut rng, run) = (fastrand::Rng::with_seed(n as u64), now_us());
-    let mut counts: BTreeMap<(String, Option<String>), Counted> = BTreeMap::new();
+    let mut sender = ReportSender::default();
+    let (mut rng, incarnation) = (fastrand::Rng::with_seed(n as u64), now_us());
+    let mut counts: BTreeMap<(String, Option<String>), ProxyCounters> = BTreeMap::new();
     let mut last_report = Instant::now();
     while !state.stop.load(Relaxed) {
         let Ok(stream) = UnixStream::connect(&socket).await else {
             sleep(Duration::from_millis(200)).await;
             continue;
         };
-        let mut connection: Framed<UnixStream, Codec<ToSender, ToSteward>> =
+        let mut connection: Framed<UnixStream, Codec<ToSender, ToController>> =
             Framed::new(stream, Codec::default());
-        sender.connected();
+        sender.on_connected();
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             name: format!("front-{n}"),
-            is: SenderIs::Proxy,
-            run,
+            role: SenderRole::Proxy,
+            incarnation,
         };
-        if connection.send(&ToSteward::Hello(hello)).await.is_err() {
+        if connection.send(&ToController::Hello(hello)).await.is_err() {
             continue;
         }
         let mut rate_multiple = state.rate_multiple.load(Relaxed);
@@ -356,14 +356,14 @@
             tokio::select! {
                 message = connection.next() => match message {
                     Some(Ok(message)) => {
-                        if sender.heard(now_us(), message).is_some() {
+                        if sender.on_message(now_us(), message).is_some() {
                             break;
                         }
                     }
                     _ => break,
                 },
                 _ = ticks.tick() => {
-                    sender.period();
+                    sender.on_period_end();
                     if state.rate_multiple.load(Relaxed) != rate_multiple {
                         rate_multiple = state.rate_multiple.load(Relaxed);
                         ticks = interval(REPORT_INTERVAL / rate_multiple.max(1) as u32);
@@ -373,7 +373,7 @@
             }
             let new_requests = REQUEST_RATE * rate_multiple as f64 / proxy_count as f64
                 * last_report.elapsed().as_secs_f64();
-            let report = sender.next(now_us(), || {
+            let report = sender.next_report(now_us(), || {
                 last_report = Instant::now();
                 count_requests(
                     &proxy,
@@ -385,7 +385,11 @@
             });
             if let Some(report) = report {
                 state.reports_sent.fetch_add(1, Relaxed);
-                if connection.send(&ToSteward::Report(report)).await.is_err() {
+                if connection
+                    .send(&ToController::Report(report))
+                    .await
+                    .is_err()
+                {
                     break;
                 }
             }
@@ -396,25 +400,25 @@
 /// Adds this number of requests to the counts, spread at random over the hosts in the proxy's tables.
 fn count_requests(
     proxy: &InterceptedProxy,
-    counts: &mut BTreeMap<(String, Option<String>), Counted>,
+    counts: &mut BTreeMap<(String, Option<String>), ProxyCounters>,
     new_requests: f64,
     hosts_unresponsive: bool,
     rng: &mut fastrand::Rng,
-) -> Body {
+) -> ReportBody {
     let tables = proxy.mirror();
     let classes = tables.backends.len().max(1) as f64;
     for (name, backend) in &tables.backends {
         // A fractional request is rounded up or down at random.
         let requests = (new_requests / classes + rng.f64()) as u64;
-        let empty_count = |server: Option<&String>| Counted {
+        let empty_count = |server: Option<&String>| ProxyCounters {
             backend: name.clone(),
             server: server.cloned(),
-            ..Counted::default()
+            ..ProxyCounters::default()
         };
         counts
             .entry((name.clone(), None))
             .or_insert_with(|| empty_count(None))
-            .reqs += requests;
+            .requests += requests;
         let serving: Vec<&String> = backend
             .servers
             .iter()
@@ -434,13 +438,16 @@
                 continue;
             };
             match hosts_unresponsive && becomes_unresponsive(server) {
-                true => count.errored += 1,
-                false => (count.done, count.done_us) = (count.done + 1, count.done_us + 40_000),
+                true => count.failed += 1,
+                false => {
+                    (count.succeeded, count.success_time_us) =
+                        (count.succeeded + 1, count.success_time_us + 40_000)
+                }
             }
         }
     }
-    Body {
-        counted: counts.values().cloned().collect(),
-        own: None,
+    ReportBody {
+        counters: counts.values().cloned().collect(),
+        host_metrics: None,
     }
 }
