--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -3,7 +3,9 @@
 use crate::report_error;
 use clap::{Args, Subcommand, ValueEnum};
 use pondarch_rehearsal::bad_day::RehearsalError;
-use pondarch_rehearsal::{bad_day, flood, kills, storm, trial, weighing};
+use pondarch_rehearsal::{
+    bad_day, connection_storm, controller_kills, proxy_benchmark, report_load, weight_comparison,
+};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -158,14 +160,14 @@
                 return Err("the number of kills must be from 1 to 1000".into());
             }
             let folder = output.folder()?;
-            let report = kills::play(times, seed, &program, &folder)
+            let report = controller_kills::run(times, seed, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 output.remove_folder(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Rehearsal::BadDay {
             seed,
@@ -180,37 +182,40 @@
             } else {
                 bad_day::Plan::full(seed)
             };
-            let plan = plan.by(match fronts {
-                Fronts::Runtime => bad_day::Fronts::Runtime,
-                Fronts::Names => bad_day::Fronts::Names,
-                Fronts::Both => bad_day::Fronts::Both,
+            let plan = plan.with_table_source(match fronts {
+                Fronts::Runtime => bad_day::TableSource::RuntimeApi,
+                Fronts::Names => bad_day::TableSource::Dns,
+                Fronts::Both => bad_day::TableSource::Mixed,
             });
-            let plan = bad_day::Plan { records, ..plan };
-            let report = bad_day::play(plan, &program, &folder)
+            let plan = bad_day::Plan {
+                event_log: records,
+                ..plan
+            };
+            let report = bad_day::run(plan, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
-            if report.rules_held() {
+            if report.passed() {
                 output.remove_folder(&folder);
             } else {
                 eprintln!("pondarch: the stewards' logs are in {}", folder.display());
             }
-            Ok(report.rules_held())
+            Ok(report.passed())
         }
         Rehearsal::Proxy { reqs, seed, output } => {
             if !(1_000..=2_000_000).contains(&reqs) {
                 return Err("the number of requests must be from 1000 to 2000000".into());
             }
             let folder = output.folder()?;
-            let plan = trial::Plan::of(reqs, seed);
-            let report = trial::play(&plan, &program, &folder)
+            let plan = proxy_benchmark::Plan::with_requests(reqs, seed);
+            let report = proxy_benchmark::run(&plan, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 output.remove_folder(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Rehearsal::Weights {
             sites,
@@ -218,7 +223,7 @@
             loads,
             output,
         } => {
-            let mut plan = weighing::Plan::full(sites, stewards);
+            let mut plan = weight_comparison::Plan::full(sites, stewards);
             plan.loads = loads.unwrap_or(plan.loads);
             let is_valid = plan.loads.iter().all(|load| (0.05..=2.0).contains(load));
             if !(1..=20).contains(&sites) || !(1..=plan.proxies).contains(&stewards) || !is_valid {
@@ -228,14 +233,14 @@
                 );
             }
             let folder = output.folder()?;
-            let report = weighing::play(&plan, &program, &folder)
+            let report = weight_comparison::run(&plan, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
-            if report.holds() {
+            if report.passed() {
                 output.remove_folder(&folder);
             }
-            Ok(report.holds())
+            Ok(report.passed())
         }
         Rehearsal::Reports {
             proxies,
@@ -257,14 +262,14 @@
             }
             let folder = output.folder()?;
             let each = std::time::Duration::from_secs(each);
-            let plan = flood::Plan {
+            let plan = report_load::Plan {
                 proxies,
                 hosts,
-                times,
-                each,
+                rate_multiples: times,
+                step_duration: each,
                 lines_per_second: lines,
             };
-            let report = flood::play(&plan, &program, &folder)
+            let report = report_load::run(&plan, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
@@ -280,12 +285,12 @@
                 return Err("proxies must be from 1 to 1000 and hosts from 8 to 5000".into());
             }
             let folder = output.folder()?;
-            let plan = storm::Plan {
+            let plan = connection_storm::Plan {
                 proxies,
                 hosts,
-                ..storm::Plan::default()
+                ..connection_storm::Plan::default()
             };
-            let report = storm::play(&plan, &program, &folder)
+            let report = connection_storm::run(&plan, &program, &folder)
                 .await
                 .map_err(|error| error.to_string())?;
             output.print(&report, report.text())?;
--- a/crates/cli/tests/dns.rs
+++ b/crates/cli/tests/dns.rs
@@ -288,7 +288,7 @@
     let mut daemon = Daemon::start_at(dns, &dns_settings);
     let name = "_proof._tcp.plain.pond.test";
     let hosts = || {
-        let lines = secondary.copy().services(name);
+        let lines = secondary.zone_copy().services(name);
         lines
             .into_iter()
             .map(|(_, target)| target.split('.').next().unwrap_or("").to_string())
@@ -296,7 +296,7 @@
     };
     daemon.wait_until("the secondary has all hosts", || hosts().len() == 6);
     assert!(
-        secondary.counts().1 >= 1,
+        secondary.transfer_and_notification_counts().1 >= 1,
         "the secondary got no notification"
     );
     let drained_at = Instant::now();
@@ -319,7 +319,7 @@
         !daemon.ctl("show map secondaries").contains("behind")
     });
     secondary
-        .cut
+        .isolated
         .store(true, std::sync::atomic::Ordering::Relaxed);
     daemon.write_list(Some(3));
     daemon.wait_until("the secondary is behind", || {
@@ -333,7 +333,7 @@
             && daemon.ctl("show map lingering").contains("host-3")
     );
     secondary
-        .cut
+        .isolated
         .store(false, std::sync::atomic::Ordering::Relaxed);
     daemon.wait_until("the secondary has caught up", || {
         !hosts().contains(&"host-3".to_string())
@@ -341,13 +341,13 @@
     daemon.wait_until("cached answers have expired", || {
         !daemon.ctl("show map lingering").contains("host-3")
     });
-    let before = secondary.copy().serial;
+    let before = secondary.zone_copy().serial;
     let mut child = daemon.child.take().expect("no process");
     child.kill().expect("cannot kill the process");
     child.wait().expect("cannot wait for the process");
     daemon.run();
     daemon.wait_until("the restarted daemon has transferred the zone", || {
-        secondary.copy().serial > before
+        secondary.zone_copy().serial > before
     });
     daemon.wait_until(
         "the secondary has the hosts of the restarted daemon",
@@ -356,14 +356,14 @@
     let serial = daemon.info_value("NamesSerial");
     daemon.wait_until("the serials are equal", || {
         secondary
-            .copy()
+            .zone_copy()
             .serial
             .map(|serial| serial.to_string())
             .as_ref()
             == Some(&serial)
     });
     assert_eq!(
-        unauthorized.copy().serial,
+        unauthorized.zone_copy().serial,
         None,
         "a secondary without the secret got a copy"
     );
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -4,9 +4,9 @@
 // Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
 #![allow(clippy::too_many_lines)]
 
-use pondarch_rehearsal::client::Kind;
-use pondarch_rehearsal::facts::Facts;
-use pondarch_rehearsal::front::Front;
+use pondarch_rehearsal::client::RequestClass;
+use pondarch_rehearsal::intercepted_proxy::InterceptedProxy;
+use pondarch_rehearsal::observations::ObservationLog;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output};
 use std::time::{Duration, Instant};
@@ -136,34 +136,34 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-async fn start_proxies(folder: &Path) -> Vec<Front> {
-    let kind = Kind {
+async fn start_proxies(folder: &Path) -> Vec<InterceptedProxy> {
+    let kind = RequestClass {
         name: "proof",
         share: 1.0,
         work: Duration::from_millis(1),
-        response_target: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(4),
-        benefit: 1.0,
+        priority_weight: 1.0,
         replayable: true,
     };
     let mut proxies = Vec::new();
     for n in 0..PROXIES {
         let (list, name) = (folder.join("hosts.jsonnet"), format!("front-{n}"));
-        let proxy = Front::start(
+        let proxy = InterceptedProxy::start(
             &name,
             "ede",
             &["ede"],
             std::slice::from_ref(&kind),
             &list,
             n as u64,
-            Facts::default(),
+            ObservationLog::default(),
         );
         proxies.push(proxy.await.expect("no proxy"));
     }
     proxies
 }
 
-fn serves(proxy: &Front, host: &str) -> bool {
+fn serves(proxy: &InterceptedProxy, host: &str) -> bool {
     proxy.mirror().backends["proof"]
         .servers
         .get(host)
