--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -4,8 +4,8 @@
 use clap::Subcommand;
 use pondarch_config::read_site;
 use pondarch_event_log::{
-    Folder, LogFile, LogPolicy, RetentionConfig, UNLIMITED, list_file_names, list_segments,
-    remove_old_segments,
+    Folder, LogFile, LogPolicy, RetentionConfig, UNLIMITED_DURATION, list_file_names,
+    list_segments, remove_old_segments,
 };
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, RunReplay, replay};
 use pondarch_replay::segments::{InputNumbers, InputSequence, list};
@@ -116,7 +116,7 @@
                 rows += 1;
                 if row.category == export::RowCategory::Input
                     && let Some(InputNumbers { first, last }) =
-                        numbers.record_input(row.incarnation, row.number)
+                        numbers.observe_input(row.incarnation, row.number)
                 {
                     missing.push(format!(
                         "run {}: inputs {first} to {last} are missing",
@@ -126,7 +126,7 @@
                 if row.category == export::RowCategory::Gap {
                     let fields: serde_json::Value =
                         serde_json::from_str(&row.fields).unwrap_or_default();
-                    numbers.record_gap(
+                    numbers.observe_gap(
                         row.incarnation,
                         fields["last"].as_u64().unwrap_or(row.number),
                     );
@@ -163,8 +163,8 @@
             let retention = RetentionConfig {
                 segment_bytes: bytes,
                 total_bytes: bytes,
-                max_age: UNLIMITED,
-                sync_within: UNLIMITED,
+                max_age: UNLIMITED_DURATION,
+                sync_within: UNLIMITED_DURATION,
             };
             let held = list_segments(&disk).map_err(io)?;
             let newest = list_file_names(&disk)
--- a/crates/daemon/benches/recording/latency.rs
+++ b/crates/daemon/benches/recording/latency.rs
@@ -6,7 +6,7 @@
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
 use pondarch_daemon_core::{Input, Output, unix_micros};
-use pondarch_event_log::{DiskFault, Folder};
+use pondarch_event_log::{FaultyDisk, Folder};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -62,7 +62,7 @@
             .filter(|_| !matches!(recording, Recording::Off));
         let recorder = records.map(|records| {
             let open = move || {
-                let mut disk = DiskFault::new(Folder::lock(&path)?);
+                let mut disk = FaultyDisk::new(Folder::lock(&path)?);
                 disk.sync_delay = recording.sync_delay();
                 Ok(disk)
             };
--- a/crates/daemon/benches/recording/sizes.rs
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -5,7 +5,7 @@
 use pondarch_controller::Time;
 use pondarch_daemon::Clock;
 use pondarch_daemon_core::{Input, Output, unix_micros};
-use pondarch_event_log::{Disk, EventLog, Folder, RetentionConfig, UNLIMITED, frame};
+use pondarch_event_log::{Disk, EventLog, Folder, RetentionConfig, UNLIMITED_DURATION, frame};
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
 use pondarch_replay::{Decision, Record, recover};
 use std::path::Path;
@@ -42,8 +42,8 @@
         let retention = RetentionConfig {
             segment_bytes: 16 << 20,
             total_bytes: 4 << 30,
-            max_age: UNLIMITED,
-            sync_within: UNLIMITED,
+            max_age: UNLIMITED_DURATION,
+            sync_within: UNLIMITED_DURATION,
         };
         let folder = Folder::lock(folder).expect("a lock");
         let log = EventLog::new(folder, retention, unix_micros(at)).expect("a log");
@@ -74,7 +74,7 @@
             input,
         });
         if !outputs.is_empty() {
-            let decisions = outputs.iter().cloned().map(Decision::of).collect();
+            let decisions = outputs.iter().cloned().map(Decision::from_output).collect();
             self.push(&Record::Decided { number, decisions });
         }
         if self.frames.len() > 1 << 16 {
--- a/crates/daemon/src/recorder/writer.rs
+++ b/crates/daemon/src/recorder/writer.rs
@@ -163,7 +163,7 @@
                     batch.push(number, &record);
                 }
                 Entry::Decided { number, outputs } => {
-                    let decisions = outputs.into_iter().map(Decision::of).collect();
+                    let decisions = outputs.into_iter().map(Decision::from_output).collect();
                     batch.push(number, &Record::Decided { number, decisions });
                 }
                 Entry::Gap(gap) => {
--- a/crates/event-log/src/disk_fault.rs
+++ b/crates/event-log/src/faulty_disk.rs
@@ -6,7 +6,7 @@
 
 /// A disk that is slow, full or read-only on request.
 #[derive(Debug)]
-pub struct DiskFault<D> {
+pub struct FaultyDisk<D> {
     /// The disk behind it.
     pub disk: D,
     /// By how much each `sync` and `replace` takes longer.
@@ -17,11 +17,11 @@
     pub read_only: bool,
 }
 
-impl<D: Disk> DiskFault<D> {
+impl<D: Disk> FaultyDisk<D> {
     /// Without a fault so far.
     #[must_use]
-    pub fn new(disk: D) -> DiskFault<D> {
-        DiskFault {
+    pub fn new(disk: D) -> FaultyDisk<D> {
+        FaultyDisk {
             disk,
             sync_delay: Duration::ZERO,
             remaining_bytes: None,
@@ -45,7 +45,7 @@
     }
 }
 
-impl<D: Disk> Disk for DiskFault<D> {
+impl<D: Disk> Disk for FaultyDisk<D> {
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.reserve(0)?;
         self.disk.create(name)
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -23,13 +23,13 @@
     Torn,
     /// The checksum is not that of the bytes.
     #[error("a record's checksum does not fit")]
-    Checksum,
+    ChecksumMismatch,
     /// The length exceeds [`MAX_RECORD_BYTES`].
     #[error("a record of {0} bytes cannot be")]
-    Length(usize),
+    TooLong(usize),
     /// The bytes cannot be decompressed, or the flags are not known.
     #[error("a record cannot be unpacked")]
-    Compression,
+    Undecodable,
 }
 
 /// A record that was read.
@@ -73,18 +73,18 @@
     let length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
     let expected_checksum = u32::from_le_bytes([c0, c1, c2, c3]);
     if length > MAX_RECORD_BYTES {
-        return Err(FrameError::Length(length));
+        return Err(FrameError::TooLong(length));
     }
     let Some(body) = rest.get(..length) else {
         return Err(FrameError::Torn);
     };
     if checksum(flags, body) != expected_checksum {
-        return Err(FrameError::Checksum);
+        return Err(FrameError::ChecksumMismatch);
     }
     let record = match flags {
         FLAGS_PLAIN => body.to_vec(),
         FLAGS_COMPRESSED => decompress(body)?,
-        _ => return Err(FrameError::Compression),
+        _ => return Err(FrameError::Undecodable),
     };
     Ok(Some(Frame {
         record,
@@ -98,10 +98,10 @@
         .first_chunk::<4>()
         .map_or(0, |size| u32::from_le_bytes(*size) as usize);
     if size > MAX_RECORD_BYTES {
-        return Err(FrameError::Length(size));
+        return Err(FrameError::TooLong(size));
     }
     // The decompressor's own error says no more than the variant does.
-    lz4_flex::decompress_size_prepended(body).map_err(|_| FrameError::Compression)
+    lz4_flex::decompress_size_prepended(body).map_err(|_| FrameError::Undecodable)
 }
 
 fn checksum(flags: u8, bytes: &[u8]) -> u32 {
--- a/crates/event-log/src/log.rs
+++ b/crates/event-log/src/log.rs
@@ -95,7 +95,7 @@
             self.open_segment(first_input)?;
         }
         self.disk.append(frames)?;
-        if self.policy.record_written(now, frames.len() as u64) {
+        if self.policy.on_written(now, frames.len() as u64) {
             self.sync()?;
             self.is_segment_open = false;
             remove_old_segments(&mut self.disk, &self.policy, now, self.first_needed)?;
@@ -110,7 +110,7 @@
         self.segment_number = self.next_number;
         self.next_number += 1;
         self.is_segment_open = true;
-        self.policy.record_opened();
+        self.policy.on_segment_opened();
         self.disk.append(&segment::write_header(&SegmentHeader {
             incarnation: self.incarnation,
             first_input,
@@ -128,13 +128,13 @@
 
     fn sync(&mut self) -> io::Result<()> {
         self.disk.sync()?;
-        self.policy.record_synced();
+        self.policy.on_synced();
         Ok(())
     }
 
     fn stop(&mut self, now: Time, error: &io::Error) {
         self.is_segment_open = false;
-        self.policy.record_failed(now, error.to_string());
+        self.policy.on_failed(now, error.to_string());
     }
 
     /// Writes a snapshot of the state after all that was written. Gives whether it was written.
--- a/crates/event-log/src/policy.rs
+++ b/crates/event-log/src/policy.rs
@@ -11,7 +11,7 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(30_000);
 
 /// A duration that no record outlives.
-pub const UNLIMITED: Duration = Duration::from_millis(u64::MAX / 10_000);
+pub const UNLIMITED_DURATION: Duration = Duration::from_millis(u64::MAX / 10_000);
 
 /// What is retained, and when it is synced.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -95,12 +95,12 @@
     }
 
     /// A new segment was opened.
-    pub fn record_opened(&mut self) {
+    pub fn on_segment_opened(&mut self) {
         self.segment_bytes = 0;
     }
 
     /// Bytes were written to the open segment. Gives whether the segment is full.
-    pub fn record_written(&mut self, now: Time, bytes: u64) -> bool {
+    pub fn on_written(&mut self, now: Time, bytes: u64) -> bool {
         self.disk = DiskState::Working;
         self.unsynced_since.get_or_insert(now);
         self.segment_bytes += bytes;
@@ -108,13 +108,13 @@
     }
 
     /// All that was written is synced: the disk works.
-    pub fn record_synced(&mut self) {
+    pub fn on_synced(&mut self) {
         self.unsynced_since = None;
         self.failures = 0;
     }
 
     /// A write or a sync failed.
-    pub fn record_failed(&mut self, now: Time, reason: String) {
+    pub fn on_failed(&mut self, now: Time, reason: String) {
         let delay = MIN_RETRY_DELAY
             .scaled(f64::from(1u32 << self.failures.min(16)))
             .min(MAX_RETRY_DELAY);
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -29,15 +29,15 @@
 pub enum SegmentError {
     /// It does not begin as a segment does.
     #[error("it is no file of records")]
-    Foreign,
+    NotASegment,
     /// A newer program wrote it.
     #[error(
         "it has format {0}, and this program reads {FORMAT}: use the program that wrote it, or a newer one"
     )]
-    Newer(u16),
+    NewerFormat(u16),
     /// Its header is torn or damaged.
     #[error("its head is torn or its checksum does not fit")]
-    Header,
+    DamagedHeader,
 }
 
 /// Why reading a segment ended.
@@ -77,21 +77,21 @@
 pub fn read_header(bytes: &[u8]) -> Result<SegmentHeader, SegmentError> {
     if !bytes.starts_with(&MAGIC) {
         return Err(if MAGIC.starts_with(bytes) {
-            SegmentError::Header
+            SegmentError::DamagedHeader
         } else {
-            SegmentError::Foreign
+            SegmentError::NotASegment
         });
     }
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
-        return Err(SegmentError::Header);
+        return Err(SegmentError::DamagedHeader);
     };
     let checksum = u32::from_le_bytes([header[28], header[29], header[30], header[31]]);
     if crc32fast::hash(&header[..CHECKED_BYTES]) != checksum {
-        return Err(SegmentError::Header);
+        return Err(SegmentError::DamagedHeader);
     }
     let format = u16::from_le_bytes([header[8], header[9]]);
     if format > FORMAT {
-        return Err(SegmentError::Newer(format));
+        return Err(SegmentError::NewerFormat(format));
     }
     let u64_at = |offset: usize| u64::from_le_bytes(std::array::from_fn(|n| header[offset + n]));
     Ok(SegmentHeader {
--- a/crates/event-log/tests/policy.rs
+++ b/crates/event-log/tests/policy.rs
@@ -21,24 +21,24 @@
 #[test]
 fn retries_of_a_failed_disk_back_off() {
     let mut policy = LogPolicy::new(retention());
-    policy.record_written(at(0), 10);
+    policy.on_written(at(0), 10);
     assert_eq!(policy.sync_at(), Some(at(100)));
     let mut retries = Vec::new();
     for ms in 0..20_000 {
         if policy.may_write(at(ms)) {
             retries.push(ms);
-            policy.record_failed(at(ms), "full".into());
+            policy.on_failed(at(ms), "full".into());
         }
     }
     assert_eq!(retries, [0, 500, 1_500, 3_500, 7_500, 15_500]);
     assert!(matches!(policy.disk_state(), DiskState::Failed { since, .. } if *since == at(0)));
-    policy.record_written(at(31_500), 10);
-    policy.record_synced();
+    policy.on_written(at(31_500), 10);
+    policy.on_synced();
     assert_eq!(
         (policy.disk_state(), policy.sync_at()),
         (&DiskState::Working, None)
     );
-    policy.record_failed(at(40_000), "full".into());
+    policy.on_failed(at(40_000), "full".into());
     assert!(policy.may_write(at(40_500)), "it worked in between");
 }
 
--- a/crates/event-log/tests/segment.rs
+++ b/crates/event-log/tests/segment.rs
@@ -13,17 +13,17 @@
     assert_eq!(read_header(&bytes), Ok(header));
     assert_eq!(
         read_header(b"nonsense that is long enough for a head"),
-        Err(SegmentError::Foreign)
+        Err(SegmentError::NotASegment)
     );
     for cut in 0..HEADER_BYTES {
-        assert_eq!(read_header(&bytes[..cut]), Err(SegmentError::Header));
+        assert_eq!(read_header(&bytes[..cut]), Err(SegmentError::DamagedHeader));
     }
     let mut newer = bytes[..28].to_vec();
     newer[8] = 2;
     let checksum = crc32fast::hash(&newer);
     newer.extend(checksum.to_le_bytes());
-    assert_eq!(read_header(&newer), Err(SegmentError::Newer(2)));
+    assert_eq!(read_header(&newer), Err(SegmentError::NewerFormat(2)));
     let mut flipped = bytes;
     flipped[14] ^= 1;
-    assert_eq!(read_header(&flipped), Err(SegmentError::Header));
+    assert_eq!(read_header(&flipped), Err(SegmentError::DamagedHeader));
 }
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -7,7 +7,7 @@
 use pondarch_config::site_from_text;
 use pondarch_controller::{DurationExt, Time};
 use pondarch_daemon_core::{Core, Input, Output, ReportedLoad};
-use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED, frame};
+use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED_DURATION, frame};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_replay::{Boot, Decision, Record, RunStart, Snapshot, recover};
 use pondarch_runtime_api::{AdminState, command};
@@ -91,7 +91,7 @@
     fn start(folder: &Path, incarnation: u64, now: u64) -> Result<Run, Box<dyn Error>> {
         let site = site_from_text(&settings())?;
         let sync_within = Duration::from_millis(100);
-        let max_age = UNLIMITED;
+        let max_age = UNLIMITED_DURATION;
         let retention = RetentionConfig {
             segment_bytes: SEGMENT_BYTES,
             total_bytes: 1 << 30,
@@ -155,7 +155,7 @@
         let (n, at_us) = (self.number, self.now);
         self.core.handle(Time::from_micros(at_us), input.clone());
         let outputs: Vec<Output> = std::iter::from_fn(|| self.core.next_output()).collect();
-        let decisions: Vec<Decision> = outputs.iter().cloned().map(Decision::of).collect();
+        let decisions: Vec<Decision> = outputs.iter().cloned().map(Decision::from_output).collect();
         let mut records = vec![Record::Input {
             number: n,
             at_us,
--- a/crates/replay/src/record.rs
+++ b/crates/replay/src/record.rs
@@ -113,7 +113,7 @@
 impl Decision {
     /// What is recorded of an output.
     #[must_use]
-    pub fn of(output: Output) -> Decision {
+    pub fn from_output(output: Output) -> Decision {
         match output {
             Output::Reply { caller, text } => Decision::Reply {
                 caller,
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -153,7 +153,7 @@
             if recoverer.from != InputPosition::default() {
                 recoverer
                     .sequence
-                    .record_gap(snapshot.incarnation, snapshot.number);
+                    .observe_gap(snapshot.incarnation, snapshot.number);
             }
         }
         recoverer
@@ -185,7 +185,7 @@
                 input,
             } if is_new(number) => {
                 if let Some(InputNumbers { first, last }) =
-                    self.sequence.record_input(incarnation, number)
+                    self.sequence.observe_input(incarnation, number)
                 {
                     self.add_missing(segment, ReplayFaultCause::MissingInputs { first, last });
                 }
@@ -199,7 +199,7 @@
                 last,
                 reason,
             } if is_new(last) => {
-                self.sequence.record_gap(incarnation, last);
+                self.sequence.observe_gap(incarnation, last);
                 self.add_missing(
                     segment,
                     ReplayFaultCause::NotRecorded {
--- a/crates/replay/src/run_replay.rs
+++ b/crates/replay/src/run_replay.rs
@@ -275,7 +275,7 @@
             return Err(ReplayStop::FirstInput(number));
         }
         if let Some(InputNumbers { first, last }) =
-            self.sequence.record_input(self.report.incarnation, number)
+            self.sequence.observe_input(self.report.incarnation, number)
         {
             return Err(ReplayStop::MissingInputs { first, last });
         }
@@ -283,7 +283,7 @@
         self.report.recorded_duration = Duration::from_micros(at_us.saturating_sub(self.start_us));
         self.core.handle(Time::from_micros(at_us), input.clone());
         let decisions: Vec<Decision> = std::iter::from_fn(|| self.core.next_output())
-            .map(Decision::of)
+            .map(Decision::from_output)
             .collect();
         self.report.decisions += decisions.len() as u64;
         self.last = Some(ReplayedInput {
--- a/crates/replay/src/segments.rs
+++ b/crates/replay/src/segments.rs
@@ -126,7 +126,7 @@
 
 impl InputSequence {
     /// An input was read. Gives those that are missing before it.
-    pub fn record_input(&mut self, incarnation: u64, number: u64) -> Option<InputNumbers> {
+    pub fn observe_input(&mut self, incarnation: u64, number: u64) -> Option<InputNumbers> {
         let last = self.last.filter(|_| self.incarnation == incarnation);
         self.incarnation = incarnation;
         self.last = Some(number);
@@ -138,7 +138,7 @@
     }
 
     /// A gap up to this input is on record: it is not missing without a word.
-    pub fn record_gap(&mut self, incarnation: u64, last: u64) {
+    pub fn observe_gap(&mut self, incarnation: u64, last: u64) {
         self.incarnation = incarnation;
         self.last = Some(last);
     }
--- a/crates/replay/src/what_if.rs
+++ b/crates/replay/src/what_if.rs
@@ -2,17 +2,17 @@
 //!
 //! - [`scenario`]: the external inputs as a file.
 //! - [`extract`]: the scenario of a recorded run.
-//! - [`player`]: a core that a scenario is given to.
+//! - [`replayer`]: a core that a scenario is given to.
 //! - [`result`]: what the core decided, in figures.
 //! - `simulated_proxy`: the proxies that the core talks to.
 
 pub mod extract;
-pub mod player;
+pub mod replayer;
 pub mod result;
 pub mod scenario;
 mod simulated_proxy;
 
 pub use extract::{ExtractedScenario, extract_scenario};
-pub use player::replay_scenario;
+pub use replayer::replay_scenario;
 pub use result::WhatIfResult;
 pub use scenario::{ExternalInput, HostAttempts, Scenario, ScenarioEvent};
--- a/crates/replay/src/what_if/player.rs
+++ b/crates/replay/src/what_if/replayer.rs
@@ -36,13 +36,13 @@
     let own = site_from_text(&scenario.settings).map_err(ReplayError::Settings)?;
     let site = other.cloned().unwrap_or_else(|| own.clone());
     let proxies = proxy_numbers(&own, &site)?;
-    let mut player = Player::new(site, seed, scenario.at_us);
+    let mut replayer = ScenarioReplayer::new(site, seed, scenario.at_us);
     for event in &scenario.events {
-        player.run_until(scenario.at_us + event.after_us);
-        player.apply(&event.input, &proxies);
+        replayer.run_until(scenario.at_us + event.after_us);
+        replayer.apply(&event.input, &proxies);
     }
-    player.run_until(player.now_us + AFTER_LAST_INPUT_US);
-    Ok(player.result)
+    replayer.run_until(replayer.now_us + AFTER_LAST_INPUT_US);
+    Ok(replayer.result)
 }
 
 /// The number in the settings of each proxy of the scenario, found by its name.
@@ -63,7 +63,7 @@
 }
 
 /// A core and the proxies that it talks to, in simulated time.
-struct Player {
+struct ScenarioReplayer {
     core: Core,
     site: Site,
     now_us: u64,
@@ -77,8 +77,8 @@
     result: WhatIfResult,
 }
 
-impl Player {
-    fn new(site: Site, seed: u64, at_us: u64) -> Player {
+impl ScenarioReplayer {
+    fn new(site: Site, seed: u64, at_us: u64) -> ScenarioReplayer {
         let backends: Vec<String> = site
             .kinds
             .iter()
@@ -89,7 +89,7 @@
             SimulatedProxy::new(ProxyState::new(&proxy.name, number as u64 + 1, &backends))
         };
         let proxies = site.proxies.iter().enumerate().map(proxy).collect();
-        Player {
+        ScenarioReplayer {
             core: Core::new(&site, seed, 0, at_us, Time::from_micros(at_us)),
             site,
             now_us: at_us,
--- a/crates/replay/tests/recovery/damaged_files.rs
+++ b/crates/replay/tests/recovery/damaged_files.rs
@@ -3,7 +3,7 @@
 use crate::harness::{RecordedRun, START, Step, apply_steps, last_segment, recover_folder};
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::Input;
-use pondarch_event_log::{DiskFault, Folder, SegmentReader, frame, list_file_names, segment};
+use pondarch_event_log::{FaultyDisk, Folder, SegmentReader, frame, list_file_names, segment};
 use pondarch_replay::Record;
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
 
@@ -132,7 +132,7 @@
 #[test]
 fn a_full_disk_leaves_a_recorded_gap_and_writing_resumes() {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = DiskFault::new(Folder::lock(folder.path()).expect("a lock"));
+    let disk = FaultyDisk::new(Folder::lock(folder.path()).expect("a lock"));
     let mut run = RecordedRun::start(disk, 1 << 20, false, START, START);
     apply_steps(&mut run, &[Step::Wait(100)]);
     run.log.disk_mut().remaining_bytes = Some(700);
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -5,7 +5,7 @@
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, RecoveredState};
 use pondarch_event_log::{
-    Disk, EventLog, Folder, RetentionConfig, UNLIMITED, frame, list_file_names,
+    Disk, EventLog, Folder, RetentionConfig, UNLIMITED_DURATION, frame, list_file_names,
 };
 use pondarch_replay::{Decision, Record, Recovery, RunStart, Snapshot, recover};
 use proptest::prelude::*;
@@ -62,7 +62,7 @@
 
 fn retention(segment_bytes: u64) -> RetentionConfig {
     // Times here are not those of the files.
-    let max_age = UNLIMITED;
+    let max_age = UNLIMITED_DURATION;
     RetentionConfig {
         segment_bytes,
         total_bytes: 1 << 30,
@@ -112,7 +112,7 @@
         let at = Time::from_micros(self.now);
         self.core.handle(at, input.clone());
         let decisions: Vec<Decision> = std::iter::from_fn(|| self.core.next_output())
-            .map(Decision::of)
+            .map(Decision::from_output)
             .collect();
         let mut frames = Vec::new();
         if let Some((first, last)) = self.gap {
