--- a/crates/event-log/src/disk.rs
+++ b/crates/event-log/src/disk.rs
@@ -1,5 +1,5 @@
-//! The folder that holds a log: locked by one program at a time, with files that are appended to and files that are
-//! replaced as a whole.
+//! The folder that holds an event log: locked by one process at a time, with append-only files and files that are
+//! replaced atomically.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -9,50 +9,50 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// A file in a folder. In order of names.
+/// A file in the folder. Ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileEntry {
-    /// Its name in the folder.
+    /// File name within the folder.
     pub name: String,
-    /// Its size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was last changed, in microseconds since 1970.
+    /// Last modification, in microseconds since the Unix epoch.
     pub modified_us: u64,
 }
 
-/// What a log needs of a disk. Every call fails with the error of the system.
+/// The file operations that an event log needs. Every call fails with the error of the operating system.
 pub trait Disk {
-    /// Creates a file, which `append` and `sync` are for from now on.
+    /// Creates a file and makes it the target of `append` and `sync`.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends to the file that was created last.
+    /// Appends to the most recently created file.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Ensures that what was appended outlives a stop of the machine.
+    /// Flushes the appended bytes to stable storage.
     fn sync(&mut self) -> io::Result<()>;
-    /// Gives a file this content: all of it or, after a stop of the machine, the content before.
+    /// Replaces the content of a file atomically: after a crash of the machine it has either the old or the new content.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Reads the start of a file, up to this length.
+    /// Reads at most the first `bytes` bytes of a file.
     fn read_start(&self, name: &str, bytes: usize) -> io::Result<Vec<u8>>;
-    /// The files, in order of names.
+    /// Returns the files, ordered by name.
     fn list(&self) -> io::Result<Vec<FileEntry>>;
 }
 
-/// Why a folder cannot be locked.
+/// The reason why a folder cannot be locked.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum LockError {
-    /// Another program holds its lock.
+    /// Another process holds the lock.
     #[error("{0}: another program writes records there")]
     Held(PathBuf),
-    /// It cannot be created, or its lock file cannot be opened.
+    /// The folder cannot be created, or its lock file cannot be opened.
     #[error("{path}: {source}")]
     Io {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -61,17 +61,18 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    appended: Option<File>,
-    /// Held until dropped, and released by the system also if the program is killed.
+    /// The most recently created file.
+    append_file: Option<File>,
+    /// Held until dropped; the operating system also releases it if the process is killed.
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// For writing: created if it does not exist, and locked.
+    /// Opens a folder for writing: creates it if it does not exist, and locks it.
     ///
     /// # Errors
     ///
-    /// Another program holds it, or it cannot be created.
+    /// Another process holds the lock, or the folder cannot be created.
     pub fn lock(path: &Path) -> Result<Folder, LockError> {
         let io_error = |source| LockError::Io {
             path: path.to_path_buf(),
@@ -86,7 +87,7 @@
         match lock.try_lock() {
             Ok(()) => Ok(Folder {
                 path: path.to_path_buf(),
-                appended: None,
+                append_file: None,
                 _lock: Some(lock),
             }),
             Err(TryLockError::WouldBlock) => Err(LockError::Held(path.to_path_buf())),
@@ -94,12 +95,12 @@
         }
     }
 
-    /// For reading alone, also while another program writes.
+    /// Opens a folder for reading only, which also works while another process writes to it.
     #[must_use]
     pub fn read_only(path: &Path) -> Folder {
         Folder {
             path: path.to_path_buf(),
-            appended: None,
+            append_file: None,
             _lock: None,
         }
     }
@@ -111,27 +112,27 @@
             .create_new(true)
             .append(true)
             .open(self.path.join(name))?;
-        self.appended = Some(file);
+        self.append_file = Some(file);
         File::open(&self.path)?.sync_all()
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.appended
+        self.append_file
             .as_mut()
             .ok_or(io::ErrorKind::NotFound)?
             .write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.appended.as_ref().map_or(Ok(()), File::sync_data)
+        self.append_file.as_ref().map_or(Ok(()), File::sync_data)
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let part = self.path.join(format!("{name}.part"));
-        let mut file = File::create(&part)?;
+        let temporary = self.path.join(format!("{name}.part"));
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&part, self.path.join(name))?;
+        fs::rename(&temporary, self.path.join(name))?;
         File::open(&self.path)?.sync_all()
     }
 
@@ -176,7 +177,7 @@
     }
 }
 
-/// The wall clock in microseconds since 1970, as [`Disk::list`] gives times.
+/// Returns the wall clock time in microseconds since the Unix epoch, the time base of [`Disk::list`].
 #[must_use]
 pub fn now_us() -> u64 {
     SystemTime::now()
--- a/crates/event-log/src/faulty_disk.rs
+++ b/crates/event-log/src/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A disk with injected faults, over a real one: for tests, rehearsals and measurements.
+//! A wrapper around a disk that injects faults, for tests, rehearsals and benchmarks.
 
 use crate::disk::{Disk, FileEntry};
 use std::io;
@@ -7,18 +7,18 @@
 /// A disk that is slow, full or read-only on request.
 #[derive(Debug)]
 pub struct FaultyDisk<D> {
-    /// The disk behind it.
+    /// The wrapped disk.
     pub disk: D,
-    /// By how much each `sync` and `replace` takes longer.
+    /// Added to the duration of each `sync` and `replace`.
     pub sync_delay: Duration,
-    /// Bytes that still fit; none: no limit.
+    /// Free space in bytes; `None` means unlimited.
     pub remaining_bytes: Option<u64>,
-    /// Whether every write fails as on a read-only file system.
+    /// Whether every write fails as it does on a read-only file system.
     pub read_only: bool,
 }
 
 impl<D: Disk> FaultyDisk<D> {
-    /// Without a fault so far.
+    /// Wraps a disk without any fault.
     #[must_use]
     pub fn new(disk: D) -> FaultyDisk<D> {
         FaultyDisk {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes the bytes off what still fits, or fails as the disk would.
+    /// Subtracts the bytes from the free space, or fails as a full or read-only disk does.
     fn reserve(&mut self, bytes: u64) -> io::Result<()> {
         if self.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
@@ -52,9 +52,9 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        // What still fits is written: a full disk tears a record.
-        let too_small = |remaining: &u64| *remaining < bytes.len() as u64;
-        if let Some(remaining) = self.remaining_bytes.filter(too_small) {
+        // Like a real disk, writes the part that still fits, which leaves a torn record.
+        let is_too_small = |remaining: &u64| *remaining < bytes.len() as u64;
+        if let Some(remaining) = self.remaining_bytes.filter(is_too_small) {
             self.disk.append(&bytes[..remaining as usize])?;
             self.remaining_bytes = Some(0);
         }
--- a/crates/event-log/src/files.rs
+++ b/crates/event-log/src/files.rs
@@ -1,26 +1,27 @@
-//! The files of a log: records in segments `<number>.rec`, snapshots in `<number>.snap`, numbered in one sequence over
-//! all runs, so that what belongs together sorts together.
+//! The files of an event log: segments `<number>.rec` and snapshots `<number>.snap`. All runs share one sequence of
+//! numbers, so that a snapshot sorts next to the segments of its time.
 
 use crate::disk::{Disk, FileEntry};
 use crate::policy::{LogPolicy, SegmentInfo};
 use pondarch_controller::Time;
 use std::io;
 
+/// File name suffix of a segment.
 const SEGMENT_SUFFIX: &str = ".rec";
-/// Ending of a snapshot's name.
+/// File name suffix of a snapshot.
 pub(crate) const SNAPSHOT_SUFFIX: &str = ".snap";
 
-/// A file of a log, by its name.
+/// A file of an event log, as its name identifies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFile {
-    /// A segment and its number.
+    /// The segment with this number.
     Segment(u64),
-    /// A snapshot and its number.
+    /// The snapshot with this number.
     Snapshot(u64),
 }
 
 impl LogFile {
-    /// The file of this name; none: it is no file of a log.
+    /// Parses a file name; returns `None` if it does not belong to an event log.
     #[must_use]
     pub fn parse(name: &str) -> Option<LogFile> {
         if let Some(number) = name.strip_suffix(SNAPSHOT_SUFFIX) {
@@ -30,7 +31,7 @@
         number.parse().ok().map(LogFile::Segment)
     }
 
-    /// Its name in the folder.
+    /// Returns the file name.
     #[must_use]
     pub fn name(self) -> String {
         match self {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Its number in the sequence.
+    /// Returns the number in the sequence that segments and snapshots share.
     #[must_use]
     pub fn number(self) -> u64 {
         match self {
@@ -48,16 +49,16 @@
     }
 }
 
-/// Names of the files of a log, each list oldest first.
+/// File names of an event log, each list oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FileNames {
-    /// Names of the segments.
+    /// File names of the segments.
     pub segments: Vec<String>,
-    /// Names of the snapshots.
+    /// File names of the snapshots.
     pub snapshots: Vec<String>,
 }
 
-/// The names of the segments and of the snapshots of a folder.
+/// Lists the file names of the segments and snapshots in a folder.
 ///
 /// # Errors
 ///
@@ -74,7 +75,7 @@
     Ok(names)
 }
 
-/// The segments of a folder, oldest first.
+/// Lists the segments in a folder, oldest first.
 ///
 /// # Errors
 ///
@@ -91,7 +92,8 @@
     Ok(disk.list()?.into_iter().filter_map(to_segment).collect())
 }
 
-/// Removes the segments that exceed what is retained, but none from number `first_needed` on; gives how many.
+/// Removes the oldest segments that exceed the retention limits, but none numbered `first_needed` or higher. Returns how
+/// many were removed.
 ///
 /// # Errors
 ///
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -1,47 +1,47 @@
-//! One record as bytes: length, checksum, flags, and the record itself, compressed if that makes it smaller.
+//! The frame around a record: length, checksum, flags, and the record, compressed if that makes it smaller.
 //!
-//! `length u32 | crc32 u32 | flags u8 | bytes`, numbers little-endian; the checksum is over flags and bytes.
+//! `length u32 | crc32 u32 | flags u8 | bytes`, numbers little-endian; the checksum covers the flags and the bytes.
 
 use thiserror::Error;
 
-/// Bytes before a record's own.
+/// Size of the frame header, which precedes the record.
 pub const HEADER_BYTES: usize = 9;
-/// Longest record, as it is in the file and decompressed: anything longer is a damaged length.
+/// Maximum size of a record, both as stored and decompressed. A greater length is treated as damage.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
-/// Compressing a shorter record is not worth it.
+/// Minimum size of a record that is compressed; compressing a shorter one is not worth the time.
 const MIN_COMPRESSED_BYTES: usize = 256;
 
 const FLAGS_PLAIN: u8 = 0;
 const FLAGS_COMPRESSED: u8 = 1;
 
-/// Why a record cannot be read.
+/// The reason why a record cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum FrameError {
-    /// The bytes end before the record does.
-    #[error("it ends within a record")]
+    /// The bytes end before the end of the record.
+    #[error("the file ends within a record")]
     Torn,
-    /// The checksum is not that of the bytes.
-    #[error("a record's checksum does not fit")]
+    /// The checksum does not match the bytes.
+    #[error("a record does not match its checksum")]
     ChecksumMismatch,
     /// The length exceeds [`MAX_RECORD_BYTES`].
-    #[error("a record of {0} bytes cannot be")]
+    #[error("a record length of {0} bytes exceeds the maximum")]
     TooLong(usize),
-    /// The bytes cannot be decompressed, or the flags are not known.
-    #[error("a record cannot be unpacked")]
+    /// The bytes cannot be decompressed, or the flags are unknown.
+    #[error("a record cannot be decompressed or has unknown flags")]
     Undecodable,
 }
 
-/// A record that was read.
+/// A record read from its frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The record, decompressed.
+    /// The decompressed record.
     pub record: Vec<u8>,
-    /// Bytes that it takes in the file, with its header.
+    /// Size of the frame in the file, including the header.
     pub frame_bytes: usize,
 }
 
-/// Appends a record to `out`.
+/// Appends a frame with this record to `out`.
 pub fn write(out: &mut Vec<u8>, record: &[u8]) {
     let compressed =
         (record.len() >= MIN_COMPRESSED_BYTES).then(|| lz4_flex::compress_prepend_size(record));
@@ -57,7 +57,7 @@
     out.extend(bytes);
 }
 
-/// Reads the record at the start of `bytes`; none if there are no bytes.
+/// Reads the record at the start of `bytes`; returns `None` if `bytes` is empty.
 ///
 /// # Errors
 ///
@@ -93,14 +93,14 @@
 }
 
 fn decompress(body: &[u8]) -> Result<Vec<u8>, FrameError> {
-    // The size comes first: a damaged one must not make us reserve more than any record takes.
+    // The decompressed size comes first. It is checked so that a damaged size cannot allocate more than any record takes.
     let size = body
         .first_chunk::<4>()
         .map_or(0, |size| u32::from_le_bytes(*size) as usize);
     if size > MAX_RECORD_BYTES {
         return Err(FrameError::TooLong(size));
     }
-    // The decompressor's own error says no more than the variant does.
+    // The error of the decompressor carries no more information than the variant.
     lz4_flex::decompress_size_prepended(body).map_err(|_| FrameError::Undecodable)
 }
 
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,14 +1,14 @@
-//! An append-only log of records in segments, the snapshots beside it, and the rules by which both are retained. What a
-//! record means is not known here.
+//! An append-only event log of records in segments, its snapshots, and the retention rules for both. Records are opaque
+//! bytes to this package.
 //!
-//! - [`frame`]: one record as bytes, with its length and checksum.
-//! - [`segment`]: a file of records: its header, and reading it up to where it is damaged.
-//! - [`policy`]: when to sync, when to begin a new segment, which segments to remove, when to retry a failed disk. No
-//!   I/O and no clock.
-//! - [`disk`]: the folder: its lock, files that are appended to, files that are replaced as a whole.
-//! - [`faulty_disk`]: a disk with injected faults, for tests, rehearsals and measurements.
-//! - [`files`]: the names of the files of a log, and listing them.
-//! - [`log`]: writing, by what [`policy`] decides.
+//! - [`frame`]: the frame of a record, with its length and checksum.
+//! - [`segment`]: a file of records: its header, and a reader that stops at the first damaged record.
+//! - [`policy`]: when to sync, when to begin a new segment, which segments to remove, when to retry a failed disk. It
+//!   has no I/O and no clock.
+//! - [`disk`]: the folder: its lock, append-only files, files that are replaced atomically.
+//! - [`faulty_disk`]: a disk with injected faults, for tests, rehearsals and benchmarks.
+//! - [`files`]: the file names of a log, listing them, and removing old segments.
+//! - [`log`]: the writer, which follows the decisions of [`policy`].
 
 pub mod disk;
 pub mod faulty_disk;
--- a/crates/event-log/src/log.rs
+++ b/crates/event-log/src/log.rs
@@ -1,4 +1,4 @@
-//! Writing the log of a run: its segments and snapshots, as [`crate::policy`] decides.
+//! The writer of the event log of a run: segments and snapshots, as [`crate::policy`] decides.
 
 use crate::disk::Disk;
 use crate::files::{LogFile, SNAPSHOT_SUFFIX, remove_old_segments};
@@ -9,36 +9,36 @@
 use std::io;
 use thiserror::Error;
 
-/// Snapshots that are retained: the newest, and one more in case that is damaged.
+/// Number of retained snapshots: the newest, and one more in case the newest is damaged.
 const RETAINED_SNAPSHOTS: usize = 2;
 
-/// Why a log cannot be opened.
+/// The reason why an event log cannot be opened.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum LogError {
     /// The folder cannot be read.
-    #[error("the folder of records: {0}")]
+    #[error("cannot read the event log folder: {0}")]
     Folder(#[from] io::Error),
 }
 
-/// A log that a run writes.
+/// The event log of the current run.
 #[derive(Debug)]
 pub struct EventLog<D> {
     disk: D,
     policy: LogPolicy,
     incarnation: u64,
-    /// Number of the next file.
+    /// Number of the next segment or snapshot.
     next_number: u64,
     /// Whether the last segment of this run is open.
     is_segment_open: bool,
     /// Number of the last segment of this run.
     segment_number: u64,
-    /// Segments from here on are needed by the newest snapshot, or by a run that has none yet.
+    /// First segment that must be retained: the newest snapshot, or a run without a snapshot, needs it and later ones.
     first_needed: u64,
 }
 
 impl<D: Disk> EventLog<D> {
-    /// A log in this folder, for this incarnation; nothing is written yet.
+    /// Creates the writer for this incarnation without writing anything yet.
     ///
     /// # Errors
     ///
@@ -64,19 +64,19 @@
         })
     }
 
-    /// Whether the disk works, and when it is synced.
+    /// Returns the policy, which has the state of the disk and the time of the next sync.
     #[must_use]
     pub fn policy(&self) -> &LogPolicy {
         &self.policy
     }
 
-    /// The disk that it is written to.
+    /// Returns the disk that the log is written to.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Writes a buffer of frames, of which the first belongs to the input of this number. Gives whether it was
-    /// written: if not, the log has stopped and retries when its policy says so.
+    /// Writes a buffer of frames, the first of which belongs to input `first_input`. Returns whether it was written; if
+    /// not, writing is suspended until the policy allows a retry.
     pub fn write(&mut self, now: Time, first_input: u64, frames: &[u8]) -> bool {
         if !self.policy.may_write(now) {
             return false;
@@ -84,7 +84,7 @@
         match self.append(now, first_input, frames) {
             Ok(()) => true,
             Err(error) => {
-                self.stop(now, &error);
+                self.suspend(now, &error);
                 false
             }
         }
@@ -103,7 +103,8 @@
         Ok(())
     }
 
-    /// Begins a new segment. After a failure the last one may be torn: it is never written to again.
+    /// Begins a new segment. It is also called after a failure, which may have torn the previous segment; that one is
+    /// never appended to again.
     fn open_segment(&mut self, first_input: u64) -> io::Result<()> {
         self.disk
             .create(&LogFile::Segment(self.next_number).name())?;
@@ -117,12 +118,12 @@
         }))
     }
 
-    /// Syncs what was written, if that is due.
+    /// Syncs the written records if a sync is due.
     pub fn sync_if_due(&mut self, now: Time) {
         if self.policy.sync_at().is_some_and(|at| at <= now)
             && let Err(error) = self.sync()
         {
-            self.stop(now, &error);
+            self.suspend(now, &error);
         }
     }
 
@@ -132,12 +133,13 @@
         Ok(())
     }
 
-    fn stop(&mut self, now: Time, error: &io::Error) {
+    /// Suspends writing after an I/O error.
+    fn suspend(&mut self, now: Time, error: &io::Error) {
         self.is_segment_open = false;
         self.policy.on_failed(now, error.to_string());
     }
 
-    /// Writes a snapshot of the state after all that was written. Gives whether it was written.
+    /// Writes a snapshot of the state after all records written so far. Returns whether it was written.
     pub fn write_snapshot(&mut self, now: Time, record: &[u8]) -> bool {
         if *self.policy.disk_state() != DiskState::Working {
             return false;
@@ -145,20 +147,20 @@
         let mut bytes = Vec::new();
         frame::write(&mut bytes, record);
         let name = LogFile::Snapshot(self.next_number).name();
-        // The records that it stands for are synced before it is written.
+        // The records that the snapshot covers are synced before it is written.
         let written = self.sync().and_then(|()| self.disk.replace(&name, &bytes));
         if let Err(error) = written {
-            self.stop(now, &error);
+            self.suspend(now, &error);
             return false;
         }
-        // The open segment goes on: what follows the snapshot begins in it or in the next one.
+        // The open segment stays open: the records after the snapshot begin in it or in the next segment.
         self.first_needed = if self.is_segment_open {
             self.segment_number
         } else {
             self.next_number
         };
         self.next_number += 1;
-        // The error is dropped on purpose: what could not be removed now is removed after the next snapshot.
+        // The error is ignored: snapshots that could not be removed now are removed after the next snapshot.
         self.remove_old_snapshots().ok();
         true
     }
@@ -174,10 +176,10 @@
         Ok(())
     }
 
-    /// Ends the run: all that was written is synced.
+    /// Ends the log of this run and syncs all written records.
     pub fn end(mut self) {
         if self.is_segment_open {
-            // The error is dropped on purpose: the run is over, and nobody reads the state of this log any more.
+            // The error is ignored: the run is over, and the state of this log is no longer read.
             self.sync().ok();
         }
     }
--- a/crates/event-log/src/policy.rs
+++ b/crates/event-log/src/policy.rs
@@ -1,73 +1,73 @@
-//! What to do with a log and when, as decisions: when to sync, when a segment is full, which segments are removed, and
-//! when a disk that failed is tried again. No I/O and no clock.
+//! Decisions about an event log: when to sync, when a segment is full, which segments are removed, and when a failed disk
+//! is retried. No I/O and no clock.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
 use std::time::Duration;
 
-/// First wait before a disk that failed is tried again; it doubles with each failure.
+/// Delay before the first retry of a failed disk; it doubles with each further failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Longest wait before a disk that failed is tried again.
+/// Maximum delay between retries of a failed disk.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(30_000);
 
-/// A duration that no record outlives.
+/// A duration longer than any record is kept, for configurations without a limit.
 pub const UNLIMITED_DURATION: Duration = Duration::from_millis(u64::MAX / 10_000);
 
-/// What is retained, and when it is synced.
+/// Limits for segment size, retention and syncing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetentionConfig {
-    /// A segment is full at this size.
+    /// Size at which a segment is full.
     pub segment_bytes: u64,
-    /// Bound on the size of all segments together.
+    /// Limit on the total size of all segments.
     pub total_bytes: u64,
-    /// Segments whose last record is older are removed.
+    /// Segments whose last write is older than this are removed.
     pub max_age: Duration,
-    /// What was written is synced within this time: the bound on what a machine that stops loses.
+    /// Written records are synced within this time, which bounds the loss if the machine crashes.
     pub sync_within: Duration,
 }
 
-/// A segment in the folder.
+/// A segment in the folder, as its directory entry describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SegmentInfo {
-    /// Its number: rises with its age.
+    /// Number of the segment; newer segments have higher numbers.
     pub number: u64,
-    /// Its size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was last written to.
+    /// Time of the last write.
     pub last_written: Time,
 }
 
-/// Whether the disk works.
+/// Whether the last write to the disk succeeded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskState {
-    /// The last write succeeded, or there was none yet.
+    /// The last write succeeded, or nothing was written yet.
     Working,
     /// The last write failed.
     Failed {
-        /// The error of the system.
+        /// Error of the operating system.
         reason: String,
-        /// When the first write failed after the last one that succeeded.
+        /// Time of the first failure after the last successful write.
         since: Time,
-        /// When it is tried again.
+        /// Time of the next attempt.
         retry_at: Time,
     },
 }
 
-/// The state that the decisions are made from.
+/// Decides when an event log is synced, trimmed and retried, from its limits and the results of its writes.
 #[derive(Clone, Debug)]
 pub struct LogPolicy {
     config: RetentionConfig,
     disk: DiskState,
-    /// Failures since the last sync.
+    /// Number of failures since the last successful sync.
     failures: u32,
-    /// Since when there is something written and not synced.
+    /// Time of the oldest write that is not synced yet.
     unsynced_since: Option<Time>,
-    /// Size of the segment that is open.
+    /// Bytes written to the open segment.
     segment_bytes: u64,
 }
 
 impl LogPolicy {
-    /// For a disk that works, without an open segment.
+    /// Creates the policy for a working disk without an open segment.
     #[must_use]
     pub fn new(config: RetentionConfig) -> LogPolicy {
         LogPolicy {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Whether the disk works.
+    /// Returns the state of the disk.
     #[must_use]
     pub fn disk_state(&self) -> &DiskState {
         &self.disk
     }
 
-    /// Whether records may be written now: the disk works, or is due for a retry.
+    /// Returns whether records may be written now: the disk works, or a retry is due.
     #[must_use]
     pub fn may_write(&self, now: Time) -> bool {
         match self.disk {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// A new segment was opened.
+    /// Notes that a new segment was opened.
     pub fn on_segment_opened(&mut self) {
         self.segment_bytes = 0;
     }
 
-    /// Bytes were written to the open segment. Gives whether the segment is full.
+    /// Notes a write of this many bytes to the open segment. Returns whether the segment is full.
     pub fn on_written(&mut self, now: Time, bytes: u64) -> bool {
         self.disk = DiskState::Working;
         self.unsynced_since.get_or_insert(now);
@@ -107,13 +107,13 @@
         self.segment_bytes >= self.config.segment_bytes
     }
 
-    /// All that was written is synced: the disk works.
+    /// Notes a successful sync, which resets the retry delay.
     pub fn on_synced(&mut self) {
         self.unsynced_since = None;
         self.failures = 0;
     }
 
-    /// A write or a sync failed.
+    /// Notes a failed write or sync, and schedules the retry.
     pub fn on_failed(&mut self, now: Time, reason: String) {
         let delay = MIN_RETRY_DELAY
             .scaled(f64::from(1u32 << self.failures.min(16)))
@@ -131,15 +131,16 @@
         self.unsynced_since = None;
     }
 
-    /// When what was written is to be synced; none: all of it is.
+    /// Returns when the next sync is due; `None` if everything written is synced.
     #[must_use]
     pub fn sync_at(&self) -> Option<Time> {
         self.unsynced_since
             .map(|since| since + self.config.sync_within)
     }
 
-    /// The segments to remove, oldest first, of these, oldest first: those over the total size, or too old. Never the
-    /// last one, which is written to, nor those from number `first_needed` on, which the newest snapshot needs.
+    /// Returns the numbers of the segments to remove because of total size or age, oldest first; `segments` must be
+    /// oldest first as well. The last segment, which may be open for writing, and those numbered `first_needed` or
+    /// higher, which the newest snapshot needs, are never removed.
     #[must_use]
     pub fn segments_to_remove(
         &self,
@@ -150,9 +151,9 @@
         let mut total_bytes: u64 = segments.iter().map(|segment| segment.bytes).sum();
         let mut removed = Vec::new();
         for segment in segments.iter().take(segments.len().saturating_sub(1)) {
-            let is_over = total_bytes > self.config.total_bytes
+            let exceeds_limit = total_bytes > self.config.total_bytes
                 || now - segment.last_written > self.config.max_age;
-            if !is_over || segment.number >= first_needed {
+            if !exceeds_limit || segment.number >= first_needed {
                 break;
             }
             total_bytes -= segment.bytes;
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -1,4 +1,4 @@
-//! A segment: a file of records with a header that says which run wrote it and where in the run it begins.
+//! A segment: a file of records whose header has the incarnation of the run and the number of its first input.
 //!
 //! `magic 8 | format u16 | zero u16 | epoch u64 | first u64 | crc32 u32`, numbers little-endian.
 
@@ -6,57 +6,57 @@
 use thiserror::Error;
 
 const MAGIC: [u8; 8] = *b"PONDREC\n";
-/// Rises when older programs could not read what is written. Fields that are added do not change it: records name
-/// their fields.
+/// Format version, raised when older programs could not read the new records. Added fields do not raise it, because
+/// records carry the names of their fields.
 pub const FORMAT: u16 = 1;
-/// Length of the header.
+/// Size of the segment header.
 pub const HEADER_BYTES: usize = 32;
-/// Bytes of the header that its checksum is over.
+/// Size of the part of the header that its checksum covers.
 const CHECKED_BYTES: usize = HEADER_BYTES - 4;
 
 /// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentHeader {
-    /// The incarnation of the program that wrote it; `epoch` in the file.
+    /// Incarnation of the program that wrote the segment; `epoch` in the file format.
     pub incarnation: u64,
-    /// Number of its first input within the run.
+    /// Number, within the run, of the first input in the segment.
     pub first_input: u64,
 }
 
-/// Why a segment cannot be read at all.
+/// The reason why a segment cannot be read at all.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SegmentError {
-    /// It does not begin as a segment does.
-    #[error("it is no file of records")]
+    /// The file does not begin with the magic number of a segment.
+    #[error("not an event log segment")]
     NotASegment,
-    /// A newer program wrote it.
+    /// A newer program wrote the segment, in a format that this one cannot read.
     #[error(
-        "it has format {0}, and this program reads {FORMAT}: use the program that wrote it, or a newer one"
+        "the segment has format {0}, but this program reads format {FORMAT}: use the program that wrote it, or a newer one"
     )]
     NewerFormat(u16),
-    /// Its header is torn or damaged.
-    #[error("its head is torn or its checksum does not fit")]
+    /// The segment header is torn or damaged.
+    #[error("the segment header is torn or does not match its checksum")]
     DamagedHeader,
 }
 
-/// Why reading a segment ended.
+/// The reason why reading a segment ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentEnd {
-    /// All of it was read.
+    /// The whole segment was read.
     Complete,
-    /// At a record that is torn or damaged.
+    /// A record is torn or damaged.
     Damaged {
-        /// Where that record begins.
+        /// Offset of that record in the file.
         offset: u64,
-        /// Bytes from there to the end of the file, which were not read.
+        /// Number of bytes from `offset` to the end of the file, which were not read.
         dropped_bytes: u64,
-        /// What is wrong with the record.
+        /// The damage to the record.
         error: FrameError,
     },
 }
 
-/// The bytes of a header.
+/// Encodes a segment header.
 #[must_use]
 pub fn write_header(header: &SegmentHeader) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES);
@@ -69,11 +69,11 @@
     bytes
 }
 
-/// Reads the header at the start of `bytes`.
+/// Reads the segment header at the start of `bytes`.
 ///
 /// # Errors
 ///
-/// There is none that this program can read.
+/// `bytes` does not begin with a header that this program can read.
 pub fn read_header(bytes: &[u8]) -> Result<SegmentHeader, SegmentError> {
     if !bytes.starts_with(&MAGIC) {
         return Err(if MAGIC.starts_with(bytes) {
@@ -100,10 +100,10 @@
     })
 }
 
-/// The records of a segment one by one, up to its end or to where it is damaged.
+/// Iterates over the records of a segment, up to its end or the first damaged record.
 #[derive(Debug)]
 pub struct SegmentReader<'a> {
-    /// Its header.
+    /// Header of the segment.
     pub header: SegmentHeader,
     bytes: &'a [u8],
     offset: usize,
@@ -125,13 +125,13 @@
         })
     }
 
-    /// Why reading ended; none: it has not yet.
+    /// Returns why reading ended; `None` while there may be more records.
     #[must_use]
     pub fn end(&self) -> Option<&SegmentEnd> {
         self.end.as_ref()
     }
 
-    /// Where the next record begins.
+    /// Returns the offset of the next record.
     #[must_use]
     pub fn offset(&self) -> u64 {
         self.offset as u64
--- a/crates/event-log/tests/frame.rs
+++ b/crates/event-log/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Records as bytes: what is written is read, and what is damaged never passes as a record.
+//! Frames: written records are read back, and a damaged frame is never read as a record.
 
 use pondarch_event_log::frame::{self, FrameError};
 use proptest::prelude::*;
@@ -19,16 +19,16 @@
         }
         let mut offset = 0;
         let mut read_back = Vec::new();
-        while let Some(frame) = frame::read(&bytes[offset..]).expect("whole") {
+        while let Some(frame) = frame::read(&bytes[offset..]).expect("an undamaged frame") {
             read_back.push(frame.record);
             offset += frame.frame_bytes;
         }
         prop_assert_eq!(read_back, records);
     }
 
-    /// Cut anywhere or with any bit flipped: never another record, never a panic.
+    /// A frame that is cut at any byte or has any bit flipped is an error, never a record and never a panic.
     #[test]
-    fn a_torn_or_flipped_record_is_an_error(
+    fn a_torn_or_bit_flipped_record_is_an_error(
         record in prop::collection::vec(0u8..4, 1..900),
         cut in any::<prop::sample::Index>(),
         bit in any::<prop::sample::Index>(),
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn reading_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         frame::read(&bytes).ok();
     }
 }
--- a/crates/event-log/tests/policy.rs
+++ b/crates/event-log/tests/policy.rs
@@ -39,13 +39,16 @@
         (&DiskState::Working, None)
     );
     policy.on_failed(at(40_000), "full".into());
-    assert!(policy.may_write(at(40_500)), "it worked in between");
+    assert!(
+        policy.may_write(at(40_500)),
+        "a successful sync resets the retry delay"
+    );
 }
 
 proptest! {
-    /// In any folder the last segment and those that the snapshot needs stay; size and age bound the rest.
+    /// The last segment and those that the snapshot needs are never removed; the others are limited by size and age.
     #[test]
-    fn needed_segments_stay_and_the_rest_is_bounded(
+    fn needed_segments_are_retained_and_the_others_are_limited(
         sizes in prop::collection::vec((0u64..2_000, 0u64..30_000), 1..20),
         first_needed in 0u64..25,
     ) {
@@ -53,8 +56,8 @@
         let segments: Vec<SegmentInfo> = sizes
             .iter()
             .enumerate()
-            .map(|(number, (bytes, pause))| {
-                last_written += pause;
+            .map(|(number, (bytes, interval))| {
+                last_written += interval;
                 SegmentInfo { number: number as u64, bytes: *bytes, last_written: at(last_written) }
             })
             .collect();
@@ -66,7 +69,7 @@
         prop_assert!(removed.iter().all(|number| *number < first_needed));
         prop_assert!(
             removed.iter().enumerate().all(|(n, number)| *number == n as u64),
-            "oldest first, no holes"
+            "the oldest segments are removed, without gaps"
         );
         let is_removable =
             |first: &&&SegmentInfo| first.number < first_needed && retained.len() > 1;
--- a/crates/event-log/tests/segment.rs
+++ b/crates/event-log/tests/segment.rs
@@ -1,4 +1,4 @@
-//! Headers of segments.
+//! Reading and writing segment headers.
 
 use pondarch_event_log::segment::{HEADER_BYTES, read_header, write_header};
 use pondarch_event_log::{SegmentError, SegmentHeader};
