--- a/crates/event-log/src/disk.rs
+++ b/crates/event-log/src/disk.rs
@@ -28,7 +28,8 @@
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Flushes the appended bytes to stable storage.
     fn sync(&mut self) -> io::Result<()>;
-    /// Replaces the content of a file atomically: after a crash of the machine it has either the old or the new content.
+    /// Replaces the content of a file atomically: after a crash of the machine it has either the old or the new
+    /// content.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
--- a/crates/event-log/src/files.rs
+++ b/crates/event-log/src/files.rs
@@ -92,8 +92,8 @@
     Ok(disk.list()?.into_iter().filter_map(to_segment).collect())
 }
 
-/// Removes the oldest segments that exceed the retention limits, but none numbered `first_needed` or higher. Returns how
-/// many were removed.
+/// Removes the oldest segments that exceed the retention limits, but none numbered `first_needed` or higher. Returns
+/// how many were removed.
 ///
 /// # Errors
 ///
--- a/crates/event-log/src/frame.rs
+++ b/crates/event-log/src/frame.rs
@@ -93,7 +93,8 @@
 }
 
 fn decompress(body: &[u8]) -> Result<Vec<u8>, FrameError> {
-    // The decompressed size comes first. It is checked so that a damaged size cannot allocate more than any record takes.
+    // The decompressed size comes first. It is checked so that a damaged size cannot allocate more than any record
+    // takes.
     let size = body
         .first_chunk::<4>()
         .map_or(0, |size| u32::from_le_bytes(*size) as usize);
--- a/crates/event-log/src/policy.rs
+++ b/crates/event-log/src/policy.rs
@@ -1,5 +1,5 @@
-//! Decisions about an event log: when to sync, when a segment is full, which segments are removed, and when a failed disk
-//! is retried. No I/O and no clock.
+//! Decisions about an event log: when to sync, when a segment is full, which segments are removed, and when a failed
+//! disk is retried. No I/O and no clock.
 
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -1,13 +1,13 @@
-//! The inputs of the first run, by family.
+//! The inputs of the first run, grouped by topic.
 
-use super::{Run, changed};
+use super::{Run, changed_hosts};
 use pondarch_controller::{ProxyId, RequestClassId};
 use pondarch_daemon_core::{EventLogState, Input};
 use pondarch_load_report_protocol::{HostMetrics, ProxyCounters, Report, ReportBody, SenderRole};
 use std::time::Duration;
 
-/// What operators say, so that each answer's checksum stands in the records.
-const SHOWN: [&str; 18] = [
+/// Operator commands whose replies are recorded as checksums.
+const COMMANDS_WITH_REPLIES: [&str; 18] = [
     "help",
     "show info",
     "show stat",
@@ -28,11 +28,12 @@
     "set server hosts/nobody weight 3",
 ];
 
-/// Connections of the senders of reports.
+/// Connection numbers of the senders of load reports.
 const PROXY_SENDER: u64 = 51;
 const HOST_SENDER: u64 = 52;
 const UNKNOWN_SENDER: u64 = 53;
 
+/// Returns the load report of a proxy with counters that grow with its number.
 fn proxy_report(number: u64) -> ReportBody {
     let done = number * 9;
     let attempts = ProxyCounters {
@@ -53,42 +54,46 @@
     }
 }
 
+/// Returns the load report of a host; report 3 is invalid because its request rate is negative.
 fn host_report(number: u64) -> ReportBody {
-    let own = HostMetrics {
+    let host_metrics = HostMetrics {
         utilization: Some(0.5),
         request_rate: Some(if number == 3 { -1.0 } else { 9.0 }),
         ..HostMetrics::default()
     };
     ReportBody {
         counters: Vec::new(),
-        host_metrics: Some(own),
+        host_metrics: Some(host_metrics),
     }
 }
 
 impl Run {
-    pub(super) fn operators(&mut self) {
-        SHOWN.iter().for_each(|line| self.command(line));
-        self.give(Input::Command {
+    /// Operator commands that show and that change the state.
+    pub(super) fn run_operator_commands(&mut self) {
+        COMMANDS_WITH_REPLIES
+            .iter()
+            .for_each(|line| self.run_command(line));
+        self.handle_input(Input::Command {
             caller: 1,
             level: 0,
             line: "show servers state".into(),
         });
-        self.command(
+        self.run_command(
             "add server hosts/extra 127.0.0.99:80 weight 2; set server hosts/extra state ready",
         );
-        self.command("prepare map zones; add map @1 zones extra arnhem; commit map @1 zones");
-        self.command("set server hosts/host-2 addr 127.0.0.77 port 80");
-        self.command("set server hosts/host-1 state drain");
-        self.run(300);
-        self.command("set server hosts/host-1 state ready");
-        self.run(300);
+        self.run_command("prepare map zones; add map @1 zones extra arnhem; commit map @1 zones");
+        self.run_command("set server hosts/host-2 addr 127.0.0.77 port 80");
+        self.run_command("set server hosts/host-1 state drain");
+        self.run_for(300);
+        self.run_command("set server hosts/host-1 state ready");
+        self.run_for(300);
     }
 
-    /// Traffic in which one host is slow.
-    pub(super) fn solves(&mut self) {
+    /// Traffic in which one host is slow, as input for the weight solver; and a failed solution.
+    pub(super) fn run_uneven_traffic(&mut self) {
         for _ in 0..8 {
-            for proxy_state in &mut self.proxies {
-                for backend in proxy_state.proxy_state.backends.values_mut() {
+            for proxy in &mut self.proxies {
+                for backend in proxy.proxy_state.backends.values_mut() {
                     for (name, server) in backend
                         .servers
                         .iter_mut()
@@ -102,15 +107,16 @@
                     }
                 }
             }
-            self.run(1_000);
+            self.run_for(1_000);
         }
-        self.give(Input::Solved {
+        self.handle_input(Input::Solved {
             number: 999,
             plan: Err("no plan".into()),
         });
     }
 
-    pub(super) fn pushes(&mut self) {
+    /// Load reports from a proxy, a host and an unknown sender.
+    pub(super) fn push_reports(&mut self) {
         let incarnation = 5;
         let senders = [
             (PROXY_SENDER, "front-0", SenderRole::Proxy),
@@ -118,7 +124,7 @@
             (UNKNOWN_SENDER, "nobody", SenderRole::Proxy),
         ];
         for (connection, name, role) in senders {
-            self.give(Input::SenderConnected {
+            self.handle_input(Input::SenderConnected {
                 connection,
                 name: name.into(),
                 role,
@@ -137,23 +143,24 @@
                     body,
                     ..Report::default()
                 });
-                self.give(Input::ReportReceived { connection, report });
+                self.handle_input(Input::ReportReceived { connection, report });
             }
-            self.run(1_000);
+            self.run_for(1_000);
         }
-        self.give(Input::SenderDisconnected {
+        self.handle_input(Input::SenderDisconnected {
             connection: PROXY_SENDER,
         });
     }
 
-    pub(super) fn names(&mut self) {
+    /// DNS queries of a proxy, and observations of a DNS secondary.
+    pub(super) fn query_dns(&mut self) {
         use pondarch_dns_core::SecondaryEvent;
         for round in 0..3 {
             let view = self.core.dns_view();
             let table = view
                 .table_of(Some(ProxyId(2)), RequestClassId(0), 1)
                 .map(|table| table.0);
-            self.give(Input::DnsQueried {
+            self.handle_input(Input::DnsQueried {
                 proxy: Some(2),
                 table,
                 serial: view.serial,
@@ -164,62 +171,64 @@
                     SecondaryEvent::Queried(None),
                     SecondaryEvent::Transferred(view.serial),
                 ] {
-                    self.give(Input::SecondaryObserved {
+                    self.handle_input(Input::SecondaryObserved {
                         index: 0,
                         observation,
                     });
                 }
             }
-            self.run(500);
+            self.run_for(500);
         }
     }
 
-    pub(super) fn faults(&mut self) {
-        self.give(Input::EventLog(EventLogState {
+    /// A stopped event log, a rejected endpoint list, a failed health check, and a lost proxy connection.
+    pub(super) fn report_faults(&mut self) {
+        self.handle_input(Input::EventLog(EventLogState {
             stopped_reason: Some("no space".into()),
             lost_inputs: 0,
         }));
-        self.give(Input::EventLog(EventLogState {
+        self.handle_input(Input::EventLog(EventLogState {
             stopped_reason: None,
             lost_inputs: 3,
         }));
-        self.give(Input::MemoryUsage {
+        self.handle_input(Input::MemoryUsage {
             queued_bytes: 10,
             event_log_bytes: 20,
             connection_bytes: 30,
             rejected_connections: 1,
         });
-        self.give(Input::EndpointListRejected {
+        self.handle_input(Input::EndpointListRejected {
             error: "hosts:3: it ends".into(),
         });
-        self.give(Input::HealthCheckCompleted {
+        self.handle_input(Input::HealthCheckCompleted {
             host: "host-0".into(),
             for_load: false,
             healthy: false,
             load: None,
         });
-        if let Some(conn) = self.proxies[1].conn.take() {
+        if let Some(connection) = self.proxies[1].connection.take() {
             self.proxies[1].lines.clear();
-            self.give(Input::Disconnected {
+            self.handle_input(Input::Disconnected {
                 proxy: 1,
-                connection: conn,
+                connection,
                 reason: "broke".into(),
             });
         }
-        self.run(1_500);
+        self.run_for(1_500);
     }
 
-    /// A drain, a host gone, one that started anew, a new one, and a proxy that rejects_updates a command.
-    pub(super) fn hosts_change(&mut self) {
-        self.rejects_updates = true;
-        self.list(changed());
-        self.run(1_000);
-        // Changes come faster than messages may.
+    /// A drained, a removed, a restarted and an added host; a proxy that rejects an update; and changes that exceed the
+    /// message cap.
+    pub(super) fn change_hosts(&mut self) {
+        self.rejects_next_update = true;
+        self.apply_list(changed_hosts());
+        self.run_for(1_000);
+        // These changes come faster than the message cap allows messages.
         for n in 0..4 {
             let state = if n % 2 == 0 { "drain" } else { "ready" };
-            self.command(&format!("set server hosts/host-1 state {state}"));
-            self.run(300);
+            self.run_command(&format!("set server hosts/host-1 state {state}"));
+            self.run_for(300);
         }
-        self.command("show events");
+        self.run_command("show events");
     }
 }
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -1,4 +1,5 @@
-//! Two runs of a core, recorded: the first is killed, the second begins with the state recovered from it.
+//! Records two runs of a core: the first ends without a final snapshot, as if killed; the second begins with the state
+//! recovered from it.
 
 mod inputs;
 
@@ -16,13 +17,16 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Start of the first run in microseconds since the Unix epoch, which is also its incarnation.
 const START: u64 = 1_800_000_000_000_000;
 const SEGMENT_BYTES: u64 = 24_000;
 
-/// A proxy in memory.
+/// An in-memory proxy.
 struct SimulatedProxy {
     proxy_state: ProxyState,
-    conn: Option<u64>,
+    /// Number of the open connection.
+    connection: Option<u64>,
+    /// Unanswered command lines, each with the connection that it came on.
     lines: VecDeque<(u64, String)>,
 }
 
@@ -31,47 +35,52 @@
     core: Core,
     log: EventLog<Folder>,
     incarnation: u64,
+    /// Number of the last input.
     number: u64,
+    /// Simulated time, in microseconds since the Unix epoch.
     now: u64,
+    /// Generation of the last endpoint list.
     generation: u64,
     proxies: Vec<SimulatedProxy>,
-    rejects_updates: bool,
+    /// Whether the next update to any proxy is rejected.
+    rejects_next_update: bool,
 }
 
-/// Records both runs in this folder.
+/// Records both runs in `folder`.
 pub(crate) fn write(folder: &Path) -> Result<(), Box<dyn Error>> {
     let mut first = Run::start(folder, START, START)?;
-    first.list(hosts());
-    first.run(3_000);
-    first.operators();
-    first.solves();
-    first.pushes();
-    first.names();
-    first.faults();
-    first.snapshot();
-    first.hosts_change();
+    first.apply_list(hosts());
+    first.run_for(3_000);
+    first.run_operator_commands();
+    first.run_uneven_traffic();
+    first.push_reports();
+    first.query_dns();
+    first.report_faults();
+    first.write_snapshot();
+    first.change_hosts();
     let now = first.now;
     first.log.end();
-    let found = recover(&Folder::read_only(folder), &site_from_text(&settings())?)?;
+    let recovery = recover(&Folder::read_only(folder), &site_from_text(&settings())?)?;
     let at = now + 2_000_000;
-    let known = found
+    let state = recovery
         .state
-        .ok_or("nothing was known")?
+        .ok_or("no state was recovered")?
         .rebased_to_clock(at, 2_000_000);
-    let mut second = Run::start(folder, found.incarnation + 1, at)?;
+    let mut second = Run::start(folder, recovery.incarnation + 1, at)?;
     second.generation = first.generation;
-    second.give(Input::Recovered(Box::new(known)));
-    second.list(changed());
-    second.run(3_000);
-    second.snapshot();
-    second.command("set server hosts/host-1 state drain; set server hosts/host-2 weight 3");
-    second.run(200);
-    second.command("show info");
+    second.handle_input(Input::Recovered(Box::new(state)));
+    second.apply_list(changed_hosts());
+    second.run_for(3_000);
+    second.write_snapshot();
+    second.run_command("set server hosts/host-1 state drain; set server hosts/host-2 weight 3");
+    second.run_for(200);
+    second.run_command("show info");
     second.log.end();
     Ok(())
 }
 
-fn changed() -> Vec<HostEntry> {
+/// Returns the second endpoint list: host 3 restarted, host 4 draining, host 5 gone, host 6 added.
+fn changed_hosts() -> Vec<HostEntry> {
     let mut hosts = hosts();
     hosts[4].state = HostState::Drain;
     hosts[5].state = HostState::Gone;
@@ -99,7 +108,7 @@
             sync_within,
         };
         let log = EventLog::new(Folder::lock(folder)?, retention, incarnation)?;
-        let proxy_state = |n: usize| {
+        let simulated_proxy = |n: usize| {
             let mut proxy_state =
                 ProxyState::new(&site.proxies[n].name, 100 + n as u64, &["proof", "order"]);
             for backend in proxy_state.backends.values_mut() {
@@ -108,12 +117,12 @@
             }
             SimulatedProxy {
                 proxy_state,
-                conn: None,
+                connection: None,
                 lines: VecDeque::new(),
             }
         };
         let core = Core::new(&site, 7, 1, incarnation, Time::from_micros(now));
-        let proxies = (0..2).map(proxy_state).collect();
+        let proxies = (0..2).map(simulated_proxy).collect();
         let mut run = Run {
             core,
             log,
@@ -122,7 +131,7 @@
             now,
             generation: 0,
             proxies,
-            rejects_updates: false,
+            rejects_next_update: false,
         };
         let (program, settings) = ("pondarch before the renaming".into(), settings());
         let start = RunStart {
@@ -150,7 +159,7 @@
         );
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         self.number += 1;
         let (n, at_us) = (self.number, self.now);
         self.core.handle(Time::from_micros(at_us), input.clone());
@@ -170,30 +179,24 @@
         self.record(&records);
         outputs
             .into_iter()
-            .for_each(|output| self.carry_out(output));
+            .for_each(|output| self.handle_output(output));
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
-            Output::Dial {
-                proxy,
-                connection: conn,
-            } => {
-                self.proxies[usize::from(proxy)].conn = Some(conn);
-                self.give(Input::Connected {
-                    proxy,
-                    connection: conn,
-                });
+            Output::Dial { proxy, connection } => {
+                self.proxies[usize::from(proxy)].connection = Some(connection);
+                self.handle_input(Input::Connected { proxy, connection });
             }
             Output::Write {
                 proxy,
-                connection: conn,
+                connection,
                 lines,
             } => {
-                let lines = lines.into_iter().map(|line| (conn, line));
+                let lines = lines.into_iter().map(|line| (connection, line));
                 self.proxies[usize::from(proxy)].lines.extend(lines);
             }
-            Output::HangUp { proxy, .. } => self.proxies[usize::from(proxy)].conn = None,
+            Output::HangUp { proxy, .. } => self.proxies[usize::from(proxy)].connection = None,
             Output::CheckHealth { host, for_load, .. } => {
                 let load = for_load.then_some(ReportedLoad {
                     utilization: Some(0.4),
@@ -202,7 +205,7 @@
                     request_rate: Some(15.0),
                     failure_rate: Some(0.5),
                 });
-                self.give(Input::HealthCheckCompleted {
+                self.handle_input(Input::HealthCheckCompleted {
                     host,
                     for_load,
                     healthy: true,
@@ -211,7 +214,7 @@
             }
             Output::Solve { number, fleet } => {
                 let plan = pondarch_weight_solver::solve(&fleet, Default::default());
-                self.give(Input::Solved {
+                self.handle_input(Input::Solved {
                     number,
                     plan: plan.map_err(|error| error.to_string()),
                 });
@@ -220,70 +223,72 @@
         }
     }
 
-    fn deliver(&mut self) {
+    /// Lets the proxies execute and answer all command lines.
+    fn answer_lines(&mut self) {
         while let Some(n) = (0..2).find(|&n| !self.proxies[n].lines.is_empty()) {
-            let proxy_state = &mut self.proxies[n];
-            let Some((conn, line)) = proxy_state.lines.pop_front() else {
+            let proxy = &mut self.proxies[n];
+            let Some((connection, line)) = proxy.lines.pop_front() else {
                 continue;
             };
-            if proxy_state.conn != Some(conn) {
+            if proxy.connection != Some(connection) {
                 continue;
             }
             let mut answers = Vec::new();
             for command in command::parse_line(&line).into_iter().flatten() {
-                let rejected = self.rejects_updates && ProxyState::is_update(&command);
-                self.rejects_updates &= !rejected;
+                let rejected = self.rejects_next_update && ProxyState::is_update(&command);
+                self.rejects_next_update &= !rejected;
                 answers.push(if rejected {
                     "Not now.\n".into()
                 } else {
-                    proxy_state.proxy_state.execute(command)
+                    proxy.proxy_state.execute(command)
                 });
             }
-            let proxy = n as u16;
+            let number = n as u16;
             answers.into_iter().for_each(|text| {
-                self.give(Input::Answer {
-                    proxy,
-                    connection: conn,
+                self.handle_input(Input::Answer {
+                    proxy: number,
+                    connection,
                     text,
                 })
             });
         }
     }
 
-    fn run(&mut self, millis: u64) {
+    /// Advances the time, and expires the timers that are due by then.
+    fn run_for(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        self.deliver();
+        self.answer_lines();
         loop {
-            let wake = (self.core.wake_at() - Time::default())
+            let timer_us = (self.core.wake_at() - Time::default())
                 .micros()
                 .max(self.now + 1);
-            if wake > end {
+            if timer_us > end {
                 break;
             }
-            self.now = wake;
-            self.give(Input::TimerExpired);
-            self.deliver();
+            self.now = timer_us;
+            self.handle_input(Input::TimerExpired);
+            self.answer_lines();
         }
         self.now = end;
     }
 
-    fn list(&mut self, hosts: Vec<HostEntry>) {
+    fn apply_list(&mut self, hosts: Vec<HostEntry>) {
         self.generation += 1;
-        self.give(Input::EndpointList {
+        self.handle_input(Input::EndpointList {
             generation: Some(self.generation),
             hosts,
         });
     }
 
-    fn command(&mut self, line: &str) {
-        self.give(Input::Command {
+    fn run_command(&mut self, line: &str) {
+        self.handle_input(Input::Command {
             caller: self.number,
             level: 2,
             line: line.into(),
         });
     }
 
-    fn snapshot(&mut self) {
+    fn write_snapshot(&mut self) {
         let (incarnation, n, at_us) = (self.incarnation, self.number, self.now);
         let snapshot = Snapshot {
             incarnation,
--- a/crates/replay/examples/write_fixture/site.rs
+++ b/crates/replay/examples/write_fixture/site.rs
@@ -3,9 +3,9 @@
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::HostState;
 
-/// Settings in which everything that is recorded can happen: solved weights, names, pushed reports, a secondary.
+/// Returns settings with every feature that is recorded: solved weights, DNS names, pushed reports, a DNS secondary.
 pub(crate) fn settings() -> String {
-    let kind = |name: &str| {
+    let class_json = |name: &str| {
         format!(
             r#"{{"name": "{name}", "response_target": "1 s", "client_timeout": "3 s", "benefit": 1, "repeats": "replayable"}}"#
         )
@@ -21,15 +21,17 @@
         "dns": {{"zone": "pond.test", "listen": "127.0.0.1:0", "grace": "6 s",
                  "secondaries": [{{"address": "127.0.0.1:5300", "key": "copy", "secret_file": "secret"}}]}},
         "channel": {{"lines_per_second": 4000, "most_waiting": 4000, "message_cap": 6, "message_window": "10 s"}}}}"#,
-        kind("proof"),
-        kind("order")
+        class_json("proof"),
+        class_json("order")
     )
 }
 
+/// Returns the hosts of the first endpoint list.
 pub(crate) fn hosts() -> Vec<HostEntry> {
     (0..6).map(host).collect()
 }
 
+/// Returns host number `n`.
 pub(crate) fn host(n: usize) -> HostEntry {
     HostEntry {
         name: format!("host-{n}"),
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -1,99 +1,99 @@
-//! What can be wrong with a folder of records: as a whole, and in one of its files.
+//! Errors that make an event log unusable, and faults in single files of it.
 
 use pondarch_config::SettingsError;
 use pondarch_event_log::{FrameError, SegmentError};
 use thiserror::Error;
 
-/// Why a folder of records cannot be used.
+/// The reason why an event log cannot be used.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ReplayError {
     /// The folder or a file in it cannot be read.
-    #[error("the records cannot be read: {0}")]
+    #[error("cannot read the event log: {0}")]
     Io(#[from] std::io::Error),
-    /// A segment that could be read before cannot be read now.
+    /// The header of a segment was readable when the segments were listed, and no longer is.
     #[error("{file}: {source}")]
     Segment {
-        /// The segment.
+        /// File name of the segment.
         file: String,
-        /// What is wrong with it.
+        /// The problem with the segment.
         source: SegmentError,
     },
-    /// The folder has no records.
-    #[error("there are no records")]
+    /// The folder has no segments.
+    #[error("no event log segments found")]
     NoRecords,
     /// The settings of a run are not valid.
-    #[error("the settings in the records: {0}")]
+    #[error("invalid settings in the event log: {0}")]
     Settings(#[source] SettingsError),
     /// The columnar file cannot be written.
-    #[error("the columnar file: {0}")]
+    #[error("cannot write the columnar file: {0}")]
     Export(#[from] arrow_schema::ArrowError),
-    /// The run was recorded without its start, or that has been removed.
-    #[error("the scene: the start of run {0} is not on record")]
+    /// The event log does not have the start of the run: it was not recorded, or its segment has been removed.
+    #[error("cannot extract the scene: the start of run {0} is not in the event log")]
     NoStart(u64),
     /// The settings of a what-if replay lack a proxy of the scenario.
-    #[error("the scene: the settings have no proxy '{0}'")]
+    #[error("cannot replay the scene: the settings have no proxy '{0}'")]
     NoProxy(String),
 }
 
-/// Something that is wrong in a file of records. Reading goes on behind it.
+/// A fault in one file of the event log. Reading continues after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplayFault {
-    /// The file.
+    /// File name.
     pub file: String,
-    /// What is wrong.
+    /// Kind of fault.
     pub cause: ReplayFaultCause,
 }
 
-/// What is wrong in a file of records.
+/// The kind of a fault in a file of the event log.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ReplayFaultCause {
     /// The segment cannot be read at all.
     #[error("{0}")]
     Segment(#[source] SegmentError),
-    /// The segment is damaged from a record on.
-    #[error("{error}, at byte {offset}: the {dropped_bytes} bytes from there on are not read")]
+    /// A record of the segment is damaged, and the rest of the segment is skipped.
+    #[error("{error}, at byte {offset}; the remaining {dropped_bytes} bytes are skipped")]
     Damaged {
-        /// What is wrong with the record.
+        /// The damage to the record.
         #[source]
         error: FrameError,
-        /// Where it begins.
+        /// Offset of the record in the file.
         offset: u64,
-        /// Bytes from there to the end of the file.
+        /// Number of bytes from `offset` to the end of the file.
         dropped_bytes: u64,
     },
-    /// So many records have no meaning to this program.
-    #[error("{0} records are of no kind that this program knows")]
+    /// The segment has this many records that this program does not know.
+    #[error("{0} records are of a type that this program does not know")]
     UnknownRecords(u64),
-    /// Inputs between two that were recorded are missing.
-    #[error("inputs {first} to {last} of the run before it are missing")]
+    /// Inputs are missing without a gap record.
+    #[error("inputs {first} to {last} of the run are missing")]
     MissingInputs {
-        /// The first that is missing.
+        /// Number of the first missing input.
         first: u64,
-        /// The last that is missing.
+        /// Number of the last missing input.
         last: u64,
     },
-    /// The records say that inputs were not recorded.
+    /// A gap record says that inputs were not recorded.
     #[error("inputs {first} to {last} were not recorded: {reason}")]
     NotRecorded {
-        /// The first that was not recorded.
+        /// Number of the first input that was not recorded.
         first: u64,
-        /// The last that was not recorded.
+        /// Number of the last input that was not recorded.
         last: u64,
-        /// Why, as the records say.
+        /// The reason, from the gap record.
         reason: String,
     },
-    /// The start of a run has been removed, so that it cannot be replayed.
-    #[error("the start of run {0} is not on record any more: it cannot be played")]
+    /// A run cannot be replayed because its start has been removed.
+    #[error("run {0} cannot be replayed: its start is no longer in the event log")]
     NoStart(u64),
-    /// A snapshot has no meaning to this program.
-    #[error("it is of no kind that this program knows")]
+    /// The snapshot is of a type that this program does not know.
+    #[error("the snapshot is of a type that this program does not know")]
     UnknownSnapshot,
-    /// A snapshot has no content.
-    #[error("it is empty")]
+    /// The snapshot file is empty.
+    #[error("the snapshot is empty")]
     EmptySnapshot,
-    /// A snapshot is damaged.
+    /// The snapshot is damaged.
     #[error("{0}")]
     DamagedSnapshot(#[source] FrameError),
 }
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,4 +1,4 @@
-//! Records as rows, one for each input and each decision: for people, and as a columnar file (Arrow IPC).
+//! Converts records to rows, one for each input and each decision, for display and for a columnar file (Arrow IPC).
 
 use crate::error::{ReplayError, ReplayFault};
 use crate::record::{Decision, Record, RunStart};
@@ -16,10 +16,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Rows of one batch in the file.
+/// Number of rows per record batch of the columnar file.
 const BATCH_ROWS: usize = 8_192;
 
-/// What a row is of.
+/// The category of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RowCategory {
@@ -27,7 +27,7 @@
     Start,
     /// An input.
     Input,
-    /// An output that is no event.
+    /// An output other than an event.
     Decided,
     /// An event.
     Event,
@@ -36,7 +36,7 @@
 }
 
 impl RowCategory {
-    /// As it stands in the file.
+    /// Returns the name in the columnar file.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -55,46 +55,47 @@
     }
 }
 
-/// One row. The names of its columns are pinned: they never follow a name in the code.
+/// One row. The column names are fixed; a renamed field keeps its column name by an attribute.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// The run.
+    /// Incarnation of the run.
     #[serde(rename = "epoch")]
     pub incarnation: u64,
-    /// Number of the input that it is, or that led to it.
+    /// Number of the input, or of the input that led to the decision.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Time of that input.
+    /// Time of that input, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// What it is of.
+    /// Category of the row.
     #[serde(rename = "of")]
     pub category: RowCategory,
     /// Name of the input, output or event.
     #[serde(rename = "what")]
     pub name: String,
-    /// The proxy that it concerns.
+    /// Name of the proxy concerned.
     pub proxy: Option<String>,
-    /// The host that it concerns.
+    /// Name of the host concerned.
     pub host: Option<String>,
-    /// All of its fields, as JSON.
+    /// All fields, as JSON.
     #[serde(rename = "text")]
     pub fields: String,
 }
 
-/// The rows of a folder that were written.
+/// The result of an export.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Export {
-    /// How many.
+    /// Number of rows written.
     pub rows: u64,
-    /// What could not be read.
+    /// Parts of the event log that could not be read.
     pub faults: Vec<ReplayFault>,
 }
 
-/// Reads a folder row by row; gives what could not be read. Names of proxies come from each run's own settings.
+/// Visits the rows of a folder in order, and returns the parts that could not be read. Proxy names come from the
+/// settings of each run.
 ///
 /// # Errors
 ///
-/// The folder cannot be read, or `visit` failed.
+/// The folder cannot be read or has no segments, or `visit` failed.
 pub fn rows(
     disk: &impl Disk,
     mut visit: impl FnMut(Row) -> Result<(), ReplayError>,
@@ -106,12 +107,12 @@
     if segments.is_empty() && faults.is_empty() {
         return Err(ReplayError::NoRecords);
     }
-    let mut reader = RowReader::default();
+    let mut converter = RowConverter::default();
     for segment in &segments {
-        reader.incarnation = segment.header.incarnation;
+        converter.incarnation = segment.header.incarnation;
         let mut result = Ok(());
         segments::read(disk, segment, &mut faults, |record| {
-            result = reader.rows(record).into_iter().try_for_each(&mut visit);
+            result = converter.rows(record).into_iter().try_for_each(&mut visit);
             match result {
                 Ok(()) => ControlFlow::Continue(()),
                 Err(_) => ControlFlow::Break(()),
@@ -122,17 +123,17 @@
     Ok(faults)
 }
 
-/// Makes rows of records.
+/// Converts records to rows.
 #[derive(Default)]
-struct RowReader {
+struct RowConverter {
     incarnation: u64,
     /// Time of the last input.
     at_us: u64,
-    /// Names of the proxies by the settings of the run.
+    /// Names of the proxies, by their number in the settings of the run.
     proxies: Vec<String>,
 }
 
-impl RowReader {
+impl RowConverter {
     fn rows(&mut self, record: Record) -> Vec<Row> {
         match record {
             Record::Start(start) => vec![self.start(&start)],
@@ -213,12 +214,12 @@
     }
 }
 
-/// Null if it cannot be encoded, which does not happen: keys are texts.
+/// Converts to JSON. The result would be null on an error, which cannot occur: all keys are strings.
 fn to_json(value: &impl Serialize) -> Value {
     serde_json::to_value(value).unwrap_or_default()
 }
 
-/// A variant's name and its fields.
+/// The name of an enum variant and its fields.
 struct NamedFields {
     name: String,
     fields: Value,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,12 +1,13 @@
-//! What is done with the event log of a controller: recovery after its end, replay through the present build, what-if
-//! replay, and export.
+//! Uses of a controller's event log: recovery after a restart, replay through the current build, what-if replay, and
+//! export.
 //!
-//! - [`record`]: what is recorded, as bytes.
-//! - [`segments`]: the records of a folder in order, with what is missing or damaged named.
-//! - [`recover`](mod@recover): what a controller that starts again must know.
-//! - [`run_replay`]: the same inputs through this build: the first decision that differs, or none.
-//! - [`what_if`]: the external inputs of a run without its decisions, replayed with other settings or another seed.
-//! - [`export`]: records as rows, and as a columnar file.
+//! - [`record`]: the record types and their encoding.
+//! - [`segments`]: reads the records of a folder in order, and reports missing or damaged ones.
+//! - [`recover`](mod@recover): rebuilds the state that a restarted controller needs.
+//! - [`run_replay`]: replays the recorded inputs through this build, and finds the first decision that differs.
+//! - [`what_if`]: replays the external inputs of a run, without its decisions, with other settings or another seed.
+//! - [`export`]: converts records to rows, and writes them to a columnar file.
+//! - [`error`]: errors, and faults in the files of an event log.
 
 pub mod error;
 pub mod export;
--- a/crates/replay/src/record.rs
+++ b/crates/replay/src/record.rs
@@ -1,117 +1,117 @@
-//! What is recorded of a run, as bytes: MessagePack with the fields' names, so that a reader ignores fields that were
-//! added later. The names in the bytes are pinned: they never follow a name in the code.
+//! The records of a run and their encoding: MessagePack with field names, so that a reader ignores fields that were
+//! added later. The names in the encoded form are fixed; a renamed type or field keeps its stored name by an attribute.
 
 use pondarch_daemon_core::{Input, Output, RecoveredState};
 use serde::{Deserialize, Serialize};
 
-/// The machine's own count of time, which no setting of its clock changes.
+/// A reading of the machine's monotonic clock, which is not affected by changes of the wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Boot {
-    /// Names this start of the machine.
+    /// Boot ID of the machine.
     pub id: String,
-    /// Time since that start.
+    /// Time since the machine booted.
     #[serde(rename = "up_us")]
     pub uptime_us: u64,
 }
 
-/// How a run began: with the same, and the inputs that follow, it can be replayed.
+/// The start of a run. A run can be replayed from it and from the inputs that follow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunStart {
     /// Name and version of the program.
     pub program: String,
-    /// The settings, evaluated, as JSON.
+    /// Evaluated settings, as JSON.
     pub settings: String,
-    /// Seed of the random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Process ID.
     pub process: u32,
-    /// Names the run: higher than that of any run before it.
+    /// Incarnation, which identifies the run; higher than that of any earlier run.
     #[serde(rename = "epoch")]
     pub incarnation: u64,
-    /// When it began, in microseconds since 1970.
+    /// Start of the run, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// The machine's own count at that time.
+    /// Monotonic clock of the machine at the start.
     pub boot: Option<Boot>,
 }
 
-/// One output of the core. Texts for operators and problems for the solver are recorded by their checksum alone.
+/// One output of the core. Replies to operators and problems for the weight solver are recorded as checksums only.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Decision {
-    /// Any other output.
+    /// Any output other than a reply or a problem for the solver.
     Output(Output),
-    /// An answer to an operator.
+    /// A reply to an operator.
     Reply {
-        /// Which command it answers.
+        /// ID of the caller whose command it answers.
         caller: u64,
-        /// CRC-32 of its text.
+        /// CRC-32 of the text.
         #[serde(rename = "crc")]
         checksum: u32,
     },
     /// A problem for the weight solver.
     Solve {
-        /// Its number.
+        /// Number of the problem.
         number: u64,
-        /// CRC-32 of the problem as MessagePack without names: the order of its fields counts.
+        /// CRC-32 of the problem encoded as MessagePack without names, so it depends on the order of the fields.
         #[serde(rename = "crc")]
         checksum: u32,
     },
 }
 
-/// An entry of the log.
+/// An entry of the event log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The start of a run.
     Start(Box<RunStart>),
-    /// An input of the run.
+    /// An input of the core.
     Input {
-        /// Its number, from 1 on.
+        /// Number within the run, from 1.
         #[serde(rename = "n")]
         number: u64,
-        /// When the core took it.
+        /// Time at which the core handled the input, in microseconds since the Unix epoch.
         at_us: u64,
         /// The input.
         input: Input,
     },
-    /// The outputs that an input led to, in order. Without outputs there is no such record.
+    /// The outputs of an input, in order. An input without outputs has no such record.
     Decided {
         /// Number of the input.
         #[serde(rename = "n")]
         number: u64,
-        /// The outputs.
+        /// Recorded outputs.
         decisions: Vec<Decision>,
     },
-    /// These inputs and what they led to were not recorded.
+    /// Inputs that were not recorded, nor were their outputs.
     Gap {
-        /// Number of the first.
+        /// Number of the first input.
         first: u64,
-        /// Number of the last.
+        /// Number of the last input.
         last: u64,
-        /// Why they were not recorded.
+        /// The reason why they were not recorded.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// The state after an input, as far as it outlives the run.
+/// A snapshot of the state that a restarted controller recovers, taken after an input.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The run.
+    /// Incarnation of the run.
     #[serde(rename = "epoch")]
     pub incarnation: u64,
-    /// Number of the last input before it.
+    /// Number of the last input that the snapshot includes.
     #[serde(rename = "n")]
     pub number: u64,
-    /// When it was taken.
+    /// Time of the snapshot, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// The machine's own count at that time.
+    /// Monotonic clock of the machine at that time.
     pub boot: Option<Boot>,
-    /// The state.
+    /// State to recover.
     #[serde(rename = "known")]
     pub state: RecoveredState,
 }
 
 impl Decision {
-    /// What is recorded of an output.
+    /// Returns the recorded form of an output.
     #[must_use]
     pub fn from_output(output: Output) -> Decision {
         match output {
@@ -132,13 +132,14 @@
 }
 
 impl Record {
-    /// As bytes; empty if it cannot be encoded, which does not happen: lengths are known and keys are texts.
+    /// Encodes to bytes. The result would be empty on an encoding error, which cannot occur: all lengths are known and
+    /// all keys are strings.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         rmp_serde::to_vec_named(self).unwrap_or_default()
     }
 
-    /// From bytes; none: it is no record that this program knows.
+    /// Decodes from bytes; returns `None` if this program does not know the record.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Record> {
         rmp_serde::from_slice(bytes).ok()
@@ -146,13 +147,14 @@
 }
 
 impl Snapshot {
-    /// As bytes; empty if it cannot be encoded, which does not happen: lengths are known and keys are texts.
+    /// Encodes to bytes. The result would be empty on an encoding error, which cannot occur: all lengths are known and
+    /// all keys are strings.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         rmp_serde::to_vec_named(self).unwrap_or_default()
     }
 
-    /// From bytes; none: it is no snapshot that this program knows.
+    /// Decodes from bytes; returns `None` if this program does not know the snapshot.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Snapshot> {
         rmp_serde::from_slice(bytes).ok()
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -1,5 +1,5 @@
-//! What a controller that starts again must know: the newest snapshot that is whole, and the inputs that were recorded
-//! after it. Those of them that outlive a run go through a core, as they did then; its outputs are not carried out.
+//! Recovers the state that a restarted controller needs, from the newest intact snapshot and the inputs recorded after
+//! it. The inputs that change the recovered state are handled by a core whose outputs are dropped.
 
 use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::{Boot, Decision, Record, Snapshot};
@@ -10,35 +10,35 @@
 use pondarch_event_log::{Disk, Frame, frame, list_file_names};
 use std::ops::ControlFlow;
 
-/// What was found.
+/// The result of recovery.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// The highest incarnation of any run; that of the next one must be higher.
+    /// The highest incarnation of any run; the next run must use a higher one.
     pub incarnation: u64,
-    /// Time of the last record.
+    /// Time of the last record, in microseconds since the Unix epoch.
     pub last_us: u64,
-    /// The machine's own count at that time.
+    /// Monotonic clock of the machine at that time.
     pub boot: Option<Boot>,
-    /// The recovered state; none: nothing was recorded.
+    /// The recovered state; `None` if no state was recorded.
     pub state: Option<RecoveredState>,
-    /// How many inputs after the snapshot were taken.
+    /// Number of inputs that were applied after the snapshot.
     pub inputs: usize,
-    /// What could not be read, and why.
+    /// Parts of the event log that could not be read.
     pub faults: Vec<ReplayFault>,
 }
 
-/// Reads a folder for a deployment with these settings.
+/// Recovers the state from a folder, for a deployment with these settings.
 ///
 /// # Errors
 ///
-/// The folder cannot be read at all. What is torn or missing is named in `faults`.
+/// The folder cannot be read at all. Damaged or missing parts are reported in `faults` instead.
 pub fn recover(disk: &impl Disk, site: &Site) -> Result<Recovery, ReplayError> {
     let SegmentList {
         segments,
         mut faults,
     } = segments::list(disk)?;
-    let highest = segments.iter().map(|segment| segment.header.incarnation);
-    let mut incarnation = highest.max().unwrap_or(0);
+    let incarnations = segments.iter().map(|segment| segment.header.incarnation);
+    let mut incarnation = incarnations.max().unwrap_or(0);
     let snapshot = newest_snapshot(disk, &mut faults)?;
     if let Some(snapshot) = &snapshot {
         incarnation = incarnation.max(snapshot.incarnation);
@@ -57,7 +57,7 @@
     Ok(recoverer.finish(incarnation, faults))
 }
 
-/// The newest snapshot that is whole; those that are not are added to `faults`.
+/// Returns the newest intact snapshot, and adds damaged ones that are newer to `faults`.
 fn newest_snapshot(
     disk: &impl Disk,
     faults: &mut Vec<ReplayFault>,
@@ -76,53 +76,54 @@
     Ok(None)
 }
 
-/// An input of some run. In order of time.
+/// The position of an input in the event log. Ordered by time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct InputPosition {
     incarnation: u64,
     number: u64,
 }
 
-/// The segments that may hold records after this input.
+/// Returns the segments that may have records after this input.
 fn segments_after(
     segments: &[StoredSegment],
     from: InputPosition,
 ) -> impl Iterator<Item = &StoredSegment> {
-    let is_over = move |index: usize, header: &pondarch_event_log::SegmentHeader| {
-        // Wholly before it: of an older run, or the next one of the run begins by then.
-        let next_begins_by_then = || {
+    let precedes = move |index: usize, header: &pondarch_event_log::SegmentHeader| {
+        // All records of the segment precede the input's successor if it belongs to an older run, or if the next
+        // segment of the run begins no later than that successor.
+        let next_covers_successor = || {
             segments.get(index + 1).is_some_and(|next| {
                 next.header.incarnation == from.incarnation
                     && next.header.first_input <= from.number + 1
             })
         };
         header.incarnation < from.incarnation
-            || header.incarnation == from.incarnation && next_begins_by_then()
+            || header.incarnation == from.incarnation && next_covers_successor()
     };
     segments
         .iter()
         .enumerate()
-        .filter(move |(index, segment)| !is_over(*index, &segment.header))
+        .filter(move |(index, segment)| !precedes(*index, &segment.header))
         .map(|(_, segment)| segment)
 }
 
-/// Takes the records after a snapshot one by one.
+/// Applies the records after a snapshot one by one.
 struct Recoverer<'a> {
     site: &'a Site,
-    /// Takes the inputs; nothing that it decides is carried out.
+    /// Handles the inputs; its outputs are dropped.
     core: Core,
-    /// The last input that is in the snapshot.
+    /// The last input that the snapshot includes.
     from: InputPosition,
-    /// Whether there is any state.
+    /// Whether a snapshot or an input has provided any state.
     has_state: bool,
     last_us: u64,
-    /// The machine's own count, and the time at which it was read.
+    /// Monotonic clock of the machine, and the time in microseconds at which it was read.
     boot_at: Option<(Boot, u64)>,
     inputs: usize,
     sequence: InputSequence,
-    /// The serial of the zone as the runs last gave it out.
+    /// The zone serial that the recorded runs last published.
     serial: Option<u32>,
-    /// What is missing in the segment that is read.
+    /// Missing inputs in the current segment.
     missing: Vec<ReplayFault>,
 }
 
@@ -149,7 +150,7 @@
             recoverer.has_state = true;
             recoverer.last_us = at_us;
             recoverer.boot_at = snapshot.boot.map(|boot| (boot, at_us));
-            recoverer.give(at_us, Input::Recovered(Box::new(snapshot.state)));
+            recoverer.handle_input(at_us, Input::Recovered(Box::new(snapshot.state)));
             if recoverer.from != InputPosition::default() {
                 recoverer
                     .sequence
@@ -159,7 +160,7 @@
         recoverer
     }
 
-    fn give(&mut self, at_us: u64, input: Input) {
+    fn handle_input(&mut self, at_us: u64, input: Input) {
         self.core.handle(Time::from_micros(at_us), input);
         while self.core.next_output().is_some() {}
     }
@@ -174,7 +175,7 @@
             position > self.from
         };
         match record {
-            // That of the snapshot's own run is older than the snapshot.
+            // Skips the start of the snapshot's own run, which is older than the snapshot.
             Record::Start(start) if is_new(1) => {
                 self.boot_at = start.boot.map(|boot| (boot, start.at_us));
                 self.last_us = start.at_us;
@@ -226,15 +227,15 @@
             return;
         }
         if matches!(input, Input::Recovered(_)) {
-            // Another run began with all that was known: what this core had is in it.
+            // A later run began with this state, which includes all that this core knew.
             self.core = scratch_core(self.site, at_us);
         }
         self.inputs += 1;
         self.has_state = true;
-        self.give(at_us, input);
+        self.handle_input(at_us, input);
     }
 
-    /// The zone's serial is what the run gave out, not what this core comes to.
+    /// Takes the zone serial from the recorded decisions, because this core would derive another one.
     fn apply_decisions(&mut self, decisions: &[Decision]) {
         let mut serials = decisions
             .iter()
@@ -271,7 +272,7 @@
     }
 }
 
-/// A core whose outputs are dropped: its seed, process and incarnation are nobody's.
+/// Creates a core whose outputs are dropped; its seed, process ID and incarnation are placeholders.
 fn scratch_core(site: &Site, at_us: u64) -> Core {
     Core::new(site, 0, 0, 0, Time::from_micros(at_us))
 }
--- a/crates/replay/src/run_replay.rs
+++ b/crates/replay/src/run_replay.rs
@@ -1,5 +1,5 @@
-//! The same inputs once more, through the present build: each run from its start, with its own settings and seed. What it
-//! decides is compared with what was decided then.
+//! Replays the recorded inputs through the current build, each run from its start with its own settings and seed, and
+//! compares the decisions with the recorded ones.
 
 use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::{Decision, Record, RunStart};
@@ -13,12 +13,13 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The inputs of each run whose decisions are compared. All are replayed, as later ones follow from earlier ones.
+/// The range of inputs whose decisions are compared, for each run. All inputs are replayed, because later decisions
+/// depend on earlier inputs.
 #[derive(Clone, Copy, Debug)]
 pub struct ComparedInputs {
-    /// Number of the first.
+    /// Number of the first input.
     pub from: u64,
-    /// Number of the last.
+    /// Number of the last input.
     pub to: u64,
 }
 
@@ -31,47 +32,47 @@
     }
 }
 
-/// The first decision that differs.
+/// The first decision of a run that differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// Number of the input.
     pub number: u64,
-    /// Time of the input.
+    /// Time of the input, in microseconds since the Unix epoch.
     pub at_us: u64,
     /// The input.
     pub input: Input,
-    /// What was decided then; none: nothing more.
+    /// The recorded decision; `None` if the recorded decisions of the input end before it.
     pub recorded: Option<Decision>,
-    /// What is decided now; none: nothing more.
+    /// The replayed decision; `None` if the replayed decisions of the input end before it.
     pub replayed: Option<Decision>,
 }
 
-/// Why a run could not be replayed to its end.
+/// The reason why a run could not be replayed to its end. Its text is part of the output of `pondarch replay`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ReplayStop {
-    /// Its records are damaged.
+    /// The records of the run are damaged.
     #[error("its records are torn")]
     Damaged,
-    /// The first input on record is not its first.
+    /// The first recorded input, with this number, is not the first input of the run.
     #[error("it begins with input {0}")]
     FirstInput(u64),
-    /// Inputs are missing without a record of a gap.
+    /// Inputs are missing without a gap record.
     #[error("inputs {first} to {last} are missing")]
     MissingInputs {
-        /// The first that is missing.
+        /// Number of the first missing input.
         first: u64,
-        /// The last that is missing.
+        /// Number of the last missing input.
         last: u64,
     },
-    /// The records say that inputs were not recorded.
+    /// A gap record says that inputs were not recorded.
     #[error("inputs {first} to {last} were not recorded: {reason}")]
     NotRecorded {
-        /// The first that was not recorded.
+        /// Number of the first input that was not recorded.
         first: u64,
-        /// The last that was not recorded.
+        /// Number of the last input that was not recorded.
         last: u64,
-        /// Why, as the records say.
+        /// The reason, from the gap record.
         reason: String,
     },
 }
@@ -82,41 +83,41 @@
     }
 }
 
-/// One run, replayed.
+/// The result of replaying one run.
 #[derive(Clone, Debug)]
 pub struct RunReplay {
-    /// The run.
+    /// Incarnation of the run.
     pub incarnation: u64,
     /// Name and version of the program that recorded it.
     pub program: String,
-    /// Inputs that were replayed.
+    /// Number of replayed inputs.
     pub inputs: u64,
-    /// Decisions that they led to.
+    /// Number of decisions of the replayed inputs.
     pub decisions: u64,
     /// Time from the start of the run to its last input.
     pub recorded_duration: Duration,
-    /// Time that the replay took.
+    /// Duration of the replay.
     pub replay_duration: Duration,
-    /// The first decision that differs; none: all are the same.
+    /// The first decision that differs; `None` if all compared decisions are equal.
     pub difference: Option<Difference>,
-    /// Why it could not be replayed to its end.
+    /// The reason why the run could not be replayed to its end.
     pub stopped: Option<ReplayStop>,
 }
 
-/// The runs of a folder, replayed.
+/// The result of replaying all runs of a folder.
 #[derive(Clone, Debug, Default)]
 pub struct FolderReplay {
-    /// Those whose start is on record, oldest first.
+    /// Runs whose start is in the event log, oldest first.
     pub runs: Vec<RunReplay>,
-    /// What could not be read or replayed.
+    /// Parts of the event log that could not be read or replayed.
     pub faults: Vec<ReplayFault>,
 }
 
-/// Replays all runs of a folder whose start is on record.
+/// Replays all runs of a folder whose start is in the event log.
 ///
 /// # Errors
 ///
-/// The folder cannot be read, or the settings of a run are not valid.
+/// The folder cannot be read, has no segments, or the settings of a run are not valid.
 pub fn replay(disk: &impl Disk, compared: ComparedInputs) -> Result<FolderReplay, ReplayError> {
     let SegmentList {
         segments,
@@ -160,12 +161,12 @@
     })
 }
 
-/// Replays the runs of a folder one after the other.
+/// Replays the runs of a folder one after another.
 struct FolderReplayer {
     compared: ComparedInputs,
     runs: Vec<RunReplay>,
     current: Option<RunReplayer>,
-    /// A run of which there was a record without its start.
+    /// Incarnation of a run in the current segment that has records, but no start.
     run_without_start: Option<u64>,
 }
 
@@ -195,7 +196,7 @@
     }
 }
 
-/// An input that was replayed and whose decisions are still to be compared.
+/// A replayed input whose decisions have not been compared yet.
 struct ReplayedInput {
     number: u64,
     at_us: u64,
@@ -247,7 +248,7 @@
                 at_us,
                 input,
             } => {
-                // An input without a record of decisions decided nothing.
+                // The previous input had no record of decisions, so it led to none.
                 self.compare(&[], compared);
                 self.report.stopped = self.apply_input(number, at_us, input).err();
             }
@@ -295,7 +296,7 @@
         Ok(())
     }
 
-    /// Compares what the last input led to with the record of it.
+    /// Compares the decisions of the last input with the recorded ones.
     fn compare(&mut self, recorded: &[Decision], compared: ComparedInputs) {
         let Some(last) = self.last.take() else {
             return;
@@ -307,7 +308,7 @@
         {
             return;
         }
-        let same = recorded
+        let equal_count = recorded
             .iter()
             .zip(&last.decisions)
             .take_while(|(recorded, replayed)| recorded == replayed)
@@ -316,14 +317,14 @@
             number: last.number,
             at_us: last.at_us,
             input: last.input,
-            recorded: recorded.get(same).cloned(),
-            replayed: last.decisions.get(same).cloned(),
+            recorded: recorded.get(equal_count).cloned(),
+            replayed: last.decisions.get(equal_count).cloned(),
         });
     }
 
     fn end(mut self) -> RunReplay {
-        // The record of the last input's decisions may be the one thing that was torn off: without one there is nothing
-        // to compare, whether that input decided something or not.
+        // A last input without a record of decisions is not compared: it may have led to none, or the record may have
+        // been torn off.
         self.report.replay_duration = self.started.elapsed();
         self.report
     }
--- a/crates/replay/src/segments.rs
+++ b/crates/replay/src/segments.rs
@@ -1,4 +1,5 @@
-//! The records of a folder in order, run by run. What is torn, missing or foreign is named, and reading goes on behind it.
+//! Reads the records of a folder in order, run by run. Damaged, missing or unknown parts are reported as faults, and
+//! reading continues after them.
 
 use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::Record;
@@ -11,20 +12,20 @@
 /// A segment in the folder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredSegment {
-    /// Its file.
+    /// File name.
     pub file: String,
-    /// Its header.
+    /// Segment header.
     pub header: SegmentHeader,
-    /// Its size.
+    /// Size in bytes.
     pub bytes: u64,
 }
 
 /// The segments of a folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SegmentList {
-    /// Those that can be read, in the order in which they were written.
+    /// Segments with a readable header, in the order in which they were written.
     pub segments: Vec<StoredSegment>,
-    /// Those that cannot.
+    /// Segments whose header cannot be read.
     pub faults: Vec<ReplayFault>,
 }
 
@@ -57,11 +58,11 @@
     Ok(list)
 }
 
-/// Reads the records of a segment until `visit` ends it; what is wrong is added to `faults`.
+/// Reads the records of a segment until `visit` returns a break; damaged and unknown records are added to `faults`.
 ///
 /// # Errors
 ///
-/// The file cannot be read.
+/// The file or its header cannot be read.
 pub fn read(
     disk: &impl Disk,
     segment: &StoredSegment,
@@ -84,14 +85,14 @@
             None => unknown_records += 1,
         }
     }
-    let mut add = |cause| {
+    let mut add_fault = |cause| {
         faults.push(ReplayFault {
             file: segment.file.clone(),
             cause,
         });
     };
     if unknown_records > 0 {
-        add(ReplayFaultCause::UnknownRecords(unknown_records));
+        add_fault(ReplayFaultCause::UnknownRecords(unknown_records));
     }
     if let Some(SegmentEnd::Damaged {
         offset,
@@ -99,7 +100,7 @@
         error,
     }) = reader.end()
     {
-        add(ReplayFaultCause::Damaged {
+        add_fault(ReplayFaultCause::Damaged {
             error: error.clone(),
             offset: *offset,
             dropped_bytes: *dropped_bytes,
@@ -108,16 +109,16 @@
     Ok(())
 }
 
-/// Inputs of a run, by the numbers of the first and the last.
+/// A range of inputs of a run, by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InputNumbers {
-    /// The first.
+    /// Number of the first input.
     pub first: u64,
-    /// The last.
+    /// Number of the last input.
     pub last: u64,
 }
 
-/// Follows the numbers of the inputs of each run, to find those that are missing without a record of a gap.
+/// Tracks the numbers of the inputs of each run, to find inputs that are missing without a gap record.
 #[derive(Debug, Default)]
 pub struct InputSequence {
     incarnation: u64,
@@ -125,7 +126,7 @@
 }
 
 impl InputSequence {
-    /// An input was read. Gives those that are missing before it.
+    /// Notes an input that was read. Returns the inputs that are missing before it.
     pub fn observe_input(&mut self, incarnation: u64, number: u64) -> Option<InputNumbers> {
         let last = self.last.filter(|_| self.incarnation == incarnation);
         self.incarnation = incarnation;
@@ -137,7 +138,7 @@
             })
     }
 
-    /// A gap up to this input is on record: it is not missing without a word.
+    /// Notes that a gap record or a snapshot covers the inputs up to `last`, so that they do not count as missing.
     pub fn observe_gap(&mut self, incarnation: u64, last: u64) {
         self.incarnation = incarnation;
         self.last = Some(last);
--- a/crates/replay/src/what_if.rs
+++ b/crates/replay/src/what_if.rs
@@ -1,10 +1,10 @@
-//! What-if replay: the external inputs of a run, without its decisions, replayed with other settings or another seed.
+//! What-if replay: replays the external inputs of a run, without its decisions, with other settings or another seed.
 //!
-//! - [`scenario`]: the external inputs as a file.
-//! - [`extract`]: the scenario of a recorded run.
-//! - [`replayer`]: a core that a scenario is given to.
-//! - [`result`]: what the core decided, in figures.
-//! - `simulated_proxy`: the proxies that the core talks to.
+//! - [`scenario`]: the file format of the external inputs.
+//! - [`extract`]: extracts the scenario of a recorded run.
+//! - [`replayer`]: replays a scenario through a core.
+//! - [`result`]: summary of the core's decisions.
+//! - `simulated_proxy`: in-memory proxies that the core connects to.
 
 pub mod extract;
 pub mod replayer;
--- a/crates/replay/src/what_if/extract.rs
+++ b/crates/replay/src/what_if/extract.rs
@@ -1,4 +1,4 @@
-//! The scenario of a recorded run.
+//! Extracts the scenario of a recorded run.
 
 use super::scenario::{ExternalInput, HostAttempts, Scenario, ScenarioEvent};
 use crate::error::{ReplayError, ReplayFault};
@@ -11,20 +11,20 @@
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
 
-/// The scenario of a run.
+/// The result of extracting a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExtractedScenario {
-    /// The scenario.
+    /// Scenario of the run.
     pub scenario: Scenario,
-    /// What could not be read.
+    /// Parts of the event log that could not be read.
     pub faults: Vec<ReplayFault>,
 }
 
-/// Extracts the scenario of the run of this incarnation; none: of the last one.
+/// Extracts the scenario of the run with this incarnation, or of the last run if it is `None`.
 ///
 /// # Errors
 ///
-/// The folder cannot be read, or the start of such a run is not in it.
+/// The folder cannot be read, it does not have the start of the run, or the settings of the run are not valid.
 pub fn extract_scenario(
     disk: &impl Disk,
     incarnation: Option<u64>,
@@ -37,7 +37,7 @@
     let incarnation = incarnation
         .or(incarnations.max())
         .ok_or(ReplayError::NoRecords)?;
-    let mut extractor = Extractor::default();
+    let mut extractor = ScenarioExtractor::default();
     for segment in segments
         .iter()
         .filter(|segment| segment.header.incarnation == incarnation)
@@ -54,16 +54,18 @@
     Ok(ExtractedScenario { scenario, faults })
 }
 
-/// Takes the records of a run one by one.
+/// Builds a scenario from the records of a run, one by one.
 #[derive(Default)]
-struct Extractor {
-    /// None: before the start of the run.
+struct ScenarioExtractor {
+    /// The scenario so far; `None` before the start of the run.
     scenario: Option<Scenario>,
+    /// Last reported counters, by proxy number.
     counters: BTreeMap<u16, ProxyCounters>,
+    /// Whether each proxy was last reachable, by proxy number.
     reachable: BTreeMap<u16, bool>,
 }
 
-impl Extractor {
+impl ScenarioExtractor {
     fn apply(&mut self, record: Record) {
         match record {
             Record::Start(start) => {
@@ -84,15 +86,15 @@
         }
     }
 
-    /// What an input says of the outside; none: nothing that does not follow from decisions.
+    /// Returns the external part of an input; `None` if the input only follows from decisions.
     fn external_input(&mut self, input: Input) -> Option<ExternalInput> {
         match input {
             Input::Recovered(state) => Some(ExternalInput::RecoveredState(state)),
             Input::EndpointList { generation, hosts } => {
                 Some(ExternalInput::EndpointList { generation, hosts })
             }
-            Input::Connected { proxy, .. } => self.reachable(proxy, true),
-            Input::Disconnected { proxy, .. } => self.reachable(proxy, false),
+            Input::Connected { proxy, .. } => self.observe_reachable(proxy, true),
+            Input::Disconnected { proxy, .. } => self.observe_reachable(proxy, false),
             Input::Answer { proxy, text, .. } => {
                 self.counters.entry(proxy).or_default().apply(proxy, &text)
             }
@@ -122,14 +124,14 @@
         }
     }
 
-    /// The first connection, or the first failed one, and each change after it.
-    fn reachable(&mut self, proxy: u16, reachable: bool) -> Option<ExternalInput> {
+    /// Returns an input for the first result of connecting to a proxy, and for each change after it.
+    fn observe_reachable(&mut self, proxy: u16, reachable: bool) -> Option<ExternalInput> {
         let before = self.reachable.insert(proxy, reachable);
         (before != Some(reachable)).then_some(ExternalInput::ProxyReachable { proxy, reachable })
     }
 }
 
-/// Attempts as a proxy counts them, since its start.
+/// Attempt counters of a proxy since its start.
 #[derive(Clone, Copy, Default)]
 struct AttemptCounters {
     succeeded: u64,
@@ -137,24 +139,25 @@
     succeeded_ms: u64,
 }
 
-/// Counters of one proxy as it last reported them.
+/// The counters that one proxy last reported.
 #[derive(Default)]
 struct ProxyCounters {
-    /// By backend and host.
+    /// Attempts by backend and host.
     attempts: BTreeMap<(String, String), AttemptCounters>,
-    /// By backend.
+    /// Requests by backend.
     requests: BTreeMap<String, u64>,
 }
 
 impl ProxyCounters {
-    /// The difference of an answer's counters to those before; none: it has no counters, or nothing happened.
+    /// Returns the increase of the counters since the last answer; `None` if the answer has no counters or none
+    /// increased.
     fn apply(&mut self, proxy: u16, text: &str) -> Option<ExternalInput> {
         if !text.starts_with("# pxname") {
             return None;
         }
         let mut requests = Vec::new();
         let mut attempts = Vec::new();
-        // An answer that is no table has no counters.
+        // An answer that is not a statistics table has no counters.
         for row in stat::read(text).ok()? {
             match row.of {
                 RowType::Backend => requests.push(self.apply_backend(row)),
@@ -196,7 +199,7 @@
     }
 }
 
-/// How much a counter grew; one that is lower than before began anew.
+/// Returns the increase of a counter. A counter that is lower than before was reset, and counts from zero.
 fn increase(now: u64, before: u64) -> u64 {
     if now >= before { now - before } else { now }
 }
--- a/crates/replay/src/what_if/replayer.rs
+++ b/crates/replay/src/what_if/replayer.rs
@@ -1,6 +1,6 @@
-//! A scenario given to a core, with proxies that do what they are ordered: what would it have decided with other settings,
-//! or with another seed? Hosts do what they did then; where a proxy no longer has a host that it used, what that host
-//! did is left out, and its other hosts are not made busier by it.
+//! Replays a scenario through a core with simulated proxies, to show what it would have decided with other settings or
+//! another seed. Hosts behave as recorded. Traffic of a proxy to a host that it no longer has is left out; it is not
+//! added to the other hosts of that proxy.
 
 use super::result::WhatIfResult;
 use super::scenario::{ExternalInput, Scenario};
@@ -16,11 +16,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the replay goes on for after the last input.
+/// Time that the replay continues after the last input.
 const AFTER_LAST_INPUT_US: u64 = 1_000_000;
-/// Hosts in a table of a proxy that starts with tables of its own.
+/// Number of hosts in the initial tables of the simulated proxies.
 const INITIAL_TABLE_HOSTS: usize = 4;
-/// Why a connection ends that ended in the scenario.
+/// Reason given for a connection that ends because the scenario says so.
 const DISCONNECT_REASON: &str = "as recorded";
 
 /// Replays a scenario with its own settings, or with others that name the same proxies.
@@ -45,7 +45,7 @@
     Ok(replayer.result)
 }
 
-/// The number in the settings of each proxy of the scenario, found by its name.
+/// Maps the number of each proxy in the scenario to its number in the settings, by name.
 fn proxy_numbers(scenario: &Site, settings: &Site) -> Result<Vec<u16>, ReplayError> {
     let number_of = |name: &String| {
         settings
@@ -62,17 +62,17 @@
         .collect()
 }
 
-/// A core and the proxies that it talks to, in simulated time.
+/// A core and its simulated proxies, in simulated time.
 struct ScenarioReplayer {
     core: Core,
     site: Site,
     now_us: u64,
     proxies: Vec<SimulatedProxy>,
-    /// Hosts that the list says to be ready.
+    /// Addresses of the hosts that the endpoint list has as ready.
     ready: BTreeMap<String, SocketAddr>,
-    /// Since when a host that was ready is no longer.
+    /// The time at which a host that was ready ceased to be, in microseconds.
     not_ready_since: BTreeMap<String, u64>,
-    /// Inputs that follow from outputs.
+    /// Inputs that result from outputs and are not handled yet.
     pending: VecDeque<Input>,
     result: WhatIfResult,
 }
@@ -104,10 +104,12 @@
     fn apply(&mut self, input: &ExternalInput, proxies: &[u16]) {
         let number_of = |proxy: u16| proxies.get(usize::from(proxy)).copied();
         match input {
-            ExternalInput::RecoveredState(state) => self.give(Input::Recovered(state.clone())),
+            ExternalInput::RecoveredState(state) => {
+                self.handle_input(Input::Recovered(state.clone()))
+            }
             ExternalInput::EndpointList { generation, hosts } => {
                 self.apply_list(hosts);
-                self.give(Input::EndpointList {
+                self.handle_input(Input::EndpointList {
                     generation: *generation,
                     hosts: hosts.clone(),
                 });
@@ -133,7 +135,7 @@
                 for_load,
                 healthy,
                 load,
-            } => self.give(Input::HealthCheckCompleted {
+            } => self.handle_input(Input::HealthCheckCompleted {
                 host: host.clone(),
                 for_load: *for_load,
                 healthy: *healthy,
@@ -142,19 +144,18 @@
             ExternalInput::DnsQueried { proxy } => {
                 self.apply_dns_query(*proxy, proxy.and_then(number_of));
             }
-            ExternalInput::OperatorCommand { level, line } => self.give(Input::Command {
+            ExternalInput::OperatorCommand { level, line } => self.handle_input(Input::Command {
                 caller: 0,
                 level: *level,
                 line: line.clone(),
             }),
         }
-        self.settle();
+        self.process_pending();
     }
 
-    /// Follows which hosts are ready. With the first list, proxies get tables that they hold at their start: the first
-    /// hosts listed.
+    /// Tracks which hosts are ready. If none was ready before, as with the first list, the proxies get initial tables.
     fn apply_list(&mut self, hosts: &[HostEntry]) {
-        let is_first = self.ready.is_empty();
+        let had_no_ready_hosts = self.ready.is_empty();
         let before = std::mem::take(&mut self.ready);
         self.ready = hosts
             .iter()
@@ -167,18 +168,19 @@
         }
         self.not_ready_since
             .retain(|name, _| !self.ready.contains_key(name));
-        if is_first {
-            self.give_initial_tables();
+        if had_no_ready_hosts {
+            self.fill_initial_tables();
         }
     }
 
-    fn give_initial_tables(&mut self) {
+    /// Fills the table of each proxy with ready hosts in order of name, starting at a different host for each proxy.
+    fn fill_initial_tables(&mut self) {
         let ready = &self.ready;
-        let all = ready.len().max(1);
+        let host_count = ready.len().max(1);
         for (number, proxy) in self.proxies.iter_mut().enumerate() {
-            let hosts = ready.iter().cycle().skip(number % all);
+            let hosts = ready.iter().cycle().skip(number % host_count);
             let table: BTreeMap<String, SocketAddr> = hosts
-                .take(INITIAL_TABLE_HOSTS.min(all))
+                .take(INITIAL_TABLE_HOSTS.min(host_count))
                 .map(|(name, address)| (name.clone(), *address))
                 .collect();
             for backend in proxy.proxy_state.backends.values_mut() {
@@ -195,7 +197,7 @@
         proxy.reachable = reachable;
         proxy.lines.clear();
         if let Some(connection) = proxy.connection.take().filter(|_| !reachable) {
-            self.give(Input::Disconnected {
+            self.handle_input(Input::Disconnected {
                 proxy: number,
                 connection,
                 reason: DISCONNECT_REASON.into(),
@@ -203,7 +205,7 @@
         }
     }
 
-    /// A query by this proxy of the scenario, which has this number in the settings.
+    /// Applies a DNS query by the proxy with number `recorded` in the scenario and number `proxy` in the settings.
     fn apply_dns_query(&mut self, recorded: Option<u16>, proxy: Option<u16>) {
         let view = self.core.dns_view();
         let key = u64::from(recorded.unwrap_or(0));
@@ -212,16 +214,16 @@
             .table_of(proxy, RequestClassId(0), key)
             .map(|table| table.0);
         let proxy = proxy.or_else(|| view.anonymous_proxy(key)).map(|id| id.0);
-        self.give(Input::DnsQueried {
+        self.handle_input(Input::DnsQueried {
             proxy,
             table,
             serial: view.serial,
         });
     }
 
-    /// Lets time pass; the timers that the core set in between expire.
+    /// Advances the time, and expires the timers that are due by then.
     fn run_until(&mut self, until_us: u64) {
-        self.settle();
+        self.process_pending();
         loop {
             let timer_us = (self.core.wake_at() - Time::default())
                 .micros()
@@ -230,17 +232,17 @@
                 break;
             }
             self.now_us = timer_us;
-            self.give(Input::TimerExpired);
-            self.settle();
+            self.handle_input(Input::TimerExpired);
+            self.process_pending();
         }
         self.now_us = self.now_us.max(until_us);
     }
 
-    /// Handles pending inputs and proxies' answers until there are no more.
-    fn settle(&mut self) {
+    /// Handles pending inputs and command lines until there are none left.
+    fn process_pending(&mut self) {
         loop {
             if let Some(input) = self.pending.pop_front() {
-                self.give(input);
+                self.handle_input(input);
                 continue;
             }
             let Some(number) = self
@@ -252,17 +254,17 @@
             };
             self.answer_line(number);
         }
-        self.measure();
+        self.update_durations();
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         self.core.handle(Time::from_micros(self.now_us), input);
         while let Some(output) = self.core.next_output() {
-            self.carry_out(output);
+            self.handle_output(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Dial { proxy, connection } => self.connect(proxy, connection),
             Output::Write {
@@ -278,7 +280,7 @@
             }
             Output::HangUp { proxy, connection } => {
                 if let Some(proxy) = self.proxies.get_mut(usize::from(proxy)) {
-                    proxy.hang_up(connection);
+                    proxy.close_connection(connection);
                 }
             }
             Output::Solve { number, fleet } => {
@@ -286,8 +288,8 @@
                     .map_err(|error| error.to_string());
                 self.pending.push_back(Input::Solved { number, plan });
             }
-            Output::Event(event) => self.result.count(event),
-            // Health checks were answered as recorded, at their recorded times.
+            Output::Event(event) => self.result.add_event(event),
+            // The results of health checks are inputs of the scenario, at their recorded times.
             Output::CheckHealth { .. }
             | Output::DnsViewChanged { .. }
             | Output::NotifySecondary { .. }
@@ -326,7 +328,7 @@
             return;
         }
         let window_us = self.site.channel.message_window.0.micros();
-        let messages = proxy.record_message(self.now_us, &line, window_us);
+        let messages = proxy.count_message(self.now_us, &line, window_us);
         self.result.max_messages = self.result.max_messages.max(messages);
         for text in proxy.proxy_state.execute_line(&line) {
             self.pending.push_back(Input::Answer {
@@ -337,8 +339,9 @@
         }
     }
 
-    /// Measures proxies that have joined and serve from no host, or still serve from one that is not ready.
-    fn measure(&mut self) {
+    /// Updates how long a joined proxy has had a backend without a serving host, or has still served from a host that
+    /// is not ready.
+    fn update_durations(&mut self) {
         for proxy in &mut self.proxies {
             let has_joined = proxy.has_joined();
             if has_joined && !self.ready.is_empty() && !proxy.all_backends_serve() {
--- a/crates/replay/src/what_if/result.rs
+++ b/crates/replay/src/what_if/result.rs
@@ -1,44 +1,44 @@
-//! What a controller decided over a scenario.
+//! Summary of the decisions of a controller over a scenario.
 
 use pondarch_daemon_core::Event;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a controller decided over a scenario, in figures.
+/// Summary of the decisions of a controller over a scenario.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WhatIfResult {
-    /// Changes of tables.
+    /// Number of table changes.
     pub table_changes: u64,
-    /// Lines that they changed.
+    /// Number of lines changed by them.
     pub lines_changed: u64,
-    /// Bindings of proxies.
+    /// Number of proxy bindings.
     pub binds: u64,
-    /// Changes of admission rates.
+    /// Number of admission changes.
     #[serde(rename = "level_changes")]
     pub admission_changes: u64,
-    /// Messages with updates.
+    /// Number of messages with updates.
     pub messages: u64,
-    /// Commands in them.
+    /// Number of commands in them.
     pub commands: u64,
-    /// Most messages to one proxy within the window of the settings.
+    /// Maximum number of messages to one proxy within the message window of the settings.
     #[serde(rename = "messages_most")]
     pub max_messages: u64,
-    /// How often a warming host was held back, as its weight would have been too small.
+    /// Number of times that a warming host was held back because its weight was too small to send.
     #[serde(rename = "held_back")]
     pub hosts_held_back: u64,
-    /// Longest time that a backend of a proxy served from no host while a host was listed as ready.
+    /// Longest time that a backend of a joined proxy had no serving host while the endpoint list had ready hosts.
     #[serde(rename = "bare_longest_ms")]
     pub max_without_host_ms: u64,
-    /// Longest time that a proxy still served from a host after the list had said to drain or remove it.
+    /// Longest time that a proxy still served from a host after the endpoint list had drained or removed it.
     #[serde(rename = "drain_longest_ms")]
     pub max_drain_ms: u64,
-    /// Each table at the end: its hosts and their weights.
+    /// Hosts and weights of each table at the end.
     pub tables: BTreeMap<u16, BTreeMap<String, f64>>,
 }
 
 impl WhatIfResult {
-    /// Counts an event.
-    pub(super) fn count(&mut self, event: Event) {
+    /// Adds an event to the summary.
+    pub(super) fn add_event(&mut self, event: Event) {
         match event {
             Event::TableChanged { table, weights, .. } => {
                 self.table_changes += 1;
--- a/crates/replay/src/what_if/scenario.rs
+++ b/crates/replay/src/what_if/scenario.rs
@@ -1,21 +1,22 @@
-//! The external inputs of a run: what came from outside, which would have come whatever was decided. What proxies
-//! answered is not among them (it follows from updates), what their clients and hosts did is.
+//! The external inputs of a run, which do not depend on its decisions. The traffic of clients and the results of hosts
+//! are included; the answers of proxies are not, because they follow from the updates.
 //!
-//! The names in the file (a "scene" on the command line) are pinned: they never follow a name in the code.
+//! The names in the file (a "scene" on the command line) are fixed; a renamed type or field keeps its stored name by an
+//! attribute.
 
 use pondarch_config::HostEntry;
 use pondarch_daemon_core::{RecoveredState, ReportedLoad};
 use serde::{Deserialize, Serialize};
 
-/// The external inputs of a run, as a file: JSON, which is Jsonnet.
+/// The external inputs of a run. The file format is JSON, which is also valid Jsonnet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The settings, evaluated, as JSON.
+    /// Evaluated settings, as JSON.
     pub settings: String,
-    /// When the run began, in microseconds since 1970.
+    /// Start of the run, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// The inputs, in order of time.
+    /// External inputs, in order of time.
     #[serde(rename = "course")]
     pub events: Vec<ScenarioEvent>,
 }
@@ -23,14 +24,14 @@
 /// An external input and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScenarioEvent {
-    /// Time since the start of the run.
+    /// Time since the start of the run, in microseconds.
     pub after_us: u64,
-    /// The input.
+    /// The external input.
     #[serde(rename = "what")]
     pub input: ExternalInput,
 }
 
-/// Something that came from outside.
+/// An input that does not depend on the decisions of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ExternalInput {
     /// The state that was recovered from an earlier run.
@@ -39,22 +40,22 @@
     /// The endpoint list.
     #[serde(rename = "List")]
     EndpointList {
-        /// Its generation, if it has one.
+        /// Generation of the list, if it has one.
         #[serde(rename = "version")]
         generation: Option<u64>,
-        /// Its hosts.
+        /// Hosts on the list.
         hosts: Vec<HostEntry>,
     },
-    /// A proxy became reachable, or no longer is.
+    /// A proxy became reachable or unreachable.
     #[serde(rename = "Proxy")]
     ProxyReachable {
         /// Number of the proxy.
         proxy: u16,
-        /// Whether it can be connected to.
+        /// Whether connections to it succeed.
         #[serde(rename = "up")]
         reachable: bool,
     },
-    /// What a proxy's clients sent and its hosts did since its last report.
+    /// Requests and attempts that a proxy counted since its last answer with counters.
     #[serde(rename = "Traffic")]
     ProxyTraffic {
         /// Number of the proxy.
@@ -66,49 +67,49 @@
         #[serde(rename = "met")]
         attempts: Vec<HostAttempts>,
     },
-    /// A health check ended.
+    /// A health check completed.
     #[serde(rename = "Probed")]
     HealthCheckCompleted {
         /// Name of the host.
         host: String,
-        /// Whether it was made for the host's load.
+        /// Whether the check was made to read the load of the host.
         for_load: bool,
-        /// Whether the host answered that it serves.
+        /// Whether the host answered that it is healthy.
         #[serde(rename = "good")]
         healthy: bool,
-        /// The load that the host reported.
+        /// Load that the host reported.
         load: Option<ReportedLoad>,
     },
     /// A proxy queried its table over DNS.
     #[serde(rename = "Asked")]
     DnsQueried {
-        /// Number of the proxy; none: one that is not known by its address.
+        /// Number of the proxy; `None` if its address is unknown.
         proxy: Option<u16>,
     },
-    /// An operator's command that changes something.
+    /// An operator command that changes state; `show` commands are left out.
     #[serde(rename = "Operator")]
     OperatorCommand {
-        /// Level of the socket.
+        /// Access level of the operator's socket.
         level: u8,
-        /// The line.
+        /// Command line.
         line: String,
     },
 }
 
-/// What one host did with the attempts of one backend of one proxy.
+/// Results of the attempts of one backend of one proxy at one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostAttempts {
-    /// The backend.
+    /// Name of the backend.
     pub backend: String,
     /// Name of the host.
     pub host: String,
-    /// Attempts that succeeded.
+    /// Number of attempts that succeeded.
     #[serde(rename = "done")]
     pub succeeded: u64,
-    /// Attempts that failed.
+    /// Number of attempts that failed.
     #[serde(rename = "errored")]
     pub failed: u64,
-    /// Time that those that succeeded took, summed.
+    /// Total duration of the attempts that succeeded, in milliseconds.
     #[serde(rename = "done_ms")]
     pub succeeded_ms: u64,
 }
--- a/crates/replay/src/what_if/simulated_proxy.rs
+++ b/crates/replay/src/what_if/simulated_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that does what it is ordered, in memory.
+//! An in-memory proxy that executes the commands it is sent.
 
 use super::scenario::HostAttempts;
 use pondarch_proxy_core::proxy_state::{Backend, ProxyState, Server};
@@ -12,19 +12,19 @@
     pub(super) line: String,
 }
 
-/// One proxy.
+/// An in-memory proxy.
 pub(super) struct SimulatedProxy {
-    /// What it holds.
+    /// Backends, servers and counters of the proxy.
     pub(super) proxy_state: ProxyState,
     /// Whether it can be connected to.
     pub(super) reachable: bool,
-    /// The connection that is open.
+    /// Number of the open connection.
     pub(super) connection: Option<u64>,
-    /// Lines that it has not answered yet.
+    /// Command lines that it has not answered yet.
     pub(super) lines: VecDeque<SentLine>,
-    /// Times of the messages with updates within the window of the settings.
+    /// Times of the messages with updates within the message window of the settings, in microseconds.
     pub(super) messages: VecDeque<u64>,
-    /// Since when some backend of it serves from no host.
+    /// The time since which some backend has had no serving host, in microseconds.
     pub(super) without_host_since: Option<u64>,
 }
 
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Closes the connection of this number, if it is open.
-    pub(super) fn hang_up(&mut self, connection: u64) {
+    /// Closes the connection with this number if it is open, and drops all unanswered lines.
+    pub(super) fn close_connection(&mut self, connection: u64) {
         self.connection = self.connection.filter(|open| *open != connection);
         self.lines.clear();
     }
 
-    /// Counts what its clients sent and its hosts did; of a host that it no longer has, nothing.
+    /// Adds recorded requests and attempts to the counters; those of a host that the proxy no longer has are left out.
     pub(super) fn apply_traffic(&mut self, requests: &[(String, u64)], attempts: &[HostAttempts]) {
         for (name, count) in requests {
             if let Some(backend) = self.proxy_state.backends.get_mut(name) {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Counts a line as a message if it has updates. Gives how many messages there were within the window.
-    pub(super) fn record_message(&mut self, now_us: u64, line: &str, window_us: u64) -> u64 {
+    /// Counts the line as a message if it has updates. Returns the number of messages within the window.
+    pub(super) fn count_message(&mut self, now_us: u64, line: &str, window_us: u64) -> u64 {
         let has_updates = command::parse_line(line)
             .iter()
             .flatten()
@@ -79,18 +79,18 @@
         self.messages.len() as u64
     }
 
-    /// Whether it has been sent updates on the connection that is open.
+    /// Returns whether it is connected and has been sent updates.
     pub(super) fn has_joined(&self) -> bool {
         self.connection.is_some() && !self.messages.is_empty()
     }
 
-    /// Whether each of its backends has a host that serves.
+    /// Returns whether each backend has a serving host.
     pub(super) fn all_backends_serve(&self) -> bool {
         let serves = |backend: &Backend| backend.servers.values().any(Server::is_serving);
         self.proxy_state.backends.values().all(serves)
     }
 
-    /// Names of the hosts that it serves from.
+    /// Returns the names of the hosts that are serving in any backend.
     pub(super) fn serving_hosts(&self) -> BTreeSet<&String> {
         let backends = self.proxy_state.backends.values();
         backends
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -1,4 +1,4 @@
-//! A run that is recorded, by steps that are drawn; and its folder, recovered.
+//! Records a run from randomly generated steps, and recovers the state from its folder.
 
 use pondarch_config::hosts::{HostEntry, HostState};
 use pondarch_config::{Site, site_from_text};
@@ -11,6 +11,7 @@
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
 
+/// Start of the first run in microseconds since the Unix epoch, which is also its incarnation.
 pub(crate) const START: u64 = 1_800_000_000_000_000;
 
 fn settings(dns: bool) -> String {
@@ -30,7 +31,7 @@
 }
 
 pub(crate) fn site(dns: bool) -> Site {
-    site_from_text(&settings(dns)).expect("settings")
+    site_from_text(&settings(dns)).expect("valid settings")
 }
 
 pub(crate) fn host(n: usize, state: HostState, started: Option<f64>) -> HostEntry {
@@ -47,21 +48,25 @@
     }
 }
 
-/// A run that is recorded: a core, and its event log.
+/// A core whose inputs and decisions are recorded in an event log.
 pub(crate) struct RecordedRun<D: Disk> {
     pub(crate) core: Core,
     pub(crate) log: EventLog<D>,
     pub(crate) incarnation: u64,
+    /// Number of the last input.
     pub(crate) number: u64,
+    /// Simulated time, in microseconds since the Unix epoch.
     pub(crate) now: u64,
+    /// Generation of the last endpoint list.
     pub(crate) generation: u64,
-    /// The state to recover after each input, from the first on.
+    /// The state to recover after each input and snapshot, oldest first.
     pub(crate) states: Vec<RecoveredState>,
+    /// First and last input that could not be written since the last successful write.
     pub(crate) gap: Option<(u64, u64)>,
 }
 
 fn retention(segment_bytes: u64) -> RetentionConfig {
-    // Times here are not those of the files.
+    // The simulated times of the run are not the modification times of the files.
     let max_age = UNLIMITED_DURATION;
     RetentionConfig {
         segment_bytes,
@@ -80,7 +85,8 @@
         now: u64,
     ) -> RecordedRun<D> {
         let core = Core::new(&site(dns), 7, 1, incarnation, Time::from_micros(now));
-        let log = EventLog::new(disk, retention(segment_bytes), incarnation).expect("a folder");
+        let log =
+            EventLog::new(disk, retention(segment_bytes), incarnation).expect("list the folder");
         let mut run = RecordedRun {
             core,
             log,
@@ -106,7 +112,7 @@
         run
     }
 
-    pub(crate) fn give(&mut self, input: Input) {
+    pub(crate) fn handle_input(&mut self, input: Input) {
         self.number += 1;
         let number = self.number;
         let at = Time::from_micros(self.now);
@@ -152,7 +158,7 @@
         });
     }
 
-    pub(crate) fn snapshot(&mut self) {
+    pub(crate) fn write_snapshot(&mut self) {
         let state = self.core.state_to_recover();
         self.states.push(RecoveredState {
             at_us: self.now,
@@ -169,16 +175,16 @@
             .write_snapshot(Time::from_micros(self.now), &snapshot.to_bytes());
     }
 
-    pub(crate) fn list(&mut self, hosts: Vec<HostEntry>) {
+    pub(crate) fn apply_list(&mut self, hosts: Vec<HostEntry>) {
         self.generation += 1;
-        self.give(Input::EndpointList {
+        self.handle_input(Input::EndpointList {
             generation: Some(self.generation),
             hosts,
         });
     }
 
-    pub(crate) fn command(&mut self, line: &str) {
-        self.give(Input::Command {
+    pub(crate) fn run_command(&mut self, line: &str) {
+        self.handle_input(Input::Command {
             caller: 1,
             level: 2,
             line: line.into(),
@@ -186,18 +192,23 @@
     }
 }
 
+/// One step of a recorded run. Hosts are given by their index.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
+    /// Advances the time by this many milliseconds and expires the timer.
     Wait(u64),
     HostState(usize, HostState),
+    /// Restarts the host now.
     Restart(usize),
+    /// Runs the operator command with this index in [`OPERATOR_COMMANDS`].
     Operator(usize),
     DnsQuery,
+    /// Rejects an endpoint list with an error text of this length.
     RejectedList(usize),
     Snapshot,
 }
 
-const LINES: [&str; 6] = [
+const OPERATOR_COMMANDS: [&str; 6] = [
     "set server hosts/host-2 state drain; set server hosts/host-2 weight 3",
     "set server hosts/host-2 state ready",
     "add server hosts/extra 127.0.0.99:80 weight 2; set server hosts/extra state ready",
@@ -206,6 +217,7 @@
     "prepare map zones; add map zones extra arnhem",
 ];
 
+/// Generates a step.
 pub(crate) fn step() -> impl Strategy<Value = Step> {
     let state = prop_oneof![
         Just(HostState::Ready),
@@ -216,64 +228,66 @@
         3 => (10..9_000u64).prop_map(Step::Wait),
         3 => (0..8usize, state).prop_map(|(n, state)| Step::HostState(n, state)),
         1 => (0..8usize).prop_map(Step::Restart),
-        2 => (0..LINES.len()).prop_map(Step::Operator),
+        2 => (0..OPERATOR_COMMANDS.len()).prop_map(Step::Operator),
         2 => Just(Step::DnsQuery),
         2 => (0..400usize).prop_map(Step::RejectedList),
         1 => Just(Step::Snapshot),
     ]
 }
 
+/// Applies a first list of eight ready hosts, then the steps, each at least 5 ms after the one before.
 pub(crate) fn apply_steps<D: Disk>(run: &mut RecordedRun<D>, steps: &[Step]) {
     let mut hosts: Vec<HostEntry> = (0..8).map(|n| host(n, HostState::Ready, None)).collect();
-    run.list(hosts.clone());
+    run.apply_list(hosts.clone());
     for step in steps {
         run.now += 5_000;
         match step {
             Step::Wait(ms) => {
                 run.now += ms * 1_000;
-                run.give(Input::TimerExpired);
+                run.handle_input(Input::TimerExpired);
             }
             Step::HostState(n, state) => {
                 hosts[*n].state = *state;
-                run.list(hosts.clone());
+                run.apply_list(hosts.clone());
             }
             Step::Restart(n) => {
                 hosts[*n].started = Some(run.now as f64 / 1e6);
-                run.list(hosts.clone());
+                run.apply_list(hosts.clone());
             }
-            Step::Operator(n) => run.command(LINES[*n]),
+            Step::Operator(n) => run.run_command(OPERATOR_COMMANDS[*n]),
             Step::DnsQuery => {
                 let view = run.core.dns_view();
                 let proxy = view.anonymous_proxies.first().map(|id| id.0);
                 let table = view
                     .table_of(None, pondarch_controller::RequestClassId(0), 5)
                     .map(|table| table.0);
-                run.give(Input::DnsQueried {
+                run.handle_input(Input::DnsQueried {
                     proxy,
                     table,
                     serial: view.serial,
                 });
             }
             Step::RejectedList(len) => {
-                // Text that does not compress well.
+                // Random text, which does not compress well and so fills the segments.
                 let mut random = fastrand::Rng::with_seed(run.number);
-                run.give(Input::EndpointListRejected {
+                run.handle_input(Input::EndpointListRejected {
                     error: (0..*len).map(|_| random.alphanumeric()).collect(),
                 });
             }
-            Step::Snapshot => run.snapshot(),
+            Step::Snapshot => run.write_snapshot(),
         }
     }
 }
 
+/// Recovers the state from a folder with the settings of the recorded run.
 pub(crate) fn recover_folder(folder: &Path, dns: bool) -> Recovery {
-    recover(&Folder::read_only(folder), &site(dns)).expect("the folder can be read")
+    recover(&Folder::read_only(folder), &site(dns)).expect("read the folder")
 }
 
-/// The newest segment of a folder.
+/// Returns the path of the newest segment in a folder.
 pub(crate) fn last_segment(folder: &Path) -> PathBuf {
     let name = list_file_names(&Folder::read_only(folder))
-        .expect("files")
+        .expect("list the files")
         .segments
         .pop()
         .expect("a segment");
--- a/crates/replay/tests/recovery/main.rs
+++ b/crates/replay/tests/recovery/main.rs
@@ -1,4 +1,4 @@
-//! Recovery and replay of runs that are recorded here: whole, damaged, and taken over by the next run.
+//! Recovery and replay of runs recorded by these tests: from intact files, from damaged files, and across a restart.
 
 mod any_byte;
 mod damaged_files;
--- a/crates/replay/tests/stored_data/entries.rs
+++ b/crates/replay/tests/stored_data/entries.rs
@@ -1,85 +1,96 @@
-//! Entries of records as bytes: each variant is read, means what it did, and is written as the same bytes.
+//! Encoded records and snapshots: each variant is decoded to the same value as before, and encoded to the same bytes.
 
-use crate::{stored, text};
+use crate::{read_fixture, to_stored_json};
 use pondarch_replay::{Decision, Record, Snapshot};
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// One line of the fixture: which sort of entry, its value, and its bytes.
+/// One line of the fixture: `record` or `snapshot`, the value as JSON, and the encoded bytes.
 struct Entry {
-    sort: String,
+    entry_type: String,
     value: Value,
     bytes: Vec<u8>,
 }
 
-fn entries() -> Vec<Entry> {
-    let entry = |line: &str| {
-        let [sort, value, bytes] = line.split('\t').collect::<Vec<_>>()[..] else {
-            panic!("{line}")
+fn read_entries() -> Vec<Entry> {
+    let parse_line = |line: &str| {
+        let [entry_type, value, bytes] = line.split('\t').collect::<Vec<_>>()[..] else {
+            panic!("malformed line: {line}")
         };
         let value = serde_json::from_str(value).expect("JSON");
-        let byte = |pair: &[u8]| {
-            let digits = std::str::from_utf8(pair).expect("digits");
-            u8::from_str_radix(digits, 16).expect("digits")
+        let parse_byte = |pair: &[u8]| {
+            let digits = std::str::from_utf8(pair).expect("ASCII");
+            u8::from_str_radix(digits, 16).expect("hexadecimal digits")
         };
         Entry {
-            sort: sort.into(),
+            entry_type: entry_type.into(),
             value,
-            bytes: bytes.as_bytes().chunks(2).map(byte).collect(),
+            bytes: bytes.as_bytes().chunks(2).map(parse_byte).collect(),
         }
     };
-    text("encoded-entries.txt").lines().map(entry).collect()
+    read_fixture("encoded-entries.txt")
+        .lines()
+        .map(parse_line)
+        .collect()
 }
 
 #[test]
-fn every_entry_is_read_as_it_was_meant_and_written_as_the_same_bytes() {
-    let mut wrong = Vec::new();
-    for Entry { sort, value, bytes } in entries() {
-        let read = match sort.as_str() {
-            "record" => Record::from_bytes(&bytes).map(|entry| (stored(&entry), entry.to_bytes())),
-            "snapshot" => {
-                Snapshot::from_bytes(&bytes).map(|entry| (stored(&entry), entry.to_bytes()))
+fn every_entry_is_decoded_to_its_value_and_encoded_to_the_same_bytes() {
+    let mut mismatches = Vec::new();
+    for Entry {
+        entry_type,
+        value,
+        bytes,
+    } in read_entries()
+    {
+        let decoded =
+            match entry_type.as_str() {
+                "record" => Record::from_bytes(&bytes)
+                    .map(|entry| (to_stored_json(&entry), entry.to_bytes())),
+                "snapshot" => Snapshot::from_bytes(&bytes)
+                    .map(|entry| (to_stored_json(&entry), entry.to_bytes())),
+                _ => panic!("unknown entry type: {entry_type}"),
+            };
+        match decoded {
+            None => mismatches.push(format!("cannot be decoded: {value}")),
+            Some((decoded_value, _)) if decoded_value != value => {
+                mismatches.push(format!("expected {value}\ndecoded  {decoded_value}"))
             }
-            _ => panic!("no sort of entry: {sort}"),
-        };
-        match read {
-            None => wrong.push(format!("cannot be read: {value}")),
-            Some((now, _)) if now != value => wrong.push(format!("was {value}\nis  {now}")),
-            Some((_, now)) if now != bytes => {
-                wrong.push(format!("written as other bytes: {value}"))
+            Some((_, encoded)) if encoded != bytes => {
+                mismatches.push(format!("encoded to different bytes: {value}"))
             }
             Some(_) => {}
         }
     }
     assert!(
-        wrong.is_empty(),
+        mismatches.is_empty(),
         "{} entries:\n{}",
-        wrong.len(),
-        wrong.join("\n")
+        mismatches.len(),
+        mismatches.join("\n")
     );
 }
 
-/// The bytes alone, without any type of the program, say the same: the names stand in them.
+/// Decoding without the types of the program gives the same value, because the bytes contain the names.
 #[test]
-fn the_names_of_fields_and_variants_stand_in_the_bytes() {
-    for Entry { value, bytes, .. } in entries() {
-        let plain: Value = rmp_serde::from_slice(&bytes).expect("MessagePack");
-        assert_eq!(with_addresses_as_text(plain), value);
+fn encoded_entries_contain_the_names_of_fields_and_variants() {
+    for Entry { value, bytes, .. } in read_entries() {
+        let untyped: Value = rmp_serde::from_slice(&bytes).expect("MessagePack");
+        assert_eq!(with_addresses_as_text(untyped), value);
     }
 }
 
-/// In bytes an address is its version, its numbers and its port; in JSON it is a text.
+/// Converts socket addresses to strings, as in JSON; the encoded form has the IP version, the octets and the port.
 fn with_addresses_as_text(value: Value) -> Value {
     match value {
         Value::Object(fields) if fields.contains_key("V4") || fields.contains_key("V6") => {
-            let (_, address) = fields.into_iter().next().expect("one");
-            let (numbers, port): (Vec<u8>, u16) =
+            let (_, address) = fields.into_iter().next().expect("one field");
+            let (octets, port): (Vec<u8>, u16) =
                 serde_json::from_value(address).expect("an address");
-            let ip: IpAddr = match <[u8; 4]>::try_from(numbers.as_slice()) {
-                Ok(numbers) => numbers.into(),
-                Err(_) => <[u8; 16]>::try_from(numbers.as_slice())
+            let ip: IpAddr = match <[u8; 4]>::try_from(octets.as_slice()) {
+                Ok(octets) => octets.into(),
+                Err(_) => <[u8; 16]>::try_from(octets.as_slice())
                     .expect("an address")
                     .into(),
             };
@@ -94,17 +105,17 @@
     }
 }
 
-/// The names that can be read at this place, by the message about one that cannot.
-fn names<T: DeserializeOwned>(value: Value) -> BTreeSet<String> {
-    let wrong = serde_json::from_value::<T>(value)
+/// Returns the variant names that are accepted where `value` has the name `other`, taken from the error message.
+fn accepted_names<T: DeserializeOwned>(value: Value) -> BTreeSet<String> {
+    let error = serde_json::from_value::<T>(value)
         .map(drop)
-        .expect_err("it has an unknown name")
+        .expect_err("an unknown variant name")
         .to_string();
     assert!(
-        wrong.starts_with("unknown variant `other`, expected"),
-        "{wrong}"
+        error.starts_with("unknown variant `other`, expected"),
+        "{error}"
     );
-    wrong
+    error
         .split('`')
         .skip(3)
         .step_by(2)
@@ -112,91 +123,107 @@
         .collect()
 }
 
-/// The name of a variant and what it holds.
-fn variant(value: &Value) -> (String, Value) {
+/// Returns the name of an enum variant and its content.
+fn variant_of(value: &Value) -> (String, Value) {
     match value {
         Value::Object(fields) if fields.len() == 1 => fields
             .iter()
             .next()
             .map(|(name, inner)| (name.clone(), inner.clone()))
-            .expect("one"),
+            .expect("one field"),
         name => (name.as_str().expect("a variant").into(), Value::Null),
     }
 }
 
-fn set(names: impl IntoIterator<Item = String>) -> BTreeSet<String> {
+fn to_set(names: impl IntoIterator<Item = String>) -> BTreeSet<String> {
     names.into_iter().collect()
 }
 
-/// Variants of these values, and the values of those of this name.
+/// Returns the names of all variants in `values`, and the contents of those called `name`.
 fn variants(values: &[Value], name: &str) -> (BTreeSet<String>, Vec<Value>) {
-    let all: Vec<(String, Value)> = values.iter().map(variant).collect();
-    let inner = all
+    let all: Vec<(String, Value)> = values.iter().map(variant_of).collect();
+    let contents = all
         .iter()
-        .filter(|(of, _)| of == name)
+        .filter(|(variant, _)| variant == name)
         .map(|(_, inner)| inner.clone())
         .collect();
-    (set(all.into_iter().map(|(name, _)| name)), inner)
+    (to_set(all.into_iter().map(|(name, _)| name)), contents)
 }
 
-fn parts(values: &[Value], key: &str) -> Vec<Value> {
+/// Returns the field `key` of each value.
+fn fields(values: &[Value], key: &str) -> Vec<Value> {
     values.iter().map(|value| value[key].clone()).collect()
 }
 
-/// No variant can be read that the fixture lacks, and none of the fixture is gone.
+/// The fixture has exactly the variants that the program can decode.
 #[test]
-fn the_entries_hold_every_variant_that_can_be_read() {
-    let records: Vec<Value> = entries()
+fn the_fixture_has_every_variant_that_can_be_decoded() {
+    let records: Vec<Value> = read_entries()
         .into_iter()
-        .filter(|entry| entry.sort == "record")
+        .filter(|entry| entry.entry_type == "record")
         .map(|entry| entry.value)
         .collect();
-    let (seen, inputs) = variants(&records, "Input");
-    assert_eq!(seen, names::<Record>(json!("other")));
-    let inputs = parts(&inputs, "input");
-    let (seen, secondaries) = variants(&inputs, "Secondary");
+    let (fixture_names, inputs) = variants(&records, "Input");
+    assert_eq!(fixture_names, accepted_names::<Record>(json!("other")));
+    let inputs = fields(&inputs, "input");
+    let (fixture_names, secondaries) = variants(&inputs, "Secondary");
     let input = |input: Value| json!({"Input": {"n": 1, "at_us": 1, "input": input}});
-    assert_eq!(seen, names::<Record>(input(json!("other"))));
-    let (seen, _) = variants(&parts(&secondaries, "heard"), "Asks");
     assert_eq!(
-        seen,
-        names::<Record>(input(json!({"Secondary": {"n": 1, "heard": "other"}})))
+        fixture_names,
+        accepted_names::<Record>(input(json!("other")))
+    );
+    let (fixture_names, _) = variants(&fields(&secondaries, "heard"), "Asks");
+    assert_eq!(
+        fixture_names,
+        accepted_names::<Record>(input(json!({"Secondary": {"n": 1, "heard": "other"}})))
     );
     let (_, senders) = variants(&inputs, "SenderCame");
     let sender = json!({"SenderCame": {"conn": 1, "name": "front-1", "is": "other", "run": 1}});
     assert_eq!(
-        variants(&parts(&senders, "is"), "Proxy").0,
-        names::<Record>(input(sender))
+        variants(&fields(&senders, "is"), "Proxy").0,
+        accepted_names::<Record>(input(sender))
     );
-    let (_, lists) = variants(&inputs, "Recovered");
-    let hosts: Vec<Value> = lists[0]["list"]["hosts"].as_array().expect("hosts").clone();
-    let file = lists[0]["list"]["file"].as_array().expect("hosts").clone();
-    let states = parts(&hosts, "standing")
+    let (_, recovered) = variants(&inputs, "Recovered");
+    let hosts: Vec<Value> = recovered[0]["list"]["hosts"]
+        .as_array()
+        .expect("hosts")
+        .clone();
+    let file_hosts = recovered[0]["list"]["file"]
+        .as_array()
+        .expect("hosts")
+        .clone();
+    let states = fields(&hosts, "standing")
         .into_iter()
-        .chain(parts(&file, "state"));
-    let states = set(states.map(|state| variant(&state).0));
-    let mut list = json!({"version": 1, "hosts": [file[0]]});
+        .chain(fields(&file_hosts, "state"));
+    let states = to_set(states.map(|state| variant_of(&state).0));
+    let mut list = json!({"version": 1, "hosts": [file_hosts[0]]});
     list["hosts"][0]["state"] = "other".into();
-    assert_eq!(states, names::<Record>(input(json!({"List": list}))));
+    assert_eq!(
+        states,
+        accepted_names::<Record>(input(json!({"List": list})))
+    );
     let (_, decided) = variants(&records, "Decided");
     let decisions: Vec<Value> = decided
         .iter()
-        .flat_map(|decided| decided["decisions"].as_array().expect("some").clone())
+        .flat_map(|decided| decided["decisions"].as_array().expect("decisions").clone())
         .collect();
-    let (seen, outputs) = variants(&decisions, "Output");
-    assert_eq!(seen, names::<Decision>(json!("other")));
-    let (seen, events) = variants(&outputs, "Event");
-    assert_eq!(seen, names::<Decision>(json!({"Output": "other"})));
+    let (fixture_names, outputs) = variants(&decisions, "Output");
+    assert_eq!(fixture_names, accepted_names::<Decision>(json!("other")));
+    let (fixture_names, events) = variants(&outputs, "Event");
+    assert_eq!(
+        fixture_names,
+        accepted_names::<Decision>(json!({"Output": "other"}))
+    );
     assert_eq!(
         variants(&events, "Left").0,
-        names::<Decision>(json!({"Output": {"Event": "other"}}))
+        accepted_names::<Decision>(json!({"Output": {"Event": "other"}}))
     );
 }
 
-/// Entries of programs that were older still lack some fields.
+/// Records of even older programs lack some fields, which get default values.
 #[test]
-fn fields_that_older_programs_did_not_write_are_filled_in() {
-    let sets = [
+fn fields_that_older_programs_did_not_write_get_defaults() {
+    let added_fields = [
         ("serial", json!(0), "/Input/input/Recovered"),
         ("rate", json!(null), "/Input/input/Probed/load"),
         ("errored_rate", json!(null), "/Input/input/Probed/load"),
@@ -223,22 +250,22 @@
             "/Input/input/Pushed/report/body/own",
         ),
     ];
-    for (key, filled, place) in sets {
-        let has = |value: &Value| value.pointer(place).is_some_and(Value::is_object);
-        let mut value = entries()
+    for (key, default, pointer) in added_fields {
+        let has_object = |value: &Value| value.pointer(pointer).is_some_and(Value::is_object);
+        let mut value = read_entries()
             .into_iter()
             .map(|entry| entry.value)
-            .find(has)
-            .expect(place);
-        let mut older = value.clone();
-        older
-            .pointer_mut(place)
+            .find(has_object)
+            .expect(pointer);
+        let mut older_value = value.clone();
+        older_value
+            .pointer_mut(pointer)
             .and_then(Value::as_object_mut)
             .and_then(|fields| fields.remove(key))
             .expect(key);
-        value.pointer_mut(place).expect(place)[key] = filled;
+        value.pointer_mut(pointer).expect(pointer)[key] = default;
         assert_eq!(
-            stored(&serde_json::from_value::<Record>(older).expect(key)),
+            to_stored_json(&serde_json::from_value::<Record>(older_value).expect(key)),
             value,
             "{key}"
         );
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -1,6 +1,6 @@
-//! A folder of records that an older program wrote: two runs over several segments and two snapshots.
+//! An event log that an older program wrote: two runs over several segments, and two snapshots.
 
-use crate::{fixtures, stored, text};
+use crate::{fixtures_dir, read_fixture, to_stored_json};
 use pondarch_config::{Site, site_from_text};
 use pondarch_event_log::Folder;
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
@@ -11,135 +11,146 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-const FIRST: u64 = 1_800_000_000_000_000;
+/// Incarnation of the first run, which is also its start in microseconds since the Unix epoch.
+const FIRST_INCARNATION: u64 = 1_800_000_000_000_000;
 
-/// A copy that a test may change; `without` names endings of files that it lacks.
-fn copy(without: &[&str]) -> tempfile::TempDir {
-    let copy = tempfile::tempdir().expect("a folder");
-    for entry in std::fs::read_dir(fixtures().join("records-before-rename")).expect("the fixture") {
+/// Copies the event log, so that a test may add files; files whose names end in one of `excluded_suffixes` are left
+/// out.
+fn copy_event_log(excluded_suffixes: &[&str]) -> tempfile::TempDir {
+    let copy = tempfile::tempdir().expect("create a temporary folder");
+    for entry in std::fs::read_dir(fixtures_dir().join("records-before-rename"))
+        .expect("read the fixture folder")
+    {
         let name = entry
-            .expect("a file")
+            .expect("a directory entry")
             .file_name()
             .into_string()
-            .expect("a name");
-        let kept = name.ends_with(".rec") || name.ends_with(".snap");
-        if kept && !without.iter().any(|end| name.ends_with(end)) {
-            let from = fixtures().join("records-before-rename").join(&name);
-            std::fs::copy(from, copy.path().join(&name)).expect("copied");
+            .expect("a UTF-8 name");
+        let is_log_file = name.ends_with(".rec") || name.ends_with(".snap");
+        if is_log_file
+            && !excluded_suffixes
+                .iter()
+                .any(|suffix| name.ends_with(suffix))
+        {
+            let from = fixtures_dir().join("records-before-rename").join(&name);
+            std::fs::copy(from, copy.path().join(&name)).expect("copy the file");
         }
     }
     copy
 }
 
-/// The settings as the first run recorded them.
+/// Returns the settings that the first run recorded.
 fn site(folder: &Path) -> Site {
     let ExtractedScenario { scenario, .. } =
-        extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
-    site_from_text(&scenario.settings).expect("settings")
+        extract_scenario(&Folder::read_only(folder), Some(FIRST_INCARNATION))
+            .expect("extract the scenario of the first run");
+    site_from_text(&scenario.settings).expect("valid settings")
 }
 
-fn expected(name: &str) -> Value {
-    serde_json::from_str(&text(name)).expect("JSON")
+fn read_json_fixture(name: &str) -> Value {
+    serde_json::from_str(&read_fixture(name)).expect("JSON")
 }
 
-/// What was recovered, in the names under which it is stored.
-fn recovered(folder: &Path) -> Value {
-    let found = recover(&Folder::read_only(folder), &site(folder)).expect("it can be read");
-    let faults: Vec<String> = found
+/// Recovers the state from a folder without faults, as JSON with the stored names.
+fn recover_to_json(folder: &Path) -> Value {
+    let recovery = recover(&Folder::read_only(folder), &site(folder)).expect("read the folder");
+    let faults: Vec<String> = recovery
         .faults
         .iter()
         .map(|fault| format!("{}: {}", fault.file, fault.cause))
         .collect();
     assert!(faults.is_empty(), "{faults:?}");
-    json!({"epoch": found.incarnation, "last_us": found.last_us, "boot": stored(&found.boot),
-        "inputs": found.inputs, "known": stored(&found.state)})
+    json!({"epoch": recovery.incarnation, "last_us": recovery.last_us, "boot": to_stored_json(&recovery.boot),
+        "inputs": recovery.inputs, "known": to_stored_json(&recovery.state)})
 }
 
 #[test]
-fn what_was_known_is_recovered_from_the_newest_snapshot_and_what_followed() {
-    let folder = copy(&[]);
-    let found = recovered(folder.path());
-    assert_eq!(found["epoch"], FIRST + 1);
-    assert_eq!(found["boot"]["id"], "machine");
-    let known = &found["known"];
-    let hosts = known["list"]["hosts"].as_array().expect("hosts");
+fn state_is_recovered_from_the_newest_snapshot_and_the_records_after_it() {
+    let folder = copy_event_log(&[]);
+    let recovered = recover_to_json(folder.path());
+    assert_eq!(recovered["epoch"], FIRST_INCARNATION + 1);
+    assert_eq!(recovered["boot"]["id"], "machine");
+    let state = &recovered["known"];
+    let hosts = state["list"]["hosts"].as_array().expect("hosts");
     let lines: Vec<String> = hosts
         .iter()
         .map(|host| {
             let entry = &host["entry"];
-            let text = |key: &str| entry[key].as_str().unwrap_or("-").to_string();
-            let words = [
-                text("name"),
-                text("address"),
-                text("zone"),
-                text("rack"),
-                text("machine"),
+            let text_field = |key: &str| entry[key].as_str().unwrap_or("-").to_string();
+            let address_fields = [
+                text_field("name"),
+                text_field("address"),
+                text_field("zone"),
+                text_field("rack"),
+                text_field("machine"),
             ];
-            let since = |key: &str| {
-                host[key]
-                    .as_u64()
-                    .map_or("-".into(), |at| at.saturating_sub(FIRST).to_string())
+            let time_field = |key: &str| {
+                host[key].as_u64().map_or("-".into(), |at| {
+                    at.saturating_sub(FIRST_INCARNATION).to_string()
+                })
             };
             let standing = host["standing"].as_str().unwrap_or("-");
             let (weight, cores) = (&entry["weight"], &entry["cores"]);
             format!(
                 "{} {weight} {cores} {standing} {} {}",
-                words.join(" "),
-                since("started_us"),
-                since("told_away_us")
+                address_fields.join(" "),
+                time_field("started_us"),
+                time_field("told_away_us")
             )
         })
         .collect();
-    assert_eq!(lines.join("\n") + "\n", text("recovered-hosts.txt"));
-    assert_eq!(found, expected("recovered.json"));
+    assert_eq!(lines.join("\n") + "\n", read_fixture("recovered-hosts.txt"));
+    assert_eq!(recovered, read_json_fixture("recovered.json"));
 }
 
-/// Without snapshots the same is known from the inputs alone.
+/// Without snapshots, the recorded inputs give the same endpoint list and zones.
 #[test]
-fn what_was_known_is_recovered_from_the_log_alone() {
-    let folder = copy(&[".snap"]);
-    let found = recovered(folder.path());
-    let due = expected("recovered.json");
-    let of_log = json!({"list": found["known"]["list"], "zones": found["known"]["zones"]});
+fn state_is_recovered_from_the_segments_alone() {
+    let folder = copy_event_log(&[".snap"]);
+    let recovered = recover_to_json(folder.path());
+    let expected = read_json_fixture("recovered.json");
+    let from_segments =
+        json!({"list": recovered["known"]["list"], "zones": recovered["known"]["zones"]});
     assert_eq!(
-        of_log,
-        json!({"list": due["known"]["list"], "zones": due["known"]["zones"]})
+        from_segments,
+        json!({"list": expected["known"]["list"], "zones": expected["known"]["zones"]})
     );
     assert_eq!(
-        (&found["epoch"], &found["last_us"]),
-        (&due["epoch"], &due["last_us"])
+        (&recovered["epoch"], &recovered["last_us"]),
+        (&expected["epoch"], &expected["last_us"])
     );
 }
 
-/// Up to the first difference of each run, which comes from later changes of decisions. Texts for operators and fleets for the
-/// solver are held against their checksums as well.
+/// Later changes of decisions make each run differ from some input on; up to there it replays the same. Replies to
+/// operators and problems for the solver are compared by their checksums.
 #[test]
 fn both_runs_replay_up_to_the_known_difference() {
-    let folder = copy(&[]);
+    let folder = copy_event_log(&[]);
     let FolderReplay { runs, faults } =
         replay(&Folder::read_only(folder.path()), ComparedInputs::default())
-            .expect("it can be read");
+            .expect("read the folder");
     assert!(faults.is_empty());
-    let told: Vec<Value> = runs
+    let summaries: Vec<Value> = runs
         .iter()
         .map(|run| {
-            let differs = run.difference.as_ref().map(|differs| {
-                json!({"n": differs.number, "input": stored(&differs.input), "then": stored(&differs.recorded), "now": stored(&differs.replayed)})
+            let difference = run.difference.as_ref().map(|difference| {
+                json!({"n": difference.number, "input": to_stored_json(&difference.input),
+                    "then": to_stored_json(&difference.recorded), "now": to_stored_json(&difference.replayed)})
             });
             json!({"epoch": run.incarnation, "program": run.program, "inputs": run.inputs, "decisions": run.decisions,
-                "spans_us": run.recorded_duration.as_micros() as u64, "differs": differs, "stopped": run.stopped})
+                "spans_us": run.recorded_duration.as_micros() as u64, "differs": difference, "stopped": run.stopped})
         })
         .collect();
-    assert_eq!(json!(told), expected("replayed.json"));
+    assert_eq!(json!(summaries), read_json_fixture("replayed.json"));
 }
 
-/// JSON with its keys in order, so that no feature of a library changes it.
-fn in_order(value: &Value) -> String {
+/// Formats JSON with sorted keys, so that the result does not depend on the features of the JSON library.
+fn to_sorted_json(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
             let fields: BTreeMap<&String, String> = fields
                 .iter()
-                .map(|(key, value)| (key, in_order(value)))
+                .map(|(key, value)| (key, to_sorted_json(value)))
                 .collect();
             let fields: Vec<String> = fields
                 .iter()
@@ -149,49 +160,55 @@
         }
         Value::Array(values) => format!(
             "[{}]",
-            values.iter().map(in_order).collect::<Vec<_>>().join(",")
+            values
+                .iter()
+                .map(to_sorted_json)
+                .collect::<Vec<_>>()
+                .join(",")
         ),
         other => other.to_string(),
     }
 }
 
 #[test]
-fn rows_of_the_records_have_the_same_names_and_values() {
-    let folder = copy(&[]);
+fn exported_rows_have_the_same_names_and_values() {
+    let folder = copy_event_log(&[]);
     let (mut counts, mut checksum) = (BTreeMap::<String, u64>::new(), crc32fast::Hasher::new());
     let faults = export::rows(&Folder::read_only(folder.path()), |row| {
         *counts
             .entry(format!("{} {}", row.category, row.name))
             .or_default() += 1;
         let value: Value = serde_json::from_str(&row.fields).expect("JSON");
-        let whose = [row.proxy.unwrap_or_default(), row.host.unwrap_or_default()].join(" ");
+        let subject = [row.proxy.unwrap_or_default(), row.host.unwrap_or_default()].join(" ");
         let (epoch, n, at_us) = (row.incarnation, row.number, row.at_us);
-        checksum.update(format!("{epoch} {n} {at_us} {whose} {}\n", in_order(&value)).as_bytes());
+        checksum.update(
+            format!("{epoch} {n} {at_us} {subject} {}\n", to_sorted_json(&value)).as_bytes(),
+        );
         Ok(())
     })
-    .expect("rows");
+    .expect("read the rows");
     assert!(faults.is_empty());
-    let mut told: String = counts
+    let mut summary: String = counts
         .iter()
-        .map(|(name, many)| format!("{name} {many}\n"))
+        .map(|(name, count)| format!("{name} {count}\n"))
         .collect();
-    told += &format!("checksum {:08x}\n", checksum.finalize());
-    assert_eq!(told, text("rows.txt"));
+    summary += &format!("checksum {:08x}\n", checksum.finalize());
+    assert_eq!(summary, read_fixture("rows.txt"));
 }
 
 #[test]
 fn the_columnar_file_has_every_row() {
-    let folder = copy(&[]);
+    let folder = copy_event_log(&[]);
     let file = folder.path().join("rows.arrow");
     let export::Export { rows, .. } =
-        export::export(&Folder::read_only(folder.path()), &file).expect("written");
-    let bytes = std::fs::read(&file).expect("read");
-    let due: u64 = text("rows.txt")
+        export::export(&Folder::read_only(folder.path()), &file).expect("write the columnar file");
+    let bytes = std::fs::read(&file).expect("read the columnar file");
+    let expected: u64 = read_fixture("rows.txt")
         .lines()
         .filter(|line| !line.starts_with("checksum"))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok())
         .sum();
-    assert_eq!(rows, due);
+    assert_eq!(rows, expected);
     for column in ["epoch", "n", "at_us", "of", "what", "proxy", "host", "text"] {
         assert!(
             bytes
@@ -202,20 +219,26 @@
     }
 }
 
-/// The course of a run without its decisions, and what a core decides over it with another seed.
+/// The scenario of each run is the same as before, and so is its what-if replay with another seed.
 #[test]
-fn the_scene_of_each_run_is_the_same_and_can_be_played() {
-    let folder = copy(&[]);
-    let mut told = Vec::new();
-    for epoch in [FIRST, FIRST + 1] {
+fn the_scenario_of_each_run_and_its_replay_are_unchanged() {
+    let folder = copy_event_log(&[]);
+    let mut summaries = Vec::new();
+    for incarnation in [FIRST_INCARNATION, FIRST_INCARNATION + 1] {
         let ExtractedScenario { scenario, faults } =
-            extract_scenario(&Folder::read_only(folder.path()), Some(epoch)).expect("a scenario");
+            extract_scenario(&Folder::read_only(folder.path()), Some(incarnation))
+                .expect("extract the scenario");
         assert!(faults.is_empty());
-        let scenario_value = stored(&scenario);
-        let course = scenario_value["course"].as_array().expect("a course").len();
-        let checksum = crc32fast::hash(in_order(&scenario_value).as_bytes());
-        let played = replay_scenario(&scenario, None, 3).expect("played");
-        told.push(json!({"course": course, "checksum": checksum, "played": stored(&played)}));
+        let scenario_value = to_stored_json(&scenario);
+        let event_count = scenario_value["course"]
+            .as_array()
+            .expect("an array of events")
+            .len();
+        let checksum = crc32fast::hash(to_sorted_json(&scenario_value).as_bytes());
+        let result = replay_scenario(&scenario, None, 3).expect("replay the scenario");
+        summaries.push(
+            json!({"course": event_count, "checksum": checksum, "played": to_stored_json(&result)}),
+        );
     }
-    assert_eq!(json!(told), expected("scenes.json"));
+    assert_eq!(json!(summaries), read_json_fixture("scenes.json"));
 }
