--- a/crates/daemon-core/src/outcome_events.rs
+++ b/crates/daemon-core/src/outcome_events.rs
@@ -139,7 +139,7 @@
             + self
                 .peers
                 .iter()
-                .map(|peer| peer.session.bytes())
+                .map(|peer| peer.session.estimated_bytes())
                 .sum::<u64>();
         if !self.memory.set_bytes(Purpose::Tables, table_bytes) {
             let used = self
--- a/crates/daemon-core/src/report_events.rs
+++ b/crates/daemon-core/src/report_events.rs
@@ -9,7 +9,7 @@
 use pondarch_controller::{AttemptOutcomes, HostId, ProxyId, Time};
 use pondarch_load_ingestion::decay;
 use pondarch_load_report_protocol::{ProxyCounters, Report, SenderRole};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_runtime_api::stat::StatRow;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -155,7 +155,7 @@
         let id = peer.id;
         let at = sent_at.unwrap_or(now);
         let rows: Vec<StatRow> = counted.into_iter().map(stat_row).collect();
-        let Some(counters) = peer.session.counted(at, &rows) else {
+        let Some(counters) = peer.session.record_pushed_counters(at, &rows) else {
             return;
         };
         self.pushed_reports.liveness.on_report(now, id);
@@ -165,12 +165,12 @@
     }
 
     /// Records the counters of a proxy as of `at`, pushed or read.
-    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: Look, at: Time) {
+    pub(crate) fn record_counters(&mut self, id: ProxyId, counters: CounterDelta, at: Time) {
         let now = self.now;
-        for &(class, requests) in &counters.reqs {
+        for &(class, requests) in &counters.requests {
             self.controller
-                .record_arrivals(now, id, class, requests, counters.over);
-            self.record_requests(id.0, class, requests, counters.over);
+                .record_arrivals(now, id, class, requests, counters.period);
+            self.record_requests(id.0, class, requests, counters.period);
         }
         if let Some(planner) = &mut self.weight_planner {
             planner.record(&counters);
@@ -178,7 +178,7 @@
         self.outcomes.record(
             id.0,
             &counters,
-            decay::relative_weight(now - at, counters.over),
+            decay::relative_weight(now - at, counters.period),
             at,
         );
         self.loads.extend(
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list::EndpointList;
 use pondarch_config::Site;
 use pondarch_controller::{EndpointState, HostId, Time};
-use pondarch_proxy_session::sums::Look;
+use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_weight_solver::planner::ClassSettings;
 use pondarch_weight_solver::{Estimator, HostObservation, ListedHost, Planner, WeightSource};
 use std::collections::BTreeMap;
@@ -66,8 +66,8 @@
     }
 
     /// Adds counters of one proxy to the observations; each counter difference is recorded only once.
-    pub(crate) fn record(&mut self, look: &Look) {
-        for (host, class, done, took) in &look.done {
+    pub(crate) fn record(&mut self, delta: &CounterDelta) {
+        for (host, class, done, took) in &delta.completed {
             let observed = self.observed.entry(host.clone()).or_default();
             match observed
                 .completed
@@ -77,7 +77,7 @@
                 Some((_, total, time)) => (*total, *time) = (*total + done, *time + *took),
                 None => observed.completed.push((*class, *done, *took)),
             }
-            observed.period = observed.period.max(look.over);
+            observed.period = observed.period.max(delta.period);
         }
     }
 
