--- a/crates/daemon/src/recorder/writer.rs
+++ b/crates/daemon/src/recorder/writer.rs
@@ -166,7 +166,7 @@
                     batch.push(number, &record);
                 }
                 Entry::Outputs { number, outputs } => {
-                    let decisions = outputs.into_iter().map(Decision::of).collect();
+                    let decisions = outputs.into_iter().map(Decision::from_output).collect();
                     batch.push(number, &Record::Decided { number, decisions });
                 }
                 Entry::Gap(gap) => {
--- a/crates/event-log/tests/policy.rs
+++ b/crates/event-log/tests/policy.rs
@@ -21,31 +21,34 @@
 #[test]
 fn retries_of_a_failed_disk_back_off() {
     let mut policy = LogPolicy::new(retention());
-    policy.record_written(at(0), 10);
+    policy.on_written(at(0), 10);
     assert_eq!(policy.sync_at(), Some(at(100)));
     let mut retries = Vec::new();
     for ms in 0..20_000 {
         if policy.may_write(at(ms)) {
             retries.push(ms);
-            policy.record_failed(at(ms), "full".into());
+            policy.on_failed(at(ms), "full".into());
         }
     }
     assert_eq!(retries, [0, 500, 1_500, 3_500, 7_500, 15_500]);
     assert!(matches!(policy.disk_state(), DiskState::Failed { since, .. } if *since == at(0)));
-    policy.record_written(at(31_500), 10);
-    policy.record_synced();
+    policy.on_written(at(31_500), 10);
+    policy.on_synced();
     assert_eq!(
         (policy.disk_state(), policy.sync_at()),
         (&DiskState::Working, None)
     );
-    policy.record_failed(at(40_000), "full".into());
-    assert!(policy.may_write(at(40_500)), "it worked in between");
+    policy.on_failed(at(40_000), "full".into());
+    assert!(
+        policy.may_write(at(40_500)),
+        "a successful sync resets the retry delay"
+    );
 }
 
 proptest! {
-    /// In any folder the last segment and those that the snapshot needs stay; size and age bound the rest.
+    /// The last segment and those that the snapshot needs are never removed; the others are limited by size and age.
     #[test]
-    fn needed_segments_stay_and_the_rest_is_bounded(
+    fn needed_segments_are_retained_and_the_others_are_limited(
         sizes in prop::collection::vec((0u64..2_000, 0u64..30_000), 1..20),
         first_needed in 0u64..25,
     ) {
@@ -53,8 +56,8 @@
         let segments: Vec<SegmentInfo> = sizes
             .iter()
             .enumerate()
-            .map(|(number, (bytes, pause))| {
-                last_written += pause;
+            .map(|(number, (bytes, interval))| {
+                last_written += interval;
                 SegmentInfo { number: number as u64, bytes: *bytes, last_written: at(last_written) }
             })
             .collect();
@@ -66,7 +69,7 @@
         prop_assert!(removed.iter().all(|number| *number < first_needed));
         prop_assert!(
             removed.iter().enumerate().all(|(n, number)| *number == n as u64),
-            "oldest first, no holes"
+            "the oldest segments are removed, without gaps"
         );
         let is_removable =
             |first: &&&SegmentInfo| first.number < first_needed && retained.len() > 1;
