--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,7 +13,7 @@
 mod resolve;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use pondarch_config::{Endpoint, read_hosts, read_proxy, read_site, read_site_text};
+use pondarch_config::{Endpoint, read_hosts, read_proxy, read_site, read_site_with_json};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -189,7 +189,7 @@
 }
 
 async fn run(settings: PathBuf, seed: Option<u64>) -> ExitCode {
-    let (site, text) = match read_site_text(&settings) {
+    let (site, text) = match read_site_with_json(&settings) {
         Ok(read) => read,
         Err(wrong) => return failed(&wrong.to_string()),
     };
@@ -205,14 +205,18 @@
             let list = read_hosts(&site.hosts_file, &site.zones)?;
             Ok(format!(
                 "{} request kinds, {} hosts",
-                site.kinds.len(),
+                site.request_classes.len(),
                 list.hosts.len()
             ))
         })
     } else {
         read_site(&settings).and_then(|site| {
             let list = read_hosts(&site.hosts_file, &site.zones)?;
-            let (kinds, proxies, hosts) = (site.kinds.len(), site.proxies.len(), list.hosts.len());
+            let (kinds, proxies, hosts) = (
+                site.request_classes.len(),
+                site.proxies.len(),
+                list.hosts.len(),
+            );
             Ok(format!(
                 "{kinds} request kinds, {proxies} proxies, {hosts} hosts"
             ))
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,7 +1,7 @@
 //! `pondarch plan`: weights for a described fleet, and what bounds it.
 
 use crate::failed;
-use pondarch_config::{PlanSite, read_plan};
+use pondarch_config::{PlanSettings, read_plan};
 use pondarch_controller::DurationExt;
 use pondarch_weight_solver::guard::{Bears, guarded};
 use pondarch_weight_solver::solve::one_more;
@@ -78,7 +78,7 @@
     Ok((plan, gains))
 }
 
-fn fleet(site: &PlanSite) -> Fleet {
+fn fleet(site: &PlanSettings) -> Fleet {
     let zone = |name: &String| site.zones.iter().position(|zone| zone == name).unwrap_or(0);
     let hosts = site.hosts.iter().flat_map(|of| {
         (0..of.count).map(move |n| Host {
@@ -90,19 +90,19 @@
             zone: zone(&of.zone),
             cores: of.cores,
             speed: of.speed,
-            connections: of.connections,
-            warm: of.warm,
-            taken: of.taken,
-            taken_age_s: of.taken_age.0.seconds(),
+            connections: of.max_concurrent_requests,
+            warm: of.capacity_fraction,
+            taken: of.other_load,
+            taken_age_s: of.other_load_age.0.seconds(),
         })
     });
-    let kind = |kind: &pondarch_config::plan::PlanKind| Kind {
+    let kind = |kind: &pondarch_config::plan::PlanRequestClass| Kind {
         name: kind.name.clone(),
-        work_s: kind.work.0.seconds(),
-        response_target_s: kind.response_target.0.seconds(),
-        benefit: kind.benefit,
+        work_s: kind.work_per_request.0.seconds(),
+        response_target_s: kind.latency_objective.0.seconds(),
+        benefit: kind.priority_weight,
     };
-    let kinds: Vec<Kind> = site.kinds.iter().map(kind).collect();
+    let kinds: Vec<Kind> = site.request_classes.iter().map(kind).collect();
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
         let rate = |zone: &String, kind: &Kind| demand.get(zone)?.get(&kind.name).copied();
@@ -144,7 +144,7 @@
         zones: site.zones.clone(),
         hosts,
         kinds,
-        crossing: site.crossing_price,
+        crossing: site.cross_zone_cost,
     }
 }
 
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -298,7 +298,7 @@
         .map_err(|wrong| wrong.to_string())?;
     let mut rows: Vec<(WhatIfResult, Option<WhatIfResult>)> = Vec::new();
     for seed in 1..=seeds {
-        let played = |site: Option<&pondarch_config::Site>| {
+        let played = |site: Option<&pondarch_config::SiteSettings>| {
             replay_scenario(&scene, site, seed)
                 .map_err(|wrong| format!("{}: {wrong}", from.display()))
         };
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -6,68 +6,86 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the file says of one host.
+/// One host of the list.
+///
+/// `pondarch replay` prints its `Debug` text with the inputs, so the names of its fields stay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostEntry {
+    /// Unique name of the host.
     pub name: String,
+    /// Address that serves requests.
     pub address: SocketAddr,
+    /// Zone of the host, one of the site's zones.
     pub zone: String,
-    /// The small group that drops repeats of a uniqued req.
+    /// Group of hosts that together drop repeated requests with the same idempotency key.
     #[serde(default)]
     pub rack: String,
+    /// Machine on which the host runs.
     #[serde(default)]
     pub machine: String,
-    #[serde(default = "one")]
+    /// Listed weight.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Absent: the weight counts as cores of the usual speed.
+    /// Number of cores; if absent, the weight is taken as a number of cores of average speed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cores: Option<f64>,
-    /// When its process last started, in seconds since 1970; absent: not known.
+    /// Last start of its process, in seconds since 1970; absent if it is not known.
     #[serde(default)]
     pub started: Option<f64>,
+    /// State in which the host is listed.
     #[serde(default)]
     pub state: HostState,
 }
 
+/// State in which a host is listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
+    /// Takes requests.
     #[default]
     Ready,
+    /// Is draining.
     Drain,
+    /// No longer serves.
     Gone,
 }
 
+/// The list of hosts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostsFile {
-    /// Rises with every change; a file with a lower one than the last is refused. Absent: every change counts.
+    /// Increases with each change: a list with a lower version than the last one is rejected. If absent, each change
+    /// is applied.
     #[serde(default)]
     pub version: Option<u64>,
+    /// All hosts.
     pub hosts: Vec<HostEntry>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 /// Reads and checks a list of hosts for a site with these zones.
 ///
-/// Errors: as `read_site`; a zone the settings do not name, a name used twice, a weight or time out of range.
+/// # Errors
+///
+/// As for [`read_site`](crate::read_site); also a zone that is not in `zones`, a repeated name, or a figure out of
+/// range.
 pub fn read_hosts(file: &Path, zones: &[String]) -> Result<HostsFile, SettingsError> {
     let list: HostsFile = jsonnet::read(file)?;
     let mut names = BTreeSet::new();
     for (n, host) in list.hosts.iter().enumerate() {
-        let wrong = if !names.insert(&host.name) {
+        let fault = if !names.insert(&host.name) {
             Some(("name", format!("'{}' is listed twice", host.name)))
-        } else if let Some(wrong) = bad_name(&host.name) {
-            Some(("name", wrong))
+        } else if let Some(reason) = invalid_name(&host.name) {
+            Some(("name", reason))
         } else if !zones.contains(&host.zone) {
             Some((
                 "zone",
                 format!(
-                    "'{}' is none of the site's zones: {}",
+                    "'{}' is not one of the site's zones: {}",
                     host.zone,
                     zones.join(", ")
                 ),
@@ -75,36 +93,38 @@
         } else if !(host.weight > 0.0 && host.weight <= 1e6) {
             Some((
                 "weight",
-                format!("{} is not within 0 (excluded) and 1000000", host.weight),
+                format!("{} is not between 0 (excluded) and 1000000", host.weight),
             ))
         } else if host
             .cores
             .is_some_and(|cores| !(1e-3..=4_096.0).contains(&cores))
         {
-            Some(("cores", "is not within 0.001 and 4096".to_string()))
+            Some(("cores", "is not between 0.001 and 4096".to_string()))
         } else if host.started.is_some_and(|at| !(at > 0.0 && at < 4e9)) {
-            Some(("started", "is no time in seconds since 1970".to_string()))
+            Some(("started", "is not a time in seconds since 1970".to_string()))
         } else {
             None
         };
-        if let Some((key, wrong)) = wrong {
-            return Err(SettingsError::Key {
+        if let Some((key, reason)) = fault {
+            return Err(SettingsError::InvalidKey {
                 file: file.into(),
                 key: format!("hosts[{n}].{key}"),
-                wrong,
+                reason,
             });
         }
     }
     Ok(list)
 }
 
-/// What is wrong with a name, if anything: names stand in runtime commands as `<backend>/<server>` and in answers
-/// between blanks.
-pub fn bad_name(name: &str) -> Option<String> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if name.is_empty() || name.len() > 64 || !name.chars().all(fits) {
+/// The reason why a name is invalid, if it is.
+///
+/// Runtime API commands have names as `<backend>/<server>`, and replies have them between spaces, so both characters
+/// are excluded.
+pub fn invalid_name(name: &str) -> Option<String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    if name.is_empty() || name.len() > 64 || !name.chars().all(is_allowed) {
         return Some(format!(
-            "'{name}' is no name: 1 to 64 letters, digits, '-', '_', '.' or ':'"
+            "'{name}' is not a valid name: 1 to 64 letters, digits, '-', '_', '.' or ':'"
         ));
     }
     None
--- a/crates/config/src/jsonnet.rs
+++ b/crates/config/src/jsonnet.rs
@@ -5,40 +5,51 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a file gives no settings; each names the file, and the line or the key.
+/// Why a file was rejected. Each message names the file, and the line or the key.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    #[error("{file}: cannot be read: {wrong}")]
+    /// The file cannot be opened.
+    #[error("{file}: cannot be read: {error}")]
     Unreadable {
+        /// The file.
         file: PathBuf,
-        wrong: std::io::Error,
+        /// The error of the operating system.
+        error: std::io::Error,
     },
-    /// The evaluator's own words, which hold file, line and column.
+    /// The file is not valid Jsonnet; the message of the evaluator has file, line and column.
     #[error("{0}")]
     Jsonnet(String),
-    #[error("{file}: {key}: {wrong}")]
-    Key {
+    /// A key is unknown or missing, or its value is invalid.
+    #[error("{file}: {key}: {reason}")]
+    InvalidKey {
+        /// The file.
         file: PathBuf,
+        /// Path of the key, such as `kinds[0].benefit`.
         key: String,
-        wrong: String,
+        /// What is wrong with it.
+        reason: String,
     },
 }
 
 /// Evaluates the file and reads its result as a `T`.
 ///
-/// Errors: the file is missing, is no Jsonnet, or its result does not fit `T`.
+/// # Errors
+///
+/// The file is missing or is not valid Jsonnet, or its result does not fit `T`.
 pub(crate) fn read<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     parse(file, &evaluate(file)?)
 }
 
-/// The file's result as JSON.
+/// The result of the file as JSON.
+///
+/// # Errors
 ///
-/// Errors: the file is missing or is no Jsonnet.
+/// The file is missing or is not valid Jsonnet.
 pub(crate) fn evaluate(file: &Path) -> Result<String, SettingsError> {
-    // The evaluator tells of a missing file without its name.
-    std::fs::metadata(file).map_err(|wrong| SettingsError::Unreadable {
+    // The evaluator's error for a missing file does not have its name.
+    std::fs::metadata(file).map_err(|error| SettingsError::Unreadable {
         file: file.to_path_buf(),
-        wrong,
+        error,
     })?;
     let evaluator = EvaluationState::default();
     evaluator.with_stdlib();
@@ -46,29 +57,31 @@
     let json = evaluator
         .evaluate_file_raw(file)
         .and_then(|value| evaluator.manifest(value))
-        .map_err(|wrong| SettingsError::Jsonnet(one_line(&evaluator.stringify_err(&wrong))))?;
+        .map_err(|error| SettingsError::Jsonnet(one_line(&evaluator.stringify_err(&error))))?;
     Ok(json.to_string())
 }
 
-/// Reads a result as a `T`; `file` is what messages name.
+/// Reads evaluated JSON as a `T`; error messages name `file`.
+///
+/// # Errors
 ///
-/// Errors: it does not fit `T`.
+/// The JSON does not fit `T`.
 pub(crate) fn parse<T: DeserializeOwned>(file: &Path, json: &str) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_str(json);
-    serde_path_to_error::deserialize(&mut json).map_err(|wrong| {
-        let key = wrong.path().to_string();
-        // The line numbers of the evaluated text are nobody's: the key's path says where.
-        let text = wrong.into_inner().to_string();
-        let text = text.split(" at line ").next().unwrap_or("").to_string();
-        SettingsError::Key {
+    serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        let key = error.path().to_string();
+        // Line numbers refer to the evaluated JSON, which nobody sees; the path of the key gives the place.
+        let text = error.into_inner().to_string();
+        let reason = text.split(" at line ").next().unwrap_or("").to_string();
+        SettingsError::InvalidKey {
             file: file.to_path_buf(),
             key,
-            wrong: text,
+            reason,
         }
     })
 }
 
-/// The evaluator's message and the first place it names, on one line.
+/// The evaluator's message and the first place of its stack trace, on one line.
 fn one_line(message: &str) -> String {
     let mut lines = message
         .lines()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,19 @@
-//! Settings and the list of hosts, both Jsonnet files, read into typed and checked values.
+//! Settings and lists of hosts: Jsonnet files that are read into typed and checked values.
 //!
-//! - `jsonnet`: from a file to JSON, and from JSON to a type, with errors that name file, line or key.
-//! - `units`: spans with a unit and endpoints as they are written.
-//! - `site`, `fronts`, `proxy`: what a steward is told of its site, and an obeying proxy.
-//! - `plan`: a described fleet, for planning.
+//! - `jsonnet`: evaluates a file to JSON and reads JSON into a type, with errors that name the file and the line or key.
+//! - `units`: durations with a unit, and endpoints.
+//! - `site`, `dns_and_event_log`: settings of a steward.
+//! - `proxy`: settings of a proxy.
+//! - `plan`: a fleet and its demand, for planning.
 //! - `hosts`: the file that lists the hosts.
+//!
+//! Keys of settings differ from the names of the fields where the key predates the usual term; `serde(rename)` on the
+//! field states its key.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
-#![allow(clippy::too_many_lines, missing_docs)]
+// `SiteSettings::check` is one list of range checks, in the order of the settings.
+#![allow(clippy::too_many_lines)]
 
-mod fronts;
+mod dns_and_event_log;
 pub mod hosts;
 mod jsonnet;
 pub mod plan;
@@ -19,7 +23,7 @@
 
 pub use hosts::{HostEntry, HostsFile, read_hosts};
 pub use jsonnet::SettingsError;
-pub use plan::{PlanSite, read_plan};
-pub use proxy::{ProxySite, read_proxy};
-pub use site::{Site, read_site, read_site_text, site_from_text};
-pub use units::{Endpoint, Length};
+pub use plan::{PlanSettings, read_plan};
+pub use proxy::{ProxySettings, read_proxy};
+pub use site::{SiteSettings, read_site, read_site_with_json, site_from_json};
+pub use units::{DurationSetting, Endpoint};
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,4 @@
-//! Spans of time with their unit, and endpoints.
+//! Durations with a unit, and endpoints.
 
 use pondarch_controller::DurationExt;
 use serde::de::Error;
@@ -9,53 +9,59 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A span as it is written: a number and a unit, `800 ms`, `1.5 s`, `2 min`, `250 us`.
+/// A duration that is written as a number and a unit: `800 ms`, `1.5 s`, `2 min`, `250 us`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Length(pub Duration);
+pub struct DurationSetting(pub Duration);
 
-/// Longest span that makes sense in settings: a day.
-const LONGEST_US: f64 = 86_400e6;
+/// Maximum duration in settings: one day.
+const MAX_DURATION_US: f64 = 86_400e6;
 
-impl Length {
-    pub const fn millis(ms: u64) -> Length {
-        Length(Duration::from_millis(ms))
+impl DurationSetting {
+    /// A duration of this many milliseconds.
+    pub const fn from_millis(ms: u64) -> DurationSetting {
+        DurationSetting(Duration::from_millis(ms))
     }
 
-    pub fn std(self) -> std::time::Duration {
+    /// The duration as the standard library's type.
+    pub fn as_std(self) -> std::time::Duration {
         self.0
     }
 }
 
-impl FromStr for Length {
+impl FromStr for DurationSetting {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Length, String> {
+    fn from_str(text: &str) -> Result<DurationSetting, String> {
         let text = text.trim();
-        let split = text
+        let unit_start = text
             .find(|c: char| c != '.' && !c.is_ascii_digit())
             .unwrap_or(text.len());
-        let (number, unit) = (&text[..split], text[split..].trim());
+        let (number, unit) = (&text[..unit_start], text[unit_start..].trim());
         let number: f64 = number
             .parse()
-            .map_err(|_| format!("'{text}' is no span: give a number and a unit"))?;
-        let factor = match unit {
+            .map_err(|_| format!("'{text}' is not a duration: expected a number and a unit"))?;
+        let us_per_unit = match unit {
             "us" => 1.0,
             "ms" => 1e3,
             "s" => 1e6,
             "min" => 60e6,
             "h" => 3_600e6,
             "" => return Err(format!("'{text}' has no unit: us, ms, s, min or h")),
-            other => return Err(format!("'{other}' is no unit of time: us, ms, s, min or h")),
+            other => {
+                return Err(format!(
+                    "'{other}' is not a unit of time: us, ms, s, min or h"
+                ));
+            }
         };
-        let us = number * factor;
-        if us > LONGEST_US {
+        let us = number * us_per_unit;
+        if us > MAX_DURATION_US {
             return Err(format!("'{text}' is longer than a day"));
         }
-        Ok(Length(Duration::from_micros(us.round() as u64)))
+        Ok(DurationSetting(Duration::from_micros(us.round() as u64)))
     }
 }
 
-impl fmt::Display for Length {
+impl fmt::Display for DurationSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let us = self.0.micros();
         match us {
@@ -66,30 +72,34 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Length {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Length, D::Error> {
-        String::deserialize(from)?.parse().map_err(D::Error::custom)
+impl<'de> Deserialize<'de> for DurationSetting {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<DurationSetting, D::Error> {
+        String::deserialize(deserializer)?
+            .parse()
+            .map_err(D::Error::custom)
     }
 }
 
-impl Serialize for Length {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+impl Serialize for DurationSetting {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
-/// Where a socket is: `unix:/run/front-1.sock` or `127.0.0.1:9101`.
+/// Address of a socket: `unix:/run/front-1.sock` or `127.0.0.1:9101`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
+    /// Path of a Unix socket.
     Unix(PathBuf),
+    /// IP address and TCP port.
     Tcp(SocketAddr),
 }
 
 impl Endpoint {
-    /// A path that is not absolute is meant from the folder of the file that names it.
-    pub fn seen_from(self, folder: &Path) -> Endpoint {
+    /// Resolves a relative path against the directory of the file that has it.
+    pub fn resolve_from(self, directory: &Path) -> Endpoint {
         match self {
-            Endpoint::Unix(path) => Endpoint::Unix(folder.join(path)),
+            Endpoint::Unix(path) => Endpoint::Unix(directory.join(path)),
             tcp => tcp,
         }
     }
@@ -122,13 +132,15 @@
 }
 
 impl<'de> Deserialize<'de> for Endpoint {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Endpoint, D::Error> {
-        String::deserialize(from)?.parse().map_err(D::Error::custom)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Endpoint, D::Error> {
+        String::deserialize(deserializer)?
+            .parse()
+            .map_err(D::Error::custom)
     }
 }
 
 impl Serialize for Endpoint {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
--- a/crates/config/tests/every_key.rs
+++ b/crates/config/tests/every_key.rs
@@ -1,147 +1,179 @@
-//! Files with every key of each kind of settings: each value is read, none is dropped, and unknown keys are refused
-//! with all that are known.
+//! Reads files that have every key of the settings, and checks that each value arrives in the field of its key.
 
-use pondarch_config::{Length, ProxySite, Site, read_hosts, read_plan, read_proxy, read_site};
+use pondarch_config::{
+    DurationSetting, ProxySettings, SiteSettings, read_hosts, read_plan, read_proxy, read_site,
+};
 use pondarch_runtime_api::Level;
 use std::path::{Path, PathBuf};
 
-fn folder() -> PathBuf {
+fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-fn site() -> Site {
-    read_site(&folder().join("site.jsonnet")).expect("settings of a site")
+fn site() -> SiteSettings {
+    read_site(&fixtures().join("site.jsonnet")).expect("settings of a site")
 }
 
-fn proxy() -> ProxySite {
-    read_proxy(&folder().join("proxy.jsonnet")).expect("settings of a proxy")
+fn proxy() -> ProxySettings {
+    read_proxy(&fixtures().join("proxy.jsonnet")).expect("settings of a proxy")
 }
 
-fn in_folder(name: &str) -> String {
-    folder().join(name).display().to_string()
+/// A path relative to the fixtures, resolved.
+fn resolved(name: &str) -> String {
+    fixtures().join(name).display().to_string()
 }
 
-fn text(length: Length) -> String {
-    length.to_string()
+fn text(duration: DurationSetting) -> String {
+    duration.to_string()
 }
 
 #[test]
-fn names_kinds_and_proxies_of_a_site() {
+fn names_request_classes_and_proxies_of_a_site() {
     let site = site();
     assert_eq!(
         (site.name.as_str(), site.zones.join(" ").as_str()),
         ("steward-1", "ede arnhem")
     );
-    let kind = &site.kinds[0];
+    let class = &site.request_classes[0];
     assert_eq!(
-        (kind.name.as_str(), kind.backend.as_deref()),
+        (class.name.as_str(), class.backend.as_deref()),
         ("proof", Some("proof-backend"))
     );
     assert_eq!(
-        (text(kind.response_target), text(kind.client_timeout)),
+        (text(class.latency_objective), text(class.client_timeout)),
         ("1500 ms".into(), "4 s".into())
     );
-    assert_eq!((kind.benefit, kind.own_zone), (2.5, true));
-    let lengths: Vec<String> = site
-        .kinds
+    assert_eq!((class.priority_weight, class.zone_local), (2.5, true));
+    let durations: Vec<String> = site
+        .request_classes
         .iter()
-        .flat_map(|kind| [text(kind.response_target), text(kind.client_timeout)])
+        .flat_map(|class| [text(class.latency_objective), text(class.client_timeout)])
         .collect();
     assert_eq!(
-        lengths,
+        durations,
         ["1500 ms", "4 s", "250 us", "60 s", "1 s", "3600 s"]
     );
-    let same = |n: usize, m: usize| site.kinds[n].repeats == site.kinds[m].repeats;
-    assert!(!same(0, 1) && !same(0, 2) && !same(1, 2));
+    let same_idempotency = |n: usize, m: usize| {
+        site.request_classes[n].idempotency == site.request_classes[m].idempotency
+    };
+    assert!(!same_idempotency(0, 1) && !same_idempotency(0, 2) && !same_idempotency(1, 2));
     let proxy = &site.proxies[0];
     assert_eq!(
-        (proxy.name.as_str(), proxy.zone.as_str(), proxy.usual_rate),
+        (
+            proxy.name.as_str(),
+            proxy.zone.as_str(),
+            proxy.typical_request_rate
+        ),
         ("front-1", "arnhem", 7.5)
     );
-    let runtime = |n: usize| {
+    let runtime_api = |n: usize| {
         site.proxies[n]
-            .runtime
+            .runtime_api
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default()
     };
-    assert_eq!(runtime(0), format!("unix:{}", in_folder("front-1.sock")));
+    assert_eq!(runtime_api(0), format!("unix:{}", resolved("front-1.sock")));
     assert_eq!(
-        (runtime(1), runtime(2)),
+        (runtime_api(1), runtime_api(2)),
         ("127.0.0.1:9102".into(), String::new())
     );
-    let sources: Vec<String> = proxy.sources.iter().map(ToString::to_string).collect();
+    let sources: Vec<String> = proxy
+        .dns_source_networks
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(sources, ["10.1.0.0/16", "2001:db8::/32"]);
     assert_eq!(
-        (site.proxies_of_site, site.ticket().proxy_count),
+        (site.site_proxy_count, site.deployment_config().proxy_count),
         (Some(9), 9)
     );
     assert_eq!(
         site.hosts_file.display().to_string(),
-        in_folder("some-hosts.jsonnet")
+        resolved("some-hosts.jsonnet")
     );
 }
 
 #[test]
-fn figures_of_a_site() {
+fn numbers_and_durations_of_a_site() {
     let site = site();
-    let channel = &site.channel;
-    let figures = (
-        channel.lines_per_second,
-        channel.most_waiting,
-        channel.lines_per_message,
-    );
-    assert_eq!(figures, (4_001.0, 4_002.0, 4.5));
-    assert_eq!(
-        (channel.message_cap, text(channel.message_window)),
+    let update_channel = &site.update_channel;
+    let numbers = (
+        update_channel.commands_per_second,
+        update_channel.max_waiting_commands,
+        update_channel.message_overhead_lines,
+    );
+    assert_eq!(numbers, (4_001.0, 4_002.0, 4.5));
+    assert_eq!(
+        (
+            update_channel.max_messages_per_window,
+            text(update_channel.message_window)
+        ),
         (13, "11 s".into())
     );
-    let reports = &site.reports;
+    let load_reports = &site.load_reports;
     assert_eq!(
-        (text(reports.every), reports.lines_per_second),
+        (
+            text(load_reports.interval),
+            load_reports.max_lines_per_second
+        ),
         ("700 ms".into(), Some(5_003.0))
     );
     assert_eq!(
-        reports.push.as_ref().expect("where to push").to_string(),
+        load_reports
+            .push_endpoint
+            .as_ref()
+            .expect("a push endpoint")
+            .to_string(),
         "127.0.0.1:9300"
     );
     assert_eq!(
-        (site.cold.start_share, text(site.cold.warm_within)),
+        (
+            site.slow_start.initial_capacity,
+            text(site.slow_start.window)
+        ),
         (0.17, "18 s".into())
     );
-    let probes = site.probes.as_ref().expect("probes");
+    let health_checks = site.health_checks.as_ref().expect("health checks");
     assert_eq!(
-        (probes.path.as_str(), text(probes.time_limit)),
+        (health_checks.path.as_str(), text(health_checks.timeout)),
         ("/health", "321 ms".into())
     );
-    assert_eq!(probes.load_every.map(text), Some("2345 ms".into()));
-    let links = &site.links;
-    let lengths = [
-        links.answer_limit,
-        links.dial_limit,
-        links.redial_least,
-        links.redial_most,
+    assert_eq!(
+        health_checks.load_interval.map(text),
+        Some("2345 ms".into())
+    );
+    let connections = &site.proxy_connections;
+    let durations = [
+        connections.reply_timeout,
+        connections.connect_timeout,
+        connections.min_reconnect_backoff,
+        connections.max_reconnect_backoff,
     ]
     .map(text);
-    assert_eq!(lengths, ["2100 ms", "1100 ms", "110 ms", "5100 ms"]);
+    assert_eq!(durations, ["2100 ms", "1100 ms", "110 ms", "5100 ms"]);
     assert_eq!(
-        (site.crossing_price, site.dropped_is_no_drain),
+        (site.cross_zone_cost, site.removal_is_advisory),
         (0.06, true)
     );
 }
 
 #[test]
-fn words_of_a_site() {
-    use pondarch_config::site::{AdmissionBy, Repeats, Weights};
+fn enum_values_of_a_site() {
+    use pondarch_config::site::{AdmissionSetting, Idempotency, WeightSource};
     let site = site();
-    assert!(site.admission == AdmissionBy::Rate && site.weights == Weights::Solved);
-    let repeats: Vec<Repeats> = site.kinds.iter().map(|kind| kind.repeats).collect();
+    assert!(site.admission == AdmissionSetting::Rate && site.weight_source == WeightSource::Solved);
+    let idempotency: Vec<Idempotency> = site
+        .request_classes
+        .iter()
+        .map(|class| class.idempotency)
+        .collect();
     assert!(
-        repeats
+        idempotency
             == [
-                Repeats::Replayable,
-                Repeats::Uniqued,
-                Repeats::NonReplayable
+                Idempotency::Idempotent,
+                Idempotency::ByKey,
+                Idempotency::NotIdempotent
             ]
     );
     let listeners: Vec<(String, bool)> = site
@@ -154,14 +186,14 @@
             )
         })
         .collect();
-    let of = |listen: &str, admin: bool| (listen.to_string(), admin);
-    let unix = format!("unix:{}", in_folder("api.sock"));
+    let listener = |listen: &str, is_admin: bool| (listen.to_string(), is_admin);
+    let unix = format!("unix:{}", resolved("api.sock"));
     assert_eq!(
         listeners,
         [
-            of(&unix, true),
-            of("127.0.0.1:9999", false),
-            of("127.0.0.1:9998", false)
+            listener(&unix, true),
+            listener("127.0.0.1:9999", false),
+            listener("127.0.0.1:9998", false)
         ]
     );
     assert!(Level::from(site.runtime_api[1].level) == Level::User);
@@ -169,42 +201,52 @@
 }
 
 #[test]
-fn records_and_names_of_a_site() {
+fn event_log_and_dns_of_a_site() {
     let site = site();
-    let records = site.records.as_ref().expect("records");
+    let event_log = site.event_log.as_ref().expect("event log settings");
     assert_eq!(
-        records.folder.display().to_string(),
-        in_folder("some-records")
+        event_log.directory.display().to_string(),
+        resolved("some-records")
     );
     assert_eq!(
-        (records.segment_bytes, records.all_bytes, records.kept_days),
+        (
+            event_log.segment_bytes,
+            event_log.max_total_bytes,
+            event_log.retention_days
+        ),
         (70_000, 150_000, 2.5)
     );
     assert_eq!(
-        [records.sure_within, records.snapshot_every].map(text),
+        [event_log.sync_within, event_log.snapshot_interval].map(text),
         ["210 ms", "9 s"]
     );
-    let dns = site.dns.as_ref().expect("names");
+    let dns = site.dns.as_ref().expect("DNS settings");
     assert_eq!(
         (dns.zone.as_str(), dns.listen.to_string()),
         ("pond.test", "127.0.0.1:5301".into())
     );
-    let lengths = [dns.grace, dns.learns_within, dns.behind, dns.expires].map(text);
-    assert_eq!(lengths, ["8 s", "600 ms", "1100 ms", "61 s"]);
-    assert_eq!((dns.lifetime, dns.answers_per_second), (Some(4), 51.5));
+    let durations = [
+        dns.drain_grace_period,
+        dns.max_list_delay,
+        dns.max_secondary_lag,
+        dns.secondary_expiry,
+    ]
+    .map(text);
+    assert_eq!(durations, ["8 s", "600 ms", "1100 ms", "61 s"]);
+    assert_eq!((dns.lifetime_s, dns.answers_per_second), (Some(4), 51.5));
     let secondary = &dns.secondaries[0];
     assert_eq!(
-        (secondary.address.to_string(), secondary.key.as_str()),
+        (secondary.address.to_string(), secondary.key_name.as_str()),
         ("127.0.0.1:5302".into(), "copy-1")
     );
     assert_eq!(
         secondary.secret_file.display().to_string(),
-        in_folder("copy-1.key")
+        resolved("copy-1.key")
     );
 }
 
 #[test]
-fn kinds_and_places_of_a_proxy() {
+fn request_classes_and_endpoints_of_a_proxy() {
     let proxy = proxy();
     assert_eq!(
         (proxy.name.as_str(), proxy.zone.as_str()),
@@ -216,14 +258,14 @@
     );
     assert_eq!(
         proxy.runtime_api[0].listen.to_string(),
-        format!("unix:{}", in_folder("front-1.sock"))
+        format!("unix:{}", resolved("front-1.sock"))
     );
     assert!(Level::from(proxy.runtime_api[0].level) == Level::Admin);
-    let kind = &proxy.kinds[0];
-    let header = kind.header.as_ref().expect("a header");
-    let known_by = (kind.path_prefix.as_deref(), kind.host.as_deref());
+    let class = &proxy.request_classes[0];
+    let header = class.header.as_ref().expect("a header");
+    let conditions = (class.path_prefix.as_deref(), class.host.as_deref());
     assert_eq!(
-        (kind.name.as_str(), known_by),
+        (class.name.as_str(), conditions),
         ("proof", (Some("/proof"), Some("proof.test")))
     );
     assert_eq!(
@@ -231,77 +273,92 @@
         ("x-kind", "proof")
     );
     assert_eq!(
-        [kind.response_target, kind.client_timeout].map(text),
+        [class.latency_objective, class.client_timeout].map(text),
         ["1500 ms", "4 s"]
     );
     assert_eq!(
-        (kind.benefit, kind.memory.map(text)),
+        (class.priority_weight, class.deduplication_window.map(text)),
         (2.5, Some("31 s".into()))
     );
-    assert!(kind.repeats == pondarch_config::site::Repeats::Uniqued);
+    assert!(class.idempotency == pondarch_config::site::Idempotency::ByKey);
     assert_eq!(
         proxy.hosts_file.display().to_string(),
-        in_folder("some-hosts.jsonnet")
+        resolved("some-hosts.jsonnet")
     );
-    let report_to: Vec<String> = proxy.report_to.iter().map(ToString::to_string).collect();
+    let report_to: Vec<String> = proxy
+        .report_endpoints
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(
         report_to,
         [
-            format!("unix:{}", in_folder("push.sock")),
+            format!("unix:{}", resolved("push.sock")),
             "127.0.0.1:9300".into()
         ]
     );
     assert_eq!(
-        (text(proxy.report_every), proxy.seed),
+        (text(proxy.report_interval), proxy.seed),
         ("900 ms".into(), Some(77))
     );
 }
 
 #[test]
-fn figures_of_a_proxy() {
+fn numbers_and_durations_of_a_proxy() {
     let proxy = proxy();
-    assert_eq!((proxy.standing_most, proxy.further_tries), (9, 0.3));
-    assert!(matches!(proxy.pick, pondarch_config::proxy::Pick::Round));
-    let avoid = &proxy.avoid;
-    assert_eq!((avoid.after, avoid.part), (4, 0.25));
+    assert_eq!((proxy.max_static_hosts, proxy.retry_ratio), (9, 0.3));
+    assert!(matches!(
+        proxy.pick,
+        pondarch_config::proxy::PickStrategy::RoundRobin
+    ));
+    let ejection = &proxy.ejection;
     assert_eq!(
-        [avoid.least, avoid.most, avoid.remembered].map(text),
+        (ejection.consecutive_failures, ejection.max_ejected_fraction),
+        (4, 0.25)
+    );
+    assert_eq!(
+        [
+            ejection.min_duration,
+            ejection.max_duration,
+            ejection.forget_after
+        ]
+        .map(text),
         ["2100 ms", "5100 ms", "61 s"]
     );
     let limits = &proxy.limits;
-    assert_eq!(limits.response.map(text), Some("901 ms".into()));
+    assert_eq!(limits.response_timeout.map(text), Some("901 ms".into()));
     let counts = [
-        limits.at_host,
-        limits.waiting,
-        limits.held_body,
-        limits.head,
-        limits.connections,
+        limits.max_in_flight_per_host,
+        limits.max_waiting,
+        limits.max_retained_body_bytes,
+        limits.max_head_bytes,
+        limits.max_connections,
     ];
     assert_eq!(counts, [129, 513, 65_537, 16_385, 10_001]);
-    let lengths = [
-        limits.connect,
+    let durations = [
+        limits.connect_timeout,
         limits.last_ready_for,
-        limits.head_within,
-        limits.idle_close,
-        limits.drain_within,
+        limits.head_timeout,
+        limits.idle_timeout,
+        limits.drain_timeout,
     ];
     assert_eq!(
-        lengths.map(text),
+        durations.map(text),
         ["251 ms", "3100 ms", "5100 ms", "15100 ms", "10100 ms"]
     );
 }
 
 #[test]
-fn a_described_fleet() {
-    let plan = read_plan(&folder().join("plan.jsonnet")).expect("a fleet");
+fn settings_of_a_plan() {
+    let plan = read_plan(&fixtures().join("plan.jsonnet")).expect("settings of a plan");
     assert_eq!(
-        (plan.zones.join(" "), plan.crossing_price),
+        (plan.zones.join(" "), plan.cross_zone_cost),
         ("ede arnhem".into(), 0.07)
     );
-    let kind = &plan.kinds[0];
-    assert_eq!((kind.name.as_str(), kind.benefit), ("proof", 2.5));
+    let class = &plan.request_classes[0];
+    assert_eq!((class.name.as_str(), class.priority_weight), ("proof", 2.5));
     assert_eq!(
-        [kind.work, kind.response_target].map(text),
+        [class.work_per_request, class.latency_objective].map(text),
         ["20 ms", "1500 ms"]
     );
     let hosts = &plan.hosts[0];
@@ -310,11 +367,15 @@
         ("big", "arnhem", 3)
     );
     assert_eq!(
-        (hosts.cores, hosts.speed, hosts.connections),
+        (hosts.cores, hosts.speed, hosts.max_concurrent_requests),
         (4.5, 1.25, Some(8.5))
     );
     assert_eq!(
-        (hosts.warm, hosts.taken, text(hosts.taken_age)),
+        (
+            hosts.capacity_fraction,
+            hosts.other_load,
+            text(hosts.other_load_age)
+        ),
         (0.75, 0.125, "12 s".into())
     );
     assert_eq!(plan.demand["ede"]["proof"], 17.5);
@@ -328,10 +389,10 @@
 #[test]
 fn a_list_of_hosts() {
     let zones = ["ede".to_string(), "arnhem".to_string()];
-    let list = read_hosts(&folder().join("hosts.jsonnet"), &zones).expect("a list");
+    let list = read_hosts(&fixtures().join("hosts.jsonnet"), &zones).expect("a list");
     assert_eq!(list.version, Some(7));
-    // As it is recorded.
-    let written = serde_json::to_value(&list.hosts).expect("JSON");
+    // The event log stores the hosts in this form.
+    let stored = serde_json::to_value(&list.hosts).expect("JSON");
     let host = |name: &str, address: &str, zone: &str, state: &str| {
         serde_json::json!({"name": name, "address": address, "zone": zone, "rack": "", "machine": "",
             "weight": 1.0, "started": null, "state": state})
@@ -351,5 +412,5 @@
         host("host-2", "[::1]:8002", "ede", "gone"),
         host("host-3", "127.0.0.1:8003", "ede", "ready"),
     ];
-    assert_eq!(written, serde_json::json!([first, others[0], others[1]]));
+    assert_eq!(stored, serde_json::json!([first, others[0], others[1]]));
 }
--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/orders.rs
@@ -108,7 +108,7 @@
 /// proxies' own reading and answering is counted too, as they are in the same thread.
 fn core(c: &mut Criterion) {
     let mut site = site(20);
-    site.channel.message_cap = 0;
+    site.update_channel.max_messages_per_window = 0;
     let mut fleet = SimulatedFleet::open(&site, 40);
     fleet.run(5_000);
     let mut heavy = false;
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -6,7 +6,7 @@
 use crate::output::Output;
 use crate::recovered_state::RecoveredState;
 use crate::state::DaemonState;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_dns_server::View;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
     /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
-    pub fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
+    pub fn new(site: &SiteSettings, seed: u64, process: u32, epoch: u64, now: Time) -> Core {
         Core {
             state: DaemonState::new(site, seed, process, epoch, now),
         }
--- a/crates/daemon-core/src/dns_state.rs
+++ b/crates/daemon-core/src/dns_state.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list::{EndpointList, ListedHost};
 use crate::recovered_state::RecoveredHost;
 use crate::time::micros;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, ProxyId, RequestClassId, TableId, Time};
 use pondarch_dns_core::{
@@ -52,32 +52,36 @@
 }
 
 /// Unknown proxies as proxies of a deployment: after those of the settings, one after the other from each zone.
-pub(crate) fn unknown_proxies(site: &Site) -> Vec<pondarch_config::site::Proxy> {
+pub(crate) fn unknown_proxies(site: &SiteSettings) -> Vec<pondarch_config::site::ProxyEntry> {
     if site.dns.is_none() {
         return Vec::new();
     }
-    let usual: f64 = site.proxies.iter().map(|proxy| proxy.usual_rate).sum();
-    let unknown_proxy = |n: usize| pondarch_config::site::Proxy {
+    let usual: f64 = site
+        .proxies
+        .iter()
+        .map(|proxy| proxy.typical_request_rate)
+        .sum();
+    let unknown_proxy = |n: usize| pondarch_config::site::ProxyEntry {
         name: format!("strangers-{n}"),
         zone: site.zones[n % site.zones.len()].clone(),
-        runtime: None,
-        sources: Vec::new(),
-        usual_rate: usual / site.proxies.len().max(1) as f64,
+        runtime_api: None,
+        dns_source_networks: Vec::new(),
+        typical_request_rate: usual / site.proxies.len().max(1) as f64,
     };
     (0..UNKNOWN_PROXIES).map(unknown_proxy).collect()
 }
 
 impl DnsState {
     /// None without a DNS server, or with one whose lifetime does not fit its grace, which `check` refuses.
-    pub(crate) fn new(site: &Site) -> Option<DnsState> {
+    pub(crate) fn new(site: &SiteSettings) -> Option<DnsState> {
         let dns = site.dns.as_ref()?;
-        let lifetime: Lifetime = dns.lifetime().ok()?;
+        let lifetime: Lifetime = dns.answer_lifetime().ok()?;
         let holds = lifetime.max_cache_time() + DNS_QUERY_REPORT_INTERVAL;
         let spare = dns
-            .grace
+            .drain_grace_period
             .0
             .micros()
-            .saturating_sub(dns.learns_within.0.micros());
+            .saturating_sub(dns.max_list_delay.0.micros());
         Some(DnsState {
             members: Members::new(holds, MAX_MEMBERS),
             held: CachedAnswers::default(),
@@ -88,11 +92,15 @@
                 .unwrap_or(Duration::ZERO),
             last_answer_until: None,
             excluded_until: BTreeMap::new(),
-            secondaries: Secondaries::new(dns.secondaries.len(), dns.behind.0, dns.expires.0),
+            secondaries: Secondaries::new(
+                dns.secondaries.len(),
+                dns.max_secondary_lag.0,
+                dns.secondary_expiry.0,
+            ),
             secondary_names: dns
                 .secondaries
                 .iter()
-                .map(|secondary| secondary.key.clone())
+                .map(|secondary| secondary.key_name.clone())
                 .collect(),
             secondaries_answered_at: Time::default(),
             self_reports_taken_at: Time::default(),
--- a/crates/daemon-core/src/operator/servers.rs
+++ b/crates/daemon-core/src/operator/servers.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_list::ListedHost;
 use crate::state::DaemonState;
 use pondarch_config::HostEntry;
-use pondarch_config::hosts::{HostState, bad_name};
+use pondarch_config::hosts::{HostState, invalid_name};
 use pondarch_controller::{EndpointState, HostId};
 use pondarch_runtime_api::command::GivenWeight;
 use pondarch_runtime_api::{AdminState, ServerRef};
@@ -119,7 +119,7 @@
     if listed.is_some_and(|host| host.state != EndpointState::Removed) {
         return Err(OperatorError::ServerExists);
     }
-    if bad_name(&server.server).is_some() {
+    if invalid_name(&server.server).is_some() {
         return Err(OperatorError::InvalidName);
     }
     let zone = state
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -1,7 +1,7 @@
 //! One proxy: dialled, read, joined, lost, and dialled again.
 
 use crate::update_queue::SentMessages;
-use pondarch_config::site::Links;
+use pondarch_config::site::ProxyConnectionSettings;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, TableId, Time, ZoneId};
 use pondarch_proxy_session::{Front, Session};
@@ -62,12 +62,12 @@
 impl Peer {
     pub(crate) fn new(
         n: usize,
-        settings: &pondarch_config::site::Proxy,
+        settings: &pondarch_config::site::ProxyEntry,
         zone: u16,
         front: Arc<Front>,
         now: Time,
     ) -> Peer {
-        let link = if settings.runtime.is_some() {
+        let link = if settings.runtime_api.is_some() {
             Link::Down(now)
         } else {
             Link::Dns { joined: false }
@@ -76,7 +76,7 @@
             id: ProxyId(n as u16),
             name: settings.name.clone(),
             zone: ZoneId(zone),
-            usual_rate: settings.usual_rate,
+            usual_rate: settings.typical_request_rate,
             link,
             connection: 0,
             session: Session::new(front),
@@ -113,9 +113,14 @@
 
     /// The connection is gone: when to dial again. Doubling waits with jitter, so that proxies that were lost
     /// together do not come back together.
-    pub(crate) fn on_disconnected(&mut self, now: Time, links: &Links, random: &mut fastrand::Rng) {
-        let min_delay = links.redial_least.0;
-        let max_delay = links.redial_most.0;
+    pub(crate) fn on_disconnected(
+        &mut self,
+        now: Time,
+        links: &ProxyConnectionSettings,
+        random: &mut fastrand::Rng,
+    ) {
+        let min_delay = links.min_reconnect_backoff.0;
+        let max_delay = links.max_reconnect_backoff.0;
         let doubled = min_delay
             .scaled(f64::from(1u32 << self.failed_dials.min(16)))
             .min(max_delay);
--- a/crates/daemon-core/src/state.rs
+++ b/crates/daemon-core/src/state.rs
@@ -14,8 +14,8 @@
 use crate::update_queue::UpdateQueue;
 use crate::weight_planner::WeightPlanner;
 use crate::zone_map::ZoneMap;
-use pondarch_config::Site;
-use pondarch_config::site::{Links, Weights};
+use pondarch_config::SiteSettings;
+use pondarch_config::site::{ProxyConnectionSettings, WeightSource};
 use pondarch_controller::Controller;
 use pondarch_controller::{AdmissionMode, AttemptOutcomes, Endpoint, HostId, Time};
 use pondarch_load_ingestion::{Account, Choice};
@@ -48,7 +48,7 @@
     /// Names of the request classes, by their numbers.
     pub(crate) request_classes: Vec<String>,
     /// Limits of the connections to proxies.
-    pub(crate) links: Links,
+    pub(crate) links: ProxyConnectionSettings,
     /// How often the loads of hosts are read; none: never.
     pub(crate) load_interval: Option<Duration>,
     /// How often counters of proxies are read, and outcomes applied.
@@ -117,33 +117,43 @@
     /// `seed` for all chance of this run; `process` is the number that `show info` gives as the controller's own. The
     /// mark that joined proxies get tells this start of this controller from any other: `epoch` must be higher than that of
     /// any start before, or proxies refuse its orders as older ones.
-    pub(crate) fn new(site: &Site, seed: u64, process: u32, epoch: u64, now: Time) -> DaemonState {
-        let deployment = site.ticket();
+    pub(crate) fn new(
+        site: &SiteSettings,
+        seed: u64,
+        process: u32,
+        epoch: u64,
+        now: Time,
+    ) -> DaemonState {
+        let deployment = site.deployment_config();
         let mark = format!("{}:{epoch}", site.name);
         let load_interval = site
-            .probes
+            .health_checks
             .as_ref()
-            .and_then(|probes| probes.load_every)
+            .and_then(|probes| probes.load_interval)
             .map(|interval| interval.0);
         DaemonState {
             name: site.name.clone(),
-            request_classes: site.kinds.iter().map(|class| class.name.clone()).collect(),
-            links: site.links.clone(),
+            request_classes: site
+                .request_classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            links: site.proxy_connections.clone(),
             load_interval,
-            report_interval: site.reports.every.0,
+            report_interval: site.load_reports.interval.0,
             admits_by_rate: deployment.admission == AdmissionMode::Rate,
             process,
             started: now,
             now,
             endpoints: EndpointList::new(site.zones.clone(), deployment.slow_start_window),
             zones: ZoneMap::default(),
-            weight_planner: (site.weights == Weights::Solved)
+            weight_planner: (site.weight_source == WeightSource::Solved)
                 .then(|| WeightPlanner::new(site, now)),
             dns: DnsState::new(site),
             tables: TableAssignments::default(),
             peers: peers(site, &mark, now),
             update_queue: update_queue(site, now),
-            outcomes: OutcomeAggregator::new(site.reports.every.0, now),
+            outcomes: OutcomeAggregator::new(site.load_reports.interval.0, now),
             random: fastrand::Rng::with_seed(seed),
             controller: Controller::new(deployment, seed, now),
             timer_at: None,
@@ -151,9 +161,9 @@
             last_outcomes: BTreeMap::new(),
             next_load_read_at: load_interval.map(|interval| now + interval),
             outcomes_applied_at: BTreeMap::new(),
-            max_outcomes_per_second: site.reports.lines_per_second,
+            max_outcomes_per_second: site.load_reports.max_lines_per_second,
             selection: Choice::new(seed),
-            pushed_reports: PushedReports::new(site.reports.push.is_some()),
+            pushed_reports: PushedReports::new(site.load_reports.push_endpoint.is_some()),
             memory: Account::default(),
             event_log: None,
             input_count: 0,
@@ -237,7 +247,7 @@
 }
 
 /// The proxies by their numbers: those of the settings, then those that stand for unknown ones.
-fn peers(site: &Site, mark: &str, now: Time) -> Vec<Peer> {
+fn peers(site: &SiteSettings, mark: &str, now: Time) -> Vec<Peer> {
     let front = Arc::new(front(site, mark));
     let zone = |name: &str| site.zones.iter().position(|z| z == name).unwrap_or(0) as u16;
     site.proxies
@@ -248,25 +258,25 @@
         .collect()
 }
 
-fn update_queue(site: &Site, now: Time) -> UpdateQueue {
-    let limits = &site.channel;
+fn update_queue(site: &SiteSettings, now: Time) -> UpdateQueue {
+    let limits = &site.update_channel;
     UpdateQueue::new(
-        limits.lines_per_second,
-        limits.lines_per_message,
-        limits.most_waiting,
-        limits.message_cap,
+        limits.commands_per_second,
+        limits.message_overhead_lines,
+        limits.max_waiting_commands,
+        limits.max_messages_per_window,
         limits.message_window.0,
         now,
     )
 }
 
-fn front(site: &Site, mark: &str) -> Front {
-    let class = |class: &pondarch_config::site::Kind| FrontKind {
+fn front(site: &SiteSettings, mark: &str) -> Front {
+    let class = |class: &pondarch_config::site::RequestClassSettings| FrontKind {
         name: class.name.clone(),
         backend: class.backend().to_string(),
     };
     Front {
         mark: mark.to_string(),
-        kinds: site.kinds.iter().map(class).collect(),
+        kinds: site.request_classes.iter().map(class).collect(),
     }
 }
--- a/crates/daemon-core/src/timers.rs
+++ b/crates/daemon-core/src/timers.rs
@@ -28,7 +28,7 @@
         for peer in &self.peers {
             sooner(
                 peer.silent_since
-                    .map(|since| since + self.links.answer_limit.0),
+                    .map(|since| since + self.links.reply_timeout.0),
             );
             match peer.link {
                 Link::Down(dial_at) => sooner(Some(dial_at)),
@@ -106,7 +106,7 @@
 
     fn hang_up_silent_proxies(&mut self) {
         let now = self.now;
-        let limit = self.links.answer_limit.0;
+        let limit = self.links.reply_timeout.0;
         let is_silent = |peer: &&Peer| peer.silent_since.is_some_and(|since| now - since >= limit);
         let silent: Vec<u16> = self
             .peers
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -2,7 +2,7 @@
 //! the planner makes of the plans is given to the decisions as listed weights.
 
 use crate::endpoint_list::EndpointList;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::{EndpointState, HostId, Time};
 use pondarch_proxy_session::sums::Look;
 use pondarch_weight_solver::planner::KindFacts;
@@ -19,15 +19,15 @@
 }
 
 impl WeightPlanner {
-    pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
-        let class = |class: &pondarch_config::site::Kind| KindFacts {
+    pub(crate) fn new(site: &SiteSettings, now: Time) -> WeightPlanner {
+        let class = |class: &pondarch_config::site::RequestClassSettings| KindFacts {
             name: class.name.clone(),
-            response_target: class.response_target.0,
-            benefit: class.benefit,
+            response_target: class.latency_objective.0,
+            benefit: class.priority_weight,
         };
-        let classes = site.kinds.iter().map(class).collect();
+        let classes = site.request_classes.iter().map(class).collect();
         let all = site
-            .proxies_of_site
+            .site_proxy_count
             .unwrap_or(site.proxies.len() as u64)
             .max(1);
         let own_part = site.proxies.len() as f64 / all as f64;
@@ -35,11 +35,11 @@
             planner: Planner::new(
                 classes,
                 site.zones.clone(),
-                site.crossing_price,
+                site.cross_zone_cost,
                 own_part,
                 now,
             ),
-            start_share: site.cold.start_share,
+            start_share: site.slow_start.initial_capacity,
             observed: BTreeMap::new(),
             started: BTreeMap::new(),
             last_source: Source::Listed,
--- a/crates/daemon-core/tests/in_memory/dns.rs
+++ b/crates/daemon-core/tests/in_memory/dns.rs
@@ -5,8 +5,8 @@
 mod secondaries;
 
 use crate::simulated_fleet::*;
-use pondarch_config::Length;
-use pondarch_config::site::{Dns, Secondary};
+use pondarch_config::DurationSetting;
+use pondarch_config::site::{DnsSettings, Secondary};
 use pondarch_controller::{ProxyId, TableId};
 use pondarch_daemon_core::{Event, Input, ReportedLoad};
 use pondarch_dns_server::UNBOUND_TABLE;
@@ -23,18 +23,20 @@
 /// Four proxies, of which these query the DNS server.
 fn fleet_with_dns_proxies(secondaries: Vec<Secondary>, by_name: &[usize]) -> SimulatedFleet {
     let mut site = site(4);
-    site.dns = Some(Dns {
+    site.dns = Some(DnsSettings {
         zone: "pond.example".into(),
         listen: ([127, 0, 0, 1], 0).into(),
-        grace: Length::millis(6_000),
-        learns_within: Length::millis(500),
-        lifetime: None,
+        drain_grace_period: DurationSetting::from_millis(6_000),
+        max_list_delay: DurationSetting::from_millis(500),
+        lifetime_s: None,
         answers_per_second: 50.0,
         secondaries,
-        behind: Length::millis(1_000),
-        expires: Length::millis(60_000),
+        max_secondary_lag: DurationSetting::from_millis(1_000),
+        secondary_expiry: DurationSetting::from_millis(60_000),
     });
-    by_name.iter().for_each(|&n| site.proxies[n].runtime = None);
+    by_name
+        .iter()
+        .for_each(|&n| site.proxies[n].runtime_api = None);
     let mut fleet = SimulatedFleet::open(&site, 12);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), 4 - by_name.len() as u64);
--- a/crates/daemon-core/tests/in_memory/dns/secondaries.rs
+++ b/crates/daemon-core/tests/in_memory/dns/secondaries.rs
@@ -23,7 +23,7 @@
 fn secondaries_are_notified_of_changes_and_hosts_they_still_serve_linger() {
     let secondary = |n: u16| Secondary {
         address: ([127, 0, 0, 1], 5_300 + n).into(),
-        key: format!("second-{n}"),
+        key_name: format!("second-{n}"),
         secret_file: "none".into(),
     };
     let mut fleet = fleet_with_secondaries(vec![secondary(0), secondary(1)]);
--- a/crates/daemon-core/tests/in_memory/faults.rs
+++ b/crates/daemon-core/tests/in_memory/faults.rs
@@ -124,7 +124,7 @@
 #[test]
 fn a_join_storm_stays_within_the_queue_and_a_drain_reaches_all() {
     let mut site = site(200);
-    site.channel.most_waiting = 2_000.0;
+    site.update_channel.max_waiting_commands = 2_000.0;
     let mut fleet = SimulatedFleet::open(&site, 700);
     let mut most = 0;
     for _ in 0..200 {
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -5,7 +5,7 @@
 mod silence;
 
 use crate::simulated_fleet::*;
-use pondarch_config::Length;
+use pondarch_config::DurationSetting;
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::{Event, Input, Output};
 use pondarch_load_report_protocol::{Body, Counted, Own, Report, SenderIs};
@@ -30,9 +30,9 @@
 
 fn fleet(lines_per_second: Option<f64>, hosts: usize) -> SimulatedFleet {
     let mut site = site(6);
-    site.reports.push = Some("unix:/push".parse().expect("a path"));
-    site.reports.lines_per_second = lines_per_second;
-    site.reports.every = Length::millis(1_000);
+    site.load_reports.push_endpoint = Some("unix:/push".parse().expect("a path"));
+    site.load_reports.max_lines_per_second = lines_per_second;
+    site.load_reports.interval = DurationSetting::from_millis(1_000);
     let mut fleet = SimulatedFleet::open(&site, hosts);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), 6);
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -152,8 +152,8 @@
     let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("and read");
     let play = || {
         let mut site = site(6);
-        site.reports.push = Some("unix:/push".parse().expect("a path"));
-        site.reports.lines_per_second = Some(5.0);
+        site.load_reports.push_endpoint = Some("unix:/push".parse().expect("a path"));
+        site.load_reports.max_lines_per_second = Some(5.0);
         let mut core = pondarch_daemon_core::Core::new(
             &site,
             7,
--- a/crates/daemon-core/tests/in_memory/replay.rs
+++ b/crates/daemon-core/tests/in_memory/replay.rs
@@ -6,7 +6,7 @@
 use pondarch_daemon_core::{Core, Input, Output};
 use proptest::prelude::*;
 
-fn played(inputs: &[(u64, Input)], site: &pondarch_config::Site) -> Vec<Output> {
+fn played(inputs: &[(u64, Input)], site: &pondarch_config::SiteSettings) -> Vec<Output> {
     let mut core = Core::new(site, 7, 1, START, Time::from_micros(START));
     let mut outputs = Vec::new();
     for (at, input) in inputs {
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -2,7 +2,7 @@
 //! queue here, and can be cut, held up or doubled.
 
 use pondarch_config::hosts::{HostEntry, HostState};
-use pondarch_config::{Length, Site, site};
+use pondarch_config::{DurationSetting, SiteSettings, site};
 use pondarch_controller::DurationExt;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
@@ -96,58 +96,58 @@
     }
 }
 
-pub(crate) fn site(proxies: usize) -> Site {
-    let span = Length::millis;
-    let class = |name: &str| site::Kind {
+pub(crate) fn site(proxies: usize) -> SiteSettings {
+    let span = DurationSetting::from_millis;
+    let class = |name: &str| site::RequestClassSettings {
         name: name.into(),
         backend: None,
-        response_target: span(1_000),
+        latency_objective: span(1_000),
         client_timeout: span(3_000),
-        benefit: 1.0,
-        repeats: site::Repeats::NonReplayable,
-        own_zone: false,
+        priority_weight: 1.0,
+        idempotency: site::Idempotency::NotIdempotent,
+        zone_local: false,
     };
-    let proxy = |n: usize| site::Proxy {
+    let proxy = |n: usize| site::ProxyEntry {
         name: format!("front-{n}"),
         zone: ["ede", "arnhem"][n % 2].into(),
-        runtime: Some(format!("unix:/front-{n}").parse().expect("a path")),
-        sources: Vec::new(),
-        usual_rate: 5.0,
+        runtime_api: Some(format!("unix:/front-{n}").parse().expect("a path")),
+        dns_source_networks: Vec::new(),
+        typical_request_rate: 5.0,
     };
-    Site {
+    SiteSettings {
         name: "steward".into(),
         zones: vec!["ede".into(), "arnhem".into()],
-        kinds: CLASSES.map(class).into(),
+        request_classes: CLASSES.map(class).into(),
         proxies: (0..proxies).map(proxy).collect(),
-        proxies_of_site: None,
+        site_proxy_count: None,
         hosts_file: "hosts".into(),
-        channel: site::Channel {
-            lines_per_second: 8_000.0,
-            most_waiting: 8_000.0,
-            lines_per_message: 3.0,
-            message_cap: 12,
+        update_channel: site::UpdateChannelSettings {
+            commands_per_second: 8_000.0,
+            max_waiting_commands: 8_000.0,
+            message_overhead_lines: 3.0,
+            max_messages_per_window: 12,
             message_window: span(10_000),
         },
-        reports: site::Reports::default(),
-        cold: site::Cold {
-            start_share: 0.2,
-            warm_within: span(18_000),
+        load_reports: site::LoadReportSettings::default(),
+        slow_start: site::SlowStartSettings {
+            initial_capacity: 0.2,
+            window: span(18_000),
         },
-        probes: None,
-        links: site::Links::default(),
-        admission: site::AdmissionBy::Share,
-        crossing_price: 0.06,
-        dropped_is_no_drain: false,
-        weights: site::Weights::Listed,
-        records: None,
+        health_checks: None,
+        proxy_connections: site::ProxyConnectionSettings::default(),
+        admission: site::AdmissionSetting::Share,
+        cross_zone_cost: 0.06,
+        removal_is_advisory: false,
+        weight_source: site::WeightSource::Listed,
+        event_log: None,
         dns: None,
         runtime_api: Vec::new(),
     }
 }
 
 impl SimulatedFleet {
-    pub(crate) fn open(site: &Site, hosts: usize) -> SimulatedFleet {
-        let front = |(n, proxy): (usize, &site::Proxy)| {
+    pub(crate) fn open(site: &SiteSettings, hosts: usize) -> SimulatedFleet {
+        let front = |(n, proxy): (usize, &site::ProxyEntry)| {
             let mut tables = ProxyState::new(&proxy.name, 100 + n as u64, &CLASSES);
             // Standing tables: two hosts each.
             for backend in tables.backends.values_mut() {
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -2,7 +2,7 @@
 
 use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
-use pondarch_config::site::Weights;
+use pondarch_config::site::WeightSource;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 fn solved(proxies: usize, hosts: usize) -> SimulatedFleet {
     let mut site = site(proxies);
-    site.weights = Weights::Solved;
+    site.weight_source = WeightSource::Solved;
     let mut fleet = SimulatedFleet::open(&site, hosts);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), proxies as u64);
@@ -237,7 +237,7 @@
         second(&mut fleet, "host-3");
     }
     let mut site = site(4);
-    site.weights = Weights::Solved;
+    site.weight_source = WeightSource::Solved;
     let mut core = Core::new(&site, 7, 1, START, Time::from_micros(START));
     let mut outputs = Vec::new();
     for (at, input) in &fleet.inputs {
--- a/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
+++ b/crates/daemon-core/tests/in_memory/wire_texts/answers.rs
@@ -1,7 +1,7 @@
 //! Answers to operators, whole, as a transcript: each command after `> `, then its answer without the empty line.
 
 use super::*;
-use pondarch_config::Length;
+use pondarch_config::DurationSetting;
 
 /// The commands with the connection's level: 0 user, 1 operator, 2 admin.
 const COMMANDS: &[(u8, &str)] = &[
@@ -92,18 +92,18 @@
 #[test]
 fn show_info_with_every_name() {
     let mut site = site(1);
-    site.dns = Some(pondarch_config::site::Dns {
+    site.dns = Some(pondarch_config::site::DnsSettings {
         zone: "pond.example".into(),
         listen: ([127, 0, 0, 1], 0).into(),
-        grace: Length::millis(6_000),
-        learns_within: Length::millis(500),
-        lifetime: None,
+        drain_grace_period: DurationSetting::from_millis(6_000),
+        max_list_delay: DurationSetting::from_millis(500),
+        lifetime_s: None,
         answers_per_second: 50.0,
         secondaries: Vec::new(),
-        behind: Length::millis(1_000),
-        expires: Length::millis(60_000),
+        max_secondary_lag: DurationSetting::from_millis(1_000),
+        secondary_expiry: DurationSetting::from_millis(60_000),
     });
-    site.reports.push = Some("unix:/push".parse().expect("a path"));
+    site.load_reports.push_endpoint = Some("unix:/push".parse().expect("a path"));
     let mut fleet = SimulatedFleet::open(&site, 3);
     fleet.run(1_000);
     fleet.give(pondarch_daemon_core::Input::EventLog(
--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -1,6 +1,6 @@
 //! A core with proxies in memory that answer at once; time is its own.
 
-use pondarch_config::{HostEntry, Site};
+use pondarch_config::{HostEntry, SiteSettings};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_proxy_core::proxy_state::ProxyState;
@@ -64,7 +64,7 @@
 
 impl SimulatedFleet {
     /// A fleet that starts at this time.
-    pub(crate) fn new(site: &Site, at_us: u64) -> SimulatedFleet {
+    pub(crate) fn new(site: &SiteSettings, at_us: u64) -> SimulatedFleet {
         let proxy = |n: usize| {
             ProxyState::new(
                 &format!("front-{n}"),
--- a/crates/daemon/benches/recording/latency.rs
+++ b/crates/daemon/benches/recording/latency.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{SimulatedFleet, settings, start};
 use hdrhistogram::Histogram;
-use pondarch_config::site_from_text;
+use pondarch_config::site_from_json;
 use pondarch_controller::Time;
 use pondarch_daemon::{Clock, Recorder};
 use pondarch_daemon_core::{Input, Output, micros};
@@ -53,11 +53,11 @@
         to_core: tokio::sync::mpsc::Sender<Input>,
     ) -> RecordedFleet {
         let text = settings(folder);
-        let site = site_from_text(&text).expect("settings");
+        let site = site_from_json(&text).expect("settings");
         let clock = Clock::start();
         let path = folder.to_path_buf();
         let records = site
-            .records
+            .event_log
             .clone()
             .filter(|_| !matches!(recording, Recording::Off));
         let recorder = records.map(|records| {
--- a/crates/daemon/benches/recording/sizes.rs
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -1,7 +1,7 @@
 //! What a log of a given size takes, to write, to recover from and to replay.
 
 use crate::fleet::{HOSTS, PROXIES, SimulatedFleet, settings, start};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_controller::Time;
 use pondarch_daemon::Clock;
 use pondarch_daemon_core::{Input, Output, micros};
@@ -95,7 +95,7 @@
 pub(crate) fn sizes(bytes: u64) {
     let folder = tempfile::tempdir().expect("a folder");
     let text = settings(folder.path());
-    let site = site_from_text(&text).expect("settings");
+    let site = site_from_json(&text).expect("settings");
     let start = Clock::start().now();
     let mut writer = LogWriter::start(folder.path(), &text, start);
     let mut fleet = SimulatedFleet::new(&site, micros(start));
@@ -116,7 +116,7 @@
     time_replay(folder.path(), span);
 }
 
-fn time_recovery(folder: &Path, site: &Site, written: &Written, span: Duration) {
+fn time_recovery(folder: &Path, site: &SiteSettings, written: &Written, span: Duration) {
     let begun = Instant::now();
     let found = recover(&Folder::read_only(folder), site).expect("recovered");
     let took = begun.elapsed();
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -8,7 +8,7 @@
 use crate::output_handler::OutputHandler;
 use crate::push;
 use crate::recorder::{self, Recorder};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, micros};
 use pondarch_io_util::Clock;
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// A socket or file of its own cannot be had; nothing has been sent to any proxy then.
-pub async fn run(site: Site, text: String, options: Options) -> Result<(), DaemonError> {
+pub async fn run(site: SiteSettings, text: String, options: Options) -> Result<(), DaemonError> {
     let mut daemon = Daemon::start(site, text, options).await?;
     while let Some(input) = daemon.next_input().await {
         daemon.handle(input);
@@ -63,7 +63,11 @@
 }
 
 impl Daemon {
-    async fn start(site: Site, text: String, options: Options) -> Result<Daemon, DaemonError> {
+    async fn start(
+        site: SiteSettings,
+        text: String,
+        options: Options,
+    ) -> Result<Daemon, DaemonError> {
         let clock = Clock::start();
         let now = clock.now();
         let seed = options.seed.unwrap_or(micros(now));
@@ -74,8 +78,8 @@
         let start = run_start(text, seed, incarnation, now);
         let process = start.process;
         let folder = previous.folder;
-        let recorder = site.records.clone().map(|records| {
-            let open = recorder::folder_opener(folder, records.folder.clone());
+        let recorder = site.event_log.clone().map(|records| {
+            let open = recorder::folder_opener(folder, records.directory.clone());
             Recorder::start(open, &records, start, clock, inputs.clone())
         });
         let mut tasks = JoinSet::new();
@@ -198,7 +202,7 @@
 
 /// Opens the operators' sockets; their tasks end with the set.
 async fn listen_for_commands(
-    site: &Site,
+    site: &SiteSettings,
     commands: &CoreCommandHandler,
     tasks: &mut JoinSet<()>,
 ) -> Result<(), DaemonError> {
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -2,8 +2,8 @@
 
 use crate::error::{DaemonError, DnsError, SecretError};
 use futures_util::{SinkExt, StreamExt};
-use pondarch_config::site::{Dns, Proxy, Secondary};
-use pondarch_config::{Endpoint, Site};
+use pondarch_config::site::{DnsSettings, ProxyEntry, Secondary};
+use pondarch_config::{Endpoint, SiteSettings};
 use pondarch_controller::{DurationExt, ProxyId, Time};
 use pondarch_daemon_core::{DNS_QUERY_REPORT_INTERVAL, Input};
 use pondarch_dns_core::RateLimiter;
@@ -66,7 +66,7 @@
 ///
 /// An address cannot be had, or a name of the settings cannot be one.
 pub(crate) async fn open(
-    site: &Site,
+    site: &SiteSettings,
     seed: u64,
     clock: Clock,
     inputs: mpsc::Sender<Input>,
@@ -101,9 +101,13 @@
 }
 
 /// The zone that the settings describe.
-fn zone(site: &Site, dns: &Dns) -> Result<Zone, DnsError> {
-    let lifetime = dns.lifetime()?;
-    let classes: Vec<String> = site.kinds.iter().map(|class| class.name.clone()).collect();
+fn zone(site: &SiteSettings, dns: &DnsSettings) -> Result<Zone, DnsError> {
+    let lifetime = dns.answer_lifetime()?;
+    let classes: Vec<String> = site
+        .request_classes
+        .iter()
+        .map(|class| class.name.clone())
+        .collect();
     let proxies: Vec<String> = site
         .proxies
         .iter()
@@ -112,22 +116,22 @@
     let sources = site.proxies.iter().enumerate().flat_map(sources).collect();
     let server = dns.listen.ip();
     let mut zone = Zone::new(&dns.zone, server, lifetime, &classes, &proxies, sources)?;
-    zone.expire_s = u32::try_from(dns.expires.0.micros() / 1_000_000).unwrap_or(u32::MAX);
+    zone.expire_s = u32::try_from(dns.secondary_expiry.0.micros() / 1_000_000).unwrap_or(u32::MAX);
     Ok(zone)
 }
 
 /// The networks that a proxy's queries come from.
-fn sources((index, proxy): (usize, &Proxy)) -> Vec<SourceNet> {
+fn sources((index, proxy): (usize, &ProxyEntry)) -> Vec<SourceNet> {
     let source = |net: &ipnet::IpNet| SourceNet {
         address: net.network(),
         prefix_bits: net.prefix_len(),
         proxy: ProxyId(index as u16),
     };
-    proxy.sources.iter().map(source).collect()
+    proxy.dns_source_networks.iter().map(source).collect()
 }
 
 /// The secondaries' keys, from the files that hold their secrets.
-fn keys(dns: &Dns) -> Result<Vec<TsigKey>, DnsError> {
+fn keys(dns: &DnsSettings) -> Result<Vec<TsigKey>, DnsError> {
     let key = |secondary: &Secondary| {
         read_key(secondary).map_err(|source| DnsError::Secret {
             file: secondary.secret_file.clone(),
@@ -140,7 +144,7 @@
 fn read_key(secondary: &Secondary) -> Result<TsigKey, SecretError> {
     let text = std::fs::read_to_string(&secondary.secret_file)?;
     let secret = data_encoding::BASE64.decode(text.trim().as_bytes())?;
-    Ok(TsigKey::new(&secondary.key, secret)?)
+    Ok(TsigKey::new(&secondary.key_name, secret)?)
 }
 
 impl DnsServer {
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -5,7 +5,7 @@
 use crate::log;
 use crate::probe::Prober;
 use crate::push::{ReportSenders, SenderCounts};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_daemon_core::{Input, Output};
 use pondarch_load_report_protocol::ToSender;
 use pondarch_weight_solver::planner::SOLVE_LIMIT;
@@ -40,7 +40,7 @@
     solving: JoinSet<()>,
     commands: CoreCommandHandler,
     inputs: mpsc::Sender<Input>,
-    site: Site,
+    site: SiteSettings,
     replies: JoinSet<()>,
     senders: Option<ReportSenders>,
     /// Up to which input the event log is written; none: nothing is recorded.
@@ -52,14 +52,14 @@
 impl OutputHandler {
     /// A handler without connections.
     pub(crate) fn new(
-        site: Site,
+        site: SiteSettings,
         inputs: mpsc::Sender<Input>,
         commands: CoreCommandHandler,
         senders: Option<ReportSenders>,
         written: Option<watch::Receiver<u64>>,
     ) -> OutputHandler {
         let prober = site
-            .probes
+            .health_checks
             .clone()
             .map(|probes| Prober::new(probes, inputs.clone()));
         OutputHandler {
@@ -145,9 +145,9 @@
 
     fn dial(&mut self, proxy: u16, number: u64) {
         let settings = &self.site.proxies[proxy as usize];
-        let limit = self.site.links.dial_limit.std();
+        let limit = self.site.proxy_connections.connect_timeout.as_std();
         // Those without a runtime API are never dialled.
-        let Some(endpoint) = settings.runtime.clone() else {
+        let Some(endpoint) = settings.runtime_api.clone() else {
             return;
         };
         let connection = Connection::dial(proxy, number, endpoint, limit, self.inputs.clone());
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -1,6 +1,6 @@
 //! Health checks over HTTP/1.1, which also give a host's load.
 
-use pondarch_config::site::Probes;
+use pondarch_config::site::HealthCheckSettings;
 use pondarch_daemon_core::{Input, ReportedLoad};
 use pondarch_io_util::{GetResponse, get};
 use pondarch_load_report::{HEADER, Report};
@@ -17,14 +17,14 @@
 /// Makes health checks. Clones share their limit.
 #[derive(Clone)]
 pub(crate) struct Prober {
-    settings: Arc<Probes>,
+    settings: Arc<HealthCheckSettings>,
     permits: Arc<Semaphore>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl Prober {
     /// A prober by the settings.
-    pub(crate) fn new(settings: Probes, inputs: mpsc::Sender<Input>) -> Prober {
+    pub(crate) fn new(settings: HealthCheckSettings, inputs: mpsc::Sender<Input>) -> Prober {
         Prober {
             settings: Arc::new(settings),
             permits: Arc::new(Semaphore::new(MAX_CHECKS)),
@@ -37,7 +37,7 @@
         let answer = match self.permits.try_acquire() {
             Ok(_permit) => {
                 timeout(
-                    self.settings.time_limit.std(),
+                    self.settings.timeout.as_std(),
                     get(address, &self.settings.path, MAX_ANSWER_BYTES),
                 )
                 .await
--- a/crates/daemon/src/push.rs
+++ b/crates/daemon/src/push.rs
@@ -3,7 +3,7 @@
 
 use crate::error::DaemonError;
 use futures_util::{SinkExt, StreamExt};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_daemon_core::Input;
 use pondarch_load_report_protocol::{Codec, Hello, ToSender, ToSteward};
 use pondarch_transport::{Listener, Stream};
@@ -54,11 +54,11 @@
 ///
 /// The address cannot be had.
 pub(crate) async fn open(
-    site: &Site,
+    site: &SiteSettings,
     inputs: mpsc::Sender<Input>,
     tasks: &mut JoinSet<()>,
 ) -> Result<Option<ReportSenders>, DaemonError> {
-    let Some(endpoint) = &site.reports.push else {
+    let Some(endpoint) = &site.load_reports.push_endpoint else {
         return Ok(None);
     };
     let listener = Listener::bind(endpoint)
--- a/crates/daemon/src/recorder.rs
+++ b/crates/daemon/src/recorder.rs
@@ -4,7 +4,7 @@
 //! - `previous_run`: what was recorded before, at the start.
 //! - `writer`: the thread, and what is written when.
 
-use pondarch_config::site::Records;
+use pondarch_config::site::EventLogSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Input, Output, RecoveredState, micros};
 use pondarch_event_log::{Disk, LockError, RetentionConfig};
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn start<D: Disk + Send + 'static>(
         open: impl FnMut() -> Result<D, LockError> + Send + 'static,
-        records: &Records,
+        records: &EventLogSettings,
         start: RunStart,
         clock: Clock,
         inputs: mpsc::Sender<Input>,
@@ -92,7 +92,7 @@
         let (written_sender, written) = watch::channel(0);
         let waiting: Arc<AtomicUsize> = Arc::default();
         let incarnation = start.incarnation;
-        let snapshot_interval = records.snapshot_every.0;
+        let snapshot_interval = records.snapshot_interval.0;
         let snapshot_at = Time::from_micros(start.at_us) + snapshot_interval;
         let mut writer = Writer::new(WriterConfig {
             open: Box::new(open),
@@ -216,12 +216,12 @@
 }
 
 /// How long and how much is stored, by the settings.
-fn retention(records: &Records) -> RetentionConfig {
+fn retention(records: &EventLogSettings) -> RetentionConfig {
     RetentionConfig {
         segment_bytes: records.segment_bytes,
-        total_bytes: records.all_bytes,
-        max_age: Duration::from_micros((records.kept_days * 86_400e6) as u64),
-        sync_within: records.sure_within.0,
+        total_bytes: records.max_total_bytes,
+        max_age: Duration::from_micros((records.retention_days * 86_400e6) as u64),
+        sync_within: records.sync_within.0,
     }
 }
 
--- a/crates/daemon/src/recorder/previous_run.rs
+++ b/crates/daemon/src/recorder/previous_run.rs
@@ -1,7 +1,7 @@
 //! What the event log holds of the run before, and the folder it is in.
 
 use crate::error::DaemonError;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{RecoveredState, micros};
 use pondarch_event_log::{Folder, LockError};
@@ -40,11 +40,11 @@
 /// # Errors
 ///
 /// Another program writes there. A folder that cannot be had otherwise is none: deciding goes on without.
-pub(crate) fn previous_run(site: &Site, now: Time) -> Result<PreviousRun, DaemonError> {
-    let Some(records) = &site.records else {
+pub(crate) fn previous_run(site: &SiteSettings, now: Time) -> Result<PreviousRun, DaemonError> {
+    let Some(records) = &site.event_log else {
         return Ok(PreviousRun::default());
     };
-    let folder = match Folder::lock(&records.folder) {
+    let folder = match Folder::lock(&records.directory) {
         Ok(folder) => folder,
         Err(held @ LockError::Held(_)) => return Err(held.into()),
         Err(error) => {
@@ -58,7 +58,7 @@
 }
 
 /// What a folder holds; nothing if it cannot be read.
-fn recover_from(folder: &Folder, site: &Site, now: Time) -> PreviousRun {
+fn recover_from(folder: &Folder, site: &SiteSettings, now: Time) -> PreviousRun {
     let found = match recover(folder, site) {
         Ok(found) => found,
         Err(error) => {
--- a/crates/proxy-core/src/proxy_core/mod.rs
+++ b/crates/proxy-core/src/proxy_core/mod.rs
@@ -126,6 +126,6 @@
             backend.servers.insert(host.name.clone(), server);
         }
     }
-    state.started_unix_s = (now - Time::default()).micros() / 1_000_000;
+    state.started = (now - Time::default()).micros() / 1_000_000;
     state
 }
--- a/crates/proxy-core/src/proxy_state/mod.rs
+++ b/crates/proxy-core/src/proxy_state/mod.rs
@@ -62,7 +62,7 @@
     /// The number of its process.
     pub process_id: u64,
     /// When it started, in seconds since 1970.
-    pub started_unix_s: u64,
+    pub started: u64,
     /// The backends by name, one for each request class.
     pub backends: BTreeMap<String, Backend>,
     /// The maps by name.
@@ -105,7 +105,7 @@
         ProxyState {
             name: name.to_string(),
             process_id,
-            started_unix_s: DEFAULT_START_UNIX_S + process_id,
+            started: DEFAULT_START_UNIX_S + process_id,
             backends: classes
                 .iter()
                 .map(|class| (class.to_string(), Backend::default()))
--- a/crates/proxy-core/src/proxy_state/show_commands.rs
+++ b/crates/proxy-core/src/proxy_state/show_commands.rs
@@ -12,7 +12,7 @@
         info.put("Name", "pondarch-proxy");
         info.put("Node", &self.name);
         info.put("Pid", self.process_id);
-        info.put("Start_time_sec", self.started_unix_s);
+        info.put("Start_time_sec", self.started);
         for (name, value) in &self.extra_info {
             info.put(name, value);
         }
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/carry.rs
@@ -87,7 +87,7 @@
         let limits = self.shared.limits();
         let (head, body) = req.into_parts();
         let left = self.left(&arrival);
-        let mut body = match timeout(left, Sent::read(body, limits.held_body)).await {
+        let mut body = match timeout(left, Sent::read(body, limits.max_retained_body_bytes)).await {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => {
                 return closing(said(StatusCode::BAD_REQUEST, "the body cannot be read\n"));
@@ -117,7 +117,9 @@
                 out.over(AttemptOutcome::Unprocessed);
                 return said(StatusCode::BAD_REQUEST, "the req cannot be passed on\n");
             };
-            let head_within = limits.response.map_or(left, |limit| limit.std().min(left));
+            let head_within = limits
+                .response_timeout
+                .map_or(left, |limit| limit.as_std().min(left));
             let (outcome, answer) = match timeout(head_within, self.client.request(built)).await {
                 Err(_) => (AttemptOutcome::InDoubt, Err(StatusCode::GATEWAY_TIMEOUT)),
                 Ok(Err(wrong)) => {
@@ -259,7 +261,7 @@
     }
 }
 
-fn fits(kind: &pondarch_config::proxy::ProxyKind, req: &Request<Incoming>) -> bool {
+fn fits(kind: &pondarch_config::proxy::ProxyRequestClass, req: &Request<Incoming>) -> bool {
     let text = |name: &str| {
         req.headers()
             .get(name)
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -10,7 +10,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use pondarch_config::hosts::HostState;
-use pondarch_config::{Endpoint, HostEntry, ProxySite, SettingsError, read_hosts, read_proxy};
+use pondarch_config::{Endpoint, HostEntry, ProxySettings, SettingsError, read_hosts, read_proxy};
 use pondarch_proxy_core::policy::StaticHost;
 use pondarch_transport::{Listener, serve};
 use std::convert::Infallible;
@@ -49,7 +49,7 @@
 /// Starts a proxy.
 ///
 /// Errors: the list cannot be read, or a socket cannot be had.
-pub async fn start(site: &ProxySite) -> Result<Running, ProxyError> {
+pub async fn start(site: &ProxySettings) -> Result<Running, ProxyError> {
     let clock = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -77,17 +77,17 @@
         let listener = Listener::bind(&of.listen).await.map_err(listen)?;
         runtime.spawn(serve(listener, of.level.into(), desk.clone()));
     }
-    for to in &site.report_to {
-        let (name, every) = (site.name.clone(), site.report_every.std());
+    for to in &site.report_endpoints {
+        let (name, every) = (site.name.clone(), site.report_interval.as_std());
         runtime.spawn(push::push(to.clone(), name, every, shared.clone()));
     }
     let mut http = HttpConnector::new();
-    http.set_connect_timeout(Some(site.limits.connect.std()));
+    http.set_connect_timeout(Some(site.limits.connect_timeout.as_std()));
     http.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(site.limits.idle_close.std())
-        .pool_max_idle_per_host(site.limits.at_host)
+        .pool_idle_timeout(site.limits.idle_timeout.as_std())
+        .pool_max_idle_per_host(site.limits.max_in_flight_per_host)
         // Whether to try again is the rules' affair.
         .retry_canceled_requests(false)
         .set_host(false)
@@ -115,7 +115,7 @@
 
 /// The hosts to use until a steward says more: some of the ready ones of the own zone, if three are there, drawn by
 /// seed.
-fn standing(site: &ProxySite, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
+fn standing(site: &ProxySettings, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
     let ready = || hosts.iter().filter(|host| host.state == HostState::Ready);
     let mut near: Vec<&HostEntry> = ready().filter(|host| host.zone == site.zone).collect();
     if near.len() < 3 {
@@ -127,7 +127,7 @@
     (seed, &site.name).hash(&mut hash);
     fastrand::Rng::with_seed(hash.finish()).shuffle(&mut near);
     near.into_iter()
-        .take(site.standing_most)
+        .take(site.max_static_hosts)
         .map(|host| StaticHost {
             name: host.name.clone(),
             address: host.address,
@@ -137,7 +137,7 @@
 
 async fn accept(listener: TcpListener, carrier: Carrier, draining: CancellationToken) {
     let limits = carrier.shared.limits();
-    let places = Arc::new(Semaphore::new(limits.connections));
+    let places = Arc::new(Semaphore::new(limits.max_connections));
     let mut connections = JoinSet::new();
     loop {
         let place = tokio::select! {
@@ -168,7 +168,7 @@
 async fn connection(stream: TcpStream, carrier: Carrier, draining: CancellationToken) {
     stream.set_nodelay(true).ok();
     let limits = carrier.shared.limits();
-    let heads = Heads::new(limits.head);
+    let heads = Heads::new(limits.max_head_bytes);
     let seen = heads.seen();
     let service = service_fn(move |req| {
         let (carrier, seen) = (carrier.clone(), seen.clone());
@@ -176,8 +176,8 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_within.std())
-        .max_buf_size(limits.head)
+        .header_read_timeout(limits.head_timeout.as_std())
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(Guarded::new(stream, heads)), service);
     tokio::pin!(connection);
     tokio::select! {
@@ -190,14 +190,14 @@
 
 impl Running {
     /// New habits and limits at once; what is under way goes on.
-    pub fn reload(&self, site: &ProxySite) {
+    pub fn reload(&self, site: &ProxySettings) {
         self.shared.reload(site);
     }
 
     /// Takes no new connections, lets reqs under way end, within the limit of the settings.
     pub async fn drain(mut self) {
         self.draining.cancel();
-        let limit = self.shared.limits().drain_within.std();
+        let limit = self.shared.limits().drain_timeout.as_std();
         if let Some(serving) = &mut self.serving
             && tokio::time::timeout(limit, serving).await.is_err()
         {
@@ -229,7 +229,7 @@
             _ = term.recv() => break,
             _ = int.recv() => break,
             _ = hup.recv() => match read_proxy(settings) {
-                Ok(new) if new.kinds != site.kinds || new.listen != site.listen => {
+                Ok(new) if new.request_classes != site.request_classes || new.listen != site.listen => {
                     warn!("kinds and addresses change with a start only; nothing was reloaded");
                 }
                 Ok(new) => {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,7 +1,7 @@
 //! What all parts of a running proxy share.
 
-use pondarch_config::proxy::{Limits, Pick, ProxyKind};
-use pondarch_config::{ProxySite, site};
+use pondarch_config::proxy::{Limits, PickStrategy, ProxyRequestClass};
+use pondarch_config::{ProxySettings, site};
 use pondarch_controller::Time;
 use pondarch_proxy_core::ejection::EjectionPolicy;
 use pondarch_proxy_core::policy::{ProxyCoreOptions, RequestClass, RoutingPolicy, StaticHost};
@@ -19,18 +19,18 @@
     obey: Mutex<ProxyCore>,
     waiting: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     limits: Mutex<Limits>,
-    pub(crate) kinds: Vec<ProxyKind>,
+    pub(crate) kinds: Vec<ProxyRequestClass>,
     at_start: u64,
     start: Instant,
 }
 
 impl Shared {
-    pub(crate) fn new(site: &ProxySite, standing: &[StaticHost], seed: u64) -> Shared {
+    pub(crate) fn new(site: &ProxySettings, standing: &[StaticHost], seed: u64) -> Shared {
         let at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        let kinds: Vec<RequestClass> = site.kinds.iter().map(kind).collect();
+        let kinds: Vec<RequestClass> = site.request_classes.iter().map(kind).collect();
         let now = Time::from_micros(at_start);
         let process = u64::from(std::process::id());
         let obey = ProxyCore::new(
@@ -48,7 +48,7 @@
             obey: Mutex::new(obey),
             waiting: Mutex::default(),
             limits: Mutex::new(site.limits),
-            kinds: site.kinds.clone(),
+            kinds: site.request_classes.clone(),
             at_start,
             start: Instant::now(),
         }
@@ -68,7 +68,7 @@
     }
 
     /// New habits and limits; reqs under way go on.
-    pub(crate) fn reload(&self, site: &ProxySite) {
+    pub(crate) fn reload(&self, site: &ProxySettings) {
         self.obey().set_policy(habits(site));
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = site.limits;
     }
@@ -116,39 +116,40 @@
     }
 }
 
-fn kind(kind: &ProxyKind) -> RequestClass {
+fn kind(kind: &ProxyRequestClass) -> RequestClass {
     RequestClass {
         name: kind.name.clone(),
-        idempotency: match kind.repeats {
-            site::Repeats::Replayable => Idempotency::Idempotent,
-            site::Repeats::Uniqued => {
-                Idempotency::ByKey(kind.memory.map_or(Duration::ZERO, |memory| memory.0))
-            }
-            site::Repeats::NonReplayable => Idempotency::NotIdempotent,
+        idempotency: match kind.idempotency {
+            site::Idempotency::Idempotent => Idempotency::Idempotent,
+            site::Idempotency::ByKey => Idempotency::ByKey(
+                kind.deduplication_window
+                    .map_or(Duration::ZERO, |memory| memory.0),
+            ),
+            site::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
         },
         client_timeout: kind.client_timeout.0,
-        priority_weight: kind.benefit,
+        priority_weight: kind.priority_weight,
     }
 }
 
-fn habits(site: &ProxySite) -> RoutingPolicy {
-    let avoid = site.avoid;
+fn habits(site: &ProxySettings) -> RoutingPolicy {
+    let avoid = site.ejection;
     RoutingPolicy {
         pick: match site.pick {
-            Pick::Weighted => PickPolicy::WeightedRandom,
-            Pick::Round => PickPolicy::RoundRobin,
-            Pick::Two => PickPolicy::TwoChoices,
+            PickStrategy::WeightedRandom => PickPolicy::WeightedRandom,
+            PickStrategy::RoundRobin => PickPolicy::RoundRobin,
+            PickStrategy::TwoChoices => PickPolicy::TwoChoices,
         },
         ejection: EjectionPolicy {
-            consecutive_failures: avoid.after,
-            min_duration: avoid.least.0,
-            max_duration: avoid.most.0,
-            max_ejected_fraction: avoid.part,
-            forget_after: avoid.remembered.0,
+            consecutive_failures: avoid.consecutive_failures,
+            min_duration: avoid.min_duration.0,
+            max_duration: avoid.max_duration.0,
+            max_ejected_fraction: avoid.max_ejected_fraction,
+            forget_after: avoid.forget_after.0,
         },
-        retry_ratio: site.further_tries,
-        max_in_flight_per_host: site.limits.at_host,
-        max_waiting: site.limits.waiting,
+        retry_ratio: site.retry_ratio,
+        max_in_flight_per_host: site.limits.max_in_flight_per_host,
+        max_waiting: site.limits.max_waiting,
         last_ready_for: site.limits.last_ready_for.0,
     }
 }
--- a/crates/proxy/tests/real/main.rs
+++ b/crates/proxy/tests/real/main.rs
@@ -335,7 +335,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut site =
         pondarch_config::read_proxy(&stage.folder.path().join("site.jsonnet")).expect("settings");
-    site.limits.at_host = 1;
+    site.limits.max_in_flight_per_host = 1;
     stage.proxy.reload(&site);
     stage.proxy.drain().await;
     for one in under_way {
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -4,9 +4,9 @@
 use crate::client::Kind;
 use crate::facts::{Fact, Facts};
 use futures_util::{SinkExt, StreamExt};
-use pondarch_config::proxy::{Avoid, Limits, Pick, ProxyKind};
-use pondarch_config::site::{Listener, ListenerLevel, Repeats};
-use pondarch_config::{Endpoint, Length, ProxySite};
+use pondarch_config::proxy::{EjectionSettings, Limits, PickStrategy, ProxyRequestClass};
+use pondarch_config::site::{Idempotency, Listener, ListenerLevel};
+use pondarch_config::{DurationSetting, Endpoint, ProxySettings};
 use pondarch_proxy::{ProxyError, Running, start};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
 use pondarch_runtime_api::codec::framed_answer;
@@ -140,24 +140,24 @@
     hosts_file: &Path,
     own: PathBuf,
     seed: u64,
-) -> ProxySite {
-    let length = |span: std::time::Duration| Length::millis(span.as_millis() as u64);
-    let kind = |kind: &Kind| ProxyKind {
+) -> ProxySettings {
+    let length = |span: std::time::Duration| DurationSetting::from_millis(span.as_millis() as u64);
+    let kind = |kind: &Kind| ProxyRequestClass {
         name: kind.name.into(),
         path_prefix: Some(format!("/{}", kind.name)),
         host: None,
         header: None,
-        response_target: length(kind.response_target),
+        latency_objective: length(kind.response_target),
         client_timeout: length(kind.client_timeout),
-        benefit: kind.benefit,
-        repeats: if kind.replayable {
-            Repeats::Replayable
+        priority_weight: kind.benefit,
+        idempotency: if kind.replayable {
+            Idempotency::Idempotent
         } else {
-            Repeats::NonReplayable
+            Idempotency::NotIdempotent
         },
-        memory: None,
+        deduplication_window: None,
     };
-    ProxySite {
+    ProxySettings {
         name: name.into(),
         zone: zone.into(),
         zones: zones.iter().map(ToString::to_string).collect(),
@@ -166,22 +166,22 @@
             listen: Endpoint::Unix(own),
             level: ListenerLevel::Admin,
         }],
-        kinds: kinds.iter().map(kind).collect(),
+        request_classes: kinds.iter().map(kind).collect(),
         hosts_file: hosts_file.into(),
-        standing_most: 8,
-        pick: Pick::Weighted,
-        avoid: Avoid {
-            least: Length::millis(3_000),
-            most: Length::millis(3_000),
-            ..Avoid::default()
+        max_static_hosts: 8,
+        pick: PickStrategy::WeightedRandom,
+        ejection: EjectionSettings {
+            min_duration: DurationSetting::from_millis(3_000),
+            max_duration: DurationSetting::from_millis(3_000),
+            ..EjectionSettings::default()
         },
-        further_tries: 0.2,
+        retry_ratio: 0.2,
         limits: Limits {
-            last_ready_for: Length::millis(1_500),
+            last_ready_for: DurationSetting::from_millis(1_500),
             ..Limits::default()
         },
-        report_to: Vec::new(),
-        report_every: Length::millis(1_000),
+        report_endpoints: Vec::new(),
+        report_interval: DurationSetting::from_millis(1_000),
         seed: Some(seed),
     }
 }
--- a/crates/replay/examples/write_fixture/run.rs
+++ b/crates/replay/examples/write_fixture/run.rs
@@ -4,7 +4,7 @@
 
 use crate::site::{host, hosts, settings};
 use pondarch_config::hosts::{HostEntry, HostState};
-use pondarch_config::site_from_text;
+use pondarch_config::site_from_json;
 use pondarch_controller::{DurationExt, Time};
 use pondarch_daemon_core::{Core, Input, Output, ReportedLoad};
 use pondarch_event_log::{EventLog, Folder, RetentionConfig, UNLIMITED, frame};
@@ -52,7 +52,7 @@
     first.hosts_change();
     let now = first.now;
     first.log.end();
-    let found = recover(&Folder::read_only(folder), &site_from_text(&settings())?)?;
+    let found = recover(&Folder::read_only(folder), &site_from_json(&settings())?)?;
     let at = now + 2_000_000;
     let known = found
         .state
@@ -89,7 +89,7 @@
 
 impl Run {
     fn start(folder: &Path, incarnation: u64, now: u64) -> Result<Run, Box<dyn Error>> {
-        let site = site_from_text(&settings())?;
+        let site = site_from_json(&settings())?;
         let sync_within = Duration::from_millis(100);
         let max_age = UNLIMITED;
         let retention = RetentionConfig {
--- a/crates/replay/src/recover.rs
+++ b/crates/replay/src/recover.rs
@@ -4,7 +4,7 @@
 use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::{Boot, Decision, Record, Snapshot};
 use crate::segments::{self, InputNumbers, InputSequence, SegmentList, StoredSegment};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, RecoveredState};
 use pondarch_event_log::{Disk, Frame, frame, list_file_names};
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// The folder cannot be read at all. What is torn or missing is named in `faults`.
-pub fn recover(disk: &impl Disk, site: &Site) -> Result<Recovery, ReplayError> {
+pub fn recover(disk: &impl Disk, site: &SiteSettings) -> Result<Recovery, ReplayError> {
     let SegmentList {
         segments,
         mut faults,
@@ -108,7 +108,7 @@
 
 /// Takes the records after a snapshot one by one.
 struct Recoverer<'a> {
-    site: &'a Site,
+    site: &'a SiteSettings,
     /// Takes the inputs; nothing that it decides is carried out.
     core: Core,
     /// The last input that is in the snapshot.
@@ -127,7 +127,7 @@
 }
 
 impl<'a> Recoverer<'a> {
-    fn start(site: &'a Site, snapshot: Option<Snapshot>) -> Recoverer<'a> {
+    fn start(site: &'a SiteSettings, snapshot: Option<Snapshot>) -> Recoverer<'a> {
         let at_us = snapshot.as_ref().map_or(0, |snapshot| snapshot.at_us);
         let mut recoverer = Recoverer {
             site,
@@ -272,6 +272,6 @@
 }
 
 /// A core whose outputs are dropped: its seed, process and incarnation are nobody's.
-fn scratch_core(site: &Site, at_us: u64) -> Core {
+fn scratch_core(site: &SiteSettings, at_us: u64) -> Core {
     Core::new(site, 0, 0, 0, Time::from_micros(at_us))
 }
--- a/crates/replay/src/run_replay.rs
+++ b/crates/replay/src/run_replay.rs
@@ -4,7 +4,7 @@
 use crate::error::{ReplayError, ReplayFault, ReplayFaultCause};
 use crate::record::{Decision, Record, RunStart};
 use crate::segments::{self, InputNumbers, InputSequence, SegmentList};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input};
 use pondarch_event_log::Disk;
@@ -215,7 +215,7 @@
 
 impl RunReplayer {
     fn start(start: &RunStart) -> Result<RunReplayer, ReplayError> {
-        let site: Site = site_from_text(&start.settings).map_err(ReplayError::Settings)?;
+        let site: SiteSettings = site_from_json(&start.settings).map_err(ReplayError::Settings)?;
         let at = Time::from_micros(start.at_us);
         Ok(RunReplayer {
             core: Core::new(&site, start.seed, start.process, start.incarnation, at),
--- a/crates/replay/src/what_if/extract.rs
+++ b/crates/replay/src/what_if/extract.rs
@@ -4,7 +4,7 @@
 use crate::error::{ReplayError, ReplayFault};
 use crate::record::Record;
 use crate::segments::{self, SegmentList};
-use pondarch_config::site_from_text;
+use pondarch_config::site_from_json;
 use pondarch_daemon_core::Input;
 use pondarch_event_log::Disk;
 use pondarch_runtime_api::stat::{self, RowType, StatRow};
@@ -50,7 +50,7 @@
     let scenario = extractor
         .scenario
         .ok_or(ReplayError::NoStart(incarnation))?;
-    site_from_text(&scenario.settings).map_err(ReplayError::Settings)?;
+    site_from_json(&scenario.settings).map_err(ReplayError::Settings)?;
     Ok(ExtractedScenario { scenario, faults })
 }
 
--- a/crates/replay/src/what_if/player.rs
+++ b/crates/replay/src/what_if/player.rs
@@ -7,7 +7,7 @@
 use super::simulated_proxy::{SentLine, SimulatedProxy};
 use crate::error::ReplayError;
 use pondarch_config::hosts::HostState;
-use pondarch_config::{HostEntry, Site, site_from_text};
+use pondarch_config::{HostEntry, SiteSettings, site_from_json};
 use pondarch_controller::{DurationExt, ProxyId, RequestClassId, Time};
 use pondarch_daemon_core::{Core, Input, Output};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
@@ -30,10 +30,10 @@
 /// The scenario's settings are not valid, or the others lack a proxy of the scenario.
 pub fn replay_scenario(
     scenario: &Scenario,
-    other: Option<&Site>,
+    other: Option<&SiteSettings>,
     seed: u64,
 ) -> Result<WhatIfResult, ReplayError> {
-    let own = site_from_text(&scenario.settings).map_err(ReplayError::Settings)?;
+    let own = site_from_json(&scenario.settings).map_err(ReplayError::Settings)?;
     let site = other.cloned().unwrap_or_else(|| own.clone());
     let proxies = proxy_numbers(&own, &site)?;
     let mut player = Player::new(site, seed, scenario.at_us);
@@ -46,7 +46,10 @@
 }
 
 /// The number in the settings of each proxy of the scenario, found by its name.
-fn proxy_numbers(scenario: &Site, settings: &Site) -> Result<Vec<u16>, ReplayError> {
+fn proxy_numbers(
+    scenario: &SiteSettings,
+    settings: &SiteSettings,
+) -> Result<Vec<u16>, ReplayError> {
     let number_of = |name: &String| {
         settings
             .proxies
@@ -65,7 +68,7 @@
 /// A core and the proxies that it talks to, in simulated time.
 struct Player {
     core: Core,
-    site: Site,
+    site: SiteSettings,
     now_us: u64,
     proxies: Vec<SimulatedProxy>,
     /// Hosts that the list says to be ready.
@@ -78,14 +81,14 @@
 }
 
 impl Player {
-    fn new(site: Site, seed: u64, at_us: u64) -> Player {
+    fn new(site: SiteSettings, seed: u64, at_us: u64) -> Player {
         let backends: Vec<String> = site
-            .kinds
+            .request_classes
             .iter()
             .map(|kind| kind.backend().to_string())
             .collect();
         let backends: Vec<&str> = backends.iter().map(String::as_str).collect();
-        let proxy = |(number, proxy): (usize, &pondarch_config::site::Proxy)| {
+        let proxy = |(number, proxy): (usize, &pondarch_config::site::ProxyEntry)| {
             SimulatedProxy::new(ProxyState::new(&proxy.name, number as u64 + 1, &backends))
         };
         let proxies = site.proxies.iter().enumerate().map(proxy).collect();
@@ -325,7 +328,7 @@
         if proxy.connection != Some(connection) {
             return;
         }
-        let window_us = self.site.channel.message_window.0.micros();
+        let window_us = self.site.update_channel.message_window.0.micros();
         let messages = proxy.record_message(self.now_us, &line, window_us);
         self.result.max_messages = self.result.max_messages.max(messages);
         for text in proxy.proxy_state.execute_line(&line) {
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -1,7 +1,7 @@
 //! A run that is recorded, by steps that are drawn; and its folder, recovered.
 
 use pondarch_config::hosts::{HostEntry, HostState};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, RecoveredState};
 use pondarch_event_log::{
@@ -29,8 +29,8 @@
     )
 }
 
-pub(crate) fn site(dns: bool) -> Site {
-    site_from_text(&settings(dns)).expect("settings")
+pub(crate) fn site(dns: bool) -> SiteSettings {
+    site_from_json(&settings(dns)).expect("settings")
 }
 
 pub(crate) fn host(n: usize, state: HostState, started: Option<f64>) -> HostEntry {
@@ -42,7 +42,7 @@
         machine: String::new(),
         weight: 1.0,
         cores: None,
-        started,
+        started: started,
         state,
     }
 }
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -1,7 +1,7 @@
 //! A folder of records that an older program wrote: two runs over several segments and two snapshots.
 
 use crate::{fixtures, stored, text};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_event_log::Folder;
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
 use pondarch_replay::what_if::replay_scenario;
@@ -32,10 +32,10 @@
 }
 
 /// The settings as the first run recorded them.
-fn site(folder: &Path) -> Site {
+fn site(folder: &Path) -> SiteSettings {
     let ExtractedScenario { scenario, .. } =
         extract_scenario(&Folder::read_only(folder), Some(FIRST)).expect("the first run");
-    site_from_text(&scenario.settings).expect("settings")
+    site_from_json(&scenario.settings).expect("settings")
 }
 
 fn expected(name: &str) -> Value {
