--- a/crates/daemon-core/benches/orders.rs
+++ b/crates/daemon-core/benches/orders.rs
@@ -5,8 +5,8 @@
 mod simulated_fleet;
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use pondarch_runtime_api::command::{GivenWeight, parse_line};
-use pondarch_runtime_api::stat::{self, RowType, StatRow, Sums};
+use pondarch_runtime_api::command::{WeightArgument, parse_line};
+use pondarch_runtime_api::stat::{self, AttemptTotals, RowType, StatRow};
 use pondarch_runtime_api::{Command, ServerRef};
 use simulated_fleet::{SimulatedFleet, host, site};
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -53,15 +53,15 @@
     let row = |n: u64| StatRow {
         backend: "proof".into(),
         server: format!("host-{n}"),
-        of: RowType::Server,
-        total: 1_000 * n,
+        row_type: RowType::Server,
+        total_sessions: 1_000 * n,
         status: "UP".into(),
         weight: 128,
         addr: "127.0.0.1:8000".into(),
-        sums: Some(Sums {
-            done: 990 * n,
-            errored: n,
-            done_time: Duration::from_millis(80_000 * n),
+        exact_totals: Some(AttemptTotals {
+            succeeded: 990 * n,
+            failed: n,
+            succeeded_duration: Duration::from_millis(80_000 * n),
         }),
         ..StatRow::default()
     };
@@ -82,7 +82,7 @@
     let command = |n: u16| {
         Command::SetWeight(
             ServerRef::new("proof", &format!("host-{n}")),
-            GivenWeight::Units(n),
+            WeightArgument::Absolute(n),
         )
     };
     let commands: Vec<Command> = (0..48).map(command).collect();
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -26,7 +26,7 @@
     }
     for purpose in pondarch_load_ingestion::account::PURPOSES {
         let name = purpose.word();
-        info.put(&format!("Memory_{name}"), core.memory.of(purpose).bytes);
+        info.push(&format!("Memory_{name}"), core.memory.of(purpose).bytes);
     }
     put_updates(&mut info, core);
     info
@@ -34,15 +34,15 @@
 
 fn put_process(info: &mut Info, core: &DaemonState) {
     let now = core.now;
-    info.put("Name", "pondarch");
-    info.put("Version", env!("CARGO_PKG_VERSION"));
-    info.put("Pid", core.process);
-    info.put("Uptime_sec", (now - core.started).micros() / 1_000_000);
-    info.put(
+    info.push("Name", "pondarch");
+    info.push("Version", env!("CARGO_PKG_VERSION"));
+    info.push("Pid", core.process);
+    info.push("Uptime_sec", (now - core.started).micros() / 1_000_000);
+    info.push(
         "Start_time_sec",
         crate::time::micros(core.started) / 1_000_000,
     );
-    info.put("Node", &core.name);
+    info.push("Node", &core.name);
 }
 
 fn put_endpoints(info: &mut Info, core: &DaemonState) {
@@ -58,15 +58,15 @@
         .keys()
         .filter(|host| list.is_warming_up(host, core.now))
         .count();
-    info.put("ListVersion", list.generation);
-    info.put(
+    info.push("ListVersion", list.generation);
+    info.push(
         "ListRefused",
         list.rejected_reason.as_deref().unwrap_or("-"),
     );
-    info.put("HostsReady", count(EndpointState::Ready));
-    info.put("HostsDraining", count(EndpointState::Draining));
-    info.put("HostsGone", count(EndpointState::Removed));
-    info.put("HostsCold", cold);
+    info.push("HostsReady", count(EndpointState::Ready));
+    info.push("HostsDraining", count(EndpointState::Draining));
+    info.push("HostsGone", count(EndpointState::Removed));
+    info.push("HostsCold", cold);
 }
 
 fn put_proxies(info: &mut Info, core: &DaemonState) {
@@ -77,10 +77,10 @@
         .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
         .count();
     let unknown_proxies = core.dns.as_ref().map_or(0, DnsState::unknown_proxies);
-    info.put("Proxies", core.peers.len() - unknown_proxies);
-    info.put("ProxiesJoined", joined);
-    info.put("ProxiesBehind", behind);
-    info.put("Tables", core.tables.by_id.len());
+    info.push("Proxies", core.peers.len() - unknown_proxies);
+    info.push("ProxiesJoined", joined);
+    info.push("ProxiesBehind", behind);
+    info.push("Tables", core.tables.by_id.len());
 }
 
 fn put_weights(info: &mut Info, core: &DaemonState) {
@@ -88,8 +88,8 @@
         .weight_planner
         .as_ref()
         .map_or("listed", WeightPlanner::source);
-    info.put("Weights", source);
-    info.put(
+    info.push("Weights", source);
+    info.push(
         "WeightsFailed",
         core.weight_planner
             .as_ref()
@@ -99,15 +99,15 @@
 }
 
 fn put_updates(info: &mut Info, core: &DaemonState) {
-    info.put("LinesWaiting", core.update_queue.waiting().round() as u64);
-    info.put(
+    info.push("LinesWaiting", core.update_queue.waiting().round() as u64);
+    info.push(
         "LinesOrdered",
         core.peers
             .iter()
             .map(|peer| peer.commands_sent)
             .sum::<u64>(),
     );
-    info.put(
+    info.push(
         "LinesRefused",
         core.peers
             .iter()
@@ -121,10 +121,10 @@
         .holds_too_long()
         .filter_map(|id| core.peers.get(id.0 as usize).map(|peer| peer.name.as_str()))
         .collect();
-    info.put("NamesAsking", dns.members());
-    info.put("NamesStrangersAsking", dns.unknown_proxies_asking());
-    info.put("NamesSerial", dns.view().serial);
-    info.put(
+    info.push("NamesAsking", dns.members());
+    info.push("NamesStrangersAsking", dns.unknown_proxies_asking());
+    info.push("NamesSerial", dns.view().serial);
+    info.push(
         "NamesHoldTooLong",
         if too_long.is_empty() {
             "-".into()
@@ -135,27 +135,27 @@
 }
 
 fn put_event_log(info: &mut Info, event_log: &EventLogState) {
-    info.put(
+    info.push(
         "Records",
         event_log
             .stopped_reason
             .as_ref()
             .map_or("written".into(), |reason| format!("stopped: {reason}")),
     );
-    info.put("RecordsLost", event_log.lost_inputs);
+    info.push("RecordsLost", event_log.lost_inputs);
 }
 
 fn put_reports(info: &mut Info, core: &DaemonState) {
     let counts = &core.pushed_reports.counters;
-    info.put("Senders", core.pushed_reports.senders());
-    info.put("Reports", counts.received);
-    info.put("ReportsLate", counts.late);
-    info.put("ReportsDoubled", counts.duplicate);
-    info.put("ReportsMissing", counts.missing);
-    info.put("ReportsRestarted", counts.restarted);
-    info.put("ReportsStale", counts.stale);
-    info.put("ReportsRefused", counts.rejected);
-    info.put("ReportsOfStrangers", counts.unknown_senders);
-    info.put("ReportsUnlisted", counts.unlisted_hosts);
-    info.put("ClockJumps", counts.clock_jumps);
+    info.push("Senders", core.pushed_reports.senders());
+    info.push("Reports", counts.received);
+    info.push("ReportsLate", counts.late);
+    info.push("ReportsDoubled", counts.duplicate);
+    info.push("ReportsMissing", counts.missing);
+    info.push("ReportsRestarted", counts.restarted);
+    info.push("ReportsStale", counts.stale);
+    info.push("ReportsRefused", counts.rejected);
+    info.push("ReportsOfStrangers", counts.unknown_senders);
+    info.push("ReportsUnlisted", counts.unlisted_hosts);
+    info.push("ClockJumps", counts.clock_jumps);
 }
--- a/crates/daemon-core/src/operator.rs
+++ b/crates/daemon-core/src/operator.rs
@@ -13,7 +13,7 @@
 
 use crate::state::DaemonState;
 use error::OperatorError;
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_runtime_api::{Command, CommandError, Level, command};
 
 /// The backend that stands for the endpoint list.
@@ -28,11 +28,11 @@
     };
     let commands = command::parse_line(line);
     if commands.is_empty() {
-        return framed_answer("");
+        return framed_reply("");
     }
     commands
         .into_iter()
-        .map(|command| framed_answer(&answer_command(state, level, command)))
+        .map(|command| framed_reply(&answer_command(state, level, command)))
         .collect()
 }
 
--- a/crates/daemon-core/src/operator/servers.rs
+++ b/crates/daemon-core/src/operator/servers.rs
@@ -7,7 +7,7 @@
 use pondarch_config::HostEntry;
 use pondarch_config::hosts::{HostState, invalid_name};
 use pondarch_controller::{EndpointState, HostId};
-use pondarch_runtime_api::command::GivenWeight;
+use pondarch_runtime_api::command::WeightArgument;
 use pondarch_runtime_api::{AdminState, ServerRef};
 use std::net::{IpAddr, SocketAddr};
 
@@ -42,13 +42,13 @@
 pub(super) fn set_weight(
     state: &mut DaemonState,
     server: &ServerRef,
-    weight: GivenWeight,
+    weight: WeightArgument,
 ) -> Result<String, OperatorError> {
     let (id, host) = find(state, server)?;
     let weight = match weight {
-        GivenWeight::Units(0) => return Err(OperatorError::ZeroWeight),
-        GivenWeight::Units(units) => f64::from(units),
-        GivenWeight::Percent(percent) => host.entry.weight * percent / 100.0,
+        WeightArgument::Absolute(0) => return Err(OperatorError::ZeroWeight),
+        WeightArgument::Absolute(units) => f64::from(units),
+        WeightArgument::Percent(percent) => host.entry.weight * percent / 100.0,
     };
     if weight <= 0.0 {
         return Err(OperatorError::WeightNotPositive);
--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -8,7 +8,7 @@
 use pondarch_controller::DurationExt;
 use pondarch_controller::{EndpointState, HostId, TableId, Time};
 use pondarch_runtime_api::AdminState;
-use pondarch_runtime_api::stat::{self, RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{self, AttemptTotals, RowType, StatRow};
 use pondarch_runtime_api::state::{ServerState, write_conn, write_state};
 use std::time::Duration;
 
@@ -101,15 +101,15 @@
     StatRow {
         backend: HOSTS.into(),
         server: id.0.to_string(),
-        of: RowType::Server,
+        row_type: RowType::Server,
         status: status(host.state).into(),
         weight: host.entry.weight.round() as u64,
-        mean: outcomes.mean_latency,
+        mean_response_time: outcomes.mean_latency,
         addr: host.entry.address.to_string(),
-        sums: Some(Sums {
-            done: succeeded as u64,
-            errored: outcomes.failures as u64,
-            done_time: Duration::from_micros(total_latency_us as u64),
+        exact_totals: Some(AttemptTotals {
+            succeeded: succeeded as u64,
+            failed: outcomes.failures as u64,
+            succeeded_duration: Duration::from_micros(total_latency_us as u64),
         }),
         ..StatRow::default()
     }
@@ -126,7 +126,7 @@
         StatRow {
             backend: table_name(table),
             server: id.0.to_string(),
-            of: RowType::Server,
+            row_type: RowType::Server,
             status: status(host_state).into(),
             // Thousandths: the resolution of the decisions.
             weight: (weight * 1e3).round() as u64,
@@ -169,8 +169,8 @@
             addr: line.addr,
             state: AdminState::Ready,
             weight: line.units,
-            used: 0,
-            changed_s: 0,
+            connections_in_use: 0,
+            seconds_since_change: 0,
         }));
     }
     Ok(servers)
@@ -187,7 +187,7 @@
             EndpointState::Removed => AdminState::Maint,
         },
         weight: host.entry.weight.round().clamp(0.0, 256.0) as u16,
-        used: 0,
-        changed_s: (state.now - host.started).micros() / 1_000_000,
+        connections_in_use: 0,
+        seconds_since_change: (state.now - host.started).micros() / 1_000_000,
     }
 }
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -5,7 +5,7 @@
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Clocks, Order, Silence, Verdict, age};
 use pondarch_load_report_protocol::{Body, Counted, Report, SenderIs};
-use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{AttemptTotals, RowType, StatRow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -176,24 +176,24 @@
 }
 
 pub(crate) fn row(of: Counted) -> StatRow {
-    let sums = Sums {
-        done: of.done,
-        errored: of.errored,
-        done_time: Duration::from_micros(of.done_us),
+    let sums = AttemptTotals {
+        succeeded: of.done,
+        failed: of.errored,
+        succeeded_duration: Duration::from_micros(of.done_us),
     };
     StatRow {
-        of: if of.server.is_some() {
+        row_type: if of.server.is_some() {
             RowType::Server
         } else {
             RowType::Backend
         },
         backend: of.backend,
         server: of.server.unwrap_or_else(|| "BACKEND".into()),
-        total: of.done.saturating_add(of.errored),
-        reqs: of.reqs,
-        sums: Some(sums),
-        busy: of.busy,
-        waiting: of.waiting,
+        total_sessions: of.done.saturating_add(of.errored),
+        requests: of.reqs,
+        exact_totals: Some(sums),
+        cpu_utilization: of.busy,
+        queued_at_host: of.waiting,
         ..StatRow::default()
     }
 }
--- a/crates/daemon-core/tests/in_memory/faults/connections.rs
+++ b/crates/daemon-core/tests/in_memory/faults/connections.rs
@@ -94,14 +94,15 @@
     fleet.run(2_500);
     let stat = fleet.command(0, "show stat");
     let rows = pondarch_runtime_api::stat::read(stat.trim_end()).expect("stat");
-    let used = rows
-        .iter()
-        .filter(|row| row.backend == "hosts" && row.total + row.ended().done > 0);
-    let sums: Vec<_> = used.map(|row| row.ended()).collect();
+    let used = rows.iter().filter(|row| {
+        row.backend == "hosts" && row.total_sessions + row.attempt_totals().succeeded > 0
+    });
+    let sums: Vec<_> = used.map(|row| row.attempt_totals()).collect();
     assert!(!sums.is_empty());
     // Five completed and one failed for each of three request classes, counted from 0 and once.
     assert!(
-        sums.iter().all(|sums| sums.done == 15 && sums.errored == 3),
+        sums.iter()
+            .all(|sums| sums.succeeded == 15 && sums.failed == 3),
         "{sums:?}"
     );
 }
--- a/crates/daemon-core/tests/in_memory/operators.rs
+++ b/crates/daemon-core/tests/in_memory/operators.rs
@@ -140,7 +140,7 @@
     assert!(rows.iter().any(|row| row.backend == "table-0"));
     assert!(
         rows.iter()
-            .any(|row| row.backend == "hosts" && row.ended().errored == 9),
+            .any(|row| row.backend == "hosts" && row.attempt_totals().failed == 9),
         "{rows:?}"
     );
     let state = fleet.command(2, "show servers state");
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -41,14 +41,14 @@
 
 fn body(tables: &ProxyState) -> Body {
     let counted = tables.stat_rows().into_iter().map(|row| {
-        let sums = row.sums.unwrap_or_default();
+        let sums = row.exact_totals.unwrap_or_default();
         Counted {
             backend: row.backend,
-            server: (row.of == RowType::Server).then_some(row.server),
-            reqs: row.reqs,
-            done: sums.done,
-            errored: sums.errored,
-            done_us: sums.done_time.as_micros() as u64,
+            server: (row.row_type == RowType::Server).then_some(row.server),
+            reqs: row.requests,
+            done: sums.succeeded,
+            errored: sums.failed,
+            done_us: sums.succeeded_duration.as_micros() as u64,
             ..Counted::default()
         }
     });
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -112,8 +112,8 @@
                         .get_mut(&bad)
                         .filter(|server| server.is_serving())
                     {
-                        server.results.done -= 6;
-                        server.results.errored += 6;
+                        server.results.succeeded -= 6;
+                        server.results.failed += 6;
                     }
                 }
                 pusher.push(&mut fleet, n);
--- a/crates/daemon-core/tests/in_memory/simulated_fleet.rs
+++ b/crates/daemon-core/tests/in_memory/simulated_fleet.rs
@@ -371,9 +371,10 @@
                 .filter(|server| server.is_serving())
             {
                 server.attempts += done + failed;
-                server.results.done += done;
-                server.results.errored += failed;
-                server.results.done_time += std::time::Duration::from_millis(mean_ms * done);
+                server.results.succeeded += done;
+                server.results.failed += failed;
+                server.results.succeeded_duration +=
+                    std::time::Duration::from_millis(mean_ms * done);
             }
         }
     }
@@ -393,7 +394,7 @@
     pub(crate) fn info(&mut self, name: &str) -> u64 {
         let text = self.command(0, "show info");
         pondarch_runtime_api::info::Info::read(&text)
-            .number(name)
+            .get_u64(name)
             .unwrap_or(0)
     }
 }
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -36,8 +36,8 @@
                 let requests = 40 * u64::from(server.weight) / all.max(1);
                 let ms = if name == slow { 60 } else { 20 };
                 server.attempts += requests;
-                server.results.done += requests;
-                server.results.done_time += Duration::from_millis(ms * requests);
+                server.results.succeeded += requests;
+                server.results.succeeded_duration += Duration::from_millis(ms * requests);
                 backend.requests += requests;
             }
         }
--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -122,7 +122,7 @@
                     backend.requests += 3;
                     for server in backend.servers.values_mut() {
                         server.attempts += 1;
-                        server.results.done += 1;
+                        server.results.succeeded += 1;
                     }
                 }
                 let texts = lines
--- a/crates/proxy-core/src/proxy_core/requests.rs
+++ b/crates/proxy-core/src/proxy_core/requests.rs
@@ -186,10 +186,10 @@
         self.change_server(request.class, &host.host, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
             if succeeded {
-                server.results.done += 1;
-                server.results.done_time += elapsed;
+                server.results.succeeded += 1;
+                server.results.succeeded_duration += elapsed;
             } else {
-                server.results.errored += 1;
+                server.results.failed += 1;
             }
         });
         let policy = &self.policy.ejection;
--- a/crates/proxy-core/src/proxy_state/mod.rs
+++ b/crates/proxy-core/src/proxy_state/mod.rs
@@ -9,7 +9,7 @@
 pub use error::StateError;
 pub(crate) use map_commands::version_created;
 
-use pondarch_runtime_api::stat::Sums;
+use pondarch_runtime_api::stat::AttemptTotals;
 use pondarch_runtime_api::{AdminState, Command, Level, command};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// All attempts since the start.
     pub attempts: u64,
     /// The results of the attempts that ended.
-    pub results: Sums,
+    pub results: AttemptTotals,
     /// The host's newest load report: the busy part of its cores.
     pub utilization: Option<f64>,
     /// The host's newest load report: requests that wait there.
@@ -85,7 +85,7 @@
             state,
             in_flight: 0,
             attempts: 0,
-            results: Sums::default(),
+            results: AttemptTotals::default(),
             utilization: None,
             queue_length: None,
         }
--- a/crates/proxy-core/src/proxy_state/server_commands.rs
+++ b/crates/proxy-core/src/proxy_state/server_commands.rs
@@ -2,7 +2,7 @@
 
 use super::{Backend, ProxyState, Server, StateError};
 use crate::routing_table::MAX_MEMBERSHIPS;
-use pondarch_runtime_api::command::GivenWeight;
+use pondarch_runtime_api::command::WeightArgument;
 use pondarch_runtime_api::{AdminState, ServerRef};
 use std::net::{IpAddr, SocketAddr};
 
@@ -18,12 +18,12 @@
     pub(super) fn set_weight(
         &mut self,
         server: &ServerRef,
-        weight: GivenWeight,
+        weight: WeightArgument,
     ) -> Result<String, StateError> {
         let server = self.server_mut(server)?;
         server.weight = match weight {
-            GivenWeight::Units(units) => units,
-            GivenWeight::Percent(percent) => (f64::from(server.weight) * percent / 100.0) as u16,
+            WeightArgument::Absolute(units) => units,
+            WeightArgument::Percent(percent) => (f64::from(server.weight) * percent / 100.0) as u16,
         };
         Ok(String::new())
     }
--- a/crates/proxy-core/src/proxy_state/show_commands.rs
+++ b/crates/proxy-core/src/proxy_state/show_commands.rs
@@ -9,12 +9,12 @@
 impl ProxyState {
     pub(super) fn show_info(&self) -> String {
         let mut info = Info::default();
-        info.put("Name", "pondarch-proxy");
-        info.put("Node", &self.name);
-        info.put("Pid", self.process_id);
-        info.put("Start_time_sec", self.started);
+        info.push("Name", "pondarch-proxy");
+        info.push("Node", &self.name);
+        info.push("Pid", self.process_id);
+        info.push("Start_time_sec", self.started);
         for (name, value) in &self.extra_info {
-            info.put(name, value);
+            info.push(name, value);
         }
         info.write()
     }
@@ -72,14 +72,16 @@
         addr: server.address,
         state: server.state,
         weight: server.weight,
-        used: server.in_flight,
-        changed_s: 0,
+        connections_in_use: server.in_flight,
+        seconds_since_change: 0,
     }
 }
 
 fn server_row(backend: &str, name: &str, server: &Server) -> StatRow {
     let results = server.results;
-    let mean = results.done_time.checked_div(results.done.max(1) as u32);
+    let mean = results
+        .succeeded_duration
+        .checked_div(results.succeeded.max(1) as u32);
     let status = match server.state {
         AdminState::Ready => "UP",
         AdminState::Drain => "DRAIN",
@@ -88,15 +90,15 @@
     StatRow {
         backend: backend.to_string(),
         server: name.to_string(),
-        current: server.in_flight,
-        total: server.attempts,
+        current_sessions: server.in_flight,
+        total_sessions: server.attempts,
         status: status.into(),
         weight: u64::from(server.weight),
         addr: server.address.to_string(),
-        mean: mean.unwrap_or_default(),
-        sums: Some(results),
-        busy: server.utilization,
-        waiting: server.queue_length,
+        mean_response_time: mean.unwrap_or_default(),
+        exact_totals: Some(results),
+        cpu_utilization: server.utilization,
+        queued_at_host: server.queue_length,
         ..StatRow::default()
     }
 }
@@ -105,9 +107,9 @@
     StatRow {
         backend: name.to_string(),
         server: "BACKEND".into(),
-        of: RowType::Backend,
-        denied: backend.rejected,
-        reqs: backend.requests,
+        row_type: RowType::Backend,
+        denied_requests: backend.rejected,
+        requests: backend.requests,
         status: "UP".into(),
         ..StatRow::default()
     }
--- a/crates/proxy-session/src/order.rs
+++ b/crates/proxy-session/src/order.rs
@@ -7,7 +7,7 @@
 
 use crate::table::{Front, Held, HeldLine, LEVELS, MARK, STATE, TABLE, TRIES, Wanted, WantedLine};
 use pondarch_controller::{HostId, RequestClassId};
-use pondarch_runtime_api::command::GivenWeight;
+use pondarch_runtime_api::command::WeightArgument;
 use pondarch_runtime_api::{AdminState, Command, ServerRef};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -303,8 +303,9 @@
             return;
         };
         let mut now = *held;
-        let weigh =
-            |server: &ServerRef| Command::SetWeight(server.clone(), GivenWeight::Units(units));
+        let weigh = |server: &ServerRef| {
+            Command::SetWeight(server.clone(), WeightArgument::Absolute(units))
+        };
         let idle = !held.serves();
         if idle {
             // Out of use: all is set before it takes its first req.
--- a/crates/proxy-session/src/session.rs
+++ b/crates/proxy-session/src/session.rs
@@ -213,8 +213,8 @@
             Asked::Info => {
                 let info = Info::read(text);
                 // A process is known by its id and its start; either alone may come again.
-                let started = info.number("Start_time_sec").unwrap_or(0);
-                self.process = info.number("Pid").unwrap_or(0) ^ started.rotate_left(32);
+                let started = info.get_u64("Start_time_sec").unwrap_or(0);
+                self.process = info.get_u64("Pid").unwrap_or(0) ^ started.rotate_left(32);
                 None
             }
             Asked::Servers => {
--- a/crates/proxy-session/src/sums.rs
+++ b/crates/proxy-session/src/sums.rs
@@ -2,7 +2,7 @@
 
 use crate::table::Front;
 use pondarch_controller::{AttemptOutcomes, HostId, HostLoad, RequestClassId, Time};
-use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{AttemptTotals, RowType, StatRow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     at: Option<Time>,
-    servers: BTreeMap<(RequestClassId, HostId), Sums>,
+    servers: BTreeMap<(RequestClassId, HostId), AttemptTotals>,
     reqs: BTreeMap<RequestClassId, u64>,
     /// The process whose counters these are.
     process: Option<u64>,
@@ -57,16 +57,16 @@
         let first = self.at.is_none();
         let over = self.at.map_or(Duration::ZERO, |at| now - at);
         self.at = Some(now);
-        let mut met: BTreeMap<HostId, Sums> = BTreeMap::new();
+        let mut met: BTreeMap<HostId, AttemptTotals> = BTreeMap::new();
         let (mut reqs, mut loads, mut by_kind) = (Vec::new(), BTreeMap::new(), Vec::new());
         let mut seen = BTreeMap::new();
         for row in rows {
             let Some(&kind) = kind_of.get(row.backend.as_str()) else {
                 continue;
             };
-            match row.of {
+            match row.row_type {
                 RowType::Server => {
-                    let (host, sums) = (HostId(row.server.as_str().into()), row.ended());
+                    let (host, sums) = (HostId(row.server.as_str().into()), row.attempt_totals());
                     let before = self
                         .servers
                         .get(&(kind, host.clone()))
@@ -74,38 +74,47 @@
                         .unwrap_or_default();
                     // A counter that fell back began anew: all of it is new, and none of it is negative.
                     let before = if fell(&sums, &before) {
-                        Sums::default()
+                        AttemptTotals::default()
                     } else {
                         before
                     };
                     // Without an answer since, the word on the load is as old as the last one.
-                    if sums.done > before.done && (row.busy.is_some() || row.waiting.is_some()) {
+                    if sums.succeeded > before.succeeded
+                        && (row.cpu_utilization.is_some() || row.queued_at_host.is_some())
+                    {
                         loads.insert(
                             host.clone(),
                             HostLoad {
-                                utilization: row.busy,
-                                queue_length: row.waiting,
+                                utilization: row.cpu_utilization,
+                                queue_length: row.queued_at_host,
                                 service_time: None,
                             },
                         );
                     }
-                    let took = sums.done_time.saturating_sub(before.done_time);
-                    if sums.done > before.done {
+                    let took = sums
+                        .succeeded_duration
+                        .saturating_sub(before.succeeded_duration);
+                    if sums.succeeded > before.succeeded {
                         let took = Duration::from_micros(took.as_micros() as u64);
-                        by_kind.push((host.clone(), kind, (sums.done - before.done) as f64, took));
+                        by_kind.push((
+                            host.clone(),
+                            kind,
+                            (sums.succeeded - before.succeeded) as f64,
+                            took,
+                        ));
                     }
                     let all = met.entry(host.clone()).or_default();
-                    all.done += sums.done - before.done;
-                    all.errored += sums.errored - before.errored;
-                    all.done_time += took;
+                    all.succeeded += sums.succeeded - before.succeeded;
+                    all.failed += sums.failed - before.failed;
+                    all.succeeded_duration += took;
                     seen.insert((kind, host), sums);
                 }
                 RowType::Backend => {
                     let before = self
                         .reqs
-                        .insert(kind, row.reqs)
-                        .filter(|&before| before <= row.reqs);
-                    reqs.push((kind, (row.reqs - before.unwrap_or(0)) as f64));
+                        .insert(kind, row.requests)
+                        .filter(|&before| before <= row.requests);
+                    reqs.push((kind, (row.requests - before.unwrap_or(0)) as f64));
                 }
                 _ => {}
             }
@@ -115,11 +124,11 @@
         if first {
             return Look::default();
         }
-        let told = |(host, sums): (HostId, Sums)| {
-            let mean_us = sums.done_time.as_micros() as u64 / sums.done.max(1);
+        let told = |(host, sums): (HostId, AttemptTotals)| {
+            let mean_us = sums.succeeded_duration.as_micros() as u64 / sums.succeeded.max(1);
             let met = AttemptOutcomes {
-                attempts: (sums.done + sums.errored) as f64,
-                failures: sums.errored as f64,
+                attempts: (sums.succeeded + sums.failed) as f64,
+                failures: sums.failed as f64,
                 mean_latency: Duration::from_micros(mean_us),
                 period: over,
                 load: None,
@@ -128,7 +137,7 @@
         };
         let ended = met
             .into_iter()
-            .filter(|(_, sums)| sums.done + sums.errored > 0);
+            .filter(|(_, sums)| sums.succeeded + sums.failed > 0);
         let (met, loads) = (ended.map(told).collect(), loads.into_iter().collect());
         Look {
             over,
@@ -140,6 +149,6 @@
     }
 }
 
-fn fell(now: &Sums, before: &Sums) -> bool {
-    now.done < before.done || now.errored < before.errored
+fn fell(now: &AttemptTotals, before: &AttemptTotals) -> bool {
+    now.succeeded < before.succeeded || now.failed < before.failed
 }
--- a/crates/proxy/src/desk.rs
+++ b/crates/proxy/src/desk.rs
@@ -3,7 +3,7 @@
 use crate::shared::Together;
 use pondarch_proxy_core::proxy_core::TableStatus;
 use pondarch_runtime_api::Level;
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_transport::CommandHandler;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -43,6 +43,6 @@
                 ),
             }
         }
-        Some(answers.iter().map(|answer| framed_answer(answer)).collect())
+        Some(answers.iter().map(|answer| framed_reply(answer)).collect())
     }
 }
--- a/crates/proxy/src/push.rs
+++ b/crates/proxy/src/push.rs
@@ -90,16 +90,16 @@
 }
 
 fn counted(row: StatRow) -> Counted {
-    let sums = row.sums.unwrap_or_default();
+    let sums = row.exact_totals.unwrap_or_default();
     Counted {
         backend: row.backend,
-        server: (row.of == RowType::Server).then_some(row.server),
-        reqs: row.reqs,
-        done: sums.done,
-        errored: sums.errored,
-        done_us: sums.done_time.as_micros() as u64,
-        busy: row.busy,
-        waiting: row.waiting,
+        server: (row.row_type == RowType::Server).then_some(row.server),
+        reqs: row.requests,
+        done: sums.succeeded,
+        errored: sums.failed,
+        done_us: sums.succeeded_duration.as_micros() as u64,
+        busy: row.cpu_utilization,
+        waiting: row.queued_at_host,
     }
 }
 
--- a/crates/proxy/tests/real/main.rs
+++ b/crates/proxy/tests/real/main.rs
@@ -474,5 +474,8 @@
     let text = stage.say("show stat").await;
     let rows = pondarch_runtime_api::stat::read(text.trim_end()).expect("stat");
     let told = rows.iter().find(|row| row.server == "h0").expect("a row");
-    assert_eq!((told.busy, told.waiting), (Some(0.5), Some(4.0)));
+    assert_eq!(
+        (told.cpu_utilization, told.queued_at_host),
+        (Some(0.5), Some(4.0))
+    );
 }
--- a/crates/proxy/tests/real/stage.rs
+++ b/crates/proxy/tests/real/stage.rs
@@ -220,8 +220,13 @@
         let of = rows
             .into_iter()
             .filter(|row| row.backend == kind && row.server != "BACKEND");
-        of.map(|row| (row.server.clone(), (row.ended().done, row.ended().errored)))
-            .collect()
+        of.map(|row| {
+            (
+                row.server.clone(),
+                (row.attempt_totals().succeeded, row.attempt_totals().failed),
+            )
+        })
+        .collect()
     }
 
     pub(crate) async fn get(&self, path: &str) -> (u16, String) {
--- a/crates/rehearsal/src/bad_day/stage.rs
+++ b/crates/rehearsal/src/bad_day/stage.rs
@@ -479,7 +479,7 @@
 }
 
 fn figure(info: &str, name: &str) -> Option<u64> {
-    pondarch_runtime_api::info::Info::read(info).number(name)
+    pondarch_runtime_api::info::Info::read(info).get_u64(name)
 }
 
 /// One command on a steward's own socket; none if nobody answers within a second.
--- a/crates/rehearsal/src/front.rs
+++ b/crates/rehearsal/src/front.rs
@@ -9,7 +9,7 @@
 use pondarch_config::{DurationSetting, Endpoint, ProxySettings};
 use pondarch_proxy::{ProxyError, Running, start};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_runtime_api::command::parse_line;
 use pondarch_runtime_api::{ClientCodec, Command, ServerCodec, ServerFrame, state};
 use std::collections::VecDeque;
@@ -228,7 +228,7 @@
             answer = proxy.next() => match (answer, due.pop_front()) {
                 (Some(Ok(text)), Some(asked)) => {
                     relay.answered(&asked, &text);
-                    let sent = !asked.passed_on || steward.send(framed_answer(&text)).await.is_ok();
+                    let sent = !asked.passed_on || steward.send(framed_reply(&text)).await.is_ok();
                     sent && !asked.then_cut
                 }
                 _ => false,
--- a/crates/rehearsal/src/storm.rs
+++ b/crates/rehearsal/src/storm.rs
@@ -245,7 +245,7 @@
             .await
             .unwrap_or_default();
         let info = pondarch_runtime_api::info::Info::read(&text);
-        let figure = |name: &str| info.number(name).unwrap_or(0);
+        let figure = |name: &str| info.get_u64(name).unwrap_or(0);
         most = most.max(figure("LinesWaiting"));
         let settled = figure("ProxiesJoined") as usize == plan.proxies
             && figure("LinesWaiting") == 0
--- a/crates/rehearsal/src/weighing/stage.rs
+++ b/crates/rehearsal/src/weighing/stage.rs
@@ -123,7 +123,7 @@
             for socket in &self.sockets {
                 let text = ask(socket, "show info").await.unwrap_or_default();
                 let info = pondarch_runtime_api::info::Info::read(&text);
-                joined += info.number("ProxiesJoined").unwrap_or(0);
+                joined += info.get_u64("ProxiesJoined").unwrap_or(0);
             }
             if joined as usize == self.proxies.len() {
                 return Ok(());
--- a/crates/replay/examples/write_fixture/inputs.rs
+++ b/crates/replay/examples/write_fixture/inputs.rs
@@ -95,9 +95,9 @@
                         .filter(|(_, server)| server.is_serving())
                     {
                         let ms = if name == "host-3" { 60 } else { 20 };
-                        (server.attempts, server.results.done) =
-                            (server.attempts + 10, server.results.done + 10);
-                        server.results.done_time += Duration::from_millis(10 * ms);
+                        (server.attempts, server.results.succeeded) =
+                            (server.attempts + 10, server.results.succeeded + 10);
+                        server.results.succeeded_duration += Duration::from_millis(10 * ms);
                         backend.requests += 10;
                     }
                 }
--- a/crates/replay/src/what_if/extract.rs
+++ b/crates/replay/src/what_if/extract.rs
@@ -156,7 +156,7 @@
         let mut attempts = Vec::new();
         // An answer that is no table has no counters.
         for row in stat::read(text).ok()? {
-            match row.of {
+            match row.row_type {
                 RowType::Backend => requests.push(self.apply_backend(row)),
                 RowType::Server => attempts.extend(self.apply_server(row)),
                 _ => {}
@@ -171,16 +171,16 @@
     }
 
     fn apply_backend(&mut self, row: StatRow) -> (String, u64) {
-        let before = self.requests.insert(row.backend.clone(), row.reqs);
-        (row.backend, increase(row.reqs, before.unwrap_or(0)))
+        let before = self.requests.insert(row.backend.clone(), row.requests);
+        (row.backend, increase(row.requests, before.unwrap_or(0)))
     }
 
     fn apply_server(&mut self, row: StatRow) -> Option<HostAttempts> {
-        let sums = row.sums?;
+        let sums = row.exact_totals?;
         let now = AttemptCounters {
-            succeeded: sums.done,
-            failed: sums.errored,
-            succeeded_ms: sums.done_time.as_millis() as u64,
+            succeeded: sums.succeeded,
+            failed: sums.failed,
+            succeeded_ms: sums.succeeded_duration.as_millis() as u64,
         };
         let key = (row.backend.clone(), row.server.clone());
         let before = self.attempts.insert(key, now).unwrap_or_default();
--- a/crates/replay/src/what_if/simulated_proxy.rs
+++ b/crates/replay/src/what_if/simulated_proxy.rs
@@ -60,9 +60,9 @@
                 continue;
             };
             server.attempts += host.succeeded + host.failed;
-            server.results.done += host.succeeded;
-            server.results.errored += host.failed;
-            server.results.done_time += Duration::from_millis(host.succeeded_ms);
+            server.results.succeeded += host.succeeded;
+            server.results.failed += host.failed;
+            server.results.succeeded_duration += Duration::from_millis(host.succeeded_ms);
         }
     }
 
--- a/crates/runtime-api/src/command.rs
+++ b/crates/runtime-api/src/command.rs
@@ -1,11 +1,11 @@
-//! Commands as types. `Command::parse` reads one, `Display` writes it; both give the same again.
+//! Commands as types. `Command::parse` reads a command and `Display` writes it, so that parsing gives the same command.
 
-use crate::words::{commands, guarded, words};
+use crate::tokenizer::{escape, split_commands, split_words};
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// What a connection may do (management guide, 9.3, "level"): each level holds the ones before it.
+/// Commands that a connection may use (management guide, 9.3, "level"): each level includes those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
     User,
@@ -13,38 +13,47 @@
     Admin,
 }
 
-/// A server by its backend, as `<backend>/<server>`.
+/// Name of a server with its backend, `<backend>/<server>`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerRef {
     pub backend: String,
     pub server: String,
 }
 
-/// `set server <b>/<s> state`: takes new work, takes none but that of kept sessions, takes none at all.
+/// A state of `set server <b>/<s> state`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminState {
+    /// Takes new requests.
     Ready,
+    /// Takes only requests of persistent sessions.
     Drain,
+    /// Takes no requests.
     Maint,
 }
 
-/// The manners of an interactive connection (`prompt`, version 3.2 words beside the older bare one).
+/// Mode of a connection: `prompt` without an argument, or with an argument of version 3.2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptMode {
-    /// Bare `prompt`: the other one of prompting and closing after each line.
+    /// Without an argument: toggles between [`PromptMode::InteractiveWithPrompt`] and [`PromptMode::NonInteractive`].
     Toggle,
-    Closing,
+    /// The connection closes after one line.
+    NonInteractive,
+    /// The connection stays open.
     Interactive,
-    Prompting,
+    /// The connection stays open, and a prompt follows each reply.
+    InteractiveWithPrompt,
 }
 
-/// A weight as it is given: absolute, 0 to 256, or in per cent of the weight at start.
+/// A weight as an argument of a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum GivenWeight {
-    Units(u16),
+pub enum WeightArgument {
+    /// From 0 to 256.
+    Absolute(u16),
+    /// In per cent of the initial weight.
     Percent(f64),
 }
 
+/// A command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     Help,
@@ -61,7 +70,7 @@
     ShowServersConn(Option<String>),
     ShowErrors,
     ShowEvents,
-    /// Ours: memory by purpose.
+    /// Memory by purpose. HAProxy has no such command.
     ShowMemory,
     ShowMaps,
     ShowMap {
@@ -99,7 +108,7 @@
         version: u64,
     },
     GetWeight(ServerRef),
-    SetWeight(ServerRef, GivenWeight),
+    SetWeight(ServerRef, WeightArgument),
     SetState(ServerRef, AdminState),
     SetAddr(ServerRef, IpAddr, Option<u16>),
     AddServer {
@@ -110,27 +119,28 @@
     DelServer(ServerRef),
 }
 
-/// Why a text is no command; the text of each is what the peer is told.
+/// Why a text is not a command. The text of the error is the reply.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     #[error("Unknown command: '{0}'. Type 'help' for the list of commands.")]
     Unknown(String),
     #[error("'{0}' needs {1}.")]
-    Missing(&'static str, &'static str),
+    MissingArgument(&'static str, &'static str),
     #[error("Require 'backend/server', got '{0}'.")]
-    NoServer(String),
+    InvalidServer(String),
     #[error("Malformed weight '{0}': a whole number from 0 to 256, or 0 to 100 with '%'.")]
-    Weight(String),
+    InvalidWeight(String),
     #[error("'set server <srv> state' expects 'ready', 'drain' and 'maint', got '{0}'.")]
-    State(String),
+    InvalidState(String),
     #[error("Malformed address '{0}'.")]
-    Address(String),
+    InvalidAddress(String),
     #[error("Malformed version '{0}'.")]
-    Version(String),
+    InvalidVersion(String),
     #[error("'{0}' takes no word '{1}'.")]
-    Surplus(&'static str, String),
+    UnexpectedArgument(&'static str, String),
 }
 
+/// The reply to `help`.
 pub const HELP: &str = "The following commands are valid at this level:
   add map [@<ver>] <map> <key> <val>      : add a map entry
   add server <bk>/<srv> <addr> [weight n] : create a new server (in maintenance)
@@ -160,45 +170,52 @@
   show stat [json]                        : counters by server and backend
 ";
 
-/// The commands of one line, in order. A line whose commands are all empty gives none.
+/// Parses the commands of one line, in order. Empty commands are skipped.
 pub fn parse_line(line: &str) -> Vec<Result<Command, CommandError>> {
-    commands(line)
+    split_commands(line)
         .iter()
         .map(|text| Command::parse(text))
         .collect()
 }
 
 impl Command {
-    /// Reads one command.
+    /// Parses one command.
     ///
-    /// Errors: a `CommandError` that says what is missing, surplus or malformed.
+    /// # Errors
+    ///
+    /// The command is unknown, or an argument is missing, unexpected or malformed.
     pub fn parse(text: &str) -> Result<Command, CommandError> {
-        let words = words(text);
+        let words = split_words(text);
         let mut args = Args {
             words: words.iter().map(String::as_str).collect(),
-            at: 0,
+            position: 0,
             name: "command",
         };
-        let unknown = || CommandError::Unknown(shortened(text.trim()));
-        let verb = args.maybe().ok_or_else(unknown)?;
-        let lone = matches!(verb, "help" | "quit" | "prompt");
-        let noun = if lone {
+        let unknown = || CommandError::Unknown(truncated(text.trim()));
+        let verb = args.next_word().ok_or_else(unknown)?;
+        let is_single_word = matches!(verb, "help" | "quit" | "prompt");
+        let noun = if is_single_word {
             ""
         } else {
-            args.maybe().ok_or_else(unknown)?
+            args.next_word().ok_or_else(unknown)?
         };
         let command = match (verb, noun) {
             ("help", _) => {
-                args.at = args.words.len();
+                args.position = args.words.len();
                 Command::Help
             }
             ("quit", _) => Command::Quit,
-            ("prompt", _) => Command::Prompt(match args.maybe() {
+            ("prompt", _) => Command::Prompt(match args.next_word() {
                 None => PromptMode::Toggle,
-                Some("n") => PromptMode::Closing,
+                Some("n") => PromptMode::NonInteractive,
                 Some("i") => PromptMode::Interactive,
-                Some("p") => PromptMode::Prompting,
-                Some(other) => return Err(CommandError::Surplus("prompt", other.to_string())),
+                Some("p") => PromptMode::InteractiveWithPrompt,
+                Some(other) => {
+                    return Err(CommandError::UnexpectedArgument(
+                        "prompt",
+                        other.to_string(),
+                    ));
+                }
             }),
             ("show", "info") => Command::ShowInfo {
                 json: args.flag("show info", "json"),
@@ -206,24 +223,29 @@
             ("show", "stat") => Command::ShowStat {
                 json: args.flag("show stat", "json"),
             },
-            ("show", "backend") => args.only("show backend", Command::ShowBackend),
-            ("show", "errors") => args.only("show errors", Command::ShowErrors),
-            ("show", "memory") => args.only("show memory", Command::ShowMemory),
-            ("show", "events") => args.only("show events", Command::ShowEvents),
+            ("show", "backend") => args.without_arguments("show backend", Command::ShowBackend),
+            ("show", "errors") => args.without_arguments("show errors", Command::ShowErrors),
+            ("show", "memory") => args.without_arguments("show memory", Command::ShowMemory),
+            ("show", "events") => args.without_arguments("show events", Command::ShowEvents),
             ("show", "servers") => {
                 args.name = "show servers";
                 match args.word("'state' or 'conn'")? {
-                    "state" => Command::ShowServersState(args.maybe().map(str::to_string)),
-                    "conn" => Command::ShowServersConn(args.maybe().map(str::to_string)),
-                    _ => return Err(CommandError::Missing("show servers", "'state' or 'conn'")),
+                    "state" => Command::ShowServersState(args.next_word().map(str::to_string)),
+                    "conn" => Command::ShowServersConn(args.next_word().map(str::to_string)),
+                    _ => {
+                        return Err(CommandError::MissingArgument(
+                            "show servers",
+                            "'state' or 'conn'",
+                        ));
+                    }
                 }
             }
             ("show", "map") => {
                 args.name = "show map";
                 let version = args.version()?;
-                match args.maybe() {
+                match args.next_word() {
                     None if version.is_none() => Command::ShowMaps,
-                    None => return Err(CommandError::Missing("show map", "a map")),
+                    None => return Err(CommandError::MissingArgument("show map", "a map")),
                     Some(map) => Command::ShowMap {
                         map: map.to_string(),
                         version,
@@ -245,7 +267,7 @@
                     map,
                     version,
                     key,
-                    value: args.rest("a value")?,
+                    value: args.remaining("a value")?,
                 }
             }
             ("set", "map") => {
@@ -254,7 +276,7 @@
                 Command::SetMap {
                     map,
                     key,
-                    value: args.rest("a value")?,
+                    value: args.remaining("a value")?,
                 }
             }
             ("del", "map") => {
@@ -282,7 +304,7 @@
                 args.name = "commit map";
                 let version = args
                     .version()?
-                    .ok_or(CommandError::Missing("commit map", "a version"))?;
+                    .ok_or(CommandError::MissingArgument("commit map", "a version"))?;
                 Command::CommitMap {
                     map: args.text("a map")?,
                     version,
@@ -295,7 +317,7 @@
             ("set", "weight") => {
                 args.name = "set weight";
                 let server = args.server()?;
-                Command::SetWeight(server, weight(args.word("a weight")?)?)
+                Command::SetWeight(server, parse_weight(args.word("a weight")?)?)
             }
             ("enable" | "disable", "server") => {
                 args.name = "enable server";
@@ -310,28 +332,31 @@
                 args.name = "set server";
                 let server = args.server()?;
                 match args.word("'addr', 'state' or 'weight'")? {
-                    "weight" => Command::SetWeight(server, weight(args.word("a weight")?)?),
-                    "state" => Command::SetState(server, state(args.word("a state")?)?),
+                    "weight" => Command::SetWeight(server, parse_weight(args.word("a weight")?)?),
+                    "state" => Command::SetState(server, parse_state(args.word("a state")?)?),
                     "addr" => {
                         let text = args.word("an address")?;
                         let ip = text
                             .parse()
-                            .map_err(|_| CommandError::Address(text.to_string()))?;
-                        let port = match args.maybe() {
+                            .map_err(|_| CommandError::InvalidAddress(text.to_string()))?;
+                        let port = match args.next_word() {
                             None => None,
                             Some("port") => {
                                 let text = args.word("a port")?;
-                                let bad = |_| CommandError::Address(text.to_string());
-                                Some(text.parse().map_err(bad)?)
+                                let invalid = |_| CommandError::InvalidAddress(text.to_string());
+                                Some(text.parse().map_err(invalid)?)
                             }
                             Some(other) => {
-                                return Err(CommandError::Surplus("set server", other.into()));
+                                return Err(CommandError::UnexpectedArgument(
+                                    "set server",
+                                    other.into(),
+                                ));
                             }
                         };
                         Command::SetAddr(server, ip, port)
                     }
                     _ => {
-                        return Err(CommandError::Missing(
+                        return Err(CommandError::MissingArgument(
                             "set server",
                             "'addr', 'state' or 'weight'",
                         ));
@@ -344,14 +369,18 @@
                 let text = args.word("an address")?;
                 let addr = text
                     .parse()
-                    .map_err(|_| CommandError::Address(text.to_string()))?;
-                let weight = match args.maybe() {
+                    .map_err(|_| CommandError::InvalidAddress(text.to_string()))?;
+                let weight = match args.next_word() {
                     None => None,
-                    Some("weight") => match weight(args.word("a weight")?)? {
-                        GivenWeight::Units(units) => Some(units),
-                        GivenWeight::Percent(_) => return Err(CommandError::Weight("%".into())),
+                    Some("weight") => match parse_weight(args.word("a weight")?)? {
+                        WeightArgument::Absolute(weight) => Some(weight),
+                        WeightArgument::Percent(_) => {
+                            return Err(CommandError::InvalidWeight("%".into()));
+                        }
                     },
-                    Some(other) => return Err(CommandError::Surplus("add server", other.into())),
+                    Some(other) => {
+                        return Err(CommandError::UnexpectedArgument("add server", other.into()));
+                    }
                 };
                 Command::AddServer {
                     server,
@@ -365,13 +394,16 @@
             }
             _ => return Err(unknown()),
         };
-        match args.maybe() {
-            Some(surplus) => Err(CommandError::Surplus(args.name, surplus.to_string())),
+        match args.next_word() {
+            Some(unexpected) => Err(CommandError::UnexpectedArgument(
+                args.name,
+                unexpected.to_string(),
+            )),
             None => Ok(command),
         }
     }
 
-    /// The least level a connection needs for this command.
+    /// The lowest level that may use this command.
     pub fn level(&self) -> Level {
         match self {
             Command::Help | Command::Quit | Command::Prompt(_) => Level::User,
@@ -391,16 +423,16 @@
 
 impl fmt::Display for Command {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let at = |version: &Option<u64>| version.map(|v| format!("@{v} ")).unwrap_or_default();
-        let g = |word: &str| guarded(word);
+        let version_prefix =
+            |version: &Option<u64>| version.map(|v| format!("@{v} ")).unwrap_or_default();
         match self {
             Command::Help => f.write_str("help"),
             Command::Quit => f.write_str("quit"),
             Command::Prompt(mode) => f.write_str(match mode {
                 PromptMode::Toggle => "prompt",
-                PromptMode::Closing => "prompt n",
+                PromptMode::NonInteractive => "prompt n",
                 PromptMode::Interactive => "prompt i",
-                PromptMode::Prompting => "prompt p",
+                PromptMode::InteractiveWithPrompt => "prompt p",
             }),
             Command::ShowInfo { json } => {
                 write!(f, "show info{}", if *json { " json" } else { "" })
@@ -414,15 +446,17 @@
             Command::ShowMemory => f.write_str("show memory"),
             Command::ShowServersState(None) => f.write_str("show servers state"),
             Command::ShowServersState(Some(backend)) => {
-                write!(f, "show servers state {}", g(backend))
+                write!(f, "show servers state {}", escape(backend))
             }
             Command::ShowServersConn(None) => f.write_str("show servers conn"),
             Command::ShowServersConn(Some(backend)) => {
-                write!(f, "show servers conn {}", g(backend))
+                write!(f, "show servers conn {}", escape(backend))
             }
             Command::ShowMaps => f.write_str("show map"),
-            Command::ShowMap { map, version } => write!(f, "show map {}{}", at(version), g(map)),
-            Command::GetMap { map, key } => write!(f, "get map {} {}", g(map), g(key)),
+            Command::ShowMap { map, version } => {
+                write!(f, "show map {}{}", version_prefix(version), escape(map))
+            }
+            Command::GetMap { map, key } => write!(f, "get map {} {}", escape(map), escape(key)),
             Command::AddMap {
                 map,
                 version,
@@ -432,25 +466,35 @@
                 write!(
                     f,
                     "add map {}{} {} {}",
-                    at(version),
-                    g(map),
-                    g(key),
-                    g(value)
+                    version_prefix(version),
+                    escape(map),
+                    escape(key),
+                    escape(value)
                 )
             }
             Command::SetMap { map, key, value } => {
-                write!(f, "set map {} {} {}", g(map), g(key), g(value))
+                write!(
+                    f,
+                    "set map {} {} {}",
+                    escape(map),
+                    escape(key),
+                    escape(value)
+                )
+            }
+            Command::DelMap { map, key } => write!(f, "del map {} {}", escape(map), escape(key)),
+            Command::ClearMap { map, version } => {
+                write!(f, "clear map {}{}", version_prefix(version), escape(map))
+            }
+            Command::PrepareMap { map } => write!(f, "prepare map {}", escape(map)),
+            Command::CommitMap { map, version } => {
+                write!(f, "commit map @{version} {}", escape(map))
             }
-            Command::DelMap { map, key } => write!(f, "del map {} {}", g(map), g(key)),
-            Command::ClearMap { map, version } => write!(f, "clear map {}{}", at(version), g(map)),
-            Command::PrepareMap { map } => write!(f, "prepare map {}", g(map)),
-            Command::CommitMap { map, version } => write!(f, "commit map @{version} {}", g(map)),
             Command::GetWeight(server) => write!(f, "get weight {server}"),
-            Command::SetWeight(server, GivenWeight::Units(units)) => {
-                write!(f, "set server {server} weight {units}")
+            Command::SetWeight(server, WeightArgument::Absolute(weight)) => {
+                write!(f, "set server {server} weight {weight}")
             }
-            Command::SetWeight(server, GivenWeight::Percent(part)) => {
-                write!(f, "set server {server} weight {part}%")
+            Command::SetWeight(server, WeightArgument::Percent(percent)) => {
+                write!(f, "set server {server} weight {percent}%")
             }
             Command::SetState(server, state) => write!(f, "set server {server} state {state}"),
             Command::SetAddr(server, ip, None) => write!(f, "set server {server} addr {ip}"),
@@ -475,6 +519,7 @@
 }
 
 impl ServerRef {
+    /// The server of this backend.
     pub fn new(backend: &str, server: &str) -> ServerRef {
         ServerRef {
             backend: backend.to_string(),
@@ -485,7 +530,7 @@
 
 impl fmt::Display for ServerRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", guarded(&self.backend), guarded(&self.server))
+        write!(f, "{}/{}", escape(&self.backend), escape(&self.server))
     }
 }
 
@@ -499,31 +544,36 @@
     }
 }
 
+/// The words of a command, which are consumed in order.
 struct Args<'a> {
     words: Vec<&'a str>,
-    at: usize,
+    /// Index of the next word.
+    position: usize,
+    /// The command, for errors.
     name: &'static str,
 }
 
 impl<'a> Args<'a> {
-    fn maybe(&mut self) -> Option<&'a str> {
-        let word = self.words.get(self.at).copied();
-        self.at += usize::from(word.is_some());
+    fn next_word(&mut self) -> Option<&'a str> {
+        let word = self.words.get(self.position).copied();
+        self.position += usize::from(word.is_some());
         word
     }
 
+    /// A required word; `what` names it in the error.
     fn word(&mut self, what: &'static str) -> Result<&'a str, CommandError> {
-        self.maybe().ok_or(CommandError::Missing(self.name, what))
+        self.next_word()
+            .ok_or(CommandError::MissingArgument(self.name, what))
     }
 
     fn text(&mut self, what: &'static str) -> Result<String, CommandError> {
         self.word(what).map(str::to_string)
     }
 
-    /// A map's value may hold blanks: all that is left.
-    fn rest(&mut self, what: &'static str) -> Result<String, CommandError> {
+    /// All remaining words, for the value of a map entry, which may have spaces.
+    fn remaining(&mut self, what: &'static str) -> Result<String, CommandError> {
         let mut value = self.text(what)?;
-        while let Some(word) = self.maybe() {
+        while let Some(word) = self.next_word() {
             value.push(' ');
             value.push_str(word);
         }
@@ -532,12 +582,13 @@
 
     fn flag(&mut self, name: &'static str, flag: &str) -> bool {
         self.name = name;
-        let there = self.words.get(self.at) == Some(&flag);
-        self.at += usize::from(there);
-        there
+        let is_set = self.words.get(self.position) == Some(&flag);
+        self.position += usize::from(is_set);
+        is_set
     }
 
-    fn only(&mut self, name: &'static str, command: Command) -> Command {
+    /// Sets the name for errors; the command takes no arguments.
+    fn without_arguments(&mut self, name: &'static str, command: Command) -> Command {
         self.name = name;
         command
     }
@@ -548,52 +599,53 @@
             Some((backend, server)) if !backend.is_empty() && !server.is_empty() => {
                 Ok(ServerRef::new(backend, server))
             }
-            _ => Err(CommandError::NoServer(text.to_string())),
+            _ => Err(CommandError::InvalidServer(text.to_string())),
         }
     }
 
+    /// An optional `@<version>`.
     fn version(&mut self) -> Result<Option<u64>, CommandError> {
         let Some(text) = self
             .words
-            .get(self.at)
+            .get(self.position)
             .and_then(|word| word.strip_prefix('@'))
         else {
             return Ok(None);
         };
-        self.at += 1;
+        self.position += 1;
         text.parse()
             .map(Some)
-            .map_err(|_| CommandError::Version(text.to_string()))
+            .map_err(|_| CommandError::InvalidVersion(text.to_string()))
     }
 }
 
-fn weight(text: &str) -> Result<GivenWeight, CommandError> {
-    let bad = || CommandError::Weight(text.to_string());
-    if let Some(part) = text.strip_suffix('%') {
-        let part: f64 = part.parse().map_err(|_| bad())?;
-        return if (0.0..=100.0).contains(&part) {
-            Ok(GivenWeight::Percent(part))
+fn parse_weight(text: &str) -> Result<WeightArgument, CommandError> {
+    let invalid = || CommandError::InvalidWeight(text.to_string());
+    if let Some(percent) = text.strip_suffix('%') {
+        let percent: f64 = percent.parse().map_err(|_| invalid())?;
+        return if (0.0..=100.0).contains(&percent) {
+            Ok(WeightArgument::Percent(percent))
         } else {
-            Err(bad())
+            Err(invalid())
         };
     }
     text.parse()
         .ok()
-        .filter(|units| *units <= 256)
-        .map(GivenWeight::Units)
-        .ok_or_else(bad)
+        .filter(|weight| *weight <= 256)
+        .map(WeightArgument::Absolute)
+        .ok_or_else(invalid)
 }
 
-fn state(text: &str) -> Result<AdminState, CommandError> {
+fn parse_state(text: &str) -> Result<AdminState, CommandError> {
     match text {
         "ready" => Ok(AdminState::Ready),
         "drain" => Ok(AdminState::Drain),
         "maint" => Ok(AdminState::Maint),
-        other => Err(CommandError::State(other.to_string())),
+        other => Err(CommandError::InvalidState(other.to_string())),
     }
 }
 
-/// An unknown command is told back, but not a megabyte of it.
-fn shortened(text: &str) -> String {
+/// The start of an unknown command, for the reply: the command itself may be very long.
+fn truncated(text: &str) -> String {
     text.chars().take(64).collect()
 }
--- a/crates/runtime-api/src/info.rs
+++ b/crates/runtime-api/src/info.rs
@@ -1,29 +1,33 @@
-//! `show info` and `show map`: names and values, a line each (management guide, 9.2 and 9.3).
+//! `show info` and `show map`: one line for each name and value (management guide, 9.2 and 9.3).
 
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Names and values in the order in which they are to be printed.
+/// Names and values in the order in which they are printed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Info(Vec<(String, String)>);
 
 impl Info {
-    pub fn put(&mut self, name: &str, value: impl ToString) {
+    /// Appends a name and its value.
+    pub fn push(&mut self, name: &str, value: impl ToString) {
         self.0.push((name.to_string(), value.to_string()));
     }
 
+    /// The value of a name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
-            .find(|(held, _)| held == name)
+            .find(|(entry, _)| entry == name)
             .map(|(_, value)| value.as_str())
     }
 
-    pub fn number(&self, name: &str) -> Option<u64> {
+    /// The value of a name, if it is an integer.
+    pub fn get_u64(&self, name: &str) -> Option<u64> {
         self.get(name)?.parse().ok()
     }
 
+    /// The reply to `show info`.
     pub fn write(&self) -> String {
         self.0.iter().fold(String::new(), |mut out, (name, value)| {
             let _ = writeln!(out, "{name}: {value}");
@@ -31,6 +35,7 @@
         })
     }
 
+    /// The reply to `show info json`.
     pub fn write_json(&self) -> String {
         let rows = self.0.iter().enumerate().map(|(pos, (name, value))| {
             let value = match value.parse::<u64>() {
@@ -42,7 +47,7 @@
         format!("{}\n", serde_json::Value::Array(rows.collect()))
     }
 
-    /// Reads `name: value` lines; others are passed over.
+    /// Reads the lines `name: value` and skips all others.
     pub fn read(text: &str) -> Info {
         let pair = |line: &str| {
             line.split_once(": ")
@@ -52,7 +57,7 @@
     }
 }
 
-/// The answer to `show map <map>`: `<id> <key> <value>`. The ids only tell entries apart.
+/// The reply to `show map <map>`: lines `<id> <key> <value>`. The ids only distinguish the entries.
 pub fn write_map<'a>(entries: impl Iterator<Item = (&'a String, &'a String)>) -> String {
     entries
         .enumerate()
@@ -62,7 +67,8 @@
         })
 }
 
-/// Reads an answer to `show map <map>`. Lines that are no entry (an unknown map's message, say) give `None`.
+/// Reads a reply to `show map <map>`. The result is `None` if a line is not an entry, such as the message for an
+/// unknown map.
 pub fn read_map(text: &str) -> Option<BTreeMap<String, String>> {
     let entry = |line: &str| {
         let mut parts = line.splitn(3, ' ');
--- a/crates/runtime-api/src/lib.rs
+++ b/crates/runtime-api/src/lib.rs
@@ -1,13 +1,15 @@
-//! The runtime API in the manner of HAProxy's socket, both ends, without any socket.
+//! The runtime API, which follows that of HAProxy: the formats of server and client, without input or output.
 //!
-//! Source: the HAProxy management guide, chapters 9.1 (CSV format) and 9.3 (Unix socket commands). One command a
-//! line, `;` between several; each answer ends with an empty line; `prompt` keeps the connection open.
+//! Source: the HAProxy management guide, chapters 9.1 (CSV format) and 9.3 (Unix socket commands). A line has one command
+//! or several that are separated by `;`. Each reply ends with an empty line. `prompt` keeps the connection open.
 //!
-//! - `command`: the commands as types, parsed and written; the level each one needs.
-//! - `codec`: framing for a server (lines in, answers out) and for a client (lines out, answers in).
+//! - `command`: commands as types, parsed and written, and the level that each one requires.
+//! - `tokenizer`: splits a line into commands and a command into words.
+//! - `codec`: framing for a server (lines in, replies out) and for a client (lines out, replies in).
 //! - `stat`, `state`, `info`: the tables that `show stat`, `show servers state`, `show info` and `show map` print.
 
-// Not met yet: this package is listed in docs/ROADMAP.md under what is left to tidy.
+// `Command::parse` and its `Display` list all commands in one `match`. Commands, their fields and the columns of
+// `show stat` have no docs where their name is that of the wire.
 #![allow(clippy::too_many_lines, missing_docs)]
 
 pub mod codec;
@@ -15,7 +17,7 @@
 pub mod info;
 pub mod stat;
 pub mod state;
-mod words;
+mod tokenizer;
 
 pub use codec::{ClientCodec, CodecError, ServerCodec, ServerFrame};
 pub use command::{AdminState, Command, CommandError, Level, PromptMode, ServerRef};
--- a/crates/runtime-api/tests/wire.rs
+++ b/crates/runtime-api/tests/wire.rs
@@ -1,10 +1,11 @@
-//! What crosses the wire: written and read again, cut in pieces, and fed with anything at all.
+//! Commands and replies are read as they were written, however the stream is split, and arbitrary input causes no
+//! panic.
 
 use bytes::{BufMut, BytesMut};
-use pondarch_runtime_api::codec::{ANSWER_MOST, LINE_MOST, framed_answer};
-use pondarch_runtime_api::command::{GivenWeight, parse_line};
+use pondarch_runtime_api::codec::{MAX_LINE_BYTES, MAX_REPLY_BYTES, framed_reply};
+use pondarch_runtime_api::command::{WeightArgument, parse_line};
 use pondarch_runtime_api::info::{Info, read_map, write_map};
-use pondarch_runtime_api::stat::{self, RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{self, AttemptTotals, RowType, StatRow};
 use pondarch_runtime_api::state::{self, ServerState};
 use pondarch_runtime_api::*;
 use proptest::prelude::*;
@@ -15,11 +16,12 @@
     "[a-z][a-z0-9_.:-]{0,12}"
 }
 
-/// Words with everything that must be guarded.
+/// Words with characters that must be escaped.
 fn word() -> impl Strategy<Value = String> {
-    "[a-z0-9;\\\\ é]{1,12}".prop_filter("a blank at the end is not told apart", |w| {
-        !w.trim().is_empty()
-    })
+    "[a-z0-9;\\\\ é]{1,12}".prop_filter(
+        "spaces at the end of a command are not distinguished",
+        |w| !w.trim().is_empty(),
+    )
 }
 
 fn command() -> impl Strategy<Value = Command> {
@@ -55,7 +57,8 @@
         (name(), version()).prop_map(|(map, version)| Command::ClearMap { map, version }),
         name().prop_map(|map| Command::PrepareMap { map }),
         (name(), 1..1000u64).prop_map(|(map, version)| Command::CommitMap { map, version }),
-        (server(), 0..=256u16).prop_map(|(s, w)| Command::SetWeight(s, GivenWeight::Units(w))),
+        (server(), 0..=256u16)
+            .prop_map(|(s, w)| Command::SetWeight(s, WeightArgument::Absolute(w))),
         (server(), state).prop_map(|(s, state)| Command::SetState(s, state)),
         (server(), addr()).prop_map(|(s, a)| Command::SetAddr(s, a.ip(), Some(a.port()))),
         (server(), addr(), prop::option::of(0..=256u16)).prop_map(|(server, addr, weight)| {
@@ -78,7 +81,7 @@
         any::<bool>(),
         any::<[u32; 3]>(),
     )
-        .prop_map(|(backend, server, n, own, sums)| {
+        .prop_map(|(backend, server, counters, has_totals, totals)| {
             let [
                 current,
                 total,
@@ -88,37 +91,37 @@
                 response,
                 five,
                 weight,
-            ] = n.map(u64::from);
+            ] = counters.map(u64::from);
             StatRow {
                 backend,
                 server,
-                of: RowType::Server,
-                current,
-                total,
-                queued,
-                denied,
+                row_type: RowType::Server,
+                current_sessions: current,
+                total_sessions: total,
+                queued_requests: queued,
+                denied_requests: denied,
                 connect_errors: connect,
                 response_errors: response,
                 status: "UP".into(),
                 weight,
-                answers: [0, total, 0, 0, five],
-                mean: Duration::from_millis(queued),
+                responses_by_status_class: [0, total, 0, 0, five],
+                mean_response_time: Duration::from_millis(queued),
                 addr: "127.0.0.1:80".into(),
-                sums: own.then(|| Sums {
-                    done: sums[0].into(),
-                    errored: sums[1].into(),
-                    done_time: Duration::from_millis(sums[2].into()),
+                exact_totals: has_totals.then(|| AttemptTotals {
+                    succeeded: totals[0].into(),
+                    failed: totals[1].into(),
+                    succeeded_duration: Duration::from_millis(totals[2].into()),
                 }),
                 ..StatRow::default()
             }
         })
 }
 
-/// All that a decoder gives for these bytes, fed in pieces of this size.
-fn decoded<D: Decoder>(mut decoder: D, bytes: &[u8], piece: usize) -> Vec<Option<D::Item>> {
+/// All items that a decoder returns for these bytes in chunks of this size; the last is `None` after an error.
+fn decoded<D: Decoder>(mut decoder: D, bytes: &[u8], chunk_size: usize) -> Vec<Option<D::Item>> {
     let (mut buffer, mut out) = (BytesMut::new(), Vec::new());
-    for piece in bytes.chunks(piece.max(1)) {
-        buffer.put_slice(piece);
+    for chunk in bytes.chunks(chunk_size.max(1)) {
+        buffer.put_slice(chunk);
         loop {
             match decoder.decode(&mut buffer) {
                 Ok(Some(item)) => out.push(Some(item)),
@@ -142,36 +145,36 @@
     }
 
     #[test]
-    fn any_text_is_a_command_or_an_error(text in ".{0,300}") {
-        for wrong in parse_line(&text).into_iter().filter_map(Result::err) {
-            prop_assert!(wrong.to_string().len() < 1_000);
+    fn arbitrary_text_is_a_command_or_a_short_error(text in ".{0,300}") {
+        for error in parse_line(&text).into_iter().filter_map(Result::err) {
+            prop_assert!(error.to_string().len() < 1_000);
         }
     }
 
     #[test]
-    fn any_bytes_pass_the_codecs(bytes in prop::collection::vec(any::<u8>(), 0..2_000), piece in 1..64usize) {
-        decoded(ServerCodec::default(), &bytes, piece);
-        decoded(ClientCodec::default(), &bytes, piece);
+    fn codecs_accept_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..2_000), chunk_size in 1..64usize) {
+        decoded(ServerCodec::default(), &bytes, chunk_size);
+        decoded(ClientCodec::default(), &bytes, chunk_size);
     }
 
-    /// However the bytes fall into pieces, each answer comes out once and whole.
+    /// Each reply is decoded once and in full, however the bytes are split.
     #[test]
-    fn answers_are_framed(texts in prop::collection::vec("([a-z# ,.]{1,20}\n){0,4}", 1..6), piece in 1..40usize) {
-        let bytes: String = texts.iter().map(|text| framed_answer(text)).collect();
-        let out = decoded(ClientCodec::default(), bytes.as_bytes(), piece);
-        let due: Vec<Option<String>> = texts.iter().map(|text| Some(text.trim_end_matches('\n').to_string())).collect();
-        prop_assert_eq!(out, due);
+    fn replies_are_framed(texts in prop::collection::vec("([a-z# ,.]{1,20}\n){0,4}", 1..6), chunk_size in 1..40usize) {
+        let bytes: String = texts.iter().map(|text| framed_reply(text)).collect();
+        let out = decoded(ClientCodec::default(), bytes.as_bytes(), chunk_size);
+        let expected: Vec<Option<String>> = texts.iter().map(|text| Some(text.trim_end_matches('\n').to_string())).collect();
+        prop_assert_eq!(out, expected);
     }
 
     #[test]
     fn stat_is_read_as_it_is_written(rows in prop::collection::vec(row(), 0..20)) {
         let text = stat::write(&rows);
-        let read = stat::read(text.trim_end()).expect("our own stat");
+        let read = stat::read(text.trim_end()).expect("stat");
         prop_assert_eq!(read, rows);
     }
 
     #[test]
-    fn any_text_as_stat_or_state_or_map(text in "(# pxname,svname,type,stot\n|1\n# be_name srv_name\n|0x1 )?.{0,200}") {
+    fn readers_of_replies_accept_arbitrary_text(text in "(# pxname,svname,type,stot\n|1\n# be_name srv_name\n|0x1 )?.{0,200}") {
         stat::read(&text).ok();
         state::read_state(&text).ok();
         read_map(&text);
@@ -187,8 +190,8 @@
             addr: ([127, 0, 0, 1], 8000 + n as u16).into(),
             state: states[n % 3],
             weight,
-            used: 0,
-            changed_s: n as u64,
+            connections_in_use: 0,
+            seconds_since_change: n as u64,
         };
         let servers: Vec<ServerState> = names.into_iter().enumerate().map(server).collect();
         let read = state::read_state(state::write_state(&servers).trim_end());
@@ -197,30 +200,30 @@
 }
 
 #[test]
-fn lines_too_long_end_the_stream_and_hold_no_more_than_they_must() {
-    let long = vec![b'a'; 4 * LINE_MOST];
-    let mut buffer = BytesMut::from(&long[..]);
+fn a_line_or_reply_over_the_limit_is_an_error() {
+    let long_line = vec![b'a'; 4 * MAX_LINE_BYTES];
+    let mut buffer = BytesMut::from(&long_line[..]);
     assert!(ServerCodec::default().decode(&mut buffer).is_err());
-    let line = format!("{}\n", "a".repeat(LINE_MOST));
+    let line = format!("{}\n", "a".repeat(MAX_LINE_BYTES));
     let out = decoded(ServerCodec::default(), line.as_bytes(), 1000);
     assert!(matches!(out[..], [Some(ServerFrame::Line(_))]));
-    let endless = vec![b'a'; ANSWER_MOST + 2];
+    let long_reply = vec![b'a'; MAX_REPLY_BYTES + 2];
     assert!(
         ClientCodec::default()
-            .decode(&mut BytesMut::from(&endless[..]))
+            .decode(&mut BytesMut::from(&long_reply[..]))
             .is_err()
     );
 }
 
 #[test]
-fn bad_utf8_is_told_apart_and_the_stream_goes_on() {
+fn a_line_that_is_not_utf8_does_not_end_the_stream() {
     let out = decoded(ServerCodec::default(), b"show \xff info\nshow info\r\n", 3);
     let line = ServerFrame::Line("show info".into());
-    assert_eq!(out, [Some(ServerFrame::Garbled), Some(line)]);
+    assert_eq!(out, [Some(ServerFrame::NotUtf8), Some(line)]);
 }
 
 #[test]
-fn prompts_before_answers_are_passed_over() {
+fn prompts_before_replies_are_skipped() {
     let out = decoded(ClientCodec::default(), b"\n> one\n\n> \n> two\n\n", 1);
     assert_eq!(
         out,
@@ -233,49 +236,49 @@
     );
 }
 
-/// A peer of another version: fewer columns, others behind, none of ours.
+/// The peer is of another version: it has fewer columns, a new one, and none of this project.
 #[test]
-fn a_plain_peer_is_read_by_the_documented_columns() {
+fn documented_columns_suffice() {
     let text = "# pxname,svname,scur,stot,econ,eresp,hrsp_5xx,type,rtime,new_one,\n\
         proof,host-1,2,42,3,2,5,2,80,x,\nproof,BACKEND,2,42,,,,1,,,";
     let rows = stat::read(text).expect("stat");
-    let sums = Sums {
-        done: 30,
-        errored: 10,
-        done_time: Duration::from_millis(2_400),
+    let totals = AttemptTotals {
+        succeeded: 30,
+        failed: 10,
+        succeeded_duration: Duration::from_millis(2_400),
     };
-    assert_eq!(rows[0].ended(), sums);
-    assert_eq!(rows[1].of, RowType::Backend);
+    assert_eq!(rows[0].attempt_totals(), totals);
+    assert_eq!(rows[1].row_type, RowType::Backend);
     assert!(stat::read("Permission denied").is_err());
-    let wrong = stat::read("# pxname,svname,stot\na,b,many").expect_err("no counter");
+    let error = stat::read("# pxname,svname,stot\na,b,many").expect_err("not a counter");
     assert_eq!(
-        wrong.to_string(),
+        error.to_string(),
         "'show stat', row 1: 'many' is no counter"
     );
 }
 
 #[test]
-fn messages_are_plain() {
-    let wrong = |text: &str| Command::parse(text).expect_err(text).to_string();
+fn error_messages_name_the_fault() {
+    let error = |text: &str| Command::parse(text).expect_err(text).to_string();
     assert_eq!(
-        wrong("frobnicate"),
+        error("frobnicate"),
         "Unknown command: 'frobnicate'. Type 'help' for the list of commands."
     );
     assert_eq!(
-        wrong("set server nobackend weight 1"),
+        error("set server nobackend weight 1"),
         "Require 'backend/server', got 'nobackend'."
     );
     assert_eq!(
-        wrong("set server a/b weight 257"),
+        error("set server a/b weight 257"),
         "Malformed weight '257': a whole number from 0 to 256, or 0 to 100 with '%'."
     );
     assert_eq!(
-        wrong("set server a/b"),
+        error("set server a/b"),
         "'set server' needs 'addr', 'state' or 'weight'."
     );
-    assert_eq!(wrong("show stat now"), "'show stat' takes no word 'now'.");
+    assert_eq!(error("show stat now"), "'show stat' takes no word 'now'.");
     assert_eq!(
-        wrong("add server a/b localhost"),
+        error("add server a/b localhost"),
         "Malformed address 'localhost'."
     );
     let map = write_map(
--- a/crates/runtime-api/tests/wire_texts/commands.rs
+++ b/crates/runtime-api/tests/wire_texts/commands.rs
@@ -1,8 +1,8 @@
-//! Every command's text, parsed and written again, and every refusal's text.
+//! The text of each command, as it is parsed and written, and of each error.
 
 use pondarch_runtime_api::command::{Command, HELP, Level};
 
-/// Commands that are written as they are read, with the least level that each needs: 0 user, 1 operator, 2 admin.
+/// Commands that are written as they are read, with the lowest level that may use each: 0 user, 1 operator, 2 admin.
 const COMMANDS: &[(&str, u8)] = &[
     ("help", 0),
     ("quit", 0),
@@ -47,7 +47,7 @@
     ("del server proof/a", 2),
 ];
 
-/// Other ways to say a command, each with the text that it is written as.
+/// Other forms of a command, with the form in which it is written.
 const SYNONYMS: &[(&str, &str)] = &[
     ("help me", "help"),
     ("set weight proof/a 12", "set server proof/a weight 12"),
@@ -57,7 +57,8 @@
     ("set map m k a b", "set map m k a\\ b"),
 ];
 
-const REFUSALS: &[(&str, &str)] = &[
+/// Invalid commands with the text of their error.
+const ERRORS: &[(&str, &str)] = &[
     (
         "bogus",
         "Unknown command: 'bogus'. Type 'help' for the list of commands.",
@@ -114,37 +115,37 @@
 
 #[test]
 fn commands_are_written_as_they_are_read() {
-    for (text, least) in COMMANDS {
-        let command = Command::parse(text).unwrap_or_else(|wrong| panic!("{text}: {wrong}"));
+    for (text, lowest_level) in COMMANDS {
+        let command = Command::parse(text).unwrap_or_else(|error| panic!("{text}: {error}"));
         assert_eq!(command.to_string(), *text);
-        assert!(command.level() == level(*least), "level of {text}");
+        assert!(command.level() == level(*lowest_level), "level of {text}");
     }
 }
 
 #[test]
 fn synonyms() {
     for (text, written) in SYNONYMS {
-        let command = Command::parse(text).unwrap_or_else(|wrong| panic!("{text}: {wrong}"));
+        let command = Command::parse(text).unwrap_or_else(|error| panic!("{text}: {error}"));
         assert_eq!(command.to_string(), *written);
     }
 }
 
 #[test]
-fn refusal_texts() {
-    for (text, expected) in REFUSALS {
-        let refusal = Command::parse(text).expect_err(text).to_string();
-        assert_eq!(refusal, *expected);
+fn error_texts() {
+    for (text, expected) in ERRORS {
+        let error = Command::parse(text).expect_err(text).to_string();
+        assert_eq!(error, *expected);
     }
 }
 
 #[test]
-fn help_names_each_command() {
-    let named: Vec<&str> = HELP
+fn help_lists_each_command() {
+    let listed: Vec<&str> = HELP
         .lines()
         .skip(1)
         .filter_map(|line| line.split(" : ").next())
         .collect();
-    let named: Vec<&str> = named.iter().map(|name| name.trim()).collect();
+    let listed: Vec<&str> = listed.iter().map(|name| name.trim()).collect();
     let expected = "add map [@<ver>] <map> <key> <val>|add server <bk>/<srv> <addr> [weight n]|\
         clear map [@<ver>] <map>|commit map @<ver> <map>|del map <map> <key>|del server <bk>/<srv>|\
         disable server <bk>/<srv>|enable server <bk>/<srv>|get map <map> <key>|get weight <bk>/<srv>|help|\
@@ -152,5 +153,5 @@
         set server <bk>/<srv> addr|state|weight|set weight <bk>/<srv> <weight>[%]|show backend|show errors|\
         show events|show info [json]|show map [[@<ver>] <map>]|show memory|show servers conn [<bk>]|\
         show servers state [<bk>]|show stat [json]";
-    assert_eq!(named.join("|"), expected);
+    assert_eq!(listed.join("|"), expected);
 }
--- a/crates/runtime-api/tests/wire_texts/main.rs
+++ b/crates/runtime-api/tests/wire_texts/main.rs
@@ -1,4 +1,4 @@
-//! The literal text of each command and each answer of the runtime API: a renaming in the code must leave it as it is.
+//! The literal text of each command and reply of the runtime API, which must not change when the code is renamed.
 
-mod answers;
 mod commands;
+mod replies;
--- a/crates/runtime-api/tests/wire_texts/answers.rs
+++ b/crates/runtime-api/tests/wire_texts/replies.rs
@@ -1,9 +1,10 @@
-//! Every answer's text: `show info`, `show stat`, `show map`, `show servers state` and `conn`, and its reader's errors.
+//! The text of each reply (`show info`, `show stat`, `show map`, `show servers state` and `conn`) and of the errors of
+//! its reader.
 
 use pondarch_runtime_api::AdminState;
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_runtime_api::info::{Info, read_map, write_map};
-use pondarch_runtime_api::stat::{self, RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{self, AttemptTotals, RowType, StatRow};
 use pondarch_runtime_api::state::{self, ServerState};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,37 +27,37 @@
     let server = StatRow {
         backend: "proof".into(),
         server: "a".into(),
-        of: RowType::Server,
-        current: 1,
-        total: 2,
-        queued: 3,
-        denied: 4,
+        row_type: RowType::Server,
+        current_sessions: 1,
+        total_sessions: 2,
+        queued_requests: 3,
+        denied_requests: 4,
         connect_errors: 5,
         response_errors: 6,
         retries: 7,
         redispatches: 8,
         status: "UP".into(),
         weight: 9,
-        answers: [11, 12, 13, 14, 15],
-        reqs: 0,
-        mean: Duration::from_millis(17),
+        responses_by_status_class: [11, 12, 13, 14, 15],
+        requests: 0,
+        mean_response_time: Duration::from_millis(17),
         addr: "127.0.0.1:80".into(),
-        sums: Some(Sums {
-            done: 18,
-            errored: 19,
-            done_time: Duration::from_millis(20),
+        exact_totals: Some(AttemptTotals {
+            succeeded: 18,
+            failed: 19,
+            succeeded_duration: Duration::from_millis(20),
         }),
-        busy: Some(0.25),
-        waiting: Some(1.5),
+        cpu_utilization: Some(0.25),
+        queued_at_host: Some(1.5),
     };
-    let (name, of) = ("BACKEND".into(), RowType::Backend);
+    let (name, row_type) = ("BACKEND".into(), RowType::Backend);
     vec![
         server,
         StatRow {
             backend: "proof".into(),
             server: name,
-            of,
-            reqs: 16,
+            row_type,
+            requests: 16,
             ..StatRow::default()
         },
     ]
@@ -65,7 +66,7 @@
 #[test]
 fn stat_text_with_every_column() {
     assert_eq!(stat::write(&rows()), STAT);
-    assert!(stat::read(STAT).expect("a table") == rows());
+    assert!(stat::read(STAT).expect("a valid reply") == rows());
 }
 
 #[test]
@@ -76,20 +77,20 @@
         RowType::Server,
         RowType::Listener,
     ];
-    for (number, of) in types.into_iter().enumerate() {
+    for (number, row_type) in types.into_iter().enumerate() {
         let text = stat::write(&[StatRow {
-            of,
+            row_type,
             ..StatRow::default()
         }]);
-        let mut read = csv::Reader::from_reader(text.as_bytes());
-        let at = read
+        let mut reader = csv::Reader::from_reader(text.as_bytes());
+        let type_column = reader
             .headers()
             .expect("a header")
             .iter()
             .position(|name| name == "type")
             .expect("a column");
-        let row = read.records().next().expect("a row").expect("a row");
-        assert_eq!(row.get(at), Some(number.to_string().as_str()));
+        let row = reader.records().next().expect("a row").expect("a row");
+        assert_eq!(row.get(type_column), Some(number.to_string().as_str()));
     }
 }
 
@@ -103,19 +104,19 @@
 }
 
 #[test]
-fn stat_refusal_texts() {
-    let refusal = |text: &str| stat::read(text).expect_err("a bad table").to_string();
+fn stat_error_texts() {
+    let error = |text: &str| stat::read(text).expect_err("an invalid reply").to_string();
     assert_eq!(
-        refusal("bogus"),
+        error("bogus"),
         "'show stat' answered without a header: 'bogus'"
     );
     assert_eq!(
-        refusal("# pxname,type\n"),
+        error("# pxname,type\n"),
         "'show stat' has no column 'svname'"
     );
-    assert_eq!(refusal("# svname\n"), "'show stat' has no column 'pxname'");
+    assert_eq!(error("# svname\n"), "'show stat' has no column 'pxname'");
     assert_eq!(
-        refusal("# pxname,svname,scur\na,b,x\n"),
+        error("# pxname,svname,scur\na,b,x\n"),
         "'show stat', row 1: 'x' is no counter"
     );
 }
@@ -134,22 +135,22 @@
         ("b", AdminState::Drain),
         ("c", AdminState::Maint),
     ];
-    let of = |(server, state): (&str, AdminState)| ServerState {
+    let server = |(server, state): (&str, AdminState)| ServerState {
         backend: "proof".into(),
         server: server.into(),
         addr: ([127, 0, 0, 1], 80).into(),
         state,
         weight: 7,
-        used,
-        changed_s: 9,
+        connections_in_use: used,
+        seconds_since_change: 9,
     };
-    states.map(of).into()
+    states.map(server).into()
 }
 
 #[test]
 fn servers_state_text() {
     assert_eq!(state::write_state(&servers(5)), STATE);
-    assert!(state::read_state(STATE).expect("a table") == servers(0));
+    assert!(state::read_state(STATE).expect("a valid reply") == servers(0));
 }
 
 #[test]
@@ -161,23 +162,23 @@
 }
 
 #[test]
-fn servers_state_refusal_texts() {
-    let refusal = |text: &str| {
+fn servers_state_error_texts() {
+    let error = |text: &str| {
         state::read_state(text)
-            .expect_err("a bad table")
+            .expect_err("an invalid reply")
             .to_string()
     };
     assert_eq!(
-        refusal("2\n"),
+        error("2\n"),
         "'show servers state' answered in version '2', not 1"
     );
     assert_eq!(
-        refusal("1\n# be_id\n"),
+        error("1\n# be_id\n"),
         "'show servers state' has no column 'be_name'"
     );
     let short = STATE.split_once("1 proof").expect("a line").0.to_string() + "1 proof\n";
     assert_eq!(
-        refusal(&short),
+        error(&short),
         "'show servers state', line 3: 2 fields where 25 were due"
     );
 }
@@ -185,14 +186,14 @@
 #[test]
 fn info_text() {
     let mut info = Info::default();
-    info.put("Name", "pondarch");
-    info.put("Pid", 7);
+    info.push("Name", "pondarch");
+    info.push("Pid", 7);
     assert_eq!(info.write(), "Name: pondarch\nPid: 7\n");
     let json = r#"[{"field":{"name":"Name","pos":0},"processNum":1,"value":{"type":"str","value":"pondarch"}},{"field":{"name":"Pid","pos":1},"processNum":1,"value":{"type":"u64","value":7}}]"#;
     assert_eq!(info.write_json(), format!("{json}\n"));
     let read = Info::read("Name: pondarch\nbogus\nPid: 7\n");
     assert_eq!(
-        (read.get("Name"), read.number("Pid")),
+        (read.get("Name"), read.get_u64("Pid")),
         (Some("pondarch"), Some(7))
     );
 }
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn answer_frame_text() {
-    assert_eq!(framed_answer("a\n\nb\n"), "a\nb\n\n");
-    assert_eq!(framed_answer(""), "\n");
+fn reply_frame_text() {
+    assert_eq!(framed_reply("a\n\nb\n"), "a\nb\n\n");
+    assert_eq!(framed_reply(""), "\n");
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::socket::{Listener, Stream};
 use futures_util::{SinkExt, StreamExt};
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_runtime_api::{
     CodecError, Command, Level, PromptMode, ServerCodec, ServerFrame, command,
 };
@@ -107,25 +107,25 @@
     async fn serve(&self, stream: Stream, level: Level) -> Result<(), CodecError> {
         let mut framed = Framed::new(stream, ServerCodec::default());
         let mut mode = ConnectionMode {
-            prompt: PromptMode::Closing,
+            prompt: PromptMode::NonInteractive,
             quit: false,
         };
         loop {
             let frame = match timeout(IDLE_TIMEOUT, framed.next()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => {
-                    return write(&mut framed, framed_answer(&format!("{error}."))).await;
+                    return write(&mut framed, framed_reply(&format!("{error}."))).await;
                 }
                 Ok(None) | Err(_) => return Ok(()),
             };
             let Some(mut answer) = self.answer_frame(frame, level, &mut mode).await else {
                 return Ok(());
             };
-            if mode.prompt == PromptMode::Prompting {
+            if mode.prompt == PromptMode::InteractiveWithPrompt {
                 answer.push_str("> ");
             }
             write(&mut framed, answer).await?;
-            if mode.quit || mode.prompt == PromptMode::Closing {
+            if mode.quit || mode.prompt == PromptMode::NonInteractive {
                 return Ok(());
             }
         }
@@ -139,7 +139,7 @@
         mode: &mut ConnectionMode,
     ) -> Option<String> {
         match frame {
-            ServerFrame::Garbled => Some(framed_answer("The line is not UTF-8.")),
+            ServerFrame::NotUtf8 => Some(framed_reply("The line is not UTF-8.")),
             ServerFrame::Line(line) => {
                 mode.apply_line(&line);
                 self.handler.answer(self.number, level, line).await
@@ -151,8 +151,8 @@
 /// The guide's rules: bare `prompt` goes between prompting and closing, the words name a mode.
 fn prompt_mode(current: PromptMode, requested: PromptMode) -> PromptMode {
     match (requested, current) {
-        (PromptMode::Toggle, PromptMode::Prompting) => PromptMode::Closing,
-        (PromptMode::Toggle, _) => PromptMode::Prompting,
+        (PromptMode::Toggle, PromptMode::InteractiveWithPrompt) => PromptMode::NonInteractive,
+        (PromptMode::Toggle, _) => PromptMode::InteractiveWithPrompt,
         (named, _) => named,
     }
 }
