--- a/crates/config/tests/every_key.rs
+++ b/crates/config/tests/every_key.rs
@@ -53,17 +53,13 @@
         durations,
         ["1500 ms", "4 s", "250 us", "60 s", "1 s", "3600 s"]
     );
-    let same_idempotency = |n: usize, m: usize| {
-        site.request_classes[n].idempotency == site.request_classes[m].idempotency
-    };
-    assert!(!same_idempotency(0, 1) && !same_idempotency(0, 2) && !same_idempotency(1, 2));
+    let idempotency = |n: usize| site.request_classes[n].idempotency;
+    assert!(idempotency(0) != idempotency(1) && idempotency(0) != idempotency(2));
+    assert!(idempotency(1) != idempotency(2));
     let proxy = &site.proxies[0];
+    let request_rate = proxy.typical_request_rate;
     assert_eq!(
-        (
-            proxy.name.as_str(),
-            proxy.zone.as_str(),
-            proxy.typical_request_rate
-        ),
+        (proxy.name.as_str(), proxy.zone.as_str(), request_rate),
         ("front-1", "arnhem", 7.5)
     );
     let runtime_api = |n: usize| {
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -42,7 +42,7 @@
         machine: String::new(),
         weight: 1.0,
         cores: None,
-        started: started,
+        started,
         state,
     }
 }
