--- a/crates/config/src/site.rs
+++ b/crates/config/src/site.rs
@@ -411,7 +411,7 @@
                 None if self.dns.is_none() => {
                     return reject(
                         &format!("proxies[{n}].runtime"),
-                        "is missing; it may be absent only if dns is set".into(),
+                        "is absent, and there is no dns".into(),
                     );
                 }
                 _ => {}
