--- a/crates/config/src/site.rs
+++ b/crates/config/src/site.rs
@@ -326,7 +326,7 @@
             zone_count: self.zones.len() as u16,
             base_retry_policy: Some(RetryPolicy::Never),
             admission: match self.admission {
-                AdmissionSetting::Share => AdmissionMode::Share,
+                AdmissionSetting::Share => AdmissionMode::Fraction,
                 AdmissionSetting::Rate => AdmissionMode::Rate,
                 AdmissionSetting::Off => AdmissionMode::Off,
             },
