--- a/crates/daemon-core/src/operator/show.rs
+++ b/crates/daemon-core/src/operator/show.rs
@@ -53,7 +53,7 @@
 }
 
 pub(super) fn memory(state: &DaemonState) -> String {
-    let lines = state.memory.lines();
+    let lines = state.memory.status_lines();
     lines
         .map(|(purpose, text)| format!("{purpose}: {text}\n"))
         .collect()
@@ -168,7 +168,7 @@
             server: id.0.to_string(),
             addr: line.addr,
             state: AdminState::Ready,
-            weight: line.units,
+            weight: line.weight,
             connections_in_use: 0,
             seconds_since_change: 0,
         }));
--- a/crates/daemon-core/src/peer.rs
+++ b/crates/daemon-core/src/peer.rs
@@ -4,7 +4,7 @@
 use pondarch_config::site::ProxyConnectionSettings;
 use pondarch_controller::DurationExt;
 use pondarch_controller::{ProxyId, RequestClassId, TableId, Time, ZoneId};
-use pondarch_proxy_session::{Front, Session};
+use pondarch_proxy_session::{ProxyMapping, Session};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -67,7 +67,7 @@
         index: usize,
         settings: &pondarch_config::site::ProxyEntry,
         zone: u16,
-        front: Arc<Front>,
+        mapping: Arc<ProxyMapping>,
         now: Time,
     ) -> Peer {
         let link = if settings.runtime_api.is_some() {
@@ -82,7 +82,7 @@
             usual_rate: settings.typical_request_rate,
             link,
             connection: 0,
-            session: Session::new(front),
+            session: Session::new(mapping),
             bindings: BTreeMap::new(),
             sent_messages: SentMessages::default(),
             in_flight: 0.0,
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -13,16 +13,16 @@
     let mut hosts: Vec<ReportSender> = (0..12)
         .map(|n| ReportSender {
             name: format!("host-{n}"),
-            role: SenderIs::Host,
+            role: SenderRole::Host,
             ..ReportSender::proxy(200 + n, 0)
         })
         .collect();
     hosts.iter_mut().for_each(|host| host.connect(&mut fleet));
-    let own = Own {
-        busy: Some(0.4),
-        waiting: Some(0.0),
-        rate: Some(20.0),
-        ..Own::default()
+    let own = HostMetrics {
+        utilization: Some(0.4),
+        queue_length: Some(0.0),
+        request_rate: Some(20.0),
+        ..HostMetrics::default()
     };
     let mut before = BTreeMap::new();
     for step in 0..30 {
@@ -33,9 +33,9 @@
         {
             let report = host.report(
                 &fleet,
-                Body {
-                    own: Some(own),
-                    counted: Vec::new(),
+                ReportBody {
+                    host_metrics: Some(own),
+                    counters: Vec::new(),
                 },
             );
             host.send(&mut fleet, report);
