--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,7 +1,7 @@
 //! `pondarch plan`: solves the weights for a described fleet and prints them with the limits of the fleet.
 
 use crate::report_error;
-use pondarch_config::{PlanSite, read_plan};
+use pondarch_config::{PlanSettings, read_plan};
 use pondarch_controller::DurationExt;
 use pondarch_weight_solver::guard::{HostCapacity, limit_warming_up};
 use pondarch_weight_solver::solve::added_host_gains;
@@ -88,7 +88,7 @@
     Ok((plan, gains))
 }
 
-fn build_fleet(site: &PlanSite) -> Fleet {
+fn build_fleet(site: &PlanSettings) -> Fleet {
     let zone = |name: &String| site.zones.iter().position(|zone| zone == name).unwrap_or(0);
     let hosts = site.hosts.iter().flat_map(|group| {
         (0..group.count).map(move |n| Host {
@@ -100,19 +100,19 @@
             zone: zone(&group.zone),
             cores: group.cores,
             speed: group.speed,
-            max_concurrent_requests: group.connections,
-            warm_fraction: group.warm,
-            other_work: group.taken,
-            other_work_age_s: group.taken_age.0.seconds(),
+            max_concurrent_requests: group.max_concurrent_requests,
+            warm_fraction: group.capacity_fraction,
+            other_work: group.other_load,
+            other_work_age_s: group.other_load_age.0.seconds(),
         })
     });
-    let class = |kind: &pondarch_config::plan::PlanKind| RequestClass {
+    let class = |kind: &pondarch_config::plan::PlanRequestClass| RequestClass {
         name: kind.name.clone(),
-        work_s: kind.work.0.seconds(),
-        latency_objective_s: kind.response_target.0.seconds(),
-        benefit: kind.benefit,
+        work_s: kind.work_per_request.0.seconds(),
+        latency_objective_s: kind.latency_objective.0.seconds(),
+        benefit: kind.priority_weight,
     };
-    let classes: Vec<RequestClass> = site.kinds.iter().map(class).collect();
+    let classes: Vec<RequestClass> = site.request_classes.iter().map(class).collect();
     let hosts: Vec<Host> = hosts.collect();
     let rates = |demand: &BTreeMap<String, BTreeMap<String, f64>>| {
         let rate =
@@ -159,7 +159,7 @@
         zones: site.zones.clone(),
         hosts,
         classes,
-        crossing_price: site.crossing_price,
+        crossing_price: site.cross_zone_cost,
     }
 }
 
--- a/crates/cli/src/records.rs
+++ b/crates/cli/src/records.rs
@@ -305,7 +305,7 @@
         .map_err(|error| error.to_string())?;
     let mut rows: Vec<(WhatIfResult, Option<WhatIfResult>)> = Vec::new();
     for seed in 1..=seeds {
-        let replay_with = |site: Option<&pondarch_config::Site>| {
+        let replay_with = |site: Option<&pondarch_config::SiteSettings>| {
             replay_scenario(&scenario, site, seed)
                 .map_err(|error| format!("{}: {error}", from.display()))
         };
--- a/crates/daemon-core/src/core.rs
+++ b/crates/daemon-core/src/core.rs
@@ -6,7 +6,7 @@
 use crate::output::Output;
 use crate::recovered_state::RecoveredState;
 use crate::state::DaemonState;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_dns_server::View;
 use std::sync::Arc;
@@ -21,7 +21,13 @@
     /// `seed` determines all random choices of this run; `process_id` is the `Pid` of `show info`. Joined proxies store
     /// `incarnation` with the controller's name: it must be higher than in any earlier run, or proxies reject this
     /// run's updates as outdated.
-    pub fn new(site: &Site, seed: u64, process_id: u32, incarnation: u64, now: Time) -> Core {
+    pub fn new(
+        site: &SiteSettings,
+        seed: u64,
+        process_id: u32,
+        incarnation: u64,
+        now: Time,
+    ) -> Core {
         Core {
             state: DaemonState::new(site, seed, process_id, incarnation, now),
         }
--- a/crates/daemon-core/src/info.rs
+++ b/crates/daemon-core/src/info.rs
@@ -26,7 +26,7 @@
     }
     for purpose in pondarch_load_ingestion::memory::PURPOSES {
         let name = purpose.name();
-        info.put(&format!("Memory_{name}"), state.memory.usage(purpose).bytes);
+        info.push(&format!("Memory_{name}"), state.memory.usage(purpose).bytes);
     }
     put_updates(&mut info, state);
     info
@@ -34,15 +34,15 @@
 
 fn put_process(info: &mut Info, state: &DaemonState) {
     let now = state.now;
-    info.put("Name", "pondarch");
-    info.put("Version", env!("CARGO_PKG_VERSION"));
-    info.put("Pid", state.process_id);
-    info.put("Uptime_sec", (now - state.started).micros() / 1_000_000);
-    info.put(
+    info.push("Name", "pondarch");
+    info.push("Version", env!("CARGO_PKG_VERSION"));
+    info.push("Pid", state.process_id);
+    info.push("Uptime_sec", (now - state.started).micros() / 1_000_000);
+    info.push(
         "Start_time_sec",
         crate::time::unix_micros(state.started) / 1_000_000,
     );
-    info.put("Node", &state.name);
+    info.push("Node", &state.name);
 }
 
 fn put_endpoints(info: &mut Info, state: &DaemonState) {
@@ -58,15 +58,15 @@
         .keys()
         .filter(|host| list.is_warming_up(host, state.now))
         .count();
-    info.put("ListVersion", list.generation);
-    info.put(
+    info.push("ListVersion", list.generation);
+    info.push(
         "ListRefused",
         list.rejected_reason.as_deref().unwrap_or("-"),
     );
-    info.put("HostsReady", count(EndpointState::Ready));
-    info.put("HostsDraining", count(EndpointState::Draining));
-    info.put("HostsGone", count(EndpointState::Removed));
-    info.put("HostsCold", warming_up);
+    info.push("HostsReady", count(EndpointState::Ready));
+    info.push("HostsDraining", count(EndpointState::Draining));
+    info.push("HostsGone", count(EndpointState::Removed));
+    info.push("HostsCold", warming_up);
 }
 
 fn put_proxies(info: &mut Info, state: &DaemonState) {
@@ -77,10 +77,10 @@
         .filter(|peer| peer.is_joined() && peer.pending_update.is_some())
         .count();
     let unknown_proxies = state.dns.as_ref().map_or(0, DnsState::unknown_proxy_count);
-    info.put("Proxies", state.peers.len() - unknown_proxies);
-    info.put("ProxiesJoined", joined);
-    info.put("ProxiesBehind", behind);
-    info.put("Tables", state.tables.by_id.len());
+    info.push("Proxies", state.peers.len() - unknown_proxies);
+    info.push("ProxiesJoined", joined);
+    info.push("ProxiesBehind", behind);
+    info.push("Tables", state.tables.by_id.len());
 }
 
 fn put_weights(info: &mut Info, state: &DaemonState) {
@@ -88,8 +88,8 @@
         .weight_planner
         .as_ref()
         .map_or("listed", WeightPlanner::source);
-    info.put("Weights", source);
-    info.put(
+    info.push("Weights", source);
+    info.push(
         "WeightsFailed",
         state
             .weight_planner
@@ -100,11 +100,11 @@
 }
 
 fn put_updates(info: &mut Info, state: &DaemonState) {
-    info.put(
+    info.push(
         "LinesWaiting",
         state.update_queue.in_flight().round() as u64,
     );
-    info.put(
+    info.push(
         "LinesOrdered",
         state
             .peers
@@ -112,7 +112,7 @@
             .map(|peer| peer.commands_sent)
             .sum::<u64>(),
     );
-    info.put(
+    info.push(
         "LinesRefused",
         state
             .peers
@@ -132,10 +132,10 @@
                 .map(|peer| peer.name.as_str())
         })
         .collect();
-    info.put("NamesAsking", dns.querying_proxies());
-    info.put("NamesStrangersAsking", dns.querying_unknown_proxies());
-    info.put("NamesSerial", dns.view().serial);
-    info.put(
+    info.push("NamesAsking", dns.querying_proxies());
+    info.push("NamesStrangersAsking", dns.querying_unknown_proxies());
+    info.push("NamesSerial", dns.view().serial);
+    info.push(
         "NamesHoldTooLong",
         if too_long.is_empty() {
             "-".into()
@@ -146,27 +146,27 @@
 }
 
 fn put_event_log(info: &mut Info, event_log: &EventLogState) {
-    info.put(
+    info.push(
         "Records",
         event_log
             .stopped_reason
             .as_ref()
             .map_or("written".into(), |reason| format!("stopped: {reason}")),
     );
-    info.put("RecordsLost", event_log.lost_inputs);
+    info.push("RecordsLost", event_log.lost_inputs);
 }
 
 fn put_reports(info: &mut Info, state: &DaemonState) {
     let counters = &state.pushed_reports.counters;
-    info.put("Senders", state.pushed_reports.sender_count());
-    info.put("Reports", counters.received);
-    info.put("ReportsLate", counters.late);
-    info.put("ReportsDoubled", counters.duplicate);
-    info.put("ReportsMissing", counters.missing);
-    info.put("ReportsRestarted", counters.restarted);
-    info.put("ReportsStale", counters.stale);
-    info.put("ReportsRefused", counters.rejected);
-    info.put("ReportsOfStrangers", counters.unknown_senders);
-    info.put("ReportsUnlisted", counters.unlisted_hosts);
-    info.put("ClockJumps", counters.clock_jumps);
+    info.push("Senders", state.pushed_reports.sender_count());
+    info.push("Reports", counters.received);
+    info.push("ReportsLate", counters.late);
+    info.push("ReportsDoubled", counters.duplicate);
+    info.push("ReportsMissing", counters.missing);
+    info.push("ReportsRestarted", counters.restarted);
+    info.push("ReportsStale", counters.stale);
+    info.push("ReportsRefused", counters.rejected);
+    info.push("ReportsOfStrangers", counters.unknown_senders);
+    info.push("ReportsUnlisted", counters.unlisted_hosts);
+    info.push("ClockJumps", counters.clock_jumps);
 }
--- a/crates/daemon-core/src/pushed_reports.rs
+++ b/crates/daemon-core/src/pushed_reports.rs
@@ -5,7 +5,7 @@
 use pondarch_controller::{DurationExt, Time};
 use pondarch_load_ingestion::{Arrival, ClockOffset, ReportSequence, ReporterLiveness, decay};
 use pondarch_load_report_protocol::{ProxyCounters, Report, ReportBody, SenderRole};
-use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{AttemptTotals, RowType, StatRow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -184,24 +184,24 @@
 
 /// The row of `show stat` that has these counters.
 pub(crate) fn stat_row(counted: ProxyCounters) -> StatRow {
-    let sums = Sums {
-        done: counted.succeeded,
-        errored: counted.failed,
-        done_time: Duration::from_micros(counted.success_time_us),
+    let sums = AttemptTotals {
+        succeeded: counted.succeeded,
+        failed: counted.failed,
+        succeeded_duration: Duration::from_micros(counted.success_time_us),
     };
     StatRow {
-        of: if counted.server.is_some() {
+        row_type: if counted.server.is_some() {
             RowType::Server
         } else {
             RowType::Backend
         },
         backend: counted.backend,
         server: counted.server.unwrap_or_else(|| "BACKEND".into()),
-        total: counted.succeeded.saturating_add(counted.failed),
-        reqs: counted.requests,
-        sums: Some(sums),
-        busy: counted.utilization,
-        waiting: counted.queue_length,
+        total_sessions: counted.succeeded.saturating_add(counted.failed),
+        requests: counted.requests,
+        exact_totals: Some(sums),
+        cpu_utilization: counted.utilization,
+        queued_at_host: counted.queue_length,
         ..StatRow::default()
     }
 }
--- a/crates/daemon-core/src/weight_planner.rs
+++ b/crates/daemon-core/src/weight_planner.rs
@@ -2,7 +2,7 @@
 //! the weights that follow from its plans are given to the controller in place of the listed ones.
 
 use crate::endpoint_list::EndpointList;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::{EndpointState, HostId, Time};
 use pondarch_proxy_session::counters::CounterDelta;
 use pondarch_weight_solver::planner::ClassSettings;
@@ -20,15 +20,15 @@
 }
 
 impl WeightPlanner {
-    pub(crate) fn new(site: &Site, now: Time) -> WeightPlanner {
-        let class = |class: &pondarch_config::site::Kind| ClassSettings {
+    pub(crate) fn new(site: &SiteSettings, now: Time) -> WeightPlanner {
+        let class = |class: &pondarch_config::site::RequestClassSettings| ClassSettings {
             name: class.name.clone(),
-            latency_objective: class.response_target.0,
-            benefit: class.benefit,
+            latency_objective: class.latency_objective.0,
+            benefit: class.priority_weight,
         };
-        let classes = site.kinds.iter().map(class).collect();
+        let classes = site.request_classes.iter().map(class).collect();
         let proxies_of_site = site
-            .proxies_of_site
+            .site_proxy_count
             .unwrap_or(site.proxies.len() as u64)
             .max(1);
         let own_part = site.proxies.len() as f64 / proxies_of_site as f64;
@@ -36,11 +36,11 @@
             planner: Planner::new(
                 classes,
                 site.zones.clone(),
-                site.crossing_price,
+                site.cross_zone_cost,
                 own_part,
                 now,
             ),
-            start_share: site.cold.start_share,
+            start_share: site.slow_start.initial_capacity,
             observed: BTreeMap::new(),
             started: BTreeMap::new(),
             last_source: WeightSource::Listed,
--- a/crates/daemon-core/tests/in_memory/faults.rs
+++ b/crates/daemon-core/tests/in_memory/faults.rs
@@ -125,7 +125,7 @@
 #[test]
 fn simultaneous_joins_stay_within_the_update_queue_and_a_drain_reaches_all_proxies() {
     let mut site = site(200);
-    site.channel.most_waiting = 2_000.0;
+    site.update_channel.max_waiting_commands = 2_000.0;
     let mut fleet = SimulatedFleet::new(&site, 700);
     let mut max_waiting = 0;
     for _ in 0..200 {
--- a/crates/daemon-core/tests/in_memory/pushed_reports.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports.rs
@@ -5,7 +5,7 @@
 mod silence;
 
 use crate::simulated_fleet::*;
-use pondarch_config::Length;
+use pondarch_config::DurationSetting;
 use pondarch_config::hosts::HostState;
 use pondarch_daemon_core::{Event, Input, Output};
 use pondarch_load_report_protocol::{HostMetrics, ProxyCounters, Report, ReportBody, SenderRole};
@@ -35,9 +35,9 @@
 /// applied.
 fn fleet(lines_per_second: Option<f64>, hosts: usize) -> SimulatedFleet {
     let mut site = site(6);
-    site.reports.push = Some("unix:/push".parse().expect("a socket path"));
-    site.reports.lines_per_second = lines_per_second;
-    site.reports.every = Length::millis(1_000);
+    site.load_reports.push_endpoint = Some("unix:/push".parse().expect("a socket path"));
+    site.load_reports.max_lines_per_second = lines_per_second;
+    site.load_reports.interval = DurationSetting::from_millis(1_000);
     let mut fleet = SimulatedFleet::new(&site, hosts);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), 6);
@@ -47,14 +47,14 @@
 /// The body of a report with the counters of a proxy.
 fn report_body(state: &ProxyState) -> ReportBody {
     let counted = state.stat_rows().into_iter().map(|row| {
-        let sums = row.sums.unwrap_or_default();
+        let sums = row.exact_totals.unwrap_or_default();
         ProxyCounters {
             backend: row.backend,
-            server: (row.of == RowType::Server).then_some(row.server),
-            requests: row.reqs,
-            succeeded: sums.done,
-            failed: sums.errored,
-            success_time_us: sums.done_time.as_micros() as u64,
+            server: (row.row_type == RowType::Server).then_some(row.server),
+            requests: row.requests,
+            succeeded: sums.succeeded,
+            failed: sums.failed,
+            success_time_us: sums.succeeded_duration.as_micros() as u64,
             ..ProxyCounters::default()
         }
     });
--- a/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
+++ b/crates/daemon-core/tests/in_memory/pushed_reports/silence.rs
@@ -113,8 +113,8 @@
                         .get_mut(&failing)
                         .filter(|server| server.is_serving())
                     {
-                        server.results.done -= 6;
-                        server.results.errored += 6;
+                        server.results.succeeded -= 6;
+                        server.results.failed += 6;
                     }
                 }
                 sender.push(&mut fleet, n);
@@ -158,8 +158,8 @@
     let inputs: Vec<(u64, Input)> = serde_json::from_str(&text).expect("deserializable inputs");
     let replay = || {
         let mut site = site(6);
-        site.reports.push = Some("unix:/push".parse().expect("a socket path"));
-        site.reports.lines_per_second = Some(5.0);
+        site.load_reports.push_endpoint = Some("unix:/push".parse().expect("a socket path"));
+        site.load_reports.max_lines_per_second = Some(5.0);
         let mut core = pondarch_daemon_core::Core::new(
             &site,
             7,
--- a/crates/daemon-core/tests/in_memory/weights.rs
+++ b/crates/daemon-core/tests/in_memory/weights.rs
@@ -2,7 +2,7 @@
 
 use crate::simulated_fleet::*;
 use pondarch_config::hosts::HostState;
-use pondarch_config::site::Weights;
+use pondarch_config::site::WeightSource;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Event, Input, Output};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 /// A fleet with solved weights whose proxies have all joined.
 fn fleet_with_solver(proxies: usize, hosts: usize) -> SimulatedFleet {
     let mut site = site(proxies);
-    site.weights = Weights::Solved;
+    site.weight_source = WeightSource::Solved;
     let mut fleet = SimulatedFleet::new(&site, hosts);
     fleet.run(3_000);
     assert_eq!(fleet.info("ProxiesJoined"), proxies as u64);
@@ -37,8 +37,8 @@
                 let requests = 40 * u64::from(server.weight) / total_weight.max(1);
                 let ms = if name == slow { 60 } else { 20 };
                 server.attempts += requests;
-                server.results.done += requests;
-                server.results.done_time += Duration::from_millis(ms * requests);
+                server.results.succeeded += requests;
+                server.results.succeeded_duration += Duration::from_millis(ms * requests);
                 backend.requests += requests;
             }
         }
@@ -241,7 +241,7 @@
         run_second(&mut fleet, "host-3");
     }
     let mut site = site(4);
-    site.weights = Weights::Solved;
+    site.weight_source = WeightSource::Solved;
     let mut core = Core::new(&site, 7, 1, START, Time::from_micros(START));
     let mut outputs = Vec::new();
     for (at, input) in &fleet.inputs {
--- a/crates/daemon/benches/recording/fleet.rs
+++ b/crates/daemon/benches/recording/fleet.rs
@@ -1,6 +1,6 @@
 //! A core with simulated in-memory proxies that answer at once, in simulated time.
 
-use pondarch_config::{HostEntry, Site};
+use pondarch_config::{HostEntry, SiteSettings};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, unix_micros};
 use pondarch_proxy_core::proxy_state::ProxyState;
@@ -64,7 +64,7 @@
 
 impl SimulatedFleet {
     /// Creates a fleet whose simulated time starts at `at_us`.
-    pub(crate) fn new(site: &Site, at_us: u64) -> SimulatedFleet {
+    pub(crate) fn new(site: &SiteSettings, at_us: u64) -> SimulatedFleet {
         let proxy = |n: usize| {
             ProxyState::new(
                 &format!("front-{n}"),
@@ -123,7 +123,7 @@
                     backend.requests += 3;
                     for server in backend.servers.values_mut() {
                         server.attempts += 1;
-                        server.results.done += 1;
+                        server.results.succeeded += 1;
                     }
                 }
                 let answers = lines
--- a/crates/daemon/benches/recording/sizes.rs
+++ b/crates/daemon/benches/recording/sizes.rs
@@ -1,7 +1,7 @@
 //! Time to write, recover from and replay a log of a given size.
 
 use crate::fleet::{HOSTS, PROXIES, SimulatedFleet, run_start, settings};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_controller::Time;
 use pondarch_daemon::Clock;
 use pondarch_daemon_core::{Input, Output, unix_micros};
@@ -95,7 +95,7 @@
 pub(crate) fn measure_log(bytes: u64) {
     let folder = tempfile::tempdir().expect("create a temporary folder");
     let text = settings(folder.path());
-    let site = site_from_text(&text).expect("valid settings");
+    let site = site_from_json(&text).expect("valid settings");
     let start = Clock::start().now();
     let mut writer = LogWriter::start(folder.path(), &text, start);
     let mut fleet = SimulatedFleet::new(&site, unix_micros(start));
@@ -116,7 +116,7 @@
     time_replay(folder.path(), span);
 }
 
-fn time_recovery(folder: &Path, site: &Site, written: &WriteStatistics, span: Duration) {
+fn time_recovery(folder: &Path, site: &SiteSettings, written: &WriteStatistics, span: Duration) {
     let started_at = Instant::now();
     let recovered = recover(&Folder::read_only(folder), site).expect("recover from the log");
     let took = started_at.elapsed();
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -8,7 +8,7 @@
 use crate::output_handler::OutputHandler;
 use crate::push;
 use crate::recorder::{self, Recorder};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, Output, unix_micros};
 use pondarch_io_util::Clock;
@@ -37,7 +37,7 @@
 ///
 /// A socket cannot be bound, a file cannot be opened or the settings cannot be used. Nothing has been sent to any proxy
 /// in that case.
-pub async fn run(site: Site, text: String, options: Options) -> Result<(), DaemonError> {
+pub async fn run(site: SiteSettings, text: String, options: Options) -> Result<(), DaemonError> {
     let mut daemon = Daemon::start(site, text, options).await?;
     while let Some(input) = daemon.next_input().await {
         daemon.handle(input);
@@ -64,7 +64,11 @@
 }
 
 impl Daemon {
-    async fn start(site: Site, text: String, options: Options) -> Result<Daemon, DaemonError> {
+    async fn start(
+        site: SiteSettings,
+        text: String,
+        options: Options,
+    ) -> Result<Daemon, DaemonError> {
         let clock = Clock::start();
         let now = clock.now();
         let seed = options.seed.unwrap_or(unix_micros(now));
@@ -76,8 +80,8 @@
         let start = run_start(text, seed, incarnation, now);
         let process = start.process;
         let folder = previous.folder;
-        let recorder = site.records.clone().map(|records| {
-            let open = recorder::folder_opener(folder, records.folder.clone());
+        let recorder = site.event_log.clone().map(|records| {
+            let open = recorder::folder_opener(folder, records.directory.clone());
             Recorder::start(open, &records, start, clock, inputs.clone())
         });
         let mut tasks = JoinSet::new();
@@ -207,7 +211,7 @@
 
 /// Opens the operators' sockets and serves them in tasks of the set.
 async fn listen_for_commands(
-    site: &Site,
+    site: &SiteSettings,
     command_handler: &CoreCommandHandler,
     tasks: &mut JoinSet<()>,
 ) -> Result<(), DaemonError> {
--- a/crates/daemon/src/health_checks.rs
+++ b/crates/daemon/src/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks over HTTP/1.1, whose responses can also report a host's load.
 
-use pondarch_config::site::Probes;
+use pondarch_config::site::HealthCheckSettings;
 use pondarch_daemon_core::{Input, ReportedLoad};
 use pondarch_io_util::{GetResponse, get};
 use pondarch_load_report::{HEADER, Report};
@@ -17,14 +17,14 @@
 /// Performs health checks. Clones share the limit on concurrent checks.
 #[derive(Clone)]
 pub(crate) struct HealthChecker {
-    settings: Arc<Probes>,
+    settings: Arc<HealthCheckSettings>,
     permits: Arc<Semaphore>,
     inputs: mpsc::Sender<Input>,
 }
 
 impl HealthChecker {
     /// Creates a health checker with these settings.
-    pub(crate) fn new(settings: Probes, inputs: mpsc::Sender<Input>) -> HealthChecker {
+    pub(crate) fn new(settings: HealthCheckSettings, inputs: mpsc::Sender<Input>) -> HealthChecker {
         HealthChecker {
             settings: Arc::new(settings),
             permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CHECKS)),
@@ -37,7 +37,7 @@
         let response = match self.permits.try_acquire() {
             Ok(_permit) => {
                 timeout(
-                    self.settings.time_limit.std(),
+                    self.settings.timeout.as_std(),
                     get(address, &self.settings.path, MAX_BODY_BYTES),
                 )
                 .await
--- a/crates/daemon/src/output_handler.rs
+++ b/crates/daemon/src/output_handler.rs
@@ -5,7 +5,7 @@
 use crate::health_checks::HealthChecker;
 use crate::log;
 use crate::push::{ReportSenders, SenderCounts};
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_daemon_core::{Input, Output};
 use pondarch_load_report_protocol::ToSender;
 use pondarch_weight_solver::planner::SOLVER_TIME_LIMIT;
@@ -40,7 +40,7 @@
     solver_tasks: JoinSet<()>,
     commands: CoreCommandHandler,
     inputs: mpsc::Sender<Input>,
-    site: Site,
+    site: SiteSettings,
     reply_tasks: JoinSet<()>,
     report_senders: Option<ReportSenders>,
     /// The number of the last input in the event log; `None` if there is no event log.
@@ -52,14 +52,14 @@
 impl OutputHandler {
     /// Creates a handler without connections.
     pub(crate) fn new(
-        site: Site,
+        site: SiteSettings,
         inputs: mpsc::Sender<Input>,
         commands: CoreCommandHandler,
         report_senders: Option<ReportSenders>,
         written_up_to: Option<watch::Receiver<u64>>,
     ) -> OutputHandler {
         let health_checker = site
-            .probes
+            .health_checks
             .clone()
             .map(|probes| HealthChecker::new(probes, inputs.clone()));
         OutputHandler {
@@ -139,9 +139,9 @@
 
     fn dial(&mut self, proxy: u16, number: u64) {
         let settings = &self.site.proxies[proxy as usize];
-        let limit = self.site.links.dial_limit.std();
+        let limit = self.site.proxy_connections.connect_timeout.as_std();
         // Proxies without a runtime API are never dialled.
-        let Some(endpoint) = settings.runtime.clone() else {
+        let Some(endpoint) = settings.runtime_api.clone() else {
             return;
         };
         let connection = Connection::dial(proxy, number, endpoint, limit, self.inputs.clone());
--- a/crates/daemon/src/recorder/previous_run.rs
+++ b/crates/daemon/src/recorder/previous_run.rs
@@ -1,7 +1,7 @@
 //! Recovers the state of the previous run from the event log.
 
 use crate::error::DaemonError;
-use pondarch_config::Site;
+use pondarch_config::SiteSettings;
 use pondarch_controller::Time;
 use pondarch_daemon_core::{RecoveredState, unix_micros};
 use pondarch_event_log::{Folder, LockError};
@@ -40,11 +40,11 @@
 /// # Errors
 ///
 /// Another program holds the lock. If the folder cannot be opened for another reason, the controller starts without it.
-pub(crate) fn previous_run(site: &Site, now: Time) -> Result<PreviousRun, DaemonError> {
-    let Some(records) = &site.records else {
+pub(crate) fn previous_run(site: &SiteSettings, now: Time) -> Result<PreviousRun, DaemonError> {
+    let Some(records) = &site.event_log else {
         return Ok(PreviousRun::default());
     };
-    let folder = match Folder::lock(&records.folder) {
+    let folder = match Folder::lock(&records.directory) {
         Ok(folder) => folder,
         Err(error @ LockError::Held(_)) => return Err(error.into()),
         Err(error) => {
@@ -58,7 +58,7 @@
 }
 
 /// Recovers the previous run from a folder; empty if the folder cannot be read.
-fn recover_from(folder: &Folder, site: &Site, now: Time) -> PreviousRun {
+fn recover_from(folder: &Folder, site: &SiteSettings, now: Time) -> PreviousRun {
     let recovered = match recover(folder, site) {
         Ok(recovered) => recovered,
         Err(error) => {
--- a/crates/proxy-core/src/proxy_state/mod.rs
+++ b/crates/proxy-core/src/proxy_state/mod.rs
@@ -9,7 +9,7 @@
 pub use error::StateError;
 pub(crate) use map_commands::version_created;
 
-use pondarch_runtime_api::stat::Sums;
+use pondarch_runtime_api::stat::AttemptTotals;
 use pondarch_runtime_api::{AdminState, Command, Level, command};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// Number of attempts since the start.
     pub attempts: u64,
     /// Totals of the finished attempts by result.
-    pub results: Sums,
+    pub results: AttemptTotals,
     /// CPU utilization from the host's latest load report, as a fraction of its cores.
     pub utilization: Option<f64>,
     /// Number of requests queued at the host, from its latest load report.
@@ -86,7 +86,7 @@
             state,
             in_flight: 0,
             attempts: 0,
-            results: Sums::default(),
+            results: AttemptTotals::default(),
             utilization: None,
             queue_length: None,
         }
--- a/crates/proxy-session/src/counters.rs
+++ b/crates/proxy-session/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy_state::ProxyMapping;
 use pondarch_controller::{AttemptOutcomes, HostId, HostLoad, RequestClassId, Time};
-use pondarch_runtime_api::stat::{RowType, StatRow, Sums};
+use pondarch_runtime_api::stat::{AttemptTotals, RowType, StatRow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct CounterTracker {
     last_read_at: Option<Time>,
-    servers: BTreeMap<(RequestClassId, HostId), Sums>,
+    servers: BTreeMap<(RequestClassId, HostId), AttemptTotals>,
     requests: BTreeMap<RequestClassId, u64>,
     /// The proxy process that these counters belong to.
     process: Option<u64>,
@@ -71,16 +71,16 @@
             .last_read_at
             .map_or(Duration::ZERO, |last_read_at| now - last_read_at);
         self.last_read_at = Some(now);
-        let mut totals: BTreeMap<HostId, Sums> = BTreeMap::new();
+        let mut totals: BTreeMap<HostId, AttemptTotals> = BTreeMap::new();
         let (mut requests, mut loads, mut completed) = (Vec::new(), BTreeMap::new(), Vec::new());
         let mut current_servers = BTreeMap::new();
         for row in rows {
             let Some(&class) = class_of.get(row.backend.as_str()) else {
                 continue;
             };
-            match row.of {
+            match row.row_type {
                 RowType::Server => {
-                    let (host, sums) = (HostId(row.server.as_str().into()), row.ended());
+                    let (host, sums) = (HostId(row.server.as_str().into()), row.attempt_totals());
                     let before = self
                         .servers
                         .get(&(class, host.clone()))
@@ -88,43 +88,47 @@
                         .unwrap_or_default();
                     // A counter that decreased was reset: all of it is new, and no difference is negative.
                     let before = if decreased(&sums, &before) {
-                        Sums::default()
+                        AttemptTotals::default()
                     } else {
                         before
                     };
                     // Without a response since the previous reading, the reported load is the previous one.
-                    if sums.done > before.done && (row.busy.is_some() || row.waiting.is_some()) {
+                    if sums.succeeded > before.succeeded
+                        && (row.cpu_utilization.is_some() || row.queued_at_host.is_some())
+                    {
                         loads.insert(
                             host.clone(),
                             HostLoad {
-                                utilization: row.busy,
-                                queue_length: row.waiting,
+                                utilization: row.cpu_utilization,
+                                queue_length: row.queued_at_host,
                                 service_time: None,
                             },
                         );
                     }
-                    let duration = sums.done_time.saturating_sub(before.done_time);
-                    if sums.done > before.done {
+                    let duration = sums
+                        .succeeded_duration
+                        .saturating_sub(before.succeeded_duration);
+                    if sums.succeeded > before.succeeded {
                         let duration = Duration::from_micros(duration.as_micros() as u64);
                         completed.push((
                             host.clone(),
                             class,
-                            (sums.done - before.done) as f64,
+                            (sums.succeeded - before.succeeded) as f64,
                             duration,
                         ));
                     }
                     let total = totals.entry(host.clone()).or_default();
-                    total.done += sums.done - before.done;
-                    total.errored += sums.errored - before.errored;
-                    total.done_time += duration;
+                    total.succeeded += sums.succeeded - before.succeeded;
+                    total.failed += sums.failed - before.failed;
+                    total.succeeded_duration += duration;
                     current_servers.insert((class, host), sums);
                 }
                 RowType::Backend => {
                     let before = self
                         .requests
-                        .insert(class, row.reqs)
-                        .filter(|&before| before <= row.reqs);
-                    requests.push((class, (row.reqs - before.unwrap_or(0)) as f64));
+                        .insert(class, row.requests)
+                        .filter(|&before| before <= row.requests);
+                    requests.push((class, (row.requests - before.unwrap_or(0)) as f64));
                 }
                 _ => {}
             }
@@ -134,11 +138,11 @@
         if first_read {
             return CounterDelta::default();
         }
-        let outcome = |(host, sums): (HostId, Sums)| {
-            let mean_us = sums.done_time.as_micros() as u64 / sums.done.max(1);
+        let outcome = |(host, sums): (HostId, AttemptTotals)| {
+            let mean_us = sums.succeeded_duration.as_micros() as u64 / sums.succeeded.max(1);
             let outcomes = AttemptOutcomes {
-                attempts: (sums.done + sums.errored) as f64,
-                failures: sums.errored as f64,
+                attempts: (sums.succeeded + sums.failed) as f64,
+                failures: sums.failed as f64,
                 mean_latency: Duration::from_micros(mean_us),
                 period,
                 load: None,
@@ -147,7 +151,7 @@
         };
         let ended = totals
             .into_iter()
-            .filter(|(_, sums)| sums.done + sums.errored > 0);
+            .filter(|(_, sums)| sums.succeeded + sums.failed > 0);
         let (outcomes, loads) = (ended.map(outcome).collect(), loads.into_iter().collect());
         CounterDelta {
             period,
@@ -159,6 +163,6 @@
     }
 }
 
-fn decreased(now: &Sums, before: &Sums) -> bool {
-    now.done < before.done || now.errored < before.errored
+fn decreased(now: &AttemptTotals, before: &AttemptTotals) -> bool {
+    now.succeeded < before.succeeded || now.failed < before.failed
 }
--- a/crates/proxy-session/src/session.rs
+++ b/crates/proxy-session/src/session.rs
@@ -251,8 +251,8 @@
             PendingReply::Info => {
                 let info = Info::read(text);
                 // A process is identified by its id and start time together, as either may repeat.
-                let started = info.number("Start_time_sec").unwrap_or(0);
-                self.process = info.number("Pid").unwrap_or(0) ^ started.rotate_left(32);
+                let started = info.get_u64("Start_time_sec").unwrap_or(0);
+                self.process = info.get_u64("Pid").unwrap_or(0) ^ started.rotate_left(32);
                 None
             }
             PendingReply::Servers => {
--- a/crates/proxy-session/src/update.rs
+++ b/crates/proxy-session/src/update.rs
@@ -10,7 +10,7 @@
     RETRY_POLICY_MAP, STATE_MAP, VERSION_KEY,
 };
 use pondarch_controller::{HostId, RequestClassId};
-use pondarch_runtime_api::command::GivenWeight;
+use pondarch_runtime_api::command::WeightArgument;
 use pondarch_runtime_api::{AdminState, Command, ServerRef};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -340,8 +340,9 @@
             return;
         };
         let mut current = *applied;
-        let set_weight =
-            |server: &ServerRef| Command::SetWeight(server.clone(), GivenWeight::Units(weight));
+        let set_weight = |server: &ServerRef| {
+            Command::SetWeight(server.clone(), WeightArgument::Absolute(weight))
+        };
         let idle = !applied.is_selectable();
         if idle {
             // The line is out of use: address and weight are set before it gets its first request.
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -103,7 +103,12 @@
         let limits = self.shared.limits();
         let (head, body) = request.into_parts();
         let time_left = self.time_left(&admitted);
-        let mut body = match timeout(time_left, RequestBody::read(body, limits.held_body)).await {
+        let mut body = match timeout(
+            time_left,
+            RequestBody::read(body, limits.max_retained_body_bytes),
+        )
+        .await
+        {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => {
                 return with_connection_close(text_response(
@@ -141,8 +146,8 @@
                 return text_response(StatusCode::BAD_REQUEST, "the req cannot be passed on\n");
             };
             let response_timeout = limits
-                .response
-                .map_or(time_left, |limit| limit.std().min(time_left));
+                .response_timeout
+                .map_or(time_left, |limit| limit.as_std().min(time_left));
             let (outcome, response) = match timeout(
                 response_timeout,
                 self.client.request(upstream_request),
@@ -295,7 +300,10 @@
     }
 }
 
-fn matches_class(class: &pondarch_config::proxy::ProxyKind, request: &Request<Incoming>) -> bool {
+fn matches_class(
+    class: &pondarch_config::proxy::ProxyRequestClass,
+    request: &Request<Incoming>,
+) -> bool {
     let header_value = |name: &str| {
         request
             .headers()
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -101,16 +101,16 @@
 }
 
 fn proxy_counters(row: StatRow) -> ProxyCounters {
-    let sums = row.sums.unwrap_or_default();
+    let sums = row.exact_totals.unwrap_or_default();
     ProxyCounters {
         backend: row.backend,
-        server: (row.of == RowType::Server).then_some(row.server),
-        requests: row.reqs,
-        succeeded: sums.done,
-        failed: sums.errored,
-        success_time_us: sums.done_time.as_micros() as u64,
-        utilization: row.busy,
-        queue_length: row.waiting,
+        server: (row.row_type == RowType::Server).then_some(row.server),
+        requests: row.requests,
+        succeeded: sums.succeeded,
+        failed: sums.failed,
+        success_time_us: sums.succeeded_duration.as_micros() as u64,
+        utilization: row.cpu_utilization,
+        queue_length: row.queued_at_host,
     }
 }
 
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -10,7 +10,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use pondarch_config::hosts::HostState;
-use pondarch_config::{Endpoint, HostEntry, ProxySite, SettingsError, read_hosts, read_proxy};
+use pondarch_config::{Endpoint, HostEntry, ProxySettings, SettingsError, read_hosts, read_proxy};
 use pondarch_proxy_core::policy::StaticHost;
 use pondarch_transport::{Listener, serve};
 use std::convert::Infallible;
@@ -64,7 +64,7 @@
     clippy::too_many_lines,
     reason = "one sequence: sockets, background tasks, HTTP client"
 )]
-pub async fn start(site: &ProxySite) -> Result<RunningProxy, ProxyError> {
+pub async fn start(site: &ProxySettings) -> Result<RunningProxy, ProxyError> {
     let now_us = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -98,8 +98,8 @@
             handler.clone(),
         ));
     }
-    for endpoint in &site.report_to {
-        let (name, period) = (site.name.clone(), site.report_every.std());
+    for endpoint in &site.report_endpoints {
+        let (name, period) = (site.name.clone(), site.report_interval.as_std());
         background_tasks.spawn(load_reports::send_load_reports(
             endpoint.clone(),
             name,
@@ -108,12 +108,12 @@
         ));
     }
     let mut http = HttpConnector::new();
-    http.set_connect_timeout(Some(site.limits.connect.std()));
+    http.set_connect_timeout(Some(site.limits.connect_timeout.as_std()));
     http.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(site.limits.idle_close.std())
-        .pool_max_idle_per_host(site.limits.at_host)
+        .pool_idle_timeout(site.limits.idle_timeout.as_std())
+        .pool_max_idle_per_host(site.limits.max_in_flight_per_host)
         // The proxy core decides whether to retry.
         .retry_canceled_requests(false)
         .set_host(false)
@@ -145,7 +145,7 @@
 
 /// The hosts to use until a controller sends a table: a random choice of the ready hosts of the proxy's zone, or of all
 /// zones if its own has fewer than three.
-fn choose_static_hosts(site: &ProxySite, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
+fn choose_static_hosts(site: &ProxySettings, hosts: &[HostEntry], seed: u64) -> Vec<StaticHost> {
     let ready_hosts = || hosts.iter().filter(|host| host.state == HostState::Ready);
     let mut candidates: Vec<&HostEntry> = ready_hosts()
         .filter(|host| host.zone == site.zone)
@@ -160,7 +160,7 @@
     fastrand::Rng::with_seed(hasher.finish()).shuffle(&mut candidates);
     candidates
         .into_iter()
-        .take(site.standing_most)
+        .take(site.max_static_hosts)
         .map(|host| StaticHost {
             name: host.name.clone(),
             address: host.address,
@@ -174,7 +174,7 @@
     draining: CancellationToken,
 ) {
     let limits = forwarder.shared.limits();
-    let connection_slots = Arc::new(Semaphore::new(limits.connections));
+    let connection_slots = Arc::new(Semaphore::new(limits.max_connections));
     let mut connections = JoinSet::new();
     loop {
         let slot = tokio::select! {
@@ -205,7 +205,7 @@
 async fn serve_connection(stream: TcpStream, forwarder: Forwarder, draining: CancellationToken) {
     stream.set_nodelay(true).ok();
     let limits = forwarder.shared.limits();
-    let scanner = HeadScanner::new(limits.head);
+    let scanner = HeadScanner::new(limits.max_head_bytes);
     let framing = scanner.flags();
     let service = service_fn(move |request| {
         let (forwarder, framing) = (forwarder.clone(), framing.clone());
@@ -213,8 +213,8 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_within.std())
-        .max_buf_size(limits.head)
+        .header_read_timeout(limits.head_timeout.as_std())
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(ScannedStream::new(stream, scanner)), service);
     tokio::pin!(connection);
     tokio::select! {
@@ -227,14 +227,14 @@
 
 impl RunningProxy {
     /// Applies another routing policy and other limits at once; requests in flight are not affected.
-    pub fn reload(&self, site: &ProxySite) {
+    pub fn reload(&self, site: &ProxySettings) {
         self.shared.reload(site);
     }
 
     /// Accepts no new connections and waits for requests in flight, up to the time limit of the settings.
     pub async fn drain(mut self) {
         self.draining.cancel();
-        let time_limit = self.shared.limits().drain_within.std();
+        let time_limit = self.shared.limits().drain_timeout.as_std();
         if let Some(accept_task) = &mut self.accept_task
             && tokio::time::timeout(time_limit, accept_task).await.is_err()
         {
@@ -267,7 +267,7 @@
             _ = sigterm.recv() => break,
             _ = sigint.recv() => break,
             _ = sighup.recv() => match read_proxy(settings) {
-                Ok(new_site) if new_site.kinds != site.kinds || new_site.listen != site.listen => {
+                Ok(new_site) if new_site.request_classes != site.request_classes || new_site.listen != site.listen => {
                     warn!("request classes and the listen address cannot change without a restart; nothing was reloaded");
                 }
                 Ok(new_site) => {
--- a/crates/proxy/src/runtime_api.rs
+++ b/crates/proxy/src/runtime_api.rs
@@ -3,7 +3,7 @@
 use crate::shared_state::SharedHandle;
 use pondarch_proxy_core::proxy_core::TableStatus;
 use pondarch_runtime_api::Level;
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_transport::CommandHandler;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -48,6 +48,6 @@
                 ),
             }
         }
-        Some(replies.iter().map(|reply| framed_answer(reply)).collect())
+        Some(replies.iter().map(|reply| framed_reply(reply)).collect())
     }
 }
--- a/crates/proxy/src/shared_state.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -1,7 +1,7 @@
 //! The state that all parts of a running proxy share.
 
-use pondarch_config::proxy::{Limits, Pick, ProxyKind};
-use pondarch_config::{ProxySite, site};
+use pondarch_config::proxy::{Limits, PickStrategy, ProxyRequestClass};
+use pondarch_config::{ProxySettings, site};
 use pondarch_controller::Time;
 use pondarch_proxy_core::ejection::EjectionPolicy;
 use pondarch_proxy_core::policy::{ProxyCoreOptions, RequestClass, RoutingPolicy, StaticHost};
@@ -20,18 +20,18 @@
     /// By queue number: receives `true` when a host may have capacity, `false` when the request is rejected.
     waiters: Mutex<BTreeMap<u64, oneshot::Sender<bool>>>,
     limits: Mutex<Limits>,
-    pub(crate) classes: Vec<ProxyKind>,
+    pub(crate) classes: Vec<ProxyRequestClass>,
     start_unix_us: u64,
     started_at: Instant,
 }
 
 impl SharedState {
-    pub(crate) fn new(site: &ProxySite, static_hosts: &[StaticHost], seed: u64) -> SharedState {
+    pub(crate) fn new(site: &ProxySettings, static_hosts: &[StaticHost], seed: u64) -> SharedState {
         let start_unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_micros() as u64;
-        let classes: Vec<RequestClass> = site.kinds.iter().map(request_class).collect();
+        let classes: Vec<RequestClass> = site.request_classes.iter().map(request_class).collect();
         let now = Time::from_micros(start_unix_us);
         let process_id = u64::from(std::process::id());
         let core = ProxyCore::new(
@@ -49,7 +49,7 @@
             core: Mutex::new(core),
             waiters: Mutex::default(),
             limits: Mutex::new(site.limits),
-            classes: site.kinds.clone(),
+            classes: site.request_classes.clone(),
             start_unix_us,
             started_at: Instant::now(),
         }
@@ -70,7 +70,7 @@
     }
 
     /// Sets another routing policy and other limits; requests in flight are not affected.
-    pub(crate) fn reload(&self, site: &ProxySite) {
+    pub(crate) fn reload(&self, site: &ProxySettings) {
         self.core().set_policy(routing_policy(site));
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = site.limits;
     }
@@ -120,39 +120,41 @@
     }
 }
 
-fn request_class(class: &ProxyKind) -> RequestClass {
+fn request_class(class: &ProxyRequestClass) -> RequestClass {
     RequestClass {
         name: class.name.clone(),
-        idempotency: match class.repeats {
-            site::Repeats::Replayable => Idempotency::Idempotent,
-            site::Repeats::Uniqued => {
-                Idempotency::ByKey(class.memory.map_or(Duration::ZERO, |duration| duration.0))
-            }
-            site::Repeats::NonReplayable => Idempotency::NotIdempotent,
+        idempotency: match class.idempotency {
+            site::Idempotency::Idempotent => Idempotency::Idempotent,
+            site::Idempotency::ByKey => Idempotency::ByKey(
+                class
+                    .deduplication_window
+                    .map_or(Duration::ZERO, |duration| duration.0),
+            ),
+            site::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
         },
         client_timeout: class.client_timeout.0,
-        priority_weight: class.benefit,
+        priority_weight: class.priority_weight,
     }
 }
 
-fn routing_policy(site: &ProxySite) -> RoutingPolicy {
-    let ejection = site.avoid;
+fn routing_policy(site: &ProxySettings) -> RoutingPolicy {
+    let ejection = site.ejection;
     RoutingPolicy {
         pick: match site.pick {
-            Pick::Weighted => PickPolicy::WeightedRandom,
-            Pick::Round => PickPolicy::RoundRobin,
-            Pick::Two => PickPolicy::TwoChoices,
+            PickStrategy::WeightedRandom => PickPolicy::WeightedRandom,
+            PickStrategy::RoundRobin => PickPolicy::RoundRobin,
+            PickStrategy::TwoChoices => PickPolicy::TwoChoices,
         },
         ejection: EjectionPolicy {
-            consecutive_failures: ejection.after,
-            min_duration: ejection.least.0,
-            max_duration: ejection.most.0,
-            max_ejected_fraction: ejection.part,
-            record_lifetime: ejection.remembered.0,
+            consecutive_failures: ejection.consecutive_failures,
+            min_duration: ejection.min_duration.0,
+            max_duration: ejection.max_duration.0,
+            max_ejected_fraction: ejection.max_ejected_fraction,
+            record_lifetime: ejection.forget_after.0,
         },
-        retry_ratio: site.further_tries,
-        max_in_flight_per_host: site.limits.at_host,
-        max_waiting: site.limits.waiting,
+        retry_ratio: site.retry_ratio,
+        max_in_flight_per_host: site.limits.max_in_flight_per_host,
+        max_waiting: site.limits.max_waiting,
         last_ready_for: site.limits.last_ready_for.0,
     }
 }
--- a/crates/proxy/tests/real_sockets/harness.rs
+++ b/crates/proxy/tests/real_sockets/harness.rs
@@ -247,7 +247,12 @@
             .into_iter()
             .filter(|row| row.backend == class && row.server != "BACKEND");
         servers
-            .map(|row| (row.server.clone(), (row.ended().done, row.ended().errored)))
+            .map(|row| {
+                (
+                    row.server.clone(),
+                    (row.attempt_totals().succeeded, row.attempt_totals().failed),
+                )
+            })
             .collect()
     }
 
--- a/crates/proxy/tests/real_sockets/main.rs
+++ b/crates/proxy/tests/real_sockets/main.rs
@@ -349,7 +349,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut site = pondarch_config::read_proxy(&test_proxy.folder.path().join("site.jsonnet"))
         .expect("valid settings");
-    site.limits.at_host = 1;
+    site.limits.max_in_flight_per_host = 1;
     test_proxy.proxy.reload(&site);
     test_proxy.proxy.drain().await;
     for response in in_flight {
@@ -497,5 +497,8 @@
         .iter()
         .find(|row| row.server == "h0")
         .expect("a row of h0");
-    assert_eq!((row.busy, row.waiting), (Some(0.5), Some(4.0)));
+    assert_eq!(
+        (row.cpu_utilization, row.queued_at_host),
+        (Some(0.5), Some(4.0))
+    );
 }
--- a/crates/rehearsal/src/bad_day/harness.rs
+++ b/crates/rehearsal/src/bad_day/harness.rs
@@ -497,7 +497,7 @@
 }
 
 fn info_number(info: &str, name: &str) -> Option<u64> {
-    pondarch_runtime_api::info::Info::read(info).number(name)
+    pondarch_runtime_api::info::Info::read(info).get_u64(name)
 }
 
 /// Sends one command to a runtime API socket; `None` if there is no reply within a second.
--- a/crates/rehearsal/src/connection_storm.rs
+++ b/crates/rehearsal/src/connection_storm.rs
@@ -270,7 +270,7 @@
             .await
             .unwrap_or_default();
         let info = pondarch_runtime_api::info::Info::read(&text);
-        let number = |name: &str| info.number(name).unwrap_or(0);
+        let number = |name: &str| info.get_u64(name).unwrap_or(0);
         max_queued_lines = max_queued_lines.max(number("LinesWaiting"));
         let settled = number("ProxiesJoined") as usize == plan.proxies
             && number("LinesWaiting") == 0
--- a/crates/rehearsal/src/intercepted_proxy.rs
+++ b/crates/rehearsal/src/intercepted_proxy.rs
@@ -4,12 +4,12 @@
 use crate::client::RequestClass;
 use crate::observations::{Observation, ObservationLog};
 use futures_util::{SinkExt, StreamExt};
-use pondarch_config::proxy::{Avoid, Limits, Pick, ProxyKind};
-use pondarch_config::site::{Listener, ListenerLevel, Repeats};
-use pondarch_config::{Endpoint, Length, ProxySite};
+use pondarch_config::proxy::{EjectionSettings, Limits, PickStrategy, ProxyRequestClass};
+use pondarch_config::site::{Idempotency, Listener, ListenerLevel};
+use pondarch_config::{DurationSetting, Endpoint, ProxySettings};
 use pondarch_proxy::{ProxyError, RunningProxy, start};
 use pondarch_proxy_core::proxy_state::{ProxyState, Server};
-use pondarch_runtime_api::codec::framed_answer;
+use pondarch_runtime_api::codec::framed_reply;
 use pondarch_runtime_api::command::parse_line;
 use pondarch_runtime_api::{ClientCodec, Command, ServerCodec, ServerFrame, state};
 use std::collections::VecDeque;
@@ -157,24 +157,25 @@
     hosts_file: &Path,
     proxy_socket: PathBuf,
     seed: u64,
-) -> ProxySite {
-    let length = |duration: std::time::Duration| Length::millis(duration.as_millis() as u64);
-    let class_settings = |class: &RequestClass| ProxyKind {
+) -> ProxySettings {
+    let length =
+        |duration: std::time::Duration| DurationSetting::from_millis(duration.as_millis() as u64);
+    let class_settings = |class: &RequestClass| ProxyRequestClass {
         name: class.name.into(),
         path_prefix: Some(format!("/{}", class.name)),
         host: None,
         header: None,
-        response_target: length(class.latency_objective),
+        latency_objective: length(class.latency_objective),
         client_timeout: length(class.client_timeout),
-        benefit: class.priority_weight,
-        repeats: if class.replayable {
-            Repeats::Replayable
+        priority_weight: class.priority_weight,
+        idempotency: if class.replayable {
+            Idempotency::Idempotent
         } else {
-            Repeats::NonReplayable
+            Idempotency::NotIdempotent
         },
-        memory: None,
+        deduplication_window: None,
     };
-    ProxySite {
+    ProxySettings {
         name: name.into(),
         zone: zone.into(),
         zones: zones.iter().map(ToString::to_string).collect(),
@@ -183,22 +184,22 @@
             listen: Endpoint::Unix(proxy_socket),
             level: ListenerLevel::Admin,
         }],
-        kinds: classes.iter().map(class_settings).collect(),
+        request_classes: classes.iter().map(class_settings).collect(),
         hosts_file: hosts_file.into(),
-        standing_most: 8,
-        pick: Pick::Weighted,
-        avoid: Avoid {
-            least: Length::millis(3_000),
-            most: Length::millis(3_000),
-            ..Avoid::default()
+        max_static_hosts: 8,
+        pick: PickStrategy::WeightedRandom,
+        ejection: EjectionSettings {
+            min_duration: DurationSetting::from_millis(3_000),
+            max_duration: DurationSetting::from_millis(3_000),
+            ..EjectionSettings::default()
         },
-        further_tries: 0.2,
+        retry_ratio: 0.2,
         limits: Limits {
-            last_ready_for: Length::millis(1_500),
+            last_ready_for: DurationSetting::from_millis(1_500),
             ..Limits::default()
         },
-        report_to: Vec::new(),
-        report_every: Length::millis(1_000),
+        report_endpoints: Vec::new(),
+        report_interval: DurationSetting::from_millis(1_000),
         seed: Some(seed),
     }
 }
@@ -248,7 +249,7 @@
             reply = proxy.next() => match (reply, pending.pop_front()) {
                 (Some(Ok(text)), Some(request)) => {
                     interceptor.apply_reply(&request, &text);
-                    let sent = !request.forward || controller.send(framed_answer(&text)).await.is_ok();
+                    let sent = !request.forward || controller.send(framed_reply(&text)).await.is_ok();
                     sent && !request.then_disconnect
                 }
                 _ => false,
--- a/crates/replay/tests/recovery/harness.rs
+++ b/crates/replay/tests/recovery/harness.rs
@@ -1,7 +1,7 @@
 //! Records a run from randomly generated steps, and recovers the state from its folder.
 
 use pondarch_config::hosts::{HostEntry, HostState};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_controller::Time;
 use pondarch_daemon_core::{Core, Input, RecoveredState};
 use pondarch_event_log::{
@@ -30,8 +30,8 @@
     )
 }
 
-pub(crate) fn site(dns: bool) -> Site {
-    site_from_text(&settings(dns)).expect("valid settings")
+pub(crate) fn site(dns: bool) -> SiteSettings {
+    site_from_json(&settings(dns)).expect("valid settings")
 }
 
 pub(crate) fn host(n: usize, state: HostState, started: Option<f64>) -> HostEntry {
--- a/crates/replay/tests/stored_data/folder.rs
+++ b/crates/replay/tests/stored_data/folder.rs
@@ -1,7 +1,7 @@
 //! An event log that an older program wrote: two runs over several segments, and two snapshots.
 
 use crate::{fixtures_dir, read_fixture, to_stored_json};
-use pondarch_config::{Site, site_from_text};
+use pondarch_config::{SiteSettings, site_from_json};
 use pondarch_event_log::Folder;
 use pondarch_replay::run_replay::{ComparedInputs, FolderReplay, replay};
 use pondarch_replay::what_if::replay_scenario;
@@ -40,11 +40,11 @@
 }
 
 /// Returns the settings that the first run recorded.
-fn site(folder: &Path) -> Site {
+fn site(folder: &Path) -> SiteSettings {
     let ExtractedScenario { scenario, .. } =
         extract_scenario(&Folder::read_only(folder), Some(FIRST_INCARNATION))
             .expect("extract the scenario of the first run");
-    site_from_text(&scenario.settings).expect("valid settings")
+    site_from_json(&scenario.settings).expect("valid settings")
 }
 
 fn read_json_fixture(name: &str) -> Value {
