--- a/crates/dns-core/src/cached_answers.rs
+++ b/crates/dns-core/src/cached_answers.rs
@@ -1,6 +1,6 @@
-//! What caches may still hold of earlier answers: for each table, which of its versions, until when. It says how long a
-//! host may still receive requests after it left a table, and whether a host that has restarted still receives requests
-//! by answers that meant its previous incarnation.
+//! Tracks which versions of each table caches may still hold, and until when. From this follows how long a host may
+//! receive requests after it was removed from a table, and whether a restarted host may receive requests because of
+//! answers that were given for its previous incarnation.
 
 use crate::serial::is_newer;
 use pondarch_controller::{HostId, TableId, Time};
@@ -8,24 +8,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Versions of a table that are remembered. Answers last seconds and tables change by the second at most, so there are
-/// a few; beyond that the two oldest count as one, by the greater share of each host.
+/// Versions kept for each table. Answers are cached for seconds and a table changes at most once a second, so a few are
+/// enough; beyond this number the two oldest are merged, with the greater share of each host.
 const MAX_VERSIONS: usize = 16;
-/// How long a replaced version is kept though it is not known to be cached: the report of its last answer may be late.
+/// How long a replaced version is kept even if no answer from it was reported: the report may arrive late.
 const ANSWER_REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A host as it was answered.
+/// A host as it was sent in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnsweredHost {
-    /// Its share of the table's requests.
+    /// The host's share of the table's requests.
     pub share: f64,
-    /// The address that was answered.
+    /// The address that was sent.
     pub address: SocketAddr,
-    /// When the incarnation that was answered had started.
+    /// When the incarnation that the answer was given for had started.
     pub started: Time,
 }
 
-/// One version of a table as it was answered.
+/// One version of a table, with the hosts of its answers.
 #[derive(Clone, Debug)]
 struct Version {
     serial: u32,
@@ -35,7 +35,7 @@
     replaced_at: Option<Time>,
 }
 
-/// A version of a table that a previous run answered and that may still be cached.
+/// A version of a table from which a previous run sent answers that may still be cached.
 #[derive(Clone, Debug)]
 pub struct RecoveredVersion {
     /// The table.
@@ -44,19 +44,19 @@
     pub serial: u32,
     /// When the last answer from this version expires.
     pub cached_until: Time,
-    /// The hosts that were answered.
+    /// The hosts that were sent.
     pub hosts: BTreeMap<HostId, AnsweredHost>,
 }
 
-/// The versions of all tables that caches may still hold.
+/// The table versions that caches may still hold.
 #[derive(Clone, Debug, Default)]
 pub struct CachedAnswers {
-    /// The versions of each table, the current one last.
+    /// The versions of each table, oldest first; the last one is current.
     tables: BTreeMap<TableId, VecDeque<Version>>,
 }
 
 impl CachedAnswers {
-    /// Records that a table has these hosts from this serial on. A version that was never answered is forgotten.
+    /// Records that a table has these hosts as of `serial`. Replaced versions that no cache can hold are removed.
     pub fn record_table(
         &mut self,
         now: Time,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records that the table as of this serial was answered to a cache that may hold it for this long.
+    /// Records that the table as of `serial` was sent to a cache that may hold it for `max_cache_time`.
     pub fn record_answer(
         &mut self,
         now: Time,
@@ -96,24 +96,24 @@
         let Some(versions) = self.tables.get_mut(&table) else {
             return;
         };
-        let index = index_in_force(versions, serial);
+        let index = index_at_serial(versions, serial);
         if let Some(version) = versions.get_mut(index) {
             version.cached_until = version.cached_until.max(now + max_cache_time);
         }
     }
 
-    /// Records that a secondary serves the whole zone as of this serial or a later one: that version of every table, and
-    /// all later ones, may be answered now and cached for this long.
+    /// Records that a secondary serves the zone as of `serial` or a later one: that version of every table and all
+    /// later versions may be sent to caches now and held for `max_cache_time`.
     pub fn record_zone_copy(&mut self, now: Time, serial: u32, max_cache_time: Duration) {
         for versions in self.tables.values_mut() {
-            let first = index_in_force(versions, serial);
+            let first = index_at_serial(versions, serial);
             for version in versions.iter_mut().skip(first) {
                 version.cached_until = version.cached_until.max(now + max_cache_time);
             }
         }
     }
 
-    /// Takes over what caches may still hold of a previous run: as versions that are no table's current one.
+    /// Adds the versions of a previous run that caches may still hold. None of them becomes the current version.
     pub fn recover(&mut self, now: Time, recovered: Vec<RecoveredVersion>) {
         for version in recovered {
             self.tables
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Until when a host may receive requests by earlier answers; none: no cache holds such an answer.
+    /// Until when a host may receive requests because of cached answers, or `None` if no cache can hold one.
     #[must_use]
     pub fn cached_until(&self, now: Time, host: &HostId) -> Option<Time> {
         self.unexpired_versions(now)
@@ -146,8 +146,9 @@
             .max()
     }
 
-    /// Until when answers that meant an earlier incarnation may still bring requests to this one, at the same address:
-    /// it is warming up and gets the weight of its predecessor. None: no cache holds such an answer.
+    /// Until when cached answers for an earlier incarnation at the same address may send requests to this one, or
+    /// `None` if no cache can hold one. Until then a host that is warming up receives requests by its predecessor's
+    /// weight.
     #[must_use]
     pub fn earlier_incarnation_cached_until(
         &self,
@@ -164,7 +165,7 @@
             .max()
     }
 
-    /// The greatest share of a table's requests that a host may receive by any cached answer or by the current table.
+    /// The greatest share of a table's requests that a host has in the current table or in any cached answer.
     #[must_use]
     pub fn max_share(&self, now: Time, table: TableId, host: &HostId) -> f64 {
         let Some(versions) = self.tables.get(&table) else {
@@ -179,7 +180,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Hosts that may still receive requests though no current table has them, with the time until which.
+    /// Hosts that are in no current table but may receive requests because of cached answers, and until when.
     #[must_use]
     pub fn lingering(&self, now: Time) -> BTreeMap<HostId, Time> {
         let mut lingering = BTreeMap::new();
@@ -220,7 +221,7 @@
     next.cached_until = next.cached_until.max(oldest.cached_until);
     for (host, answered) in oldest.hosts {
         let merged = next.hosts.entry(host).or_insert(answered);
-        // The earlier incarnation counts: it is the one that may have been answered with a great weight.
+        // Keeps the earlier incarnation, which may have been sent with a great weight.
         *merged = AnsweredHost {
             share: merged.share.max(answered.share),
             ..answered
@@ -228,8 +229,8 @@
     }
 }
 
-/// The index of the version that was in force at a serial: the last one that is not newer, or the oldest known.
-fn index_in_force(versions: &VecDeque<Version>, serial: u32) -> usize {
+/// The index of the version that was current at `serial`: the last one that is not newer, or the oldest known.
+fn index_at_serial(versions: &VecDeque<Version>, serial: u32) -> usize {
     versions
         .iter()
         .rposition(|version| !is_newer(version.serial, serial))
--- a/crates/dns-core/src/lib.rs
+++ b/crates/dns-core/src/lib.rs
@@ -1,12 +1,13 @@
-//! What a DNS server may answer, for how long and to whom. No I/O, no clock and no packets.
+//! The decisions of a DNS server: lifetimes of answers, SRV weights, membership by queries, rate limits, and the state
+//! of secondaries. No I/O, no clock and no packets.
 //!
-//! - `lifetime`: how long an answer may be cached, from the drain grace period.
-//! - `cached_answers`: which hosts caches may still send requests to, by earlier answers.
-//! - `members`: proxies that have joined by querying, and those that have left by not querying.
-//! - `srv`: tables as SRV weights, and as a weighted sample where not all targets fit.
-//! - `rate_limiter`: how often a source is answered over UDP.
-//! - `secondaries`: servers with copies of the zone, how far behind they are, and when to notify them.
-//! - `serial`: the arithmetic of zone serials.
+//! - `lifetime`: how long an answer may be cached within the drain grace period.
+//! - `cached_answers`: earlier answers that caches may still hold.
+//! - `members`: proxies that join by sending queries and leave by sending none.
+//! - `srv`: SRV weights of a table, and a weighted sample if not all targets fit in an answer.
+//! - `rate_limiter`: response rate limiting for each source over UDP.
+//! - `secondaries`: the serials that secondary servers have, and when to notify them.
+//! - `serial`: serial number arithmetic (RFC 1982).
 
 pub mod cached_answers;
 pub mod lifetime;
--- a/crates/dns-core/src/lifetime.rs
+++ b/crates/dns-core/src/lifetime.rs
@@ -1,28 +1,29 @@
-//! How long an answer may be cached. Nothing can be taken back from a cache: a draining host is out of it when the last
-//! answer with that host has expired. The last one may be sent just before the drain is known here.
+//! How long an answer may be cached (TTL). An answer cannot be withdrawn from a cache, so a draining host may receive
+//! requests until the last answer that contains it has expired. That answer may be sent just before the server learns
+//! of the drain.
 //!
-//! So the time to learn of a drain, the lifetime, and what a cache adds by counting whole seconds are together within
-//! the drain grace period. Lifetimes are whole seconds (RFC 1035, section 3.2.1; the top bit is never set, RFC 2181,
-//! section 8).
+//! Therefore the time to learn of a drain, the lifetime, and the second that a cache may add by rounding must together
+//! fit in the drain grace period. Lifetimes are whole seconds (RFC 1035, section 3.2.1; the top bit is never set,
+//! RFC 2181, section 8).
 
 use pondarch_controller::DurationExt;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A cache may count a part of a second as none: an answer of 1 s is cached for up to 2.
+/// A cache may round down the time that has passed: an answer with a lifetime of 1 s may be cached for up to 2 s.
 const CACHE_ROUNDING: Duration = Duration::from_millis(1_000);
-/// Shortest lifetime of an answer that may be cached.
+/// The shortest lifetime of a cacheable answer.
 const MIN_LIFETIME: Duration = Duration::from_millis(1_000);
-/// Longest lifetime that is ever given, in seconds: a mistake in a table must not last.
+/// The longest lifetime, in seconds, so that an error in a table is not cached for long.
 pub const MAX_LIFETIME_S: u32 = 300;
 
-/// Lifetimes (TTL) in whole seconds.
+/// Lifetimes (TTL) of answers, in whole seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetime {
-    /// Of answers with hosts.
+    /// The lifetime of answers with hosts.
     pub hosts_s: u32,
-    /// Of names that do not exist or have no record of the queried type (RFC 2308): a host may be added at any time, and
-    /// a request class that has no host now must not be cached as empty for longer.
+    /// The lifetime of negative answers: the name does not exist or has no record of the queried type (RFC 2308). It is
+    /// no longer than that of hosts, as a host may be added to an empty request class at any time.
     pub negative_s: u32,
 }
 
@@ -30,10 +31,10 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 #[non_exhaustive]
 pub enum LifetimeError {
-    /// The grace period leaves no whole second.
+    /// The grace period leaves less than a whole second for the lifetime.
     #[error(
-        "a grace of {grace_ms} ms leaves no whole second for answers: {detection_ms} ms to learn of a drain and \
-         1000 ms for how caches count go off it; with {min_grace_ms} ms it would"
+        "a drain grace period of {grace_ms} ms leaves no whole second for the lifetime of answers: {detection_ms} ms \
+         to learn of a drain and 1000 ms for rounding by caches are subtracted; at least {min_grace_ms} ms are needed"
     )]
     GraceTooShort {
         /// The drain grace period.
@@ -44,7 +45,9 @@
         min_grace_ms: u64,
     },
     /// The requested lifetime is longer than the grace period allows.
-    #[error("a lifetime of {requested_s} s does not fit in the grace: {max_s} s at most")]
+    #[error(
+        "a lifetime of {requested_s} s does not fit in the drain grace period; the longest is {max_s} s"
+    )]
     LifetimeTooLong {
         /// The requested lifetime.
         requested_s: u32,
@@ -54,12 +57,12 @@
 }
 
 impl Lifetime {
-    /// The requested lifetime, or the longest that the drain grace period allows. `detection`: the longest time from the
-    /// endpoint list's notice of a drain to the first answer without the host.
+    /// Returns the requested lifetime, or the longest that the drain grace period allows if none is requested.
+    /// `detection` is the longest time from the drain in the endpoint list to the first answer without the host.
     ///
     /// # Errors
     ///
-    /// No whole second is left, or fewer than requested.
+    /// Fails if the grace period leaves no whole second, or fewer seconds than requested.
     pub fn for_drain_grace(
         grace: Duration,
         detection: Duration,
@@ -88,8 +91,9 @@
         })
     }
 
-    /// How long after its hosts started to drain a table's last answer may still be given with a lifetime of 1 s, when
-    /// the table has no other host: it has expired before the grace period ends. None: no time at all.
+    /// If all hosts of a table drain, how long after the start of the drain the table may still be answered with its
+    /// last hosts and a lifetime of 1 s, so that the answer expires before the grace period ends. `None` if it may not
+    /// be.
     #[must_use]
     pub fn last_answer_window(grace: Duration) -> Option<Duration> {
         let window_us = grace
@@ -98,7 +102,7 @@
         Some(Duration::from_micros(window_us)).filter(|window| *window > Duration::ZERO)
     }
 
-    /// How long a cache may hold an answer at most.
+    /// The longest time that a cache may hold an answer.
     #[must_use]
     pub fn max_cache_time(&self) -> Duration {
         Duration::from_millis(u64::from(self.hosts_s) * 1_000) + CACHE_ROUNDING
--- a/crates/dns-core/src/members.rs
+++ b/crates/dns-core/src/members.rs
@@ -1,31 +1,32 @@
-//! Membership without a connection. A proxy that queries is joined; one that has not queried for some lifetimes has
-//! left. Nothing else is known: a restart is not seen, and a proxy that caches answers for too long looks like one that
-//! is away.
+//! Membership of proxies that use DNS and have no connection. A proxy joins with its first query and leaves when it has
+//! not queried for several lifetimes. A restart cannot be detected, and a proxy that caches answers for too long cannot
+//! be told from one that has stopped.
 
 use pondarch_controller::{DurationExt, ProxyId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Lifetimes without a query after which a proxy has left: caches refresh late, and some only when a request comes.
+/// A proxy has left after this many lifetimes without a query. Caches refresh late, and some only when a request
+/// arrives.
 const LEAVE_AFTER_LIFETIMES: f64 = 4.0;
-/// Late queries in a row, from a proxy that had not left, after which it is taken to cache answers for too long.
+/// A member is considered to cache answers for too long after this many consecutive late queries.
 const MAX_LATE_QUERIES: u32 = 3;
 
-/// What a query changed.
+/// How a query changed the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// The proxy was not known, or had left.
+    /// The proxy was not a member and has joined.
     Joined,
-    /// The proxy is a member.
+    /// The proxy was a member already.
     Known,
-    /// There are as many members as may be: the proxy is answered, but not tracked.
+    /// The maximum number of members is reached: the proxy is answered but not tracked.
     AtCapacity,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Member {
     last_query: Time,
-    /// Queries in a row that came later than two lifetimes after the previous one.
+    /// Consecutive queries that each arrived more than two cache times after the previous one.
     late_queries: u32,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Members {
-    /// `max_cache_time`: how long an answer may be cached; `max_members`: members at one time.
+    /// `max_cache_time` is how long an answer may be cached; `max_members` limits the number of tracked proxies.
     #[must_use]
     pub fn new(max_cache_time: Duration, max_members: usize) -> Members {
         Members {
@@ -53,7 +54,7 @@
     /// Records a query of a proxy.
     pub fn record_query(&mut self, now: Time, proxy: ProxyId) -> QueryOutcome {
         if let Some(member) = self.members.get_mut(&proxy) {
-            // A cache may query before its answer has expired, and does when it restarts: that says nothing.
+            // Only late queries count: a cache may query before its answer has expired, for example after a restart.
             let is_late = now - member.last_query > self.max_cache_time + self.max_cache_time;
             member.late_queries = if is_late {
                 member.late_queries.saturating_add(1)
@@ -77,7 +78,7 @@
         QueryOutcome::Joined
     }
 
-    /// Removes the proxies that have left by now and returns them.
+    /// Removes and returns the proxies that have not queried within the timeout.
     pub fn remove_expired(&mut self, now: Time) -> Vec<ProxyId> {
         let timeout = self.leave_timeout();
         self.members
@@ -86,7 +87,7 @@
             .collect()
     }
 
-    /// When the next proxy may have left.
+    /// The earliest time at which a member times out.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         self.members
@@ -95,8 +96,8 @@
             .min()
     }
 
-    /// Proxies that query again and again later than their answers may be cached: they keep draining hosts beyond the
-    /// grace period, and only the operators can change that.
+    /// Proxies that repeatedly query later than their answers may be cached. They may send requests to draining hosts
+    /// after the grace period; only operators can correct that.
     pub fn caching_too_long(&self) -> impl Iterator<Item = ProxyId> {
         self.members
             .iter()
@@ -122,7 +123,7 @@
         self.members.is_empty()
     }
 
-    /// The number of queries that were answered without being tracked.
+    /// The number of queries by proxies that were answered but not tracked.
     #[must_use]
     pub fn untracked_queries(&self) -> u64 {
         self.untracked_queries
--- a/crates/dns-core/src/rate_limiter.rs
+++ b/crates/dns-core/src/rate_limiter.rs
@@ -1,25 +1,26 @@
-//! Response rate limiting over UDP, where sources can be forged: a number of answers a second for each address prefix,
-//! and to one in a few of the queries beyond it a truncated one, so that a client behind a forged flood retries by TCP.
+//! Response rate limiting over UDP, where source addresses can be forged. Each address prefix gets a limited number of
+//! answers per second. Every `SLIP`th query beyond the limit gets a truncated answer, so that a client whose address is
+//! forged in a flood can retry over TCP.
 
 use pondarch_controller::{DurationExt, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
-/// The burst that a source may send, in seconds of its rate: a resolver queries for all request classes at once.
+/// The burst that a source may send, in seconds of its rate. A resolver queries for all request classes at once.
 const BURST_S: f64 = 2.0;
-/// One in this many of the queries beyond the limit is answered truncated.
+/// One in this many queries beyond the limit gets a truncated answer.
 const SLIP: u32 = 2;
-/// Bits of an IPv4 address that make a source.
+/// Prefix length of a source with an IPv4 address.
 const PREFIX_BITS_V4: u8 = 24;
-/// Bits of an IPv6 address that make a source.
+/// Prefix length of a source with an IPv6 address.
 const PREFIX_BITS_V6: u8 = 56;
 
-/// What becomes of a query.
+/// How a query is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateLimitAction {
     /// It is answered.
     Answer,
-    /// It gets an empty answer with the truncation bit, so that the client retries by TCP.
+    /// It gets an empty answer with the truncation bit, so that the client retries over TCP.
     Truncate,
     /// It gets no answer.
     Drop,
@@ -30,7 +31,7 @@
 struct TokenBucket {
     tokens: f64,
     refilled_at: Time,
-    /// Queries beyond the limit since the last answer.
+    /// Queries beyond the limit since the last full answer.
     limited: u32,
 }
 
@@ -40,15 +41,15 @@
     answers_per_s: f64,
     max_sources: usize,
     sources: BTreeMap<IpAddr, TokenBucket>,
-    /// Sources in the order they were first seen, for when there are too many.
+    /// Sources in the order in which they are considered for eviction, the oldest first.
     eviction_order: VecDeque<IpAddr>,
-    /// Sources without a bucket of their own share one while there are too many busy ones.
+    /// The bucket of all sources that have none of their own because `max_sources` is reached.
     shared: TokenBucket,
     dropped: u64,
 }
 
 impl RateLimiter {
-    /// `answers_per_s`: answers a second for one source; `max_sources`: sources with a bucket of their own.
+    /// `answers_per_s` is the rate for one source; `max_sources` limits the number of sources with their own bucket.
     #[must_use]
     pub fn new(answers_per_s: f64, max_sources: usize, now: Time) -> RateLimiter {
         let answers_per_s = if answers_per_s.is_finite() {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Counts a query from an address and decides what becomes of it.
+    /// Counts a query from an address and decides how it is handled.
     pub fn on_query(&mut self, now: Time, address: IpAddr) -> RateLimitAction {
         let source = source_prefix(address);
         if !self.sources.contains_key(&source) && self.sources.len() >= self.max_sources {
@@ -88,7 +89,7 @@
         action
     }
 
-    /// Forgets the oldest source if its bucket is full again: it is as good as a new one.
+    /// Removes the oldest source if its bucket is full again, as a new bucket would be the same.
     fn evict_oldest_if_idle(&mut self, now: Time) {
         let Some(oldest) = self.eviction_order.pop_front() else {
             return;
--- a/crates/dns-core/src/secondaries.rs
+++ b/crates/dns-core/src/secondaries.rs
@@ -1,45 +1,47 @@
-//! Secondary servers with a copy of the zone: which serial each may still answer from, and when to notify it of a newer
-//! one (NOTIFY, RFC 1996). A secondary also queries on its own initiative; its query says which serial it has.
+//! Secondary servers with a copy of the zone: the serial that each may still answer from, and when to notify it of a
+//! newer one (NOTIFY, RFC 1996). A secondary also queries without a notification; the query contains the serial of its
+//! copy.
 //!
-//! A copy is behind from a change until it was transferred. While it is behind, it answers with hosts that have left:
-//! that time is taken off the lifetime of answers, and a secondary that is behind for longer is reported to operators.
+//! A copy is behind from a change of the zone until the change is transferred. Meanwhile it may be answered with hosts
+//! that were removed, so the allowed time is subtracted from the lifetime of answers, and a secondary that is behind
+//! for longer is reported to operators.
 
 use crate::serial::is_newer;
 use pondarch_controller::{DurationExt, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Wait before an unacknowledged notification is sent again; it doubles up to `MAX_NOTIFY_RETRY_DELAY`.
+/// Delay before the first retry of an unacknowledged notification; it doubles up to `MAX_NOTIFY_RETRY_DELAY`.
 const MIN_NOTIFY_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait before an unacknowledged notification is sent again.
+/// The longest delay before a retry of an unacknowledged notification.
 const MAX_NOTIFY_RETRY_DELAY: Duration = Duration::from_millis(5_000);
-/// Doublings of the retry delay at most: beyond it the delay is at its maximum anyway.
+/// The retry delay is doubled at most this many times; by then it has reached its maximum.
 const MAX_DOUBLINGS: u32 = 16;
-/// A secondary that acknowledged a notification and did not transfer the zone within this time is notified again.
+/// A secondary that acknowledges a notification but does not transfer the zone within this time is notified again.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Notifications to one secondary are at least this far apart: changes that come close together are transferred at once.
+/// The shortest time between notifications to one secondary, so that changes in quick succession share one transfer.
 const MIN_NOTIFY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a secondary did. Recorded: the variants keep the names that they have in the event log.
+/// What a secondary did. The serialized names of the variants are those of the event log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SecondaryEvent {
     /// It acknowledged a notification.
     #[serde(rename = "Acknowledged")]
     Acknowledged,
-    /// It queried for changes since the serial of its copy; none: the query had no serial.
+    /// It queried for changes since this serial; `None` if the query had no serial.
     #[serde(rename = "Asks")]
     Queried(Option<u32>),
-    /// It was sent the zone as of this serial, whole or by differences.
+    /// It was sent the zone as of this serial, as a whole or as differences.
     #[serde(rename = "Fetched")]
     Transferred(u32),
 }
 
-/// The copy of one secondary.
+/// The state of one secondary's copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecondaryState {
-    /// The serial that it has; none: not known.
+    /// The serial of the copy; `None` if not known.
     pub serial: Option<u32>,
-    /// Since when it is behind; none: it is up to date.
+    /// Since when the copy is behind; `None` if it is up to date.
     pub behind_since: Option<Time>,
 }
 
@@ -48,28 +50,28 @@
     serial: Option<u32>,
     last_event: Option<Time>,
     behind_since: Option<Time>,
-    /// That it is behind for too long has been reported.
+    /// Whether it was already reported as behind for too long.
     overdue_reported: bool,
     last_notified: Option<Time>,
     notify_at: Option<Time>,
-    /// Notifications since the last change.
+    /// Notifications sent since the last change.
     attempts: u32,
 }
 
-/// All secondaries, by their index in the settings.
+/// All secondaries, in the order of the settings.
 #[derive(Clone, Debug)]
 pub struct Secondaries {
     secondaries: Vec<Secondary>,
-    /// The serial of the zone; none: it has not been set yet.
+    /// The serial of the zone; `None` until it is set.
     serial: Option<u32>,
     max_behind: Duration,
-    /// A secondary without an event for this long serves no more (the SOA's EXPIRE, RFC 1035, section 3.3.13).
+    /// A secondary without an event for this long stops serving (the SOA's EXPIRE, RFC 1035, section 3.3.13).
     expire: Duration,
 }
 
 impl Secondaries {
-    /// `count` secondaries; each is reported when it is behind for longer than `max_behind`, and stops serving when it is
-    /// cut off for `expire`.
+    /// Creates `count` secondaries. Each is reported when it is behind for longer than `max_behind`, and stops serving
+    /// when it has not reached this server for `expire`.
     #[must_use]
     pub fn new(count: usize, max_behind: Duration, expire: Duration) -> Secondaries {
         Secondaries {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Records that the zone has changed: all secondaries are behind.
+    /// Records that the zone has changed to `serial`, so that all secondaries are behind.
     pub fn record_change(&mut self, now: Time, serial: u32) {
         self.serial = Some(serial);
         for secondary in &mut self.secondaries {
@@ -112,7 +114,7 @@
             SecondaryEvent::Queried(None) => {}
             SecondaryEvent::Queried(Some(serial)) => secondary.set_serial(serial, self.serial),
             SecondaryEvent::Transferred(serial) => {
-                // A transfer that a newer one overtook says nothing of the copy as it is now.
+                // Ignores the serial of a transfer that ended after a newer one: the copy is already newer.
                 let newest = secondary
                     .serial
                     .filter(|current| is_newer(*current, serial))
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The secondaries to notify of the serial now; the next time for each is set.
+    /// Returns the secondaries that are due for a notification and schedules their next one.
     pub fn take_due_notifications(&mut self, now: Time) -> Vec<u16> {
         let mut due = Vec::new();
         for (index, secondary) in self.secondaries.iter_mut().enumerate() {
@@ -134,7 +136,7 @@
         due
     }
 
-    /// The secondaries that have become behind for too long; each is returned once, until it has caught up.
+    /// Returns the secondaries that are behind for too long; each is returned once until it is up to date again.
     pub fn take_overdue(&mut self, now: Time) -> Vec<u16> {
         let mut overdue = Vec::new();
         for (index, secondary) in self.secondaries.iter_mut().enumerate() {
@@ -149,7 +151,7 @@
         overdue
     }
 
-    /// The oldest serial that a secondary may still answer from; none: no secondary serves a copy.
+    /// The oldest serial that a secondary may still answer from; `None` if no secondary serves a copy.
     #[must_use]
     pub fn oldest_served_serial(&self, now: Time) -> Option<u32> {
         self.secondaries
@@ -181,7 +183,7 @@
             .min()
     }
 
-    /// The copy of each secondary, in their order.
+    /// The state of each secondary's copy, in the order of the settings.
     pub fn states(&self) -> impl Iterator<Item = SecondaryState> {
         self.secondaries.iter().map(|secondary| SecondaryState {
             serial: secondary.serial,
@@ -191,7 +193,7 @@
 }
 
 impl Secondary {
-    /// Its copy has this serial; it is up to date if the zone has the same.
+    /// Sets the serial of the copy, which is up to date if the zone has the same serial.
     fn set_serial(&mut self, serial: u32, zone_serial: Option<u32>) {
         self.serial = Some(serial);
         if self.serial == zone_serial {
--- a/crates/dns-core/src/srv.rs
+++ b/crates/dns-core/src/srv.rs
@@ -1,20 +1,20 @@
-//! Tables as SRV records: weights of 16 bits (RFC 2782), none of them 0 for a host with a target weight, and a sample in
-//! proportion to the weights where an answer has no capacity for all targets.
+//! Conversion of table weights to 16-bit SRV weights (RFC 2782), and weighted sampling of targets for answers that
+//! cannot hold all of them.
 
 use pondarch_controller::HostId;
 
-/// The weight of the heaviest target. Rounding moves a weight by half of one: 1 in 2,000 of the heaviest at most.
+/// The SRV weight of the heaviest target. Rounding changes a weight by at most 0.5, which is 1/2,000 of the heaviest.
 const HEAVIEST_WEIGHT: f64 = 1_000.0;
-/// The weight of all requests, where weights are shares of them: a host may be alone in six tables before its weight is
-/// cut.
+/// The SRV weight of a share of 1. A host may be the only one in six tables before its weight is clamped to 16 bits.
 const WHOLE_SHARE_WEIGHT: f64 = 10_000.0;
-/// Part of itself that a weight may be off by rounding before it counts as rounded up: targets this light are under 1 in
-/// 1,000 of the heaviest.
+/// The relative rounding error above which a weight counts as rounded up. Such weights are below 1/1,000 of the
+/// heaviest.
 const MAX_ROUNDING_ERROR: f64 = 0.5;
-/// One in this many targets of a sample is for hosts that are warming up, and one at least: they weigh little.
+/// One in this many targets of a sample is reserved for hosts that are warming up, and at least one in a sample of two
+/// or more: their weights are too small for them to be drawn often.
 const TARGETS_PER_WARMING_TARGET: usize = 4;
 
-/// A host of a table, with its weight as the table has it.
+/// A host of a table and its weight there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedHost<'a> {
     /// The host.
@@ -36,9 +36,9 @@
     pub warming_up: bool,
 }
 
-/// A table's targets with whole weights, the heaviest 1,000. A host without a positive weight is left out. The weight of
-/// a host that is warming up is rounded down, and the host left out where that is 0: it must not get more than its share.
-/// It stays in if all hosts are warming up.
+/// Returns a table's targets with integer weights; the heaviest gets 1,000. A host without a positive weight is left
+/// out. The weight of a host that is warming up is rounded down so that it gets no more than its share, and the host is
+/// left out if the result is 0, unless all hosts are warming up. Other weights are rounded to at least 1.
 #[must_use]
 pub fn srv_weights<'a>(hosts: impl IntoIterator<Item = WeightedHost<'a>>) -> Vec<SrvTarget> {
     let hosts = with_positive_weight(hosts);
@@ -46,7 +46,8 @@
     scaled_targets(&hosts, HEAVIEST_WEIGHT / heaviest)
 }
 
-/// The same for shares of all requests, by a scale that does not depend on them: where one changes, the others stay.
+/// As `srv_weights`, for weights that are shares of all requests. The scale is fixed, so that a change of one share
+/// does not change the weights of the other hosts.
 #[must_use]
 pub fn srv_share_weights<'a>(hosts: impl IntoIterator<Item = WeightedHost<'a>>) -> Vec<SrvTarget> {
     scaled_targets(&with_positive_weight(hosts), WHOLE_SHARE_WEIGHT)
@@ -79,7 +80,7 @@
     hosts.iter().filter_map(target).collect()
 }
 
-/// How many weights are off by more than half of themselves by rounding up to the least SRV weight.
+/// Counts the weights that grow by more than half when they are rounded up to the smallest SRV weight.
 #[must_use]
 pub fn count_rounded_up<'a>(weights: impl IntoIterator<Item = &'a f64>) -> usize {
     let weights: Vec<f64> = weights
@@ -94,13 +95,12 @@
         .count()
 }
 
-/// At most `count` of the targets, drawn without replacement by systematic sampling on the weights: over many draws each
-/// host is picked as often as its weight says. A target whose weight is more than an even share of the sample is in
-/// every draw, and its weight stays; the others share the rest evenly, so that a pick by SRV weight from the sample is
-/// in proportion to the table.
+/// Draws at most `count` of the targets without replacement, by systematic sampling on the weights, so that over many
+/// draws each host is picked in proportion to its weight. A target whose weight is at least an even share of the sample
+/// is in every draw and keeps its weight; the other drawn targets share the rest evenly.
 ///
-/// A target that is warming up is in a sample with its own weight or not at all: one cache with a sample sends by it for
-/// seconds, and an even share of that would be many times the share of the host.
+/// A target that is warming up keeps its own weight if it is drawn. A cache sends requests by one sample for seconds,
+/// and an even share of them would be many times the host's share.
 #[must_use]
 pub fn sample(targets: &[SrvTarget], count: usize, rng: &mut fastrand::Rng) -> Vec<SrvTarget> {
     if targets.len() <= count || count == 0 {
@@ -113,7 +113,7 @@
     if warming_up.is_empty() || warm.is_empty() {
         return systematic_sample(targets, count, rng);
     }
-    // Drawn evenly, so that each host that is warming up gets its turn.
+    // Hosts that are warming up are drawn with equal probability, so that each of them receives requests.
     rng.shuffle(&mut warming_up);
     warming_up.truncate((count / TARGETS_PER_WARMING_TARGET).max(usize::from(count > 1)));
     let mut drawn = systematic_sample(&warm, count - warming_up.len(), rng);
@@ -129,7 +129,7 @@
     if targets.len() <= count {
         return targets.to_vec();
     }
-    // Heavy targets are always drawn; without them the even share changes, until none is left above it.
+    // Targets with at least an even share are always drawn. Each one taken out changes the even share of the rest.
     let mut always_drawn: Vec<&SrvTarget> = Vec::new();
     let mut rest: Vec<&SrvTarget> = targets.iter().collect();
     rest.sort_by(|a, b| b.weight.cmp(&a.weight).then(a.host.cmp(&b.host)));
@@ -148,14 +148,14 @@
     drawn
 }
 
-/// Draws `count` of the targets, each with an even share of their weights.
+/// Draws at most `count` of the targets by systematic sampling and gives each an even share of the total weight.
 fn draw_evenly(
     mut targets: Vec<&SrvTarget>,
     count: usize,
     rng: &mut fastrand::Rng,
     drawn: &mut Vec<SrvTarget>,
 ) {
-    // Neighbours in a fixed order would never be drawn together.
+    // In a fixed order, light targets next to each other would never be drawn together.
     rng.shuffle(&mut targets);
     let step = weight_sum(&targets) / count as f64;
     let mut next = rng.f64() * step;
--- a/crates/dns-core/tests/cached_answers.rs
+++ b/crates/dns-core/tests/cached_answers.rs
@@ -1,4 +1,4 @@
-//! What caches may still hold of earlier answers.
+//! Tracking of the answers that caches may still hold.
 
 use pondarch_controller::{HostId, TableId, Time};
 use pondarch_dns_core::{AnsweredHost, CachedAnswers, is_newer};
@@ -18,7 +18,7 @@
     }
 }
 
-fn answered(shares: &[(&str, f64)]) -> BTreeMap<HostId, AnsweredHost> {
+fn answered_hosts(shares: &[(&str, f64)]) -> BTreeMap<HostId, AnsweredHost> {
     shares
         .iter()
         .map(|(host, share)| (HostId((*host).into()), answered_host(*share)))
@@ -29,12 +29,12 @@
 const MAX_CACHE_TIME: Duration = Duration::from_millis(3_000);
 
 #[test]
-fn a_host_that_drains_after_an_answer_lingers_until_the_answer_expires() {
+fn a_removed_host_lingers_until_the_last_answer_with_it_expires() {
     let mut cached = CachedAnswers::default();
     let a = HostId("a".into());
-    cached.record_table(at(0), 1, TABLE, answered(&[("a", 0.5), ("b", 0.5)]));
+    cached.record_table(at(0), 1, TABLE, answered_hosts(&[("a", 0.5), ("b", 0.5)]));
     cached.record_answer(at(999), 1, TABLE, MAX_CACHE_TIME);
-    cached.record_table(at(1_000), 2, TABLE, answered(&[("b", 1.0)]));
+    cached.record_table(at(1_000), 2, TABLE, answered_hosts(&[("b", 1.0)]));
     cached.record_answer(at(2_000), 2, TABLE, MAX_CACHE_TIME);
     assert_eq!(cached.cached_until(at(2_000), &a), Some(at(3_999)));
     assert_eq!(cached.lingering(at(2_000)).keys().collect::<Vec<_>>(), [&a]);
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn a_version_that_was_never_answered_is_forgotten() {
+fn a_replaced_version_without_an_answer_is_not_cached() {
     let mut cached = CachedAnswers::default();
-    cached.record_table(at(0), 1, TABLE, answered(&[("a", 1.0)]));
-    cached.record_table(at(1), 2, TABLE, answered(&[("b", 1.0)]));
+    cached.record_table(at(0), 1, TABLE, answered_hosts(&[("a", 1.0)]));
+    cached.record_table(at(1), 2, TABLE, answered_hosts(&[("b", 1.0)]));
     assert_eq!(cached.cached_until(at(1), &HostId("a".into())), None);
     cached.record_answer(at(2), 2, TableId(7), MAX_CACHE_TIME);
     assert_eq!(
@@ -55,13 +55,13 @@
     );
 }
 
-/// Under one name and address: the old incarnation was answered with a great weight, the new one is warming up.
+/// The previous incarnation was sent with a great weight under the same name and address; the new one is warming up.
 #[test]
-fn a_restarted_host_receives_requests_by_earlier_answers_until_they_expire() {
+fn answers_for_an_earlier_incarnation_count_until_they_expire() {
     let mut cached = CachedAnswers::default();
     let a = HostId("a".into());
     let address = answered_host(0.0).address;
-    cached.record_table(at(0), 1, TABLE, answered(&[("a", 0.5), ("b", 0.5)]));
+    cached.record_table(at(0), 1, TABLE, answered_hosts(&[("a", 0.5), ("b", 0.5)]));
     cached.record_answer(at(900), 1, TABLE, MAX_CACHE_TIME);
     assert_eq!(
         cached.earlier_incarnation_cached_until(at(1_000), &a, address, Time::default()),
@@ -106,14 +106,14 @@
     );
 }
 
-/// The table changes between its first answer and the report of that answer.
+/// The table changes twice between an answer and the report of that answer.
 #[test]
-fn a_late_report_of_an_answer_counts_for_the_version_that_was_answered() {
+fn a_late_report_extends_the_version_that_was_sent() {
     let mut cached = CachedAnswers::default();
     let a = HostId("a".into());
-    cached.record_table(at(0), 1, TABLE, answered(&[("a", 1.0)]));
-    cached.record_table(at(5_000), 2, TABLE, answered(&[("b", 1.0)]));
-    cached.record_table(at(5_010), 3, TABLE, answered(&[("c", 1.0)]));
+    cached.record_table(at(0), 1, TABLE, answered_hosts(&[("a", 1.0)]));
+    cached.record_table(at(5_000), 2, TABLE, answered_hosts(&[("b", 1.0)]));
+    cached.record_table(at(5_010), 3, TABLE, answered_hosts(&[("c", 1.0)]));
     cached.record_answer(at(5_020), 1, TABLE, MAX_CACHE_TIME);
     assert_eq!(cached.cached_until(at(5_020), &a), Some(at(8_020)));
     assert_eq!(cached.cached_until(at(5_020), &HostId("b".into())), None);
@@ -124,7 +124,7 @@
     let mut cached = CachedAnswers::default();
     let a = HostId("a".into());
     for (serial, host) in [(1, "a"), (2, "b"), (3, "c")] {
-        cached.record_table(at(0), serial, TABLE, answered(&[(host, 1.0)]));
+        cached.record_table(at(0), serial, TABLE, answered_hosts(&[(host, 1.0)]));
         cached.record_zone_copy(at(0), serial, MAX_CACHE_TIME);
     }
     cached.record_zone_copy(at(2_000), 2, MAX_CACHE_TIME);
@@ -133,7 +133,7 @@
         cached.cached_until(at(2_000), &HostId("b".into())),
         Some(at(5_000))
     );
-    // A table that has not changed since is part of a newer zone as well.
+    // A newer zone contains the last version of a table that has not changed since.
     cached.record_zone_copy(at(4_000), 9, MAX_CACHE_TIME);
     assert_eq!(
         cached.cached_until(at(4_000), &HostId("c".into())),
@@ -145,14 +145,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a list of every single answer: no answer that may be cached is ever missed, however many versions
-    /// there were.
+    /// Compares with a list of all answers: none that may be cached is missed, also when versions are merged.
     #[test]
     fn no_cached_answer_is_missed(steps in prop::collection::vec((0u64..400, 0usize..4, 0.0..1.0f64, any::<bool>()), 1..120)) {
         let mut cached = CachedAnswers::default();
         let mut now = 0;
         let mut answers = Vec::new();
-        let mut table = answered(&[("h0", 1.0)]);
+        let mut table = answered_hosts(&[("h0", 1.0)]);
         cached.record_table(at(0), 1, TABLE, table.clone());
         for (elapsed_ms, host, share, answer) in steps {
             now += elapsed_ms;
--- a/crates/dns-core/tests/lifetime.rs
+++ b/crates/dns-core/tests/lifetime.rs
@@ -1,4 +1,4 @@
-//! Lifetimes within the drain grace period.
+//! Lifetimes of answers within the drain grace period.
 
 use pondarch_dns_core::lifetime::MAX_LIFETIME_S;
 use pondarch_dns_core::{Lifetime, LifetimeError};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_requested_lifetime_is_given_if_it_fits() {
+fn a_requested_lifetime_is_used_if_it_fits() {
     assert_eq!(
         Lifetime::for_drain_grace(Duration::from_secs(10), Duration::from_secs(1), Some(3))
             .map(|lifetime| lifetime.hosts_s),
@@ -56,7 +56,8 @@
         Some(Duration::from_secs(4))
     );
     assert_eq!(Lifetime::last_answer_window(Duration::from_secs(2)), None);
-    let text = Lifetime::for_drain_grace(Duration::from_secs(2), Duration::from_millis(350), None)
-        .map_err(|error| error.to_string());
-    assert!(text.is_err_and(|text| text.contains("with 2350 ms it would")));
+    let message =
+        Lifetime::for_drain_grace(Duration::from_secs(2), Duration::from_millis(350), None)
+            .map_err(|error| error.to_string());
+    assert!(message.is_err_and(|message| message.contains("at least 2350 ms are needed")));
 }
--- a/crates/dns-core/tests/members.rs
+++ b/crates/dns-core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Proxies that join by querying and leave by not querying.
+//! Membership by queries: joining, leaving, the maximum, and late queries.
 
 use pondarch_controller::{ProxyId, Time};
 use pondarch_dns_core::{Members, QueryOutcome};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_proxy_joins_by_querying_and_leaves_once() {
+fn a_proxy_joins_with_a_query_and_is_removed_once() {
     let mut members = Members::new(Duration::from_millis(5_000), 10);
     assert_eq!(
         members.record_query(at(0), ProxyId(1)),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn beyond_the_maximum_no_member_is_removed() {
+fn queries_beyond_the_maximum_are_not_tracked() {
     let mut members = Members::new(Duration::from_millis(5_000), 2);
     assert_eq!(
         members.record_query(at(0), ProxyId(1)),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_proxy_that_queries_late_again_and_again_caches_too_long() {
+fn a_proxy_with_repeated_late_queries_caches_too_long() {
     let mut members = Members::new(Duration::from_millis(5_000), 10);
     for n in 0..4 {
         members.record_query(at(n * 15), ProxyId(1));
--- a/crates/dns-core/tests/rate_limiter.rs
+++ b/crates/dns-core/tests/rate_limiter.rs
@@ -14,18 +14,19 @@
 }
 
 #[test]
-fn beyond_the_rate_half_is_dropped_and_half_is_truncated() {
+fn beyond_the_rate_half_is_dropped_and_half_truncated() {
     let mut limiter = RateLimiter::new(10.0, 100, at(0));
-    let mut seen = [0; 3];
+    // Answered, truncated and dropped queries.
+    let mut counts = [0; 3];
     for n in 0..1_000 {
         match limiter.on_query(at(n), address(1)) {
-            RateLimitAction::Answer => seen[0] += 1,
-            RateLimitAction::Truncate => seen[1] += 1,
-            RateLimitAction::Drop => seen[2] += 1,
+            RateLimitAction::Answer => counts[0] += 1,
+            RateLimitAction::Truncate => counts[1] += 1,
+            RateLimitAction::Drop => counts[2] += 1,
         }
     }
-    assert!((28..=31).contains(&seen[0]), "{seen:?}");
-    assert!(seen[1] > 400 && seen[2] > 400, "{seen:?}");
+    assert!((28..=31).contains(&counts[0]), "{counts:?}");
+    assert!(counts[1] > 400 && counts[2] > 400, "{counts:?}");
     assert_eq!(
         limiter.on_query(at(1_000), address(2)),
         RateLimitAction::Answer,
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn ten_thousand_sources_in_a_second_stay_within_the_limit() {
+fn the_number_of_tracked_sources_is_bounded() {
     let mut limiter = RateLimiter::new(5.0, 1_000, at(0));
     let mut answered = 0;
     for n in 0..10_000 {
@@ -44,7 +45,7 @@
         assert!(limiter.source_count() <= 1_000);
     }
     assert!(answered > 0 && limiter.dropped_count() > 0);
-    // Afterwards a new source gets a bucket of its own again.
+    // Later the buckets are full again and evicted, so that a new source gets a bucket of its own.
     for n in 0..2_000 {
         limiter.on_query(at(10_000 + u64::from(n)), address(20_000 + n));
     }
--- a/crates/dns-core/tests/secondaries.rs
+++ b/crates/dns-core/tests/secondaries.rs
@@ -1,4 +1,4 @@
-//! Notifications of secondaries, and what their copies are.
+//! Notifications to secondaries and the state of their copies.
 
 use pondarch_controller::Time;
 use pondarch_dns_core::{Secondaries, SecondaryEvent};
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn a_change_is_notified_to_all_and_again_until_it_was_transferred() {
+fn a_change_is_notified_until_it_is_transferred() {
     let mut secondaries = two_secondaries();
     secondaries.record_change(at(0), 7);
     assert_eq!(secondaries.take_due_notifications(at(0)), [0, 1]);
     secondaries.apply(at(5), 0, SecondaryEvent::Acknowledged);
     secondaries.apply(at(9), 0, SecondaryEvent::Transferred(7));
     assert_eq!(secondaries.oldest_served_serial(at(9)), Some(7));
-    // The other was cut off: it is notified at 0.2 s, 0.6 s, 1.4 s and so on.
+    // The other secondary does not respond: it is notified again at 0.2 s, 0.6 s, 1.4 s and so on.
     let notified_at_ms: Vec<u64> = (0..3_000)
         .filter(|ms| secondaries.take_due_notifications(at(*ms)) == [1])
         .collect();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn changes_close_together_are_notified_once_and_again_without_a_transfer() {
+fn changes_in_quick_succession_share_a_notification_that_is_repeated_without_a_transfer() {
     let mut secondaries = two_secondaries();
     for ms in 0..50 {
         secondaries.record_change(at(ms), ms as u32);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_secondary_that_is_cut_off_expires_and_one_that_is_behind_serves() {
+fn a_silent_secondary_expires_and_one_that_is_behind_serves() {
     let mut secondaries = two_secondaries();
     secondaries.record_change(at(0), 7);
     secondaries.apply(at(0), 0, SecondaryEvent::Transferred(7));
@@ -74,7 +74,7 @@
     secondaries.apply(at(20), 0, SecondaryEvent::Transferred(8));
     assert_eq!(secondaries.oldest_served_serial(at(20)), Some(7));
     assert_eq!(secondaries.oldest_served_serial(at(60_010)), Some(8));
-    // The serial of its own query counts, also when it goes back to an older copy.
+    // The serial in a query is taken even if it is older than the last one.
     secondaries.apply(at(70_000), 0, SecondaryEvent::Queried(Some(3)));
     assert_eq!(secondaries.oldest_served_serial(at(70_000)), Some(3));
     assert_eq!(secondaries.oldest_served_serial(at(140_000)), None);
@@ -83,10 +83,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the events and however late: no secondary with an old copy is forgotten, notifications are bounded, and
-    /// the next time is never in the past once all that is due was taken.
+    /// With any sequence of events, a secondary is behind as long as its serial is old, the number of notifications is
+    /// bounded, and the next due time is in the future once all that is due was taken.
     #[test]
-    fn no_secondary_that_is_behind_is_forgotten(steps in prop::collection::vec((0u64..700, 0usize..2, 0u8..5), 1..150)) {
+    fn secondaries_are_behind_until_they_have_the_serial(steps in prop::collection::vec((0u64..700, 0usize..2, 0u8..5), 1..150)) {
         let mut secondaries = two_secondaries();
         let mut now = 0;
         let mut serial = 1;
--- a/crates/dns-core/tests/srv.rs
+++ b/crates/dns-core/tests/srv.rs
@@ -1,4 +1,4 @@
-//! SRV weights of a table, and samples of its targets.
+//! SRV weights of a table and samples of its targets.
 
 use pondarch_controller::HostId;
 use pondarch_dns_core::srv::count_rounded_up;
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// The targets for these hosts; those that `warming_up` accepts are warming up.
+/// The SRV targets of these hosts; `warming_up` tells which of them are warming up.
 fn targets(hosts: &[(HostId, f64)], warming_up: impl Fn(&HostId) -> bool) -> Vec<SrvTarget> {
     srv_weights(hosts.iter().map(|(host, weight)| WeightedHost {
         host,
@@ -46,7 +46,7 @@
     assert_eq!(
         alone.len(),
         1,
-        "a host that is warming up is better than none"
+        "the only host stays although it is warming up"
     );
 }
 
@@ -59,29 +59,29 @@
     let table = hosts(&weights);
     let all_targets = targets(&table, |_| false);
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut picked = BTreeMap::<HostId, f64>::new();
+    let mut picked_shares = BTreeMap::<HostId, f64>::new();
     let draws = 20_000;
     for _ in 0..draws {
         let drawn = sample(&all_targets, 12, &mut rng);
         assert!(drawn.len() <= 12 && drawn.len() >= 11, "{}", drawn.len());
         let total = total_weight(&drawn);
         for target in drawn {
-            *picked.entry(target.host).or_default() +=
+            *picked_shares.entry(target.host).or_default() +=
                 f64::from(target.weight) / total / f64::from(draws);
         }
     }
     let sum: f64 = weights.iter().sum();
     for (host, weight) in &table {
-        let share = picked.get(host).copied().unwrap_or(0.0);
+        let share = picked_shares.get(host).copied().unwrap_or(0.0);
         let expected = weight / sum;
         assert!(
             (share - expected).abs() < 0.003,
-            "{host:?}: {share} for {expected}"
+            "{host:?}: {share}, expected {expected}"
         );
     }
 }
 
-/// A cached sample would bring a host that is warming up an even share of all requests by that cache.
+/// With an even share of a sample, a host that is warming up would get too many requests from the cache that holds it.
 #[test]
 fn no_sample_gives_a_warming_host_more_than_its_share() {
     let warming = host(7);
@@ -90,24 +90,24 @@
     table[7].1 = 0.2;
     let all_targets = targets(&table, |host| *host == warming);
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut seen = 0;
+    let mut warming_drawn = 0;
     for _ in 0..200 {
         let drawn = sample(&all_targets, 12, &mut rng);
         let total = total_weight(&drawn);
         for target in drawn.iter().filter(|target| target.warming_up) {
-            seen += 1;
+            warming_drawn += 1;
             let share = f64::from(target.weight) / total;
-            assert!(share <= expected * 1.1, "{share} for {expected}");
+            assert!(share <= expected * 1.1, "{share}, expected {expected}");
         }
     }
-    assert!(seen > 0);
+    assert!(warming_drawn > 0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_sample_is_a_part_of_the_table_and_never_empty(
+    fn a_sample_is_a_non_empty_subset_of_the_table(
         weights in prop::collection::vec(1u16..=1_000, 1..80), count in 1usize..20, seed: u64,
     ) {
         let target = |(n, weight): (usize, &u16)| SrvTarget { host: host(n), weight: *weight, warming_up: n % 5 == 1 };
