--- a/crates/dns-server/src/answerer.rs
+++ b/crates/dns-server/src/answerer.rs
@@ -1,4 +1,4 @@
-//! From a query's packet to the reply's.
+//! Turns the packet of a query into a reply.
 
 mod lookup;
 mod targets;
@@ -25,7 +25,7 @@
 }
 
 impl Answerer {
-    /// `seed`: of the samples that are drawn.
+    /// `seed` is that of the random numbers for samples and message ids.
     #[must_use]
     pub fn new(
         zone: Zone,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The transfers to secondaries; their zone follows each view.
+    /// The zone transfers to secondaries. The caller sets their zone whenever the view changes.
     pub fn transfers(&mut self) -> &mut ZoneTransfers {
         &mut self.transfers
     }
 
-    /// The notification to a secondary that the zone has changed; none if there is no such secondary.
+    /// The notification to a secondary that the zone has changed; `None` if there is no such secondary.
     pub fn notification(&mut self, now: Time, secondary: u16) -> Option<Vec<u8>> {
         let id = self.rng.u16(..);
         let soa = self.soa(self.transfers.serial())?;
@@ -54,13 +54,14 @@
             .notification(&self.zone, soa, secondary, id, unix_seconds(now))
     }
 
-    /// The zone that is answered.
+    /// The zone that this server is authoritative for.
     #[must_use]
     pub fn zone(&self) -> &Zone {
         &self.zone
     }
 
-    /// The reply to one packet. What is not a query is dropped, a malformed query gets FORMERR.
+    /// The reply to one packet. A malformed query gets FORMERR. A response is dropped, and may be an acknowledgement of
+    /// a notification.
     #[must_use]
     pub fn answer(
         &mut self,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A response that is no acknowledgement of a notification is dropped.
+    /// Records the acknowledgement of a notification; any other response is dropped.
     fn on_response(&mut self, now: Time, packet: &[u8], message: &Message) -> Reply {
         let secondary = self
             .transfers
@@ -173,7 +174,7 @@
     }
 }
 
-/// Seconds since 1970, as signatures have it.
+/// Seconds since 1970, the time format of signatures.
 fn unix_seconds(now: Time) -> u64 {
     (now - Time::default()).micros() / 1_000_000
 }
--- a/crates/dns-server/src/answerer/lookup.rs
+++ b/crates/dns-server/src/answerer/lookup.rs
@@ -1,4 +1,4 @@
-//! What the zone has for a name and a record type.
+//! Looks up the records for a name and a record type.
 
 use super::Answerer;
 use crate::reply::Reply;
@@ -12,19 +12,20 @@
 use pondarch_controller::{ProxyId, RequestClassId, TableId};
 use std::net::IpAddr;
 
-/// How often secondaries refresh, in seconds (RFC 1912, section 2.2, for a zone that changes by the second).
+/// The SOA's REFRESH: how often secondaries query for changes, in seconds (RFC 1912, section 2.2). It is short because
+/// the zone may change every second.
 const REFRESH_S: i32 = 5;
-/// How long secondaries wait before they retry a failed refresh, in seconds.
+/// The SOA's RETRY: how long secondaries wait before they retry a failed refresh, in seconds.
 const RETRY_S: i32 = 2;
 
-/// The table to answer from, and what to report of the client.
+/// The table to answer from, and a reply that identifies the client.
 struct TableChoice {
     table: Option<TableId>,
     reply: Reply,
 }
 
 impl Answerer {
-    /// The answer to a query of a client at this address.
+    /// The answer to a query from the client at this address.
     pub(super) fn look_up(
         &mut self,
         mut draft: ResponseDraft<'_>,
@@ -73,7 +74,7 @@
         self.records(draft, soa.into_iter().chain(name_server).collect(), view)
     }
 
-    /// The one address of a name.
+    /// The answer for a name with a single address.
     fn address(&self, draft: ResponseDraft<'_>, address: IpAddr, view: &View) -> Reply {
         let record = address_record(draft.query.name.clone(), draft.lifetime_s, address);
         let record =
@@ -93,7 +94,7 @@
         let Some(table) = table else {
             return draft.no_host(reply);
         };
-        let hosts = view.hosts_for_client(table, client_mark(client));
+        let hosts = view.hosts_for_client(table, client_seed(client));
         self.services(draft.for_table(table, view), &hosts, reply)
     }
 
@@ -109,11 +110,11 @@
         let Some(table) = table else {
             return draft.no_host(reply);
         };
-        let hosts = view.hosts_for_client(table, client_mark(client));
+        let hosts = view.hosts_for_client(table, client_seed(client));
         self.addresses(draft.for_table(table, view), &hosts, reply, view)
     }
 
-    /// A table by its own name.
+    /// The answer to a query for a table's own name.
     fn table(
         &mut self,
         draft: ResponseDraft<'_>,
@@ -121,8 +122,8 @@
         client: IpAddr,
         view: &View,
     ) -> Reply {
-        // All tables taken together are for secondaries: a client that queries for them gets one by a draw, like any
-        // anonymous one.
+        // The name of all tables exists for secondaries. A client that queries for it directly gets the table of an
+        // anonymous proxy.
         let table = match table {
             TableRef::Table(table) => view.tables.contains_key(&table).then_some(table),
             TableRef::All => {
@@ -133,7 +134,7 @@
         let Some(table) = table else {
             return self.negative(draft, ResponseCode::NXDomain, view);
         };
-        let hosts = view.hosts_for_client(table, client_mark(client));
+        let hosts = view.hosts_for_client(table, client_seed(client));
         let draft = draft.for_table(table, view);
         let reply = Reply {
             table: Some(table),
@@ -155,21 +156,21 @@
         client: IpAddr,
         view: &View,
     ) -> TableChoice {
-        let known = proxy.or_else(|| self.zone.proxy_at(client));
-        let mark = client_mark(client);
+        let known_proxy = proxy.or_else(|| self.zone.proxy_at(client));
+        let client_seed = client_seed(client);
         let table = view
-            .table_of(known, class, mark)
+            .table_of(known_proxy, class, client_seed)
             .filter(|table| !view.table_hosts(*table).is_empty());
         let reply = Reply {
-            proxy: known.or_else(|| view.anonymous_proxy(mark)),
+            proxy: known_proxy.or_else(|| view.anonymous_proxy(client_seed)),
             table,
-            is_anonymous: known.is_none(),
+            is_anonymous: known_proxy.is_none(),
             ..Reply::default()
         };
         TableChoice { table, reply }
     }
 
-    /// Records that are there, or a negative answer if there are none of the type.
+    /// The answer with these records, or a negative answer if there are none.
     fn records(&self, draft: ResponseDraft<'_>, records: Vec<Record>, view: &View) -> Reply {
         if records.is_empty() {
             return self.negative(draft, ResponseCode::NoError, view);
@@ -179,7 +180,8 @@
         draft.finish(&message, Reply::default())
     }
 
-    /// No such name, or no record of the type: with the SOA, whose minimum says how long that may be cached (RFC 2308).
+    /// A negative answer: the name does not exist or has no record of the type. It includes the SOA, whose MINIMUM is
+    /// the lifetime of the answer (RFC 2308).
     pub(super) fn negative(
         &self,
         draft: ResponseDraft<'_>,
@@ -225,13 +227,13 @@
     }
 }
 
-/// Whether a query for one type of record is answered with another.
+/// Whether a query for the type `queried` includes records of `record_type`.
 fn is_queried(queried: RecordType, record_type: RecordType) -> bool {
     queried == record_type || queried == RecordType::ANY
 }
 
-/// A number that tells one client from another in draws.
-fn client_mark(client: IpAddr) -> u64 {
+/// A number derived from the client's address, which seeds the random choices for this client.
+fn client_seed(client: IpAddr) -> u64 {
     match client {
         IpAddr::V4(v4) => u64::from(u32::from(v4)),
         IpAddr::V6(v6) => (u128::from(v6) >> 64) as u64 ^ u128::from(v6) as u64,
--- a/crates/dns-server/src/answerer/targets.rs
+++ b/crates/dns-server/src/answerer/targets.rs
@@ -1,4 +1,4 @@
-//! The hosts of a table as SRV records, or as addresses.
+//! Answers with the hosts of a table, as SRV records or as addresses.
 
 use super::Answerer;
 use crate::fitting::largest_that_fits;
@@ -12,13 +12,13 @@
 use pondarch_dns_core::{SrvTarget, srv_weights};
 use std::collections::BTreeMap;
 
-/// Addresses in an answer to a resolver without SRV support: it takes the first, or any.
+/// The most addresses in an answer. A resolver without SRV support uses the first of them or any.
 const MAX_ADDRESSES: usize = 4;
-/// Bytes of a record with an IPv6 address and a compressed name.
+/// Size in bytes of a record with an IPv6 address and a compressed name.
 const ADDRESS_RECORD_SIZE: usize = 28;
 
 impl Answerer {
-    /// SRV records, with the addresses of their targets where they fit.
+    /// The answer with SRV records, and with the addresses of their targets if they fit.
     pub(super) fn services(
         &mut self,
         draft: ResponseDraft<'_>,
@@ -59,8 +59,9 @@
         }
     }
 
-    /// For resolvers without SRV support: a few addresses drawn by weight, the first by its weight alone. A host that is
-    /// warming up is none of them beside warm ones: a cache with the answer sends it an even share.
+    /// The answer for resolvers without SRV support: a few addresses, drawn by weight without replacement, so that the
+    /// first is in proportion to the weights. Hosts that are warming up are left out if there are others, because a
+    /// client may send each address an even share of its requests.
     pub(super) fn addresses(
         &mut self,
         draft: ResponseDraft<'_>,
@@ -92,7 +93,7 @@
         draft.finish(&message, reply)
     }
 
-    /// Takes one of the hosts, of which there is at least one.
+    /// Removes and returns one host, drawn by weight. `hosts` must not be empty.
     fn draw_by_weight<'a>(&mut self, hosts: &mut Vec<&'a TableHost>) -> &'a TableHost {
         let sum: f64 = hosts.iter().map(|host| host.weight.max(0.0)).sum();
         let mut remaining = self.rng.f64() * sum;
--- a/crates/dns-server/src/client.rs
+++ b/crates/dns-server/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: a query as a packet, and what an answer says, in plain lines.
+//! The client's side: encodes queries, and decodes answers to text.
 
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -8,47 +8,47 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Size of an answer over UDP that the client accepts.
+/// The largest answer over UDP that the client accepts, in bytes.
 const MAX_ANSWER_SIZE: u16 = 1_232;
 
-/// Why a query cannot be encoded, or an answer not be decoded.
+/// Why a query cannot be encoded or an answer cannot be decoded.
 #[derive(Clone, Debug, Error)]
 #[non_exhaustive]
 pub enum ClientError {
     /// The name is not a domain name.
-    #[error("'{0}' is no domain name")]
+    #[error("'{0}' is not a domain name")]
     Name(String),
-    /// There is no such type of record.
-    #[error("'{0}' is no type of record")]
+    /// There is no such record type.
+    #[error("'{0}' is not a record type")]
     RecordType(String),
     /// The answer cannot be decoded.
-    #[error("the answer cannot be read: {0}")]
+    #[error("the answer cannot be decoded: {0}")]
     Decode(#[source] DecodeError),
-    /// The answer is for another query.
-    #[error("it answers another question")]
+    /// The packet is not the answer to the query: its id differs, or it is not a response.
+    #[error("the packet is not the answer to the query")]
     OtherQuery,
 }
 
-/// What an answer says.
+/// A decoded answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// `No Error`, `Non-Existent Domain` and so on, as the library words them.
+    /// The response code as text, for example `No Error` or `Non-Existent Domain`.
     pub code: String,
     /// Whether the code is `No Error`.
     pub is_success: bool,
     /// Whether the answer is truncated.
     pub truncated: bool,
-    /// Name, lifetime in seconds, type and data of each record of the answer section.
+    /// The records of the answer section as text: name, lifetime in seconds, type and data.
     pub answers: Vec<String>,
-    /// The same for the other sections.
+    /// The records of the authority and additional sections, in the same format.
     pub other_records: Vec<String>,
 }
 
-/// A query as a packet.
+/// Encodes a query.
 ///
 /// # Errors
 ///
-/// There is no such name or record type.
+/// The name is not a domain name, or there is no such record type.
 pub fn encode_query(id: u16, name: &str, record_type: &str) -> Result<Vec<u8>, ClientError> {
     let mut query_name = Name::from_ascii(name).map_err(|_| ClientError::Name(name.into()))?;
     query_name.set_fqdn(true);
@@ -66,25 +66,25 @@
 ///
 /// # Errors
 ///
-/// The packet is no answer to the query.
+/// The packet cannot be decoded or is not the answer to the query.
 pub fn decode_answer(id: u16, packet: &[u8]) -> Result<Answer, ClientError> {
     decode_message(id, packet).map(|message| answer_of(&message))
 }
 
-/// One host of an answer to a query for SRV.
+/// One target of an answer to an SRV query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceTarget {
-    /// The target's name without its last dot.
+    /// The target's name without the trailing dot.
     pub target: String,
     /// Its SRV weight.
     pub weight: u16,
-    /// The target's address, if the answer has it.
+    /// The target's address, if the answer contains it.
     pub address: Option<SocketAddr>,
     /// Lifetime in seconds.
     pub lifetime_s: u32,
 }
 
-/// The hosts of an answer, beside what `decode_answer` gives.
+/// Decodes the answer to an SRV query with this id: as `decode_answer`, and its targets.
 ///
 /// # Errors
 ///
--- a/crates/dns-server/src/fitting.rs
+++ b/crates/dns-server/src/fitting.rs
@@ -1,15 +1,15 @@
-//! An answer within its maximum size: the additional section is left out first, then the targets are sampled.
+//! Limits an answer to its maximum size: the additional section is left out first, then the targets are sampled.
 
 use hickory_proto::op::Message;
 use pondarch_dns_core::{SrvTarget, sample};
 
-/// Targets that a sample must have at least to be worth more than a truncated answer.
+/// The fewest targets in a sample; with fewer, a truncated answer and a retry over TCP are better.
 const MIN_SAMPLE: usize = 4;
-/// Tables of so many targets are encoded to see whether they fit.
+/// Tables of at most this many targets are always encoded to find out whether they fit.
 const SMALL_TABLE: usize = 16;
 
-/// The largest answer that fits: `build` makes a message of some targets, with the additional section or without. None:
-/// not even a small sample fits; the client must retry by TCP.
+/// Encodes the largest answer that fits in `max_size`. `build` makes a message of the given targets, with or without
+/// the additional section. Returns `None` if not even the smallest sample fits; the client must then retry over TCP.
 pub(crate) fn largest_that_fits(
     targets: &[SrvTarget],
     max_size: usize,
@@ -35,15 +35,15 @@
         if bytes.len() <= max_size {
             return Some(bytes);
         }
-        // By how much it was too large tells how many targets to leave out.
+        // The excess size and the mean size of a target give the number of targets to leave out.
         let target_size = (bytes.len() / drawn.len().max(1)).max(1);
         count = count.saturating_sub(((bytes.len() - max_size) / target_size).max(1));
     }
     None
 }
 
-/// How many targets may fit at most: by the size of the target with the shortest name it is known which large tables
-/// cannot fit, without encoding them.
+/// The upper bound of the number of targets that fit, from the size of the target with the shortest name. It rules out
+/// large tables without encoding them.
 fn max_target_count(
     targets: &[SrvTarget],
     max_size: usize,
--- a/crates/dns-server/src/journal.rs
+++ b/crates/dns-server/src/journal.rs
@@ -1,5 +1,5 @@
-//! The zone and its last differences, for incremental transfers. Bounded by rows: a secondary with an older copy gets
-//! the whole zone.
+//! The zone and its last differences, for incremental transfers. The differences are bounded by their number of rows; a
+//! secondary with an older copy gets the whole zone.
 
 use crate::rows::Row;
 use std::collections::{BTreeSet, VecDeque};
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Rows of all differences in the journal.
+/// The most rows of all differences in the journal.
 const MAX_ROWS: usize = 50_000;
-/// Differences in the journal.
+/// The most differences in the journal.
 const MAX_DIFFERENCES: usize = 1_000;
-/// SOA records of a difference in a transfer.
+/// The number of SOA records that precede the rows of one difference in a transfer.
 const SOAS_PER_DIFFERENCE: usize = 2;
 
 /// The difference from one serial to the next.
@@ -29,14 +29,14 @@
     }
 }
 
-/// What brings a copy up to date.
+/// What a secondary needs to bring its copy up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Changes {
-    /// Nothing: it is up to date.
+    /// The copy is up to date.
     UpToDate,
-    /// These differences, in their order.
+    /// These differences, in order.
     Differences(Vec<Difference>),
-    /// The whole zone: the differences are not in the journal any more, or are larger than the zone.
+    /// The whole zone, because the differences are not in the journal any more or are larger than the zone.
     WholeZone,
 }
 
@@ -59,7 +59,7 @@
         &self.rows
     }
 
-    /// The zone has these rows from this serial on.
+    /// Sets the rows of the zone as of `serial`, and adds the difference to the journal.
     pub(crate) fn set_zone(&mut self, serial: u32, rows: BTreeSet<Row>) {
         if serial == self.serial {
             return;
--- a/crates/dns-server/src/journal/tests.rs
+++ b/crates/dns-server/src/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Differences and their bounds.
+//! Differences between zone versions, and the bounds of the journal.
 
 use super::{Changes, Journal, MAX_DIFFERENCES, MAX_ROWS};
 use crate::rows::Row;
@@ -16,9 +16,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// From any earlier serial the changes lead to the current zone.
+    /// The changes since any earlier serial lead to the current zone.
     #[test]
-    fn any_copy_is_updated(zones in prop::collection::vec(prop::collection::btree_set(0u8..30, 10..30), 1..40)) {
+    fn changes_since_any_serial_lead_to_the_current_zone(zones in prop::collection::vec(prop::collection::btree_set(0u8..30, 10..30), 1..40)) {
         let mut journal = Journal::default();
         let mut versions = Vec::new();
         for (n, zone) in zones.iter().enumerate() {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_journal_is_bounded() {
+fn the_journal_is_bounded_by_rows_and_differences() {
     let mut journal = Journal::default();
     for n in 0..5_000u32 {
         let rows = (0..40).map(|h| row((h + 40 * (n % 5)) as u8)).collect();
@@ -63,6 +63,6 @@
     assert_eq!(journal.changes_since(1), Changes::WholeZone);
     assert!(
         matches!(journal.changes_since(4_999), Changes::WholeZone),
-        "more than the zone itself"
+        "the difference is larger than the zone"
     );
 }
--- a/crates/dns-server/src/lib.rs
+++ b/crates/dns-server/src/lib.rs
@@ -1,12 +1,14 @@
-//! Answers to DNS queries from tables. Packets in, packets out; no I/O and no clock.
+//! Answers DNS queries from tables and transfers the zone to secondaries. Takes and returns packets; no I/O and no
+//! clock.
 //!
-//! - `zone`: which names there are, and what a query for them asks for.
-//! - `view`: the tables as they are answered.
-//! - `answerer`: from a query's packet to the reply's; `request` reads the one, `response` and `reply` write the other.
-//! - `fitting`: an answer within its maximum size.
-//! - `client`: queries, and what their answers say.
-//! - `rows`, `journal`, `transfer`, `tsig`: zone transfers to secondaries, whole and by differences, signed.
-//! - `secondary`: the secondary's side of transfers.
+//! - `zone`: the names of the zone and what each stands for.
+//! - `view`: the tables, bindings and host addresses that answers are made from.
+//! - `answerer`: turns the packet of a query into a reply; `request` reads the query, `response` and `reply` write the
+//!   reply.
+//! - `fitting`: limits an answer to its maximum size.
+//! - `client`: the client's side: encodes queries and decodes answers.
+//! - `rows`, `journal`, `transfer`, `tsig`: signed zone transfers to secondaries, as a whole or as differences.
+//! - `secondary`: the secondary's side of zone transfers.
 
 mod answerer;
 pub mod client;
--- a/crates/dns-server/src/reply.rs
+++ b/crates/dns-server/src/reply.rs
@@ -1,4 +1,4 @@
-//! What becomes of a packet.
+//! The reply to a packet.
 
 use pondarch_controller::{ProxyId, TableId};
 use pondarch_dns_core::SecondaryEvent;
@@ -6,29 +6,29 @@
 /// How a packet arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// In a datagram; its source may be forged.
+    /// In a datagram, whose source address may be forged.
     Udp,
-    /// On a connection.
+    /// Over a connection.
     Tcp,
 }
 
-/// What becomes of a packet.
+/// The reply to a packet, and what is known of its sender.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// What is sent, in this order; none: the packet is dropped. More than one for a transfer only.
+    /// The packets to send, in order. Empty if the received packet is dropped; more than one only for a transfer.
     pub packets: Vec<Vec<u8>>,
-    /// The proxy that queried for its hosts, or the anonymous one that the client counts as.
+    /// The proxy that queried for its hosts, or the anonymous proxy that the client is assigned to.
     pub proxy: Option<ProxyId>,
-    /// The table that was answered, which caches may hold from now on.
+    /// The table of the answer, which caches may hold from now on.
     pub table: Option<TableId>,
-    /// Whether the client is not a known proxy and was assigned to an anonymous one by a draw.
+    /// Whether the client is not a known proxy and is assigned to an anonymous one.
     pub is_anonymous: bool,
-    /// The index of a secondary and what it did, once all packets were sent.
+    /// The index of a secondary and what it did, valid once all packets are sent.
     pub secondary_events: Vec<(u16, SecondaryEvent)>,
 }
 
 impl Reply {
-    /// A reply of one packet; none: the message could not be encoded and the query is dropped.
+    /// A reply of one packet. `None` if the message could not be encoded; the query is then dropped.
     pub(crate) fn from_packet(packet: Option<Vec<u8>>) -> Reply {
         Reply {
             packets: packet.into_iter().collect(),
--- a/crates/dns-server/src/request.rs
+++ b/crates/dns-server/src/request.rs
@@ -1,4 +1,4 @@
-//! A query as it was received.
+//! A received query, and the limits of its response.
 
 use crate::reply::Transport;
 use hickory_proto::op::{Edns, Message, OpCode, Query, ResponseCode};
@@ -6,30 +6,30 @@
 use hickory_proto::rr::rdata::opt::{EdnsCode, EdnsOption};
 use std::net::IpAddr;
 
-/// Size of an answer over UDP without EDNS (RFC 1035, section 4.2.1).
+/// Maximum size of an answer over UDP without EDNS, in bytes (RFC 1035, section 4.2.1).
 const MAX_PLAIN_SIZE: usize = 512;
-/// Size of an answer over UDP with EDNS, so that none is fragmented on the way.
+/// Maximum size of an answer over UDP with EDNS, in bytes; small enough to avoid IP fragmentation.
 pub(crate) const MAX_EDNS_SIZE: u16 = 1_232;
-/// Size of an answer over TCP.
+/// Maximum size of an answer over TCP, in bytes.
 const MAX_TCP_SIZE: usize = 65_535;
-/// An answer over UDP is at most this many times its query: a forged source gains little.
+/// An answer over UDP is at most this many times as large as its query, to limit amplification with forged sources.
 const MAX_AMPLIFICATION: usize = 20;
-/// Bytes that a signature takes at most, beside the name of its key.
+/// Maximum size of a signature record without the name of its key, in bytes.
 const MAX_SIGNATURE_SIZE: usize = 120;
 
-/// A query with one question, and where it came from.
+/// A query with one question, and its source.
 pub(crate) struct Request<'a> {
     pub(crate) packet: &'a [u8],
     pub(crate) message: &'a Message,
     pub(crate) query: &'a Query,
     pub(crate) client: IpAddr,
     pub(crate) transport: Transport,
-    /// Seconds since 1970, as signatures have it.
+    /// Seconds since 1970, the time format of signatures.
     pub(crate) now_s: u64,
 }
 
 impl Request<'_> {
-    /// The response code for what this server does not do; none: it does.
+    /// The response code for a query that this server does not support; `None` if it is supported.
     pub(crate) fn unsupported(&self) -> Option<ResponseCode> {
         match &self.message.edns {
             Some(edns) if edns.version() != 0 => Some(ResponseCode::BADVERS),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The EDNS record of the response; none if the query has none.
+    /// The EDNS record of the response; `None` if the query has none.
     pub(crate) fn response_edns(&self) -> Option<Edns> {
         self.message.edns.as_ref().map(|_| {
             let mut edns = Edns::new();
@@ -48,7 +48,7 @@
         })
     }
 
-    /// The largest response without its signature.
+    /// The maximum size of the response without its signature, in bytes.
     pub(crate) fn max_response_size(&self, is_signed: bool) -> usize {
         let max_size = match self.transport {
             Transport::Tcp => MAX_TCP_SIZE,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The address that tells the client: behind a shared resolver its subnet says more than the resolver's address
-    /// (RFC 7871).
+    /// The address that identifies the client: its EDNS client subnet if the query has one, because clients behind a
+    /// shared resolver have the same source address (RFC 7871).
     pub(crate) fn client_address(&self) -> IpAddr {
         let edns = self.message.edns.as_ref();
         match edns.and_then(|edns| edns.option(EdnsCode::Subnet)) {
--- a/crates/dns-server/src/response.rs
+++ b/crates/dns-server/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses: a draft that knows its question and its limits, and messages that have no answer.
+//! Responses: a draft with the query and the limits of its response, and responses without records.
 
 use crate::reply::Reply;
 use crate::view::View;
@@ -6,11 +6,11 @@
 use hickory_proto::rr::TSigResponseContext;
 use pondarch_controller::TableId;
 
-/// Lifetime of a table's last answer, in seconds.
+/// Lifetime of answers with a table's last hosts, in seconds.
 const LAST_ANSWER_LIFETIME_S: u32 = 1;
-/// Size of the header of a message (RFC 1035, section 4.1.1).
+/// Size of a message header, in bytes (RFC 1035, section 4.1.1).
 const HEADER_SIZE: usize = 12;
-/// The bit of the third byte that tells a response from a query.
+/// The QR bit in the third byte of the header; it is set in responses.
 const RESPONSE_BIT: u8 = 0x80;
 
 /// A response without its records.
@@ -24,7 +24,8 @@
 }
 
 impl ResponseDraft<'_> {
-    /// With the lifetime for a table: the shortest one if the table shows only what it last had.
+    /// Sets the lifetime for a table: the shortest one if the table has no host left and is answered with its last
+    /// hosts.
     pub(crate) fn for_table(mut self, table: TableId, view: &View) -> Self {
         if view.last_answers.contains(&table) {
             self.lifetime_s = self.lifetime_s.min(LAST_ANSWER_LIFETIME_S);
@@ -39,7 +40,7 @@
         message
     }
 
-    /// The message as the packet of a reply, or a truncated one if it is too large.
+    /// Encodes the message as the packet of the reply; a message that is too large is replaced by a truncated response.
     pub(crate) fn finish(self, message: &Message, reply: Reply) -> Reply {
         match message.to_vec() {
             Ok(bytes) if bytes.len() <= self.max_size => Reply {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// An empty response with the truncation bit: the client retries by TCP.
+    /// An empty response with the truncation bit, so that the client retries over TCP.
     pub(crate) fn truncated(mut self) -> Reply {
         self.metadata.truncation = true;
         self.without_records()
@@ -62,8 +63,8 @@
         self.without_records()
     }
 
-    /// No host to answer: SERVFAIL, which is cached for seconds at most; an empty answer would say that the request
-    /// class has no hosts.
+    /// SERVFAIL if there is no host to answer with. It is cached for seconds at most, while an empty answer would say
+    /// that the request class has no hosts.
     pub(crate) fn no_host(self, reply: Reply) -> Reply {
         Reply {
             packets: self.with_code(ResponseCode::ServFail).packets,
@@ -84,7 +85,8 @@
     Reply::from_packet(message.to_vec().ok())
 }
 
-/// The reply to a wrong signature: NOTAUTH with the error in place of the signature (RFC 8945, section 5.2).
+/// The reply to a query whose signature is not valid: NOTAUTH, with the error in its TSIG record (RFC 8945, section
+/// 5.2).
 pub(crate) fn signature_error(
     mut metadata: Metadata,
     query: &Query,
@@ -103,7 +105,7 @@
     Reply::from_packet(message.to_vec().ok())
 }
 
-/// The reply to a packet that cannot be decoded: FORMERR if it is a query with an id at all.
+/// The reply to a packet that cannot be decoded: FORMERR if it has the header of a query, and none otherwise.
 pub(crate) fn format_error(packet: &[u8]) -> Reply {
     match packet {
         [high, low, flags, ..] if packet.len() >= HEADER_SIZE && flags & RESPONSE_BIT == 0 => {
@@ -115,7 +117,7 @@
     }
 }
 
-/// A response without records and EDNS.
+/// A response message without records and without EDNS.
 pub(crate) fn empty_message(metadata: Metadata, query: Option<&Query>) -> Message {
     let mut message = Message::new(metadata.id, MessageType::Response, metadata.op_code);
     message.metadata = metadata;
--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -136,8 +136,8 @@
     }));
 }
 
-/// The hosts that may be answered as addresses: one that is warming up gets requests by its weight or not at all, unless
-/// all are warming up.
+/// The hosts that may be answered as addresses: one that is warming up gets requests by its weight or not at all,
+/// unless all are warming up.
 pub(crate) fn addressable_hosts(hosts: &[TableHost]) -> Vec<&TableHost> {
     let warm: Vec<&TableHost> = hosts.iter().filter(|host| !host.warming_up).collect();
     if warm.is_empty() {
--- a/crates/dns-server/src/view.rs
+++ b/crates/dns-server/src/view.rs
@@ -1,4 +1,4 @@
-//! The tables as they are answered.
+//! The tables, bindings and host addresses that answers are made from.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId};
 use pondarch_dns_core::WeightedHost;
@@ -28,44 +28,46 @@
     }
 }
 
-/// Stands for the whole endpoint list where no table is bound yet: each client gets a few of its hosts by a draw.
+/// The id under which the whole endpoint list is kept for the time before the first binding; each client gets a random
+/// few of its hosts.
 pub const UNBOUND_TABLE: TableId = TableId(u16::MAX - 1);
-/// Hosts that a client gets of the unbound table.
+/// The most hosts of the unbound table that a client gets.
 const MAX_UNBOUND_HOSTS: usize = 8;
 
-/// Tables, bindings, and the addresses of hosts.
+/// One version of the data that answers are made from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// The zone serial, which grows with each change.
+    /// The zone serial, which increases with each change.
     pub serial: u32,
-    /// The tables that a proxy which queries is bound to, and `UNBOUND_TABLE`.
+    /// The tables that proxies are bound to, and `UNBOUND_TABLE`.
     pub tables: BTreeMap<TableId, Vec<TableHost>>,
     /// The table that each proxy is bound to for a request class.
     pub bindings: BTreeMap<(ProxyId, RequestClassId), TableId>,
     /// The addresses of all hosts.
     pub hosts: BTreeMap<HostId, SocketAddr>,
-    /// Tables that have no host any more and show what they last had: answered with a lifetime of 1 s.
+    /// Tables that have no host any more and are answered with their last hosts, for a lifetime of 1 s.
     pub last_answers: BTreeSet<TableId>,
-    /// Clients that are not known proxies count as one of these, by a draw of their mark.
+    /// Proxies that stand for unknown clients; each client is assigned to one of them.
     pub anonymous_proxies: Vec<ProxyId>,
 }
 
 impl View {
-    /// The anonymous proxy that a client with this mark counts as: the same for each query, and evenly over all.
+    /// The anonymous proxy that a client is assigned to: the same for each of its queries, and evenly over all clients.
     #[must_use]
-    pub fn anonymous_proxy(&self, mark: u64) -> Option<ProxyId> {
-        let drawn = fastrand::Rng::with_seed(mark).usize(0..self.anonymous_proxies.len().max(1));
+    pub fn anonymous_proxy(&self, client_seed: u64) -> Option<ProxyId> {
+        let drawn =
+            fastrand::Rng::with_seed(client_seed).usize(0..self.anonymous_proxies.len().max(1));
         self.anonymous_proxies.get(drawn).copied()
     }
 
-    /// The table for a proxy's request class. A proxy without a binding counts as the anonymous one of that mark; where
-    /// that one has no binding either, it gets the unbound table.
+    /// The table for a proxy's request class. A proxy without a binding gets the table of the anonymous proxy for
+    /// `client_seed`, or the unbound table if that proxy has no binding either.
     #[must_use]
     pub fn table_of(
         &self,
         proxy: Option<ProxyId>,
         class: RequestClassId,
-        mark: u64,
+        client_seed: u64,
     ) -> Option<TableId> {
         let bound_table = |proxy: ProxyId| {
             let table = self.bindings.get(&(proxy, class)).copied();
@@ -73,7 +75,7 @@
         };
         proxy
             .and_then(bound_table)
-            .or_else(|| bound_table(self.anonymous_proxy(mark)?))
+            .or_else(|| bound_table(self.anonymous_proxy(client_seed)?))
             .or_else(|| {
                 self.tables
                     .contains_key(&UNBOUND_TABLE)
@@ -81,18 +83,19 @@
             })
     }
 
-    /// A table's hosts for a client with this mark.
+    /// A table's hosts for a client; of the unbound table a random few, which depend on `client_seed` only.
     #[must_use]
-    pub fn hosts_for_client(&self, table: TableId, mark: u64) -> Vec<TableHost> {
+    pub fn hosts_for_client(&self, table: TableId, client_seed: u64) -> Vec<TableHost> {
         let mut hosts = self.table_hosts(table).to_vec();
         if table == UNBOUND_TABLE && hosts.len() > MAX_UNBOUND_HOSTS {
-            fastrand::Rng::with_seed(mark).shuffle(&mut hosts);
+            fastrand::Rng::with_seed(client_seed).shuffle(&mut hosts);
             hosts.truncate(MAX_UNBOUND_HOSTS);
         }
         hosts
     }
 
-    /// All tables as one, each with the same share: the hosts for clients that are not distinguished.
+    /// All bound tables merged with equal shares, for clients that a secondary cannot tell apart. The unbound table if
+    /// none is bound.
     #[must_use]
     pub fn all_tables(&self) -> Vec<TableHost> {
         let bound: Vec<&Vec<TableHost>> = self
