--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -1,5 +1,5 @@
-//! The zone as rows, for transfers: which table each name is an alias of, and each table once. Tables change often and
-//! bindings seldom, so that differences are as small as those of the tables.
+//! The zone as rows, for transfers. Names of request classes are aliases of table names, and each table is stored once.
+//! Tables change often and bindings seldom, so a difference is no larger than the changes of the tables.
 
 use crate::view::{TableHost, UNBOUND_TABLE, View};
 use crate::zone::{TableRef, Zone};
@@ -10,28 +10,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-/// Addresses of a table in a copy at most: there they have no weights, and the heaviest are taken.
+/// The most addresses of a table in a transfer. Addresses have no weights there, so those of the heaviest hosts are
+/// taken.
 const MAX_ADDRESSES: usize = 16;
 
-/// What an alias is queried for. The order is that of rows in transfers.
+/// The record type that an alias is for. The order of variants determines the order of rows in transfers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AliasType {
-    /// Addresses, by resolvers without SRV support.
+    /// Addresses, for resolvers without SRV support.
     Address,
     /// SRV records.
     Srv,
 }
 
-/// One record of the zone, except its SOA and NS. The order of variants and fields is that of transfers.
+/// One record of the zone, except its SOA and NS. The order of variants and fields determines the order of rows in
+/// transfers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Row {
-    /// The name of a request class, an alias of a table's name.
+    /// The name of a request class, as an alias of a table's name.
     Alias {
         /// The request class.
         class: RequestClassId,
-        /// The proxy in the name; none: the name for all clients.
+        /// The proxy in the name; `None` for the name that is common to all clients.
         proxy: Option<ProxyId>,
-        /// What the name is queried for.
+        /// The record type that the alias is for.
         alias_type: AliasType,
         /// The table.
         table: TableRef,
@@ -86,7 +88,8 @@
     rows
 }
 
-/// The table of a proxy. One without a binding counts as the anonymous proxy that is drawn by its number.
+/// The table of a proxy. A proxy without a binding gets the table of the anonymous proxy that its id selects, or all
+/// tables.
 fn table_of(view: &View, proxy: ProxyId, class: RequestClassId) -> TableRef {
     view.table_of(Some(proxy), class, u64::from(proxy.0))
         .filter(|table| *table != UNBOUND_TABLE)
@@ -147,7 +150,7 @@
     }
 }
 
-/// Writes rows as records.
+/// Converts rows to records.
 pub(crate) struct RecordWriter<'a> {
     zone: &'a Zone,
     classes: BTreeMap<RequestClassId, &'a str>,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// None: a name would be too long.
+    /// The record of a row; `None` if a name would be too long or the row's class or proxy is not in the zone.
     pub(crate) fn record(&self, row: &Row) -> Option<Record> {
         let (name, data) = match row {
             Row::Alias {
--- a/crates/dns-server/src/secondary.rs
+++ b/crates/dns-server/src/secondary.rs
@@ -1,5 +1,5 @@
-//! The secondary's side of transfers: queries for the zone or its differences, verifies the signatures, and holds the
-//! copy. Packets to packets.
+//! The secondary's side of zone transfers: queries for the zone or its differences, verifies the signatures, and keeps
+//! the copy. Takes and returns packets.
 
 use crate::tsig::{ResponseSigner, TsigKey, Verification, verify};
 use hickory_proto::ProtoError;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Records of a copy at most: a zone beyond it is rejected as a whole.
+/// The most records in a copy; a transfer with more is rejected.
 const MAX_RECORDS: usize = 2_000_000;
 
 /// Why a transfer failed.
@@ -18,31 +18,31 @@
 #[non_exhaustive]
 pub enum TransferError {
     /// The zone is not a domain name.
-    #[error("'{0}' is no domain name")]
+    #[error("'{0}' is not a domain name")]
     Name(String),
     /// An answer cannot be decoded.
-    #[error("the message cannot be read or its signature does not fit: {0}")]
+    #[error("the message cannot be decoded: {0}")]
     Decode(#[source] DecodeError),
     /// The query cannot be signed or encoded, or the signature of an answer is wrong.
-    #[error("the message cannot be read or its signature does not fit: {0}")]
+    #[error("the message cannot be signed, encoded or verified: {0}")]
     Signature(#[source] ProtoError),
     /// The server rejected the query with this code.
-    #[error("the server says: {0}")]
+    #[error("the server rejected the query: {0}")]
     Rejected(ResponseCode),
     /// The query has no signature.
-    #[error("the transfer is out of order: the question was not signed")]
+    #[error("the query was not signed")]
     Unsigned,
     /// The first record is not the SOA.
-    #[error("the transfer is out of order: it does not begin with the SOA")]
+    #[error("the transfer does not begin with an SOA record")]
     MissingSoa,
     /// A difference does not begin at the serial that the previous one led to.
-    #[error("the transfer is out of order: a step does not begin where the last one ended")]
+    #[error("a difference does not begin at the serial that the previous one led to")]
     Gap,
     /// A difference removes a record that the copy does not have.
-    #[error("the transfer is out of order: it takes away what is not there")]
+    #[error("a difference removes a record that the copy does not have")]
     MissingRecord,
     /// The zone has too many records.
-    #[error("the zone has over {MAX_RECORDS} records")]
+    #[error("the zone has more than {MAX_RECORDS} records")]
     TooLarge,
 }
 
@@ -60,16 +60,16 @@
 /// A copy of a zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneCopy {
-    /// The serial; none: nothing was transferred yet.
+    /// The serial; `None` until a transfer is complete.
     pub serial: Option<u32>,
-    /// The records without the SOA.
+    /// The records except the SOA.
     pub records: BTreeSet<CopiedRecord>,
-    /// From the SOA, in seconds: how long the copy may be answered from while the server cannot be reached.
+    /// The SOA's EXPIRE: how long the copy may be used while the server cannot be reached, in seconds.
     pub expire_s: u32,
 }
 
 impl ZoneCopy {
-    /// What a secondary would answer for a name as SRV: weight and target of each record, aliases followed.
+    /// The weight and target of each SRV record that a secondary answers for a name, following one alias.
     #[must_use]
     pub fn services(&self, name: &str) -> Vec<(u16, String)> {
         let Ok(mut name) = Name::from_ascii(name.to_ascii_lowercase()) else {
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// The data of a name's records of one type.
+    /// The data of a name's records of one type, as text.
     fn data(&self, name: &Name, record_type: RecordType) -> impl Iterator<Item = &str> {
         self.records
             .iter()
@@ -94,7 +94,7 @@
     }
 }
 
-/// Of the data of an SRV record: priority, weight, port and target.
+/// Parses the data of an SRV record (priority, weight, port, target) and returns the weight and the target.
 fn weight_and_target(data: &str) -> Option<(u16, String)> {
     let mut fields = data.split_whitespace().skip(1);
     let weight = fields.next()?.parse().ok()?;
@@ -109,21 +109,22 @@
     received: Vec<Record>,
 }
 
-/// How far a transfer is after a message.
+/// The progress of a transfer after a message.
 #[derive(Debug, PartialEq)]
 pub enum TransferProgress {
     /// More messages follow.
     Incomplete,
-    /// The copy was up to date before.
+    /// The copy was already up to date.
     UpToDate,
-    /// The answer over UDP says that there are changes: query over TCP.
+    /// There are changes, but the answer over UDP contains only the SOA; the query must be repeated over TCP.
     RetryOverTcp,
-    /// The copy is up to date now.
+    /// All messages were received and the copy was updated.
     Complete,
 }
 
 impl Transfer {
-    /// The signed query for differences from the copy, or for the whole zone; then `apply` with each answer.
+    /// Starts a transfer: returns the signed query for the differences from the copy, or for the whole zone if there is
+    /// no copy, and the transfer to `apply` each answer to.
     ///
     /// # Errors
     ///
@@ -160,11 +161,12 @@
         Ok((packet, transfer))
     }
 
-    /// Applies one message; the copy changes with the last one, and not before.
+    /// Applies one message. The copy changes only with the last one.
     ///
     /// # Errors
     ///
-    /// A wrong signature, a rejection, records out of sequence. The copy is unchanged then.
+    /// The message cannot be decoded, its signature is wrong, the server rejected the query, or the records are too
+    /// many or out of sequence. The copy is then unchanged.
     pub fn apply(
         &mut self,
         packet: &[u8],
@@ -172,7 +174,7 @@
     ) -> Result<TransferProgress, TransferError> {
         let message = Message::from_vec(packet).map_err(TransferError::Decode)?;
         if message.metadata.response_code != ResponseCode::NoError {
-            // A rejection may come unsigned: it is believed, as it changes nothing.
+            // A rejection may be unsigned; it is accepted because it does not change the copy.
             return Err(TransferError::Rejected(message.metadata.response_code));
         }
         self.verifier
@@ -205,7 +207,7 @@
         Ok(TransferProgress::Complete)
     }
 
-    /// What the SOA alone says.
+    /// The progress when only the SOA was received.
     fn progress_of_soa(&self, newest: u32) -> TransferProgress {
         match self.copy_serial {
             Some(serial) if serial == newest => TransferProgress::UpToDate,
@@ -214,15 +216,15 @@
         }
     }
 
-    /// Whether the second record is an SOA as well: then differences follow (RFC 1995, section 4).
+    /// Whether the transfer consists of differences: then the second record is an SOA as well (RFC 1995, section 4).
     fn is_incremental(&self) -> bool {
         self.received
             .get(1)
             .is_some_and(|record| matches!(&record.data, RData::SOA(_)))
     }
 
-    /// Whether the last SOA was received. Differences have the newest serial once before their last additions, and once
-    /// at the end.
+    /// Whether the final SOA was received. In a transfer of differences, an SOA with the newest serial also precedes
+    /// the last additions.
     fn is_complete(&self, newest: u32) -> bool {
         let is_newest_soa =
             |record: &Record| matches!(&record.data, RData::SOA(soa) if soa.serial == newest);
@@ -237,14 +239,14 @@
     }
 }
 
-/// Which part of a difference a record stands in.
+/// The part of a difference that a record belongs to.
 #[derive(Clone, Copy, PartialEq)]
 enum DifferencePart {
     Removed,
     Added,
 }
 
-/// The records of the copy after all differences.
+/// The records of the copy after all differences are applied.
 fn apply_differences(
     copy: &ZoneCopy,
     body: &[Record],
@@ -279,7 +281,8 @@
     }
 }
 
-/// The signed acknowledgement of a notification; none if the packet is no notification, or not signed by the key.
+/// The signed acknowledgement of a notification; `None` if the packet is not a notification or is not signed by the
+/// key.
 #[must_use]
 pub fn acknowledge_notification(packet: &[u8], key: &TsigKey, now_s: u64) -> Option<Vec<u8>> {
     let message = Message::from_vec(packet).ok()?;
@@ -292,8 +295,9 @@
     if !is_notification {
         return None;
     }
-    let mut answer = Message::new(message.metadata.id, MessageType::Response, OpCode::Notify);
-    answer.metadata.authoritative = true;
-    answer.queries = message.queries;
-    ResponseSigner::new(key, mac, now_s).sign(answer)
+    let mut acknowledgement =
+        Message::new(message.metadata.id, MessageType::Response, OpCode::Notify);
+    acknowledgement.metadata.authoritative = true;
+    acknowledgement.queries = message.queries;
+    ResponseSigner::new(key, mac, now_s).sign(acknowledgement)
 }
--- a/crates/dns-server/src/transfer.rs
+++ b/crates/dns-server/src/transfer.rs
@@ -1,5 +1,5 @@
 //! Zone transfers to secondaries: notifications (NOTIFY, RFC 1996), the whole zone (AXFR, RFC 5936) and differences
-//! (IXFR, RFC 1995), all signed. A client without a known key gets nothing.
+//! (IXFR, RFC 1995), all signed. Queries that are not signed by a known key are refused.
 
 use crate::journal::{Changes, Difference, Journal};
 use crate::reply::{Reply, Transport};
@@ -13,10 +13,10 @@
 use pondarch_dns_core::SecondaryEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records in one message of a transfer: the longest names make it some 30,000 bytes, under the 65,535 of TCP.
+/// Records in one message of a transfer. With the longest names they take about 30,000 bytes, below the 65,535 of TCP.
 const MAX_RECORDS_PER_MESSAGE: usize = 100;
 
-/// The records of the zone's own name.
+/// The SOA and NS records of the zone apex.
 pub(crate) struct ApexRecords {
     pub(crate) soa: Record,
     pub(crate) name_server: Option<Record>,
@@ -25,20 +25,20 @@
 /// The last notification to a secondary.
 struct PendingNotification {
     secondary: u16,
-    /// Its signature, which the acknowledgement's is made over.
+    /// The signature of the notification, which the signature of the acknowledgement covers.
     mac: Vec<u8>,
 }
 
-/// Who may transfer the zone, what is sent, and which notifications are not acknowledged yet.
+/// The keys of the secondaries, the zone with its differences, and the unacknowledged notifications.
 pub struct ZoneTransfers {
     keys: Vec<TsigKey>,
     journal: Journal,
-    /// By the id of the message.
+    /// Unacknowledged notifications by message id, at most one for each secondary.
     pending: BTreeMap<u16, PendingNotification>,
 }
 
 impl ZoneTransfers {
-    /// A key for each secondary, in their order.
+    /// `keys` has one key for each secondary, in the order of the settings.
     #[must_use]
     pub fn new(keys: Vec<TsigKey>) -> ZoneTransfers {
         ZoneTransfers {
@@ -58,12 +58,12 @@
         &self.keys
     }
 
-    /// The zone has these rows from this serial on; `rows` as `zone_rows` gives them.
+    /// Sets the zone as of `serial`, with the rows that `zone_rows` returns.
     pub fn set_zone(&mut self, serial: u32, rows: BTreeSet<Row>) {
         self.journal.set_zone(serial, rows);
     }
 
-    /// The notification to a secondary that the zone has changed; none if there is no such secondary.
+    /// The notification to a secondary that the zone has changed; `None` if there is no such secondary.
     pub(crate) fn notification(
         &mut self,
         zone: &Zone,
@@ -86,7 +86,8 @@
         message.to_vec().ok()
     }
 
-    /// The secondary whose signed acknowledgement of the last notification a packet is.
+    /// The secondary that acknowledges its last notification with this signed packet; `None` if the packet is not such
+    /// an acknowledgement.
     pub(crate) fn acknowledged_by(
         &mut self,
         packet: &[u8],
@@ -106,7 +107,7 @@
         Some(secondary)
     }
 
-    /// The answer to a query for the zone or its differences.
+    /// The reply to a query for the zone or its differences.
     pub(crate) fn answer(&self, zone: &Zone, apex: ApexRecords, request: &Request<'_>) -> Reply {
         let mut metadata = Metadata::response_from_request(&request.message.metadata);
         let query = request.query;
@@ -132,7 +133,7 @@
             _ => Changes::WholeZone,
         };
         let is_up_to_date = changes == Changes::UpToDate;
-        // Over UDP there is capacity only for whether there are changes (RFC 1995, section 2).
+        // Over UDP the answer is the SOA alone, which shows whether there are changes (RFC 1995, section 2).
         let records = match request.transport {
             Transport::Udp => vec![apex.soa],
             Transport::Tcp => self.records(zone, apex, &changes),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The records of a transfer, in the order that they are sent in.
+    /// The records of a transfer, in the order in which they are sent.
     fn records(&self, zone: &Zone, apex: ApexRecords, changes: &Changes) -> Vec<Record> {
         let ApexRecords { soa, name_server } = apex;
         let writer = RecordWriter::new(zone);
@@ -177,7 +178,7 @@
     }
 }
 
-/// The serial of the secondary's copy, which stands in the SOA of its query.
+/// The serial of the secondary's copy, from the SOA in the authority section of its query.
 fn serial_of_copy(message: &Message) -> Option<u32> {
     message
         .authorities
@@ -193,7 +194,7 @@
     Some(address_record(name, zone.lifetime.hosts_s, zone.server))
 }
 
-/// A difference sequence (RFC 1995, section 4): what was removed, then what was added, each after its SOA.
+/// Appends a difference sequence (RFC 1995, section 4): removed records, then added records, each after an SOA.
 fn add_difference(
     records: &mut Vec<Record>,
     difference: &Difference,
@@ -215,7 +216,7 @@
     other
 }
 
-/// Records as signed messages; the question stands in the first one only (RFC 5936, section 2.2.1).
+/// The records as signed messages. Only the first one contains the question (RFC 5936, section 2.2.1).
 fn signed_messages(
     metadata: Metadata,
     query: &Query,
--- a/crates/dns-server/src/tsig.rs
+++ b/crates/dns-server/src/tsig.rs
@@ -1,13 +1,13 @@
-//! Signatures of messages between a server and its secondaries (TSIG, RFC 8945).
+//! Transaction signatures of messages between the server and its secondaries (TSIG, RFC 8945).
 
 use hickory_proto::op::Message;
 use hickory_proto::rr::rdata::tsig::{TSIG, TsigAlgorithm, TsigError, make_tsig_record};
 use hickory_proto::rr::{Name, TSigResponseContext, TSigner};
 use thiserror::Error;
 
-/// How far the two clocks may be apart, in seconds (RFC 8945, section 10, recommends 300).
+/// The largest allowed difference between the two clocks, in seconds (RFC 8945, section 10, recommends 300).
 const FUDGE_S: u16 = 300;
-/// A key is at least as long as the signatures it makes (RFC 8945, section 8).
+/// The shortest secret, in bytes: that of the signatures that are made with it (RFC 8945, section 8).
 const MIN_SECRET_SIZE: usize = 32;
 
 /// Why a key was rejected.
@@ -15,38 +15,40 @@
 #[non_exhaustive]
 pub enum KeyError {
     /// The name is not a domain name.
-    #[error("'{0}' is no name for a key")]
+    #[error("the key name '{0}' is not a domain name")]
     Name(String),
-    /// The secret is too short; its size in bytes.
-    #[error("a secret has {MIN_SECRET_SIZE} bytes at least; this one has {0}")]
+    /// The secret is too short; the value is its size in bytes.
+    #[error("the secret has {0} bytes; at least {MIN_SECRET_SIZE} are needed")]
     Short(usize),
-    /// The library rejects the key, for this reason.
-    #[error("the key cannot be used: {0}")]
+    /// The DNS library rejects the key, for this reason.
+    #[error("the DNS library rejects the key: {0}")]
     Unusable(String),
 }
 
-/// A key for HMAC-SHA256, known to both sides by its name.
+/// A key for HMAC-SHA256, which both sides know by its name.
 #[derive(Clone)]
 pub struct TsigKey(TSigner);
 
-/// What the signature of a message says.
+/// The result of verifying the signature of a message.
 pub(crate) enum Verification {
-    /// There is none.
+    /// The message has no signature.
     Unsigned,
-    /// It is by the key at this index.
+    /// The message is signed with the key at index `key`.
     Signed {
         key: usize,
-        /// The signature, which the response's is made over.
+        /// The signature of the query, which the signature of the response covers.
         mac: Vec<u8>,
     },
-    /// An unknown key, a wrong signature, or a time too far off: with the context of the response.
+    /// The key is unknown, the signature is wrong, or its time is too far off. The context signs the error response.
     Failed(Box<TSigResponseContext>),
 }
 
 impl TsigKey {
+    /// Creates a key.
+    ///
     /// # Errors
     ///
-    /// The name is not a domain name, or the secret is too short.
+    /// The name is not a domain name, the secret is too short, or the DNS library rejects the key.
     pub fn new(name: &str, secret: Vec<u8>) -> Result<TsigKey, KeyError> {
         if secret.len() < MIN_SECRET_SIZE {
             return Err(KeyError::Short(secret.len()));
@@ -61,7 +63,7 @@
         &self.0
     }
 
-    /// Whether a response to a request with this signature is signed by the key.
+    /// Whether a response to a request with the signature `request_mac` is validly signed with this key.
     pub(crate) fn verifies_response(&self, packet: &[u8], request_mac: &[u8], now_s: u64) -> bool {
         self.0
             .verify_message_byte(packet, Some(request_mac), true)
@@ -69,7 +71,7 @@
     }
 }
 
-/// Verifies the signature of a query by any of the keys.
+/// Verifies the signature of a query with the key that it names.
 pub(crate) fn verify(
     keys: &[TsigKey],
     packet: &[u8],
@@ -100,7 +102,7 @@
     Verification::Failed(Box::new(context))
 }
 
-/// Signs the messages of a response, each over the previous one (RFC 8945, section 5.3.1).
+/// Signs the messages of a response; each signature covers the previous one (RFC 8945, section 5.3.1).
 pub(crate) struct ResponseSigner {
     signer: TSigner,
     previous_mac: Vec<u8>,
@@ -109,7 +111,7 @@
 }
 
 impl ResponseSigner {
-    /// For the response to a query with this signature.
+    /// Creates a signer for the response to a query with the signature `query_mac`.
     pub(crate) fn new(key: &TsigKey, query_mac: Vec<u8>, now_s: u64) -> ResponseSigner {
         ResponseSigner {
             signer: key.0.clone(),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The message as bytes with its signature; none if it cannot be encoded.
+    /// Encodes the message with its signature; `None` if it cannot be encoded or signed.
     pub(crate) fn sign(&mut self, mut message: Message) -> Option<Vec<u8>> {
         let id = message.metadata.id;
         let bytes = message.to_vec().ok()?;
@@ -140,7 +142,8 @@
         message.to_vec().ok()
     }
 
-    /// What a message after the first one is signed over: of the variables only the times.
+    /// The bytes that the signature of a message after the first one covers: the previous signature, the message, and
+    /// of the TSIG variables only the times.
     fn signed_bytes(&self, message: &[u8]) -> Vec<u8> {
         let mut signed = Vec::with_capacity(message.len() + self.previous_mac.len() + 10);
         signed.extend((self.previous_mac.len() as u16).to_be_bytes());
--- a/crates/dns-server/src/zone.rs
+++ b/crates/dns-server/src/zone.rs
@@ -1,15 +1,15 @@
-//! Which names there are in the zone, and what a query for them asks for:
+//! The names of the zone and what each stands for:
 //!
 //! | name | content |
 //! | --- | --- |
 //! | the zone itself | SOA, NS |
 //! | `ns` | the server's own address |
-//! | `_<class>._tcp.<proxy>`, `_<class>._tcp` | SRV (RFC 2782), for a proxy by its name or by its source address |
+//! | `_<class>._tcp.<proxy>`, `_<class>._tcp` | SRV (RFC 2782), for the named proxy or the one at the source address |
 //! | `<class>.<proxy>`, `<class>` | addresses, for resolvers without SRV support |
 //! | `<host>.hosts` | a host's address: the targets of SRV |
-//! | `t<n>.tables`, `all.tables` | a table, and all of them as one: what the names of a transferred zone are aliases of |
+//! | `t<n>.tables`, `all.tables` | a table, and all of them merged; targets of the aliases in a transferred zone |
 //!
-//! Names in between (`_tcp.<proxy>`, `hosts`) exist and have no records (RFC 8020).
+//! Names between these (`_tcp.<proxy>`, `hosts`) exist and have no records (RFC 8020).
 
 use crate::rows::AliasType;
 use hickory_proto::rr::Name;
@@ -25,12 +25,13 @@
 const TCP: &str = "_tcp";
 const TABLES: &str = "tables";
 const ALL: &str = "all";
-/// Labels that no request class and no proxy may have.
+/// Labels that may not be the name of a request class or a proxy.
 const RESERVED_LABELS: [&str; 4] = [HOSTS, NS, TCP, TABLES];
-/// Characters of the name of a request class or proxy at most: a label of 63 less the underscore of SRV names.
+/// The longest name of a request class or proxy: a label has at most 63 characters, one of which is the underscore in
+/// SRV names.
 const MAX_LABEL_LENGTH: usize = 62;
 
-/// When a secondary that is cut off stops answering, unless the settings say otherwise.
+/// Default of the time after which a secondary that cannot reach the server stops answering, in seconds.
 const DEFAULT_EXPIRE_S: u32 = 60;
 
 /// Why the settings of a zone were rejected.
@@ -38,9 +39,9 @@
 #[non_exhaustive]
 pub enum ZoneError {
     /// The origin is not a domain name.
-    #[error("'{0}' is no domain name")]
+    #[error("'{0}' is not a domain name")]
     Name(String),
-    /// A name cannot be a label.
+    /// The name of a request class or proxy cannot be a label.
     #[error(
         "the {owner} '{name}' cannot be a label: 1 to 63 letters, digits or '-', and none of ns, hosts, tables, _tcp"
     )]
@@ -50,12 +51,12 @@
         /// The name.
         name: String,
     },
-    /// A name is both a proxy's and a request class's.
-    #[error("'{0}' is a proxy and a kind")]
+    /// The name is that of both a proxy and a request class.
+    #[error("'{0}' is the name of both a proxy and a kind")]
     Ambiguous(String),
 }
 
-/// What a label is the name of.
+/// What a label names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LabelOwner {
     /// A request class.
@@ -73,12 +74,12 @@
     }
 }
 
-/// One table, or all of them taken together, which secondaries answer to clients that are not known.
+/// One table, or all of them merged, which secondaries answer to unknown clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TableRef {
     /// One table.
     Table(TableId),
-    /// All of them.
+    /// All tables, merged.
     All,
 }
 
@@ -93,60 +94,63 @@
     Services {
         /// The request class.
         class: RequestClassId,
-        /// The proxy, if the name has it.
+        /// The proxy, if the name contains one.
         proxy: Option<ProxyId>,
     },
     /// The hosts of a request class as addresses.
     Addresses {
         /// The request class.
         class: RequestClassId,
-        /// The proxy, if the name has it.
+        /// The proxy, if the name contains one.
         proxy: Option<ProxyId>,
     },
     /// A host.
     Host(HostId),
     /// A table by its own name, as SRV or as addresses.
     Table(TableRef),
-    /// A name that exists without records, as names below it exist.
+    /// A name that has no records but exists because names below it exist.
     EmptyName,
-    /// A name below the zone that does not exist.
+    /// A name in the zone that does not exist.
     Missing,
     /// A name that is not in the zone.
     Outside,
 }
 
-/// A network whose queries are a proxy's.
+/// A network whose queries are attributed to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceNet {
     /// The address of the network.
     pub address: IpAddr,
-    /// The bits of its prefix.
+    /// The length of the prefix, in bits.
     pub prefix_bits: u8,
     /// The proxy.
     pub proxy: ProxyId,
 }
 
-/// The settings of the zone, checked.
+/// The validated settings of the zone.
 #[derive(Clone, Debug)]
 pub struct Zone {
     /// The name of the zone.
     pub origin: Name,
-    /// The server's own address, for `ns`.
+    /// The server's own address, which `ns` resolves to.
     pub server: IpAddr,
     /// Lifetimes of answers.
     pub lifetime: Lifetime,
-    /// When a secondary that is cut off stops answering, in seconds.
+    /// The time after which a secondary that cannot reach the server stops answering, in seconds.
     pub expire_s: u32,
     classes: BTreeMap<String, RequestClassId>,
     proxies: BTreeMap<String, ProxyId>,
-    /// The longest prefix first.
+    /// Sorted by prefix length, the longest first.
     sources: Vec<SourceNet>,
 }
 
 impl Zone {
+    /// Validates the settings of a zone.
+    ///
     /// # Errors
     ///
-    /// The origin is not a domain name, a request class or proxy cannot be a label, or a name is both.
+    /// The origin is not a domain name, the name of a request class or proxy cannot be a label, or a proxy and a
+    /// request class have the same name.
     pub fn new(
         origin: &str,
         server: IpAddr,
@@ -182,7 +186,7 @@
         })
     }
 
-    /// What a name stands for; case does not matter (RFC 4343).
+    /// What a name stands for, ignoring case (RFC 4343).
     #[must_use]
     pub fn question(&self, name: &Name) -> Question {
         if !self.origin.zone_of(name) {
@@ -199,7 +203,7 @@
             .unwrap_or(Question::Missing)
     }
 
-    /// None: there is no such name.
+    /// What the labels below the origin stand for; `None` if there is no such name.
     fn question_of_labels(&self, labels: &[&str]) -> Option<Question> {
         match labels {
             [] => Some(Question::Apex),
@@ -232,7 +236,7 @@
         self.classes.get(label).copied()
     }
 
-    /// The request class of a label with an underscore.
+    /// The request class of a label that starts with an underscore.
     fn service_class(&self, label: &str) -> Option<RequestClassId> {
         self.class(label.strip_prefix('_')?)
     }
@@ -241,7 +245,7 @@
         self.proxies.get(label).copied()
     }
 
-    /// The proxy whose network an address is in.
+    /// The proxy whose network contains the address.
     #[must_use]
     pub fn proxy_at(&self, address: IpAddr) -> Option<ProxyId> {
         let address = address.to_canonical();
@@ -251,7 +255,7 @@
             .map(|source| source.proxy)
     }
 
-    /// The name of a host: the target of SRV. None if it is too long for a name.
+    /// The name of a host, which SRV records have as target. `None` if it is too long for a domain name.
     #[must_use]
     pub fn host_name(&self, host: &HostId) -> Option<Name> {
         let name = Name::from_labels(host.0.split('.').map(str::as_bytes)).ok()?;
@@ -261,7 +265,7 @@
             .ok()
     }
 
-    /// The name that a request class is queried by, for a proxy or for the client itself.
+    /// The name to query for a request class, with a proxy or without one.
     #[must_use]
     pub fn class_name(
         &self,
@@ -323,7 +327,7 @@
     Some(TableRef::Table(TableId(number)))
 }
 
-/// The name as a label in lower case.
+/// Validates a name as a label and converts it to lower case.
 fn label(owner: LabelOwner, name: &str) -> Result<String, ZoneError> {
     let is_reserved = RESERVED_LABELS
         .iter()
