--- a/crates/dns-server/src/rows.rs
+++ b/crates/dns-server/src/rows.rs
@@ -139,7 +139,7 @@
     }));
 }
 
-/// The hosts that may be answered as addresses: one that is warming up gets requests by its weight or not at all,
+/// The hosts that may be answered as addresses. Addresses have no weights, so hosts that are warming up are left out
 /// unless all are warming up.
 pub(crate) fn addressable_hosts(hosts: &[TableHost]) -> Vec<&TableHost> {
     let warm: Vec<&TableHost> = hosts.iter().filter(|host| !host.warming_up).collect();
--- a/crates/dns-server/tests/answers/fixture.rs
+++ b/crates/dns-server/tests/answers/fixture.rs
@@ -1,4 +1,4 @@
-//! A small zone, its view, and queries.
+//! A small zone with a view of its tables, and helpers to send queries to it.
 
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -8,7 +8,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Both have bindings like the known proxies.
+/// The proxies that unknown clients are assigned to. Both have bindings, as the known proxies do.
 pub(crate) const ANONYMOUS_PROXIES: [ProxyId; 2] = [ProxyId(3), ProxyId(4)];
 pub(crate) const NOW: Time = Time::from_micros(1_000_000_000);
 
@@ -16,6 +16,7 @@
     text.parse().expect("an address")
 }
 
+/// A view with `hosts` hosts in table 0 and four others in table 1.
 pub(crate) fn view(hosts: usize) -> View {
     let host_address = |n: usize| {
         (
@@ -48,6 +49,7 @@
     }
 }
 
+/// `rate` is the number of answers per second for one source.
 pub(crate) fn answerer(rate: f64) -> Answerer {
     let lifetime = Lifetime::for_drain_grace(
         Duration::from_millis(6_000),
@@ -98,13 +100,14 @@
     message
 }
 
-/// The answer to a query, and what is reported of the client.
+/// The answer to a query, and the proxy that the client was identified as.
 pub(crate) struct Exchange {
     pub(crate) answer: Message,
     pub(crate) proxy: Option<ProxyId>,
     pub(crate) is_anonymous: bool,
 }
 
+/// Sends a query and checks the size and the header of its answer.
 pub(crate) fn exchange(
     answerer: &mut Answerer,
     view: &View,
@@ -127,6 +130,7 @@
     }
 }
 
+/// Target and weight of each SRV record of an answer.
 pub(crate) fn srv_targets(answer: &Message) -> Vec<(String, u16)> {
     let srv = |record: &Record| match &record.data {
         RData::SRV(srv) => Some((srv.target.to_ascii(), srv.weight)),
--- a/crates/dns-server/tests/answers/main.rs
+++ b/crates/dns-server/tests/answers/main.rs
@@ -1,4 +1,4 @@
-//! Packets in, packets out.
+//! Answers to encoded queries.
 
 mod fixture;
 mod names;
--- a/crates/dns-server/tests/answers/names.rs
+++ b/crates/dns-server/tests/answers/names.rs
@@ -1,4 +1,4 @@
-//! Which names and types are answered, to whom, and how often.
+//! Answers by name and record type, identification of clients, rate limits, and malformed packets.
 
 use crate::fixture::{
     ANONYMOUS_PROXIES, Exchange, NOW, address, answerer, exchange, query, srv_targets, view,
@@ -11,7 +11,7 @@
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, proptest};
 
 #[test]
-fn a_proxy_gets_its_table_by_its_name() {
+fn a_query_with_the_name_of_a_proxy_gets_its_table() {
     let mut answerer = answerer(1e6);
     let view = view(6);
     let Exchange {
@@ -36,7 +36,8 @@
     assert_eq!(targets.len(), 6);
     assert_eq!(targets[0], ("host-0.hosts.pond.example.".to_string(), 333));
     assert_eq!(targets[2].1, 1_000);
-    // Each target with its address; the case as in the query (a resolver may check it); the lifetime from the grace period.
+    // Each target has its address, the name has the case of the query (a resolver may check it), and the lifetime
+    // follows from the grace period.
     assert_eq!(answer.additionals.len(), 6);
     assert_eq!(
         answer.answers[0].name.to_ascii(),
@@ -47,25 +48,25 @@
 }
 
 #[test]
-fn without_a_name_the_source_or_the_client_subnet_tells_the_proxy() {
+fn without_its_name_a_proxy_is_identified_by_source_address_or_client_subnet() {
     let mut answerer = answerer(1e6);
     let view = view(6);
     let packet = query("_order._tcp.pond.example.", RecordType::SRV, Some(1_232))
         .to_vec()
         .expect("a packet");
-    let mut from = |text: &str, packet: &[u8]| {
+    let mut answer_from = |text: &str, packet: &[u8]| {
         let reply = answerer.answer(NOW, address(text), Transport::Udp, packet, &view);
         (reply.proxy, reply.table, reply.is_anonymous)
     };
     assert_eq!(
-        from("127.9.1.1", &packet),
+        answer_from("127.9.1.1", &packet),
         (Some(ProxyId(1)), Some(TableId(1)), false)
     );
     assert_eq!(
-        from("127.9.2.1", &packet),
+        answer_from("127.9.2.1", &packet),
         (Some(ProxyId(2)), Some(TableId(0)), false)
     );
-    let anonymous = from("127.0.0.1", &packet);
+    let anonymous = answer_from("127.0.0.1", &packet);
     assert!(
         anonymous
             .0
@@ -73,7 +74,7 @@
             && anonymous.2
     );
     assert_eq!(
-        from("127.0.0.1", &packet),
+        answer_from("127.0.0.1", &packet),
         anonymous,
         "the same draw each time"
     );
@@ -87,10 +88,10 @@
             )));
     }
     let packet = message.to_vec().expect("a packet");
-    assert_eq!(from("127.0.0.1", &packet).0, Some(ProxyId(2)));
+    assert_eq!(answer_from("127.0.0.1", &packet).0, Some(ProxyId(2)));
 }
 
-/// Of an answer: the code, serial, lifetime and minimum of its SOA, and the number of records.
+/// Of an answer: the response code; serial, lifetime and MINIMUM of its SOA; the number of records.
 type Summary = (ResponseCode, Option<(u32, u32, u32)>, usize);
 
 fn summary(name: &str, record_type: RecordType) -> Summary {
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn records_of_the_zone_are_answered_and_what_is_not_its_own_is_refused() {
+fn zone_records_are_answered_and_other_zones_and_unsigned_transfers_are_refused() {
     for (name, record_type) in [
         ("pond.example.", RecordType::SOA),
         ("pond.example.", RecordType::NS),
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn floods_are_limited_over_udp_only_and_other_operations_are_rejected() {
+fn queries_are_rate_limited_over_udp_only_and_updates_are_not_implemented() {
     let mut answerer = answerer(10.0);
     let view = view(6);
     let packet = query(
@@ -178,21 +179,22 @@
     )
     .to_vec()
     .expect("a packet");
-    let mut seen = [0; 3];
+    // Answered, truncated and dropped queries.
+    let mut counts = [0; 3];
     for _ in 0..100 {
         match answerer
             .answer(NOW, address("127.0.0.1"), Transport::Udp, &packet, &view)
             .packets
             .first()
         {
-            None => seen[2] += 1,
+            None => counts[2] += 1,
             Some(bytes) => {
                 let answer = Message::from_vec(bytes).expect("a message");
-                seen[usize::from(answer.metadata.truncation)] += 1;
+                counts[usize::from(answer.metadata.truncation)] += 1;
             }
         }
     }
-    assert_eq!(seen, [20, 40, 40]);
+    assert_eq!(counts, [20, 40, 40]);
     assert!(
         answerer
             .answer(NOW, address("127.0.0.1"), Transport::Tcp, &packet, &view)
@@ -219,13 +221,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any bytes: dropped, or a packet that can be read and is no larger than the limit. An answer is never answered.
+    /// Any bytes are dropped or get a response that can be decoded and is within the size limit. A response gets no
+    /// reply.
     #[test]
-    fn any_packet_is_dropped_or_answered_in_bounds(
+    fn any_packet_is_dropped_or_gets_a_valid_response(
         bytes in prop::collection::vec(any::<u8>(), 0..300), changed_bytes in prop::collection::vec((0usize..80, any::<u8>()), 0..6),
     ) {
         let mut answerer = answerer(1e6);
-    let view = view(40);
+        let view = view(40);
         let mut almost_valid = query("_proof._tcp.front-0.pond.example.", RecordType::SRV, Some(1_232)).to_vec().expect("a packet");
         for (at, byte) in changed_bytes {
             let at = at % almost_valid.len();
@@ -234,10 +237,10 @@
         for packet in [bytes, almost_valid] {
             let reply = answerer.answer(NOW, address("127.0.0.1"), Transport::Udp, &packet, &view);
             if let Some(answer) = reply.packets.first() {
-                prop_assert!(packet[2] & 0x80 == 0, "an answer was answered");
+                prop_assert!(packet[2] & 0x80 == 0, "a response got a reply");
                 prop_assert!(answer.len() <= 1_232);
-                let read = Message::from_vec(answer);
-                prop_assert!(read.is_ok_and(|message| message.metadata.message_type == MessageType::Response));
+                let decoded = Message::from_vec(answer);
+                prop_assert!(decoded.is_ok_and(|message| message.metadata.message_type == MessageType::Response));
             }
         }
     }
--- a/crates/dns-server/tests/answers/tables.rs
+++ b/crates/dns-server/tests/answers/tables.rs
@@ -1,4 +1,4 @@
-//! The hosts of a table in an answer: weights, samples, addresses.
+//! The hosts of a table in an answer: SRV weights, samples and addresses.
 
 use crate::fixture::{Exchange, answerer, exchange, query, srv_targets, view};
 use hickory_proto::op::ResponseCode;
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
-fn a_table_too_large_is_sampled_over_udp_and_whole_over_tcp() {
+fn a_large_table_is_sampled_over_udp_and_complete_over_tcp() {
     let mut answerer = answerer(1e6);
     let view = view(120);
     let query = query(
@@ -16,18 +16,18 @@
         RecordType::SRV,
         Some(1_232),
     );
-    let mut seen = BTreeSet::new();
+    let mut drawn_hosts = BTreeSet::new();
     for _ in 0..60 {
         let answer = exchange(&mut answerer, &view, &query, Transport::Udp).answer;
         assert!(!answer.metadata.truncation);
         let targets = srv_targets(&answer);
         assert!(targets.len() >= 8, "{}", targets.len());
-        seen.extend(targets.into_iter().map(|(host, _)| host));
+        drawn_hosts.extend(targets.into_iter().map(|(host, _)| host));
     }
     assert!(
-        seen.len() > 110,
+        drawn_hosts.len() > 110,
         "only {} hosts were ever drawn",
-        seen.len()
+        drawn_hosts.len()
     );
     let answer = exchange(&mut answerer, &view, &query, Transport::Tcp).answer;
     assert_eq!(srv_targets(&answer).len(), 120);
@@ -38,23 +38,25 @@
     let mut answerer = answerer(1e6);
     let view = view(6);
     let query = query("proof.front-0.pond.example.", RecordType::A, None);
-    let mut first = BTreeMap::<String, f64>::new();
+    let mut first_address_shares = BTreeMap::<String, f64>::new();
     for _ in 0..12_000 {
         let answer = exchange(&mut answerer, &view, &query, Transport::Udp).answer;
         assert_eq!(answer.answers.len(), 4);
-        *first.entry(answer.answers[0].data.to_string()).or_default() += 1.0 / 12_000.0;
+        *first_address_shares
+            .entry(answer.answers[0].data.to_string())
+            .or_default() += 1.0 / 12_000.0;
     }
     for (n, weight) in [1.0, 2.0, 3.0, 1.0, 2.0, 3.0].into_iter().enumerate() {
-        let got = first
+        let share = first_address_shares
             .get(&format!("127.0.0.{}", n + 1))
             .copied()
             .unwrap_or(0.0);
-        assert!((got - weight / 12.0).abs() < 0.02, "{n}: {got}");
+        assert!((share - weight / 12.0).abs() < 0.02, "{n}: {share}");
     }
 }
 
 #[test]
-fn an_empty_table_is_answered_with_a_failure() {
+fn an_empty_table_is_answered_with_servfail() {
     let mut answerer = answerer(1e6);
     let mut view = view(6);
     view.tables.values_mut().for_each(Vec::clear);
@@ -88,13 +90,13 @@
     assert_eq!(
         srv_targets(&answer).len(),
         1,
-        "a host that is warming up is better than none"
+        "the only host is answered although it is warming up"
     );
 }
 
-/// A cache with an answer of addresses sends each host an even share, whatever its weight.
+/// A cache may send each address an even share of its requests, whatever the host's weight.
 #[test]
-fn a_warming_host_is_never_answered_as_an_address_beside_warm_ones() {
+fn a_warming_host_is_answered_as_an_address_only_if_all_are_warming_up() {
     let mut answerer = answerer(1e6);
     let mut view = view(6);
     for host in view.tables.values_mut().flatten() {
@@ -117,11 +119,11 @@
     assert_eq!(
         answer.answers.len(),
         4,
-        "hosts that are warming up are better than none"
+        "all hosts are warming up, so they are answered"
     );
 }
 
-/// Before the first binding there is no table, and there are hosts.
+/// Before the first binding no proxy has a table, but the endpoint list has hosts.
 #[test]
 fn without_bindings_a_client_gets_a_few_hosts_of_the_endpoint_list() {
     let mut answerer = answerer(1e6);
@@ -147,12 +149,12 @@
     assert_eq!(
         srv_targets(&answer),
         srv_targets(&again),
-        "the same draw each time"
+        "the same hosts for the same client"
     );
 }
 
 #[test]
-fn the_last_answer_of_a_table_has_a_lifetime_of_a_second() {
+fn a_table_with_only_its_last_hosts_is_answered_for_one_second() {
     let mut answerer = answerer(1e6);
     let mut view = view(6);
     view.last_answers.insert(TableId(0));
@@ -173,9 +175,9 @@
     }
 }
 
-/// Picks by RFC 2782 from whole answers and from samples are in proportion to the table.
+/// Picks by SRV weight (RFC 2782) from complete answers and from samples are in proportion to the table's weights.
 #[test]
-fn over_a_hundred_thousand_picks_each_host_gets_its_share() {
+fn each_host_is_picked_in_proportion_to_its_weight() {
     let mut rng = fastrand::Rng::with_seed(9);
     for table in [8, 120] {
         let mut answerer = answerer(1e9);
@@ -186,30 +188,32 @@
             Some(1_232),
         );
         let mut picks = BTreeMap::<String, f64>::new();
-        // Ten picks from an answer, as a proxy makes while it caches one.
+        // 10 picks from each answer, as by a proxy that caches it: 100,000 picks in total.
         for _ in 0..10_000 {
             let answer = exchange(&mut answerer, &view, &query, Transport::Udp).answer;
             let targets = srv_targets(&answer);
-            let all: u32 = targets.iter().map(|(_, weight)| u32::from(*weight)).sum();
+            let total_weight: u32 = targets.iter().map(|(_, weight)| u32::from(*weight)).sum();
             for _ in 0..10 {
-                let mut remaining = rng.u32(0..all);
+                let mut remaining = rng.u32(0..total_weight);
                 let picked = targets.iter().find(|(_, weight)| {
-                    let here = remaining < u32::from(*weight);
+                    let is_picked = remaining < u32::from(*weight);
                     remaining = remaining.saturating_sub(u32::from(*weight));
-                    here
+                    is_picked
                 });
-                *picks.entry(picked.expect("one").0.clone()).or_default() += 1e-5;
+                *picks
+                    .entry(picked.expect("a target").0.clone())
+                    .or_default() += 1e-5;
             }
         }
         let sum: f64 = (0..table).map(|n| 1.0 + (n % 3) as f64).sum();
-        let off = |n: usize| {
-            let got = picks
+        let deviation = |n: usize| {
+            let share = picks
                 .get(&format!("host-{n}.hosts.pond.example."))
                 .copied()
                 .unwrap_or(0.0);
-            (got - (1.0 + (n % 3) as f64) / sum).abs()
+            (share - (1.0 + (n % 3) as f64) / sum).abs()
         };
-        let worst = (0..table).map(off).fold(0.0, f64::max);
-        assert!(worst < 0.02, "{worst} at {table} hosts");
+        let max_deviation = (0..table).map(deviation).fold(0.0, f64::max);
+        assert!(max_deviation < 0.02, "{max_deviation} at {table} hosts");
     }
 }
--- a/crates/dns-server/tests/wire_texts.rs
+++ b/crates/dns-server/tests/wire_texts.rs
@@ -1,5 +1,5 @@
-//! Exact packets of the DNS server, as hex, with fixed ids and seed: questions, answers of each type, a notification
-//! and a signed transfer. Expected lines stand in `wire_texts.txt`: what it is, then the packet.
+//! Compares packets of the DNS server byte for byte with fixed ids and a fixed seed: queries, answers of each type, a
+//! notification and a signed transfer. Each line of `wire_texts.txt` has the name of a packet and the packet as hex.
 
 use pondarch_controller::{HostId, ProxyId, RequestClassId, TableId, Time};
 use pondarch_dns_core::{Lifetime, RateLimiter};
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 const NOW: Time = Time::from_micros(1_800_000_000_000_000);
-const NOW_SECONDS: u64 = 1_800_000_000;
-const FROM: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+const NOW_S: u64 = 1_800_000_000;
+const CLIENT: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 const EXPECTED: &str = include_str!("wire_texts.txt");
 
 fn key() -> TsigKey {
     TsigKey::new("second.pond.example", vec![1; 32]).expect("a key")
 }
 
-/// One host with an IPv4 address, one with an IPv6 address, in one table.
+/// A table of two hosts, one with an IPv4 and one with an IPv6 address.
 fn view() -> View {
     let addresses = ["127.0.0.1:8000", "[::1]:8001"].map(|text| text.parse().expect("an address"));
     let host = |n: usize| HostId(format!("host-{n}").into());
@@ -45,11 +45,11 @@
         Duration::from_millis(500),
         None,
     )
-    .expect("it fits");
+    .expect("a lifetime");
     let names = |name: &str| vec![name.to_string()];
     let zone = Zone::new(
         "pond.example",
-        FROM,
+        CLIENT,
         lifetime,
         &names("proof"),
         &names("front-0"),
@@ -68,7 +68,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The expected packets of this name, in order.
+/// The expected packets with this name, in order.
 fn expected(name: &str) -> Vec<&'static str> {
     EXPECTED
         .lines()
@@ -81,36 +81,36 @@
     assert_eq!(packets, expected(name), "{name}");
 }
 
-/// The question's packet and its answer's.
-fn check_question(what: &str, name: &str, of: &str) {
-    let question = client::encode_query(4_711, name, of).expect("a question");
-    let reply = answerer().answer(NOW, FROM, Transport::Udp, &question, &view());
-    check(&format!("{what} question"), &[question]);
-    check(&format!("{what} answer"), &reply.packets);
+/// Checks the packet of a query and that of its answer.
+fn check_query_and_answer(label: &str, name: &str, record_type: &str) {
+    let query = client::encode_query(4_711, name, record_type).expect("a query");
+    let reply = answerer().answer(NOW, CLIENT, Transport::Udp, &query, &view());
+    check(&format!("{label} query"), &[query]);
+    check(&format!("{label} answer"), &reply.packets);
 }
 
 #[test]
-fn service() {
-    check_question("SRV", "_proof._tcp.front-0.pond.example", "SRV");
+fn srv_records() {
+    check_query_and_answer("SRV", "_proof._tcp.front-0.pond.example", "SRV");
 }
 
 #[test]
-fn addresses() {
-    check_question("A", "host-0.hosts.pond.example", "A");
-    check_question("AAAA", "host-1.hosts.pond.example", "AAAA");
+fn address_records() {
+    check_query_and_answer("A", "host-0.hosts.pond.example", "A");
+    check_query_and_answer("AAAA", "host-1.hosts.pond.example", "AAAA");
 }
 
 #[test]
-fn zone_records() {
-    check_question("SOA", "pond.example", "SOA");
-    check_question("NS", "pond.example", "NS");
+fn apex_records() {
+    check_query_and_answer("SOA", "pond.example", "SOA");
+    check_query_and_answer("NS", "pond.example", "NS");
 }
 
 #[test]
-fn refusals() {
-    check_question("no name", "nobody.pond.example", "A");
-    check_question("no data", "host-0.hosts.pond.example", "SRV");
-    check_question("not ours", "pond.invalid", "A");
+fn negative_and_refused_answers() {
+    check_query_and_answer("missing name", "nobody.pond.example", "A");
+    check_query_and_answer("missing type", "host-0.hosts.pond.example", "SRV");
+    check_query_and_answer("other zone", "pond.invalid", "A");
 }
 
 #[test]
@@ -129,15 +129,9 @@
     let mut answerer = answerer();
     let rows = zone_rows(answerer.zone(), &view());
     answerer.transfers().set_zone(7, rows);
-    let (question, _) = Transfer::start(
-        99,
-        "pond.example",
-        &ZoneCopy::default(),
-        &key(),
-        NOW_SECONDS,
-    )
-    .expect("a question");
-    let reply = answerer.answer(NOW, FROM, Transport::Tcp, &question, &view());
-    check("transfer question", &[question]);
+    let (query, _) =
+        Transfer::start(99, "pond.example", &ZoneCopy::default(), &key(), NOW_S).expect("a query");
+    let reply = answerer.answer(NOW, CLIENT, Transport::Tcp, &query, &view());
+    check("transfer query", &[query]);
     check("transfer answer", &reply.packets);
 }
--- a/crates/dns-server/tests/zone_transfers.rs
+++ b/crates/dns-server/tests/zone_transfers.rs
@@ -1,4 +1,4 @@
-//! Zone transfers: whole, by differences, and only with the key.
+//! Zone transfers, as a whole and as differences, their signatures, and notifications.
 
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RecordType};
@@ -16,12 +16,13 @@
 const ANONYMOUS_PROXIES: [ProxyId; 2] = [ProxyId(18), ProxyId(19)];
 const NOW: Time = Time::from_micros(1_800_000_000_000_000);
 const NOW_S: u64 = 1_800_000_000;
-const FROM: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
+const PEER: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 
 fn key(name: &str, fill: u8) -> TsigKey {
     TsigKey::new(name, vec![fill; 32]).expect("a key")
 }
 
+/// A view with six lines for each table; `shift` moves the hosts that the tables have.
 fn view(serial: u32, hosts: usize, shift: usize) -> View {
     let address = |n: usize| {
         (
@@ -69,7 +70,7 @@
     let classes = ["proof".to_string(), "order".to_string()];
     let zone = Zone::new(
         "pond.example",
-        FROM,
+        PEER,
         lifetime,
         &classes,
         &proxies,
@@ -88,6 +89,7 @@
     answerer.transfers().set_zone(view.serial, rows);
 }
 
+/// Runs a transfer, and returns its result and the server's reply.
 fn transfer(
     answerer: &mut Answerer,
     view: &View,
@@ -96,8 +98,8 @@
     transport: Transport,
 ) -> (Result<TransferProgress, TransferError>, Reply) {
     let (packet, mut transfer) =
-        Transfer::start(99, "pond.example", copy, key, NOW_S).expect("a question");
-    let reply = answerer.answer(NOW, FROM, transport, &packet, view);
+        Transfer::start(99, "pond.example", copy, key, NOW_S).expect("a query");
+    let reply = answerer.answer(NOW, PEER, transport, &packet, view);
     let mut last = Ok(TransferProgress::Incomplete);
     for packet in &reply.packets {
         assert!(packet.len() < 65_536);
@@ -109,15 +111,20 @@
     (last, reply)
 }
 
-/// A transfer over TCP that succeeds, and its reply.
-fn complete(answerer: &mut Answerer, view: &View, key: &TsigKey, copy: &mut ZoneCopy) -> Reply {
+/// Runs a transfer over TCP that must succeed, and returns the server's reply.
+fn transfer_completely(
+    answerer: &mut Answerer,
+    view: &View,
+    key: &TsigKey,
+    copy: &mut ZoneCopy,
+) -> Reply {
     let (result, reply) = transfer(answerer, view, key, copy, Transport::Tcp);
     assert_eq!(result.expect("a transfer"), TransferProgress::Complete);
     reply
 }
 
-/// The data of a name's alias.
-fn alias(copy: &ZoneCopy, name: &str) -> Option<String> {
+/// The target of a name's alias.
+fn alias_target(copy: &ZoneCopy, name: &str) -> Option<String> {
     let name = Name::from_ascii(name).expect("a name");
     copy.records
         .iter()
@@ -129,13 +136,13 @@
 fn a_secondary_without_a_copy_gets_the_whole_zone() {
     let mut answerer = answerer();
     let first = view(7, 120, 0);
-    let mine = key("second-1.pond.example", 2);
+    let own_key = key("second-1.pond.example", 2);
     set_zone(&mut answerer, &first);
     let mut copy = ZoneCopy::default();
-    let reply = complete(&mut answerer, &first, &mine, &mut copy);
+    let reply = transfer_completely(&mut answerer, &first, &own_key, &mut copy);
     assert!(
         reply.packets.len() > 4,
-        "many messages, each signed over the one before"
+        "several messages, to check that each signature covers the previous one"
     );
     assert_eq!(
         reply.secondary_events,
@@ -146,11 +153,11 @@
     );
     assert_eq!((copy.serial, copy.expire_s), (Some(7), 60));
     assert_eq!(
-        alias(&copy, "_proof._tcp.front-5.pond.example.").as_deref(),
+        alias_target(&copy, "_proof._tcp.front-5.pond.example.").as_deref(),
         Some("t1.tables.pond.example.")
     );
     assert_eq!(
-        alias(&copy, "order.pond.example.").as_deref(),
+        alias_target(&copy, "order.pond.example.").as_deref(),
         Some("all.tables.pond.example.")
     );
 }
@@ -159,37 +166,37 @@
 fn a_secondary_with_a_copy_gets_the_differences() {
     let mut answerer = answerer();
     let first = view(7, 120, 0);
-    let mine = key("second-1.pond.example", 2);
+    let own_key = key("second-1.pond.example", 2);
     set_zone(&mut answerer, &first);
     let mut copy = ZoneCopy::default();
-    complete(&mut answerer, &first, &mine, &mut copy);
-    // Every table changes, again and again.
+    transfer_completely(&mut answerer, &first, &own_key, &mut copy);
+    // Every table changes with each serial.
     for serial in 8..20 {
         let next = view(serial, 120, serial as usize);
         set_zone(&mut answerer, &next);
     }
     let last = view(20, 120, 0);
     set_zone(&mut answerer, &last);
-    let (over_udp, _) = transfer(&mut answerer, &last, &mine, &mut copy, Transport::Udp);
+    let (over_udp, _) = transfer(&mut answerer, &last, &own_key, &mut copy, Transport::Udp);
     assert_eq!(
         over_udp.expect("a transfer"),
         TransferProgress::RetryOverTcp
     );
     // Differences that are larger than the zone are not sent.
     let mut whole = ZoneCopy::default();
-    complete(&mut answerer, &last, &mine, &mut whole);
-    complete(&mut answerer, &last, &mine, &mut copy);
+    transfer_completely(&mut answerer, &last, &own_key, &mut whole);
+    transfer_completely(&mut answerer, &last, &own_key, &mut copy);
     assert_eq!(copy, whole);
     let mut changed = last.clone();
     changed.serial = 21;
     changed.tables.get_mut(&TableId(3)).expect("a table")[2].weight = 0.25;
     set_zone(&mut answerer, &changed);
-    let reply = complete(&mut answerer, &changed, &mine, &mut copy);
+    let reply = transfer_completely(&mut answerer, &changed, &own_key, &mut copy);
     assert_eq!(reply.packets.len(), 1);
     let mut whole = ZoneCopy::default();
-    complete(&mut answerer, &changed, &mine, &mut whole);
+    transfer_completely(&mut answerer, &changed, &own_key, &mut whole);
     assert_eq!(copy, whole);
-    let (again, reply) = transfer(&mut answerer, &changed, &mine, &mut copy, Transport::Tcp);
+    let (again, reply) = transfer(&mut answerer, &changed, &own_key, &mut copy, Transport::Tcp);
     assert_eq!(again.expect("a transfer"), TransferProgress::UpToDate);
     assert_eq!(
         reply.secondary_events[1],
@@ -197,18 +204,19 @@
     );
 }
 
+/// After a restart the server's journal is empty while a secondary has an older serial.
 #[test]
-fn a_serial_from_before_a_restart_gets_the_whole_zone() {
+fn a_serial_that_is_not_in_the_journal_gets_the_whole_zone() {
     let mut answerer = answerer();
     let now = view(500, 24, 0);
-    let mine = key("second-0.pond.example", 1);
+    let own_key = key("second-0.pond.example", 1);
     set_zone(&mut answerer, &now);
     let mut copy = ZoneCopy {
         serial: Some(431),
         ..ZoneCopy::default()
     };
     assert_eq!(
-        transfer(&mut answerer, &now, &mine, &mut copy, Transport::Tcp)
+        transfer(&mut answerer, &now, &own_key, &mut copy, Transport::Tcp)
             .0
             .expect("a transfer"),
         TransferProgress::Complete
@@ -218,17 +226,18 @@
 }
 
 #[test]
-fn without_the_key_nothing_is_transferred() {
+fn queries_without_a_valid_signature_get_no_transfer() {
     let mut answerer = answerer();
     let now = view(7, 24, 0);
     set_zone(&mut answerer, &now);
     let mut copy = ZoneCopy::default();
-    // A secret that is not the right one, a name that is not known, a signature of another time.
-    for wrong in [
+    // A wrong secret and an unknown key name; below, a signature whose time is too old and a query without one.
+    for wrong_key in [
         key("second-1.pond.example", 9),
         key("third.pond.example", 2),
     ] {
-        let (rejected, reply) = transfer(&mut answerer, &now, &wrong, &mut copy, Transport::Tcp);
+        let (rejected, reply) =
+            transfer(&mut answerer, &now, &wrong_key, &mut copy, Transport::Tcp);
         assert!(
             matches!(
                 rejected,
@@ -238,34 +247,34 @@
         );
         assert!(reply.secondary_events.is_empty());
     }
-    let mine = key("second-1.pond.example", 2);
-    let (old, _) =
-        Transfer::start(99, "pond.example", &copy, &mine, NOW_S - 400).expect("a question");
-    let reply = answerer.answer(NOW, FROM, Transport::Tcp, &old, &now);
+    let own_key = key("second-1.pond.example", 2);
+    let (expired_query, _) =
+        Transfer::start(99, "pond.example", &copy, &own_key, NOW_S - 400).expect("a query");
+    let reply = answerer.answer(NOW, PEER, Transport::Tcp, &expired_query, &now);
     let answer = Message::from_vec(&reply.packets[0]).expect("a message");
     assert_eq!(
         (answer.metadata.response_code, answer.answers.len()),
         (ResponseCode::NotAuth, 0)
     );
-    let mut plain = Message::new(1, MessageType::Query, OpCode::Query);
-    plain.add_query(Query::query(
+    let mut unsigned = Message::new(1, MessageType::Query, OpCode::Query);
+    unsigned.add_query(Query::query(
         Name::from_ascii("pond.example.").expect("a name"),
         RecordType::AXFR,
     ));
     let reply = answerer.answer(
         NOW,
-        FROM,
+        PEER,
         Transport::Tcp,
-        &plain.to_vec().expect("bytes"),
+        &unsigned.to_vec().expect("bytes"),
         &now,
     );
     let answer = Message::from_vec(&reply.packets[0]).expect("a message");
     assert_eq!(answer.metadata.response_code, ResponseCode::Refused);
-    // A query that was changed on the way.
+    // A query that was changed after it was signed.
     let (mut packet, _) =
-        Transfer::start(99, "pond.example", &copy, &mine, NOW_S).expect("a question");
+        Transfer::start(99, "pond.example", &copy, &own_key, NOW_S).expect("a query");
     packet[2] |= 1;
-    let reply = answerer.answer(NOW, FROM, Transport::Tcp, &packet, &now);
+    let reply = answerer.answer(NOW, PEER, Transport::Tcp, &packet, &now);
     assert_eq!(
         Message::from_vec(&reply.packets[0])
             .expect("bytes")
@@ -280,27 +289,27 @@
 fn a_transfer_that_is_changed_or_incomplete_leaves_the_copy_unchanged() {
     let mut answerer = answerer();
     let now = view(7, 120, 0);
-    let mine = key("second-1.pond.example", 2);
+    let own_key = key("second-1.pond.example", 2);
     set_zone(&mut answerer, &now);
     let mut copy = ZoneCopy::default();
     let start = |copy: &ZoneCopy| {
-        Transfer::start(99, "pond.example", copy, &mine, NOW_S).expect("a question")
+        Transfer::start(99, "pond.example", copy, &own_key, NOW_S).expect("a query")
     };
-    for (changed, at) in [(0, 300), (2, 500), (3, 40)] {
+    for (message_index, byte_index) in [(0, 300), (2, 500), (3, 40)] {
         let (packet, mut transfer) = start(&copy);
         let mut packets = answerer
-            .answer(NOW, FROM, Transport::Tcp, &packet, &now)
+            .answer(NOW, PEER, Transport::Tcp, &packet, &now)
             .packets;
-        packets[changed][at] ^= 1;
+        packets[message_index][byte_index] ^= 1;
         let result = packets
             .iter()
             .map(|packet| transfer.apply(packet, &mut copy))
             .find(|result| !matches!(result, Ok(TransferProgress::Incomplete)));
         assert!(matches!(result, Some(Err(_))), "{result:?}");
-        // One message left out breaks the chain as well.
+        // A missing message breaks the chain of signatures as well.
         let (packet, mut transfer) = start(&copy);
         let mut packets = answerer
-            .answer(NOW, FROM, Transport::Tcp, &packet, &now)
+            .answer(NOW, PEER, Transport::Tcp, &packet, &now)
             .packets;
         packets.remove(1);
         let result = packets
@@ -320,34 +329,35 @@
     let mut answerer = answerer();
     let now = view(7, 24, 0);
     set_zone(&mut answerer, &now);
-    let mine = key("second-1.pond.example", 2);
-    let other = key("second-0.pond.example", 1);
+    let own_key = key("second-1.pond.example", 2);
+    let other_key = key("second-0.pond.example", 1);
     let notification = answerer.notification(NOW, 1).expect("a notification");
     assert!(answerer.notification(NOW, 2).is_none());
     assert!(
-        acknowledge_notification(&notification, &other, NOW_S).is_none(),
-        "not meant for it"
+        acknowledge_notification(&notification, &other_key, NOW_S).is_none(),
+        "the notification is for another secondary"
     );
-    let answer = acknowledge_notification(&notification, &mine, NOW_S).expect("an answer");
-    let mut forged = Message::from_vec(&answer).expect("a message");
+    let acknowledgement =
+        acknowledge_notification(&notification, &own_key, NOW_S).expect("an acknowledgement");
+    let mut forged = Message::from_vec(&acknowledgement).expect("a message");
     forged.signature = None;
     let forged = forged.to_vec().expect("bytes");
     assert!(
         answerer
-            .answer(NOW, FROM, Transport::Udp, &forged, &now)
+            .answer(NOW, PEER, Transport::Udp, &forged, &now)
             .secondary_events
             .is_empty()
     );
-    let reply = answerer.answer(NOW, FROM, Transport::Udp, &answer, &now);
+    let reply = answerer.answer(NOW, PEER, Transport::Udp, &acknowledgement, &now);
     assert_eq!(
         (reply.secondary_events, reply.packets.len()),
         (vec![(1, SecondaryEvent::Acknowledged)], 0)
     );
     assert!(
         answerer
-            .answer(NOW, FROM, Transport::Udp, &answer, &now)
+            .answer(NOW, PEER, Transport::Udp, &acknowledgement, &now)
             .secondary_events
             .is_empty(),
-        "once"
+        "an acknowledgement is accepted once"
     );
 }
