--- a/crates/dns-core/src/lifetime.rs
+++ b/crates/dns-core/src/lifetime.rs
@@ -34,7 +34,7 @@
     /// The grace period leaves less than a whole second for the lifetime.
     #[error(
         "a drain grace period of {grace_ms} ms leaves no whole second for the lifetime of answers: {detection_ms} ms \
-         to learn of a drain and 1000 ms for rounding by caches are subtracted; at least {min_grace_ms} ms are needed"
+         to learn of a drain and 1000 ms for rounding by caches are subtracted; with {min_grace_ms} ms it would leave 1 s"
     )]
     GraceTooShort {
         /// The drain grace period.
